--- a/src/ceilings.rs
+++ b/src/ceilings.rs
@@ -34,7 +34,10 @@
     }
 
     fn indexed(&self, handler: usize) -> impl Iterator<Item = (usize, &Ceiling)> {
-        self.0.iter().enumerate().filter(move |(_, c)| c.handlers.contains(&handler))
+        self.0
+            .iter()
+            .enumerate()
+            .filter(move |(_, c)| c.handlers.contains(&handler))
     }
 
     /// Whether the ceiling of that index covers the handler.
@@ -65,7 +68,10 @@
         for (i, ceiling) in self.indexed(handler) {
             let seconds = queued.0[i] * ceiling.start_interval.as_secs_f64();
             if seconds > longest.seconds {
-                longest = StartDelay { seconds, ceiling: Some(i) };
+                longest = StartDelay {
+                    seconds,
+                    ceiling: Some(i),
+                };
             }
         }
         longest
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -2,7 +2,10 @@
 //! and, after a batch, `settle`; its decisions go out through `Actions`. A request passes
 //! `ARRIVAL_STAGES`, `start_queued` and its calls; its outcome passes them in reverse in `on_run_ended`.
 //! Each part under `decide/` owns its state. Nothing here reads a clock or a socket.
-#![allow(clippy::wildcard_imports, reason = "the parts share these imports: their lines are limited")]
+#![allow(
+    clippy::wildcard_imports,
+    reason = "the parts share these imports: their lines are limited"
+)]
 
 mod admission;
 mod budget_controller;
@@ -18,7 +21,9 @@
 mod upstream_calls;
 
 use crate::ceilings::CeilingTable;
-use crate::estimators::{Average, EventRate, ExpiringCount, LeastSquares, Ranking, RecentClients, Slope};
+use crate::estimators::{
+    Average, EventRate, ExpiringCount, LeastSquares, Ranking, RecentClients, Slope,
+};
 use crate::idempotency::{IdempotencyTable, KeySlot, Role};
 use crate::interface::*;
 use crate::request::{Request, RequestSlot, RequestTable, Stage};
@@ -41,8 +46,13 @@
 type ArrivalStage = fn(&mut Decider, Timestamp, RequestSlot, &mut dyn Actions) -> ControlFlow<()>;
 
 /// The stages that an arriving request passes, in order.
-const ARRIVAL_STAGES: [ArrivalStage; 5] =
-    [Decider::dedup, Decider::reject_draining, Decider::weigh, Decider::admit, Decider::enqueue];
+const ARRIVAL_STAGES: [ArrivalStage; 5] = [
+    Decider::dedup,
+    Decider::reject_draining,
+    Decider::weigh,
+    Decider::admit,
+    Decider::enqueue,
+];
 
 /// A graceful shutdown: when it began, and when the process stops.
 struct Drain {
@@ -111,10 +121,18 @@
 impl Decider {
     /// Begins a `Decider` for an incarnation that starts now. Equal seeds and events give equal decisions.
     pub fn builder(
-        now: Timestamp, seed: u64, machine: &Machine, handlers: &[Handler], position: &FleetPosition,
+        now: Timestamp,
+        seed: u64,
+        machine: &Machine,
+        handlers: &[Handler],
+        position: &FleetPosition,
         rules: &Rules,
     ) -> DeciderBuilder {
-        let fraction = if position.tier == 0 { 1.0 } else { INNER_TIER_FRACTION };
+        let fraction = if position.tier == 0 {
+            1.0
+        } else {
+            INNER_TIER_FRACTION
+        };
         let objectives = handlers.iter().map(|h| h.latency_objective.as_secs_f64());
         let call_guess = objectives.fold(f64::MAX, f64::min) * fraction * RUN_TIME_GUESS;
         let mut rng = oorandom::Rand64::new(u128::from(seed));
@@ -133,7 +151,12 @@
             requests: RequestTable::new(handlers.len(), machine.running_memory_factor),
             keys: IdempotencyTable::new(machine.key_memory_kb),
             timers: Timers::default(),
-            budget: budget_controller::BudgetController::new(now, machine.cores, handlers, fraction),
+            budget: budget_controller::BudgetController::new(
+                now,
+                machine.cores,
+                handlers,
+                fraction,
+            ),
             admission: admission::AdmissionControl::new(),
             queue: request_queue::RequestQueue::default(),
             concurrency: concurrency_limit::ConcurrencyLimit::new(now, machine),
@@ -141,7 +164,11 @@
             ceilings: CeilingTable::default(),
             connections: idle_connections::IdleConnections::new(downstream.max_idle),
             tenants: tenant_quota::TenantQuotas::new(now, &[], position),
-            stalls: stall_detection::StallDetector { pace: 1.0, slowdown: 1.0, last_completion: now },
+            stalls: stall_detection::StallDetector {
+                pace: 1.0,
+                slowdown: 1.0,
+                last_completion: now,
+            },
             rejections: rejection::RejectionPolicy::new(&downstream),
             load_report: load_report::LoadReporter::new(now, &downstream),
         })
@@ -155,8 +182,14 @@
     /// The state of the control loops.
     pub fn status(&self) -> Status {
         let (budget_seconds, concurrency_limit) = (self.budget.budget, self.concurrency.limit);
-        let (admitted_fraction, clients) = (self.admission.admitted, self.connections.clients.count());
-        Status { budget_seconds, admitted_fraction, concurrency_limit, clients }
+        let (admitted_fraction, clients) =
+            (self.admission.admitted, self.connections.clients.count());
+        Status {
+            budget_seconds,
+            admitted_fraction,
+            concurrency_limit,
+            clients,
+        }
     }
 
     /// Replaces the ceilings on groups of handlers. They bind starts and calls, and delay queued requests.
@@ -175,29 +208,56 @@
     /// A request has been read.
     pub fn on_arrival(&mut self, now: Timestamp, arrival: &Arrival, out: &mut dyn Actions) {
         self.rejections.sample(true, arrival.is_retry);
-        self.connections.record(now, arrival.client, self.rejections.retry_fraction, out);
+        self.connections
+            .record(now, arrival.client, self.rejections.retry_fraction, out);
         let handler = &self.handlers[arrival.handler];
         let reached = now.saturating_sub(arrival.read_delay);
         let given_up = (reached + handler.timeout).max(now);
-        let deadline = if self.rules.requests_carry_timeout { now + arrival.timeout } else { given_up };
-        let deadline = self.drain.as_ref().map_or(deadline, |drain| deadline.min(drain.stop));
-        let stretch = arrival.work_hint.map_or(Duration::ZERO, |w| w.mul_f64(handler.objective_stretch));
+        let deadline = if self.rules.requests_carry_timeout {
+            now + arrival.timeout
+        } else {
+            given_up
+        };
+        let deadline = self
+            .drain
+            .as_ref()
+            .map_or(deadline, |drain| deadline.min(drain.stop));
+        let stretch = arrival
+            .work_hint
+            .map_or(Duration::ZERO, |w| w.mul_f64(handler.objective_stretch));
         let objective = handler.latency_objective.mul_f64(self.objective_fraction) + stretch;
         let answer_by = deadline.saturating_sub(ANSWER_MARGIN);
         let objective = (reached + objective.min(handler.timeout)).min(answer_by);
-        let r = self.requests.add(Request::new(arrival, reached, objective, deadline));
+        let r = self
+            .requests
+            .add(Request::new(arrival, reached, objective, deadline));
         self.timers.set(answer_by, Timer::Answer(r));
         self.pass(now, r, &ARRIVAL_STAGES, out);
     }
 
-    fn pass(&mut self, now: Timestamp, r: RequestSlot, stages: &[ArrivalStage], out: &mut dyn Actions) {
+    fn pass(
+        &mut self,
+        now: Timestamp,
+        r: RequestSlot,
+        stages: &[ArrivalStage],
+        out: &mut dyn Actions,
+    ) {
         let _ = stages.iter().try_for_each(|stage| stage(self, now, r, out));
     }
 
     /// Rejects what reached the machine after the grace period of a graceful shutdown.
-    fn reject_draining(&mut self, now: Timestamp, r: RequestSlot, out: &mut dyn Actions) -> ControlFlow<()> {
+    fn reject_draining(
+        &mut self,
+        now: Timestamp,
+        r: RequestSlot,
+        out: &mut dyn Actions,
+    ) -> ControlFlow<()> {
         let grace = self.rules.drain_grace.saturating_sub(ANSWER_MARGIN);
-        if self.drain.as_ref().is_some_and(|drain| self.requests[r].reached > drain.since + grace) {
+        if self
+            .drain
+            .as_ref()
+            .is_some_and(|drain| self.requests[r].reached > drain.since + grace)
+        {
             self.reject(now, r, out);
             return Break(());
         }
@@ -207,37 +267,60 @@
     /// A run ended after the run time spent. The outcome passes the stages in reverse: calls, budget, keys.
     pub fn on_run_ended(&mut self, now: Timestamp, id: u64, outcome: Outcome, spent: Duration) {
         let may_end = |q: &Request| !matches!(q.stage(), Stage::Queued | Stage::Following);
-        let Some(r) = self.requests.find(id, may_end) else { return };
+        let Some(r) = self.requests.find(id, may_end) else {
+            return;
+        };
         self.abandon_call(now, r);
         self.record_run(now, r, outcome, spent);
         let Request { key, handler, .. } = self.requests[r];
         self.requests.remove(r);
         if let Some(key) = key {
-            let Handler { idempotency_window, timeout, .. } = self.handlers[handler];
-            self.timers.set(now + idempotency_window + timeout, Timer::ForgetKey(key));
+            let Handler {
+                idempotency_window,
+                timeout,
+                ..
+            } = self.handlers[handler];
+            self.timers
+                .set(now + idempotency_window + timeout, Timer::ForgetKey(key));
         }
     }
 
     /// Feeds a run that answered its request to the control loops.
     fn record_run(&mut self, now: Timestamp, r: RequestSlot, outcome: Outcome, spent: Duration) {
-        let Request { handler, work_hint, reached, answered, call_skipped, .. } = self.requests[r];
+        let Request {
+            handler,
+            work_hint,
+            reached,
+            answered,
+            call_skipped,
+            ..
+        } = self.requests[r];
         let ran = self.requests[r].has_started() && !answered;
         if !ran || !matches!(outcome, Outcome::Completed | Outcome::Failed) {
             return;
         }
-        self.admission.failures.record(f64::from(outcome == Outcome::Failed));
+        self.admission
+            .failures
+            .record(f64::from(outcome == Outcome::Failed));
         self.stalls.last_completion = now;
         if outcome == Outcome::Completed && !call_skipped {
             self.budget.record_run(handler, work_hint, spent);
         }
         if outcome == Outcome::Completed {
-            self.budget.complete(now, handler, now - reached, self.queue.len() + self.requests.running());
+            self.budget.complete(
+                now,
+                handler,
+                now - reached,
+                self.queue.len() + self.requests.running(),
+            );
         }
     }
 
     /// The client no longer waits: a queued request is removed, a run cancelled.
     pub fn on_client_gone(&mut self, now: Timestamp, id: u64, out: &mut dyn Actions) {
-        let Some(r) = self.requests.find(id, |_| true) else { return };
+        let Some(r) = self.requests.find(id, |_| true) else {
+            return;
+        };
         if !self.requests[r].has_started() {
             return self.withdraw(now, r, false, out);
         }
@@ -251,7 +334,10 @@
         for (r, request) in self.requests.iter_mut() {
             request.deadline = request.deadline.min(stop);
             request.objective = request.objective.min(stop.saturating_sub(ANSWER_MARGIN));
-            self.timers.set(request.deadline.saturating_sub(ANSWER_MARGIN), Timer::Answer(r));
+            self.timers.set(
+                request.deadline.saturating_sub(ANSWER_MARGIN),
+                Timer::Answer(r),
+            );
         }
     }
 
@@ -262,7 +348,8 @@
         let running = self.requests.running() as f64;
         let at_limit = running + 1.0 > self.concurrency.limit || !self.ceilings.is_empty();
         let saturated = at_limit && self.queue.len() > 0;
-        self.concurrency.update(now, gauges.run_queue.unwrap_or(running), saturated);
+        self.concurrency
+            .update(now, gauges.run_queue.unwrap_or(running), saturated);
         self.calls.settle(now);
         self.admission.failures.decay(admission::FAILURE_DECAY);
         self.connections.clients.expire(now);
@@ -271,7 +358,8 @@
             // While cores are idle the cause lies elsewhere, most often upstream, and a cut does not help.
             let floored = self.budget.budget <= self.budget.floor();
             let cut_helps = floored && self.concurrency.run_queue > self.budget.cores;
-            self.admission.update(elapsed, self.budget.worst_latency() - 1.0, cut_helps);
+            self.admission
+                .update(elapsed, self.budget.worst_latency() - 1.0, cut_helps);
         }
         // A hung server tells clients that check its health; where all servers hang, nothing is lost by it.
         let healthy = self.drain.is_none() && self.stalls.slowdown < stall_detection::HUNG;
@@ -299,7 +387,9 @@
             Timer::ForgetKey(key) => return self.keys.forget(key),
             Timer::Answer(r) | Timer::RetryCall(r) | Timer::CheckEnded(r) => r,
         };
-        let Some(request) = self.requests.get(r) else { return };
+        let Some(request) = self.requests.get(r) else {
+            return;
+        };
         match (timer, request.stage(), request.answered) {
             (Timer::Answer(_), Stage::Queued | Stage::Following, _) => self.reject(now, r, out),
             (Timer::Answer(_), _, false) => self.fail(r, out),
@@ -326,10 +416,12 @@
         let request = &mut self.requests[r];
         request.answered = true;
         if request.stage() != Stage::Running {
-            self.timers.set(self.last_tick + CALL_END_TIMEOUT, Timer::CheckEnded(r));
+            self.timers
+                .set(self.last_tick + CALL_END_TIMEOUT, Timer::CheckEnded(r));
         } else if self.cancellation != Cancellation::Unsupported {
             out.cancel(request.id); // Lost while the cores are stalled, so it is repeated.
-            self.timers.set(self.last_tick + STALL_TIMEOUT, Timer::CheckEnded(r));
+            self.timers
+                .set(self.last_tick + STALL_TIMEOUT, Timer::CheckEnded(r));
         }
     }
 }
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -19,8 +19,13 @@
 
 impl AdmissionControl {
     pub(super) fn new() -> AdmissionControl {
-        let (failures, recent_weights) = (Average::new(FAILURE_WEIGHT), Ranking::new(RECENT_ARRIVALS));
-        AdmissionControl { admitted: 1.0, failures, recent_weights }
+        let (failures, recent_weights) =
+            (Average::new(FAILURE_WEIGHT), Ranking::new(RECENT_ARRIVALS));
+        AdmissionControl {
+            admitted: 1.0,
+            failures,
+            recent_weights,
+        }
     }
 
     pub(super) fn is_failing(&self) -> bool {
@@ -30,7 +35,11 @@
     /// One integral step. `excess`: the worst latency over its setpoint, as a ratio.
     pub(super) fn update(&mut self, elapsed: Duration, excess: f64, cut_helps: bool) {
         let cut = cut_helps && excess > 0.0;
-        let change = if cut { -CUT_RATE * excess.min(MAX_ERROR) } else { RECOVERY_RATE };
+        let change = if cut {
+            -CUT_RATE * excess.min(MAX_ERROR)
+        } else {
+            RECOVERY_RATE
+        };
         self.admitted = (self.admitted + elapsed.as_secs_f64() * change).clamp(MIN_ADMITTED, 1.0);
     }
 }
@@ -38,11 +47,18 @@
 impl Decider {
     /// Rejects what is beyond the admitted fraction, the least weight first. A server that fails its runs
     /// attracts traffic: it rejects as large a fraction as fails, and probes only with idempotent requests.
-    pub(super) fn admit(&mut self, now: Timestamp, r: RequestSlot, out: &mut dyn Actions) -> ControlFlow<()> {
+    pub(super) fn admit(
+        &mut self,
+        now: Timestamp,
+        r: RequestSlot,
+        out: &mut dyn Actions,
+    ) -> ControlFlow<()> {
         let (weight, chance) = (self.requests[r].weight, self.rng.rand_float());
-        let idempotent = self.handlers[self.requests[r].handler].retry_safety == RetrySafety::Idempotent;
+        let idempotent =
+            self.handlers[self.requests[r].handler].retry_safety == RetrySafety::Idempotent;
         let failure_rate = self.admission.failures.value();
-        let probe = idempotent && (self.rng.rand_float() > failure_rate || self.requests.running() == 0);
+        let probe =
+            idempotent && (self.rng.rand_float() > failure_rate || self.requests.running() == 0);
         if probe || !self.admission.is_failing() {
             self.admission.recent_weights.push(weight);
             if self.admission.recent_weights.rank(weight, chance) >= 1.0 - self.admission.admitted {
--- a/src/decide/budget_controller.rs
+++ b/src/decide/budget_controller.rs
@@ -41,11 +41,21 @@
 
 impl BudgetController {
     /// `fraction` of each latency objective is this tier's own.
-    pub(super) fn new(now: Timestamp, cores: u32, handlers: &[Handler], fraction: f64) -> BudgetController {
+    pub(super) fn new(
+        now: Timestamp,
+        cores: u32,
+        handlers: &[Handler],
+        fraction: f64,
+    ) -> BudgetController {
         let times = |handler: &Handler| {
             let objective = handler.latency_objective.as_secs_f64() * fraction;
             let guess = objective * RUN_TIME_GUESS;
-            HandlerTimes { setpoint: objective * SETPOINT, mrt: guess, mean_run: guess, mean_hint: guess }
+            HandlerTimes {
+                setpoint: objective * SETPOINT,
+                mrt: guess,
+                mean_run: guess,
+                mean_hint: guess,
+            }
         };
         let handlers: Vec<HandlerTimes> = handlers.iter().map(times).collect();
         let mean_run = handlers.iter().map(|h| h.mean_run).sum::<f64>() / handlers.len() as f64;
@@ -70,7 +80,10 @@
 
     /// Latency of the handler furthest over its setpoint, as a ratio to that setpoint.
     pub(super) fn worst_latency(&self) -> f64 {
-        self.handlers.iter().map(|h| h.mrt / h.setpoint).fold(0.0, f64::max)
+        self.handlers
+            .iter()
+            .map(|h| h.mrt / h.setpoint)
+            .fold(0.0, f64::max)
     }
 
     /// Records the time of a run that skipped no call.
@@ -79,23 +92,33 @@
         if let Some(hint) = hint {
             let deviation = hint.as_secs_f64() - times.mean_hint;
             times.mean_hint += SAMPLE_WEIGHT * deviation;
-            self.hint_slope.record(deviation, run - times.mean_run, SAMPLE_WEIGHT);
+            self.hint_slope
+                .record(deviation, run - times.mean_run, SAMPLE_WEIGHT);
         }
         times.mean_run += SAMPLE_WEIGHT * (run - times.mean_run);
         self.mean_run += SAMPLE_WEIGHT * (run - self.mean_run);
         self.best_run = (self.best_run * BEST_DRIFT).min(self.mean_run);
-        self.largest_run = run.max(self.largest_run * LARGEST_RUN_DECAY).max(self.mean_run);
+        self.largest_run = run
+            .max(self.largest_run * LARGEST_RUN_DECAY)
+            .max(self.mean_run);
     }
 
     /// Steers by one completion. Those of one moment, as after a pause, make one integral step: more would
     /// leave a lasting cut.
-    pub(super) fn complete(&mut self, now: Timestamp, handler: usize, response: Duration, pending: usize) {
+    pub(super) fn complete(
+        &mut self,
+        now: Timestamp,
+        handler: usize,
+        response: Duration,
+        pending: usize,
+    ) {
         let mrt = &mut self.handlers[handler].mrt;
         *mrt += MRT_ALPHA * (response.as_secs_f64() - *mrt);
         let max = ((pending as f64 + self.cores) * self.largest_run).max(self.floor());
         if now > self.last_step {
             self.last_step = now;
-            self.budget += INTEGRAL_GAIN * (1.0 - self.worst_latency()).max(-MAX_ERROR) * self.mean_run;
+            self.budget +=
+                INTEGRAL_GAIN * (1.0 - self.worst_latency()).max(-MAX_ERROR) * self.mean_run;
         }
         self.budget = self.budget.clamp(self.floor(), max);
         self.completions += 1;
@@ -140,6 +163,8 @@
     /// EqResv allowance of the first of the queued requests.
     pub(super) fn allowance(&self, queued: usize) -> Duration {
         let length = (queued as f64 / self.cores).max(1.0);
-        Duration::from_secs_f64((self.budget / length).max(self.budget - (length - 1.0) * self.mean_run))
+        Duration::from_secs_f64(
+            (self.budget / length).max(self.budget - (length - 1.0) * self.mean_run),
+        )
     }
 }
--- a/src/decide/concurrency_limit.rs
+++ b/src/decide/concurrency_limit.rs
@@ -23,8 +23,20 @@
     pub(super) fn new(now: Timestamp, machine: &Machine) -> ConcurrencyLimit {
         let (cores, per_core) = (f64::from(machine.cores), machine.max_concurrency_per_core);
         let slow_start = (machine.warm_up, machine.cold_speed);
-        let (warm_up, cold_speed) = if machine.starts_cold { slow_start } else { (Duration::ZERO, 1.0) };
-        ConcurrencyLimit { limit: cores, run_queue: 0.0, cores, per_core, start: now, warm_up, cold_speed }
+        let (warm_up, cold_speed) = if machine.starts_cold {
+            slow_start
+        } else {
+            (Duration::ZERO, 1.0)
+        };
+        ConcurrencyLimit {
+            limit: cores,
+            run_queue: 0.0,
+            cores,
+            per_core,
+            start: now,
+            warm_up,
+            cold_speed,
+        }
     }
 
     /// Grows while the run queue is short and the limit holds work up; shrinks to the cores when it is long.
@@ -55,7 +67,11 @@
 impl Decider {
     /// Starts queued requests with their allowances, within the limit, the ceilings and the memory.
     pub(super) fn start_queued(&mut self, now: Timestamp, out: &mut dyn Actions) {
-        let limit = self.concurrency.limit.min(self.concurrency.max_runs(now)).max(1.0);
+        let limit = self
+            .concurrency
+            .limit
+            .min(self.concurrency.max_runs(now))
+            .max(1.0);
         while let Some(r) = self.queue.first(|r| self.may_start(r)) {
             let fits = self.memory_allows(self.requests.growth_kb(r), memory_guard::START_FRACTION);
             if (self.requests.running() + 1) as f64 > limit || !fits {
@@ -67,7 +83,10 @@
             self.requests.start(r, now, allowance);
             out.start(self.requests[r].id);
             if let Some(key) = self.requests[r].key {
-                self.keys.start_run(key).into_iter().for_each(|follower| self.join(follower, out));
+                self.keys
+                    .start_run(key)
+                    .into_iter()
+                    .for_each(|follower| self.join(follower, out));
             }
         }
     }
--- a/src/decide/idempotent_attempts.rs
+++ b/src/decide/idempotent_attempts.rs
@@ -7,17 +7,27 @@
 
 impl Decider {
     /// Passes on the one attempt of a keyed request that may run.
-    pub(super) fn dedup(&mut self, now: Timestamp, r: RequestSlot, out: &mut dyn Actions) -> ControlFlow<()> {
+    pub(super) fn dedup(
+        &mut self,
+        now: Timestamp,
+        r: RequestSlot,
+        out: &mut dyn Actions,
+    ) -> ControlFlow<()> {
         let Request { id, retry_of, .. } = self.requests[r];
         if self.handlers[self.requests[r].handler].retry_safety != RetrySafety::Keyed {
             return Continue(());
         }
         let key = self.keys.bind(id, retry_of);
         self.requests[r].key = Some(key);
-        match self.keys.enter(key, r, |other| self.requests.get(other).is_some()) {
+        match self
+            .keys
+            .enter(key, r, |other| self.requests.get(other).is_some())
+        {
             Role::Joiner => self.join(r, out),
             Role::Follower => self.requests.wait(r, Stage::Following),
-            Role::Leader if self.memory_allows(self.keys.entry_kb(), memory_guard::QUEUE_FRACTION) => {
+            Role::Leader
+                if self.memory_allows(self.keys.entry_kb(), memory_guard::QUEUE_FRACTION) =>
+            {
                 self.store_key(now, key, r, out);
                 return Continue(());
             }
@@ -29,8 +39,9 @@
 
     /// Stores an attempt's key until its window, counted from its arrival, has passed.
     fn store_key(&mut self, now: Timestamp, key: KeySlot, r: RequestSlot, out: &mut dyn Actions) {
-        let until =
-            self.requests[r].reached + self.handlers[self.requests[r].handler].idempotency_window + KEY_SLACK;
+        let until = self.requests[r].reached
+            + self.handlers[self.requests[r].handler].idempotency_window
+            + KEY_SLACK;
         self.keys.store(key, until);
         self.timers.set(until, Timer::ExpireKey(key));
         out.store_key(self.requests[r].id, until - now);
@@ -46,11 +57,18 @@
     }
 
     /// Removes a request that never started; those that wait for its run take its place or are rejected.
-    pub(super) fn withdraw(&mut self, now: Timestamp, r: RequestSlot, rejected: bool, out: &mut dyn Actions) {
+    pub(super) fn withdraw(
+        &mut self,
+        now: Timestamp,
+        r: RequestSlot,
+        rejected: bool,
+        out: &mut dyn Actions,
+    ) {
         self.queue.remove(r);
         let Request { id, key, .. } = self.requests[r];
         self.requests.remove(r);
-        let Some((key, followers)) = key.and_then(|key| Some((key, self.keys.withdraw(key, r)?))) else {
+        let Some((key, followers)) = key.and_then(|key| Some((key, self.keys.withdraw(key, r)?)))
+        else {
             return;
         };
         if !rejected && let Some(next) = self.keys.promote(key, &followers) {
--- a/src/decide/idle_connections.rs
+++ b/src/decide/idle_connections.rs
@@ -19,17 +19,36 @@
     /// Clients close their connections by themselves after `max_idle`.
     pub(super) fn new(max_idle: Duration) -> IdleConnections {
         let clients = RecentClients::new(WORTHWHILE_IDLE);
-        IdleConnections { clients, frequent: 0.5, limit: Duration::ZERO, max_idle }
+        IdleConnections {
+            clients,
+            frequent: 0.5,
+            limit: Duration::ZERO,
+            max_idle,
+        }
     }
 
     /// Counts an arrival and sets the limit. Many infrequent clients would fill the table, few frequent ones
     /// would pay for new connections. In a flood of retries a full table turns clients off at low cost.
-    pub(super) fn record(&mut self, now: Timestamp, client: u16, retries: f64, out: &mut dyn Actions) {
+    pub(super) fn record(
+        &mut self,
+        now: Timestamp,
+        client: u16,
+        retries: f64,
+        out: &mut dyn Actions,
+    ) {
         let frequent = self.clients.record(now, client);
         self.frequent += SAMPLE_WEIGHT * (f64::from(frequent) - self.frequent);
-        let flood = if self.limit == self.max_idle { RETRY_FLOOD * 0.5 } else { RETRY_FLOOD };
+        let flood = if self.limit == self.max_idle {
+            RETRY_FLOOD * 0.5
+        } else {
+            RETRY_FLOOD
+        };
         let keep_all = self.frequent > 0.5 || retries > flood;
-        let limit = if keep_all { self.max_idle } else { MIN_LIMIT.min(self.max_idle) };
+        let limit = if keep_all {
+            self.max_idle
+        } else {
+            MIN_LIMIT.min(self.max_idle)
+        };
         if std::mem::replace(&mut self.limit, limit) != limit {
             out.set_idle_limit(limit);
         }
--- a/src/decide/load_report.rs
+++ b/src/decide/load_report.rs
@@ -15,8 +15,17 @@
 
 impl LoadReporter {
     pub(super) fn new(now: Timestamp, downstream: &Downstream) -> LoadReporter {
-        let Downstream { load_report: meaning, clients, .. } = *downstream;
-        LoadReporter { meaning, clients, value: UNLIMITED, updated: now }
+        let Downstream {
+            load_report: meaning,
+            clients,
+            ..
+        } = *downstream;
+        LoadReporter {
+            meaning,
+            clients,
+            value: UNLIMITED,
+            updated: now,
+        }
     }
 }
 
@@ -31,7 +40,12 @@
 
     /// Reports the load where it changed, at most once per interval.
     pub(super) fn report_load(&mut self, now: Timestamp, out: &mut dyn Actions) {
-        let LoadReporter { meaning, clients, updated, .. } = self.load_report;
+        let LoadReporter {
+            meaning,
+            clients,
+            updated,
+            ..
+        } = self.load_report;
         if meaning == LoadReport::Unused || now - updated < REPORT_INTERVAL {
             return;
         }
@@ -51,7 +65,16 @@
 
     /// Allowance of each client while this server warms up: the supported runs over all clients there may be.
     fn warm_up_allowance(&self, now: Timestamp) -> f64 {
-        let clients = self.connections.clients.count().max(self.load_report.clients as usize).max(1) as f64;
-        if self.concurrency.is_warming_up(now) { self.concurrency.max_runs(now) / clients } else { UNLIMITED }
+        let clients = self
+            .connections
+            .clients
+            .count()
+            .max(self.load_report.clients as usize)
+            .max(1) as f64;
+        if self.concurrency.is_warming_up(now) {
+            self.concurrency.max_runs(now) / clients
+        } else {
+            UNLIMITED
+        }
     }
 }
--- a/src/decide/memory_guard.rs
+++ b/src/decide/memory_guard.rs
@@ -15,7 +15,11 @@
     pub(super) fn free_memory(&mut self, now: Timestamp, out: &mut dyn Actions) {
         while !self.memory_allows(0.0, QUEUE_FRACTION) {
             let weight = |r: &RequestSlot| self.requests[*r].weight;
-            let lightest = self.queue.in_order().into_iter().min_by(|a, b| weight(a).total_cmp(&weight(b)));
+            let lightest = self
+                .queue
+                .in_order()
+                .into_iter()
+                .min_by(|a, b| weight(a).total_cmp(&weight(b)));
             let Some(r) = lightest else { return };
             self.reject(now, r, out);
         }
--- a/src/decide/request_queue.rs
+++ b/src/decide/request_queue.rs
@@ -19,11 +19,16 @@
     }
 
     pub(super) fn remove(&mut self, request: RequestSlot) {
-        self.0.iter_mut().for_each(|line| line.retain(|e| e.request != request));
+        self.0
+            .iter_mut()
+            .for_each(|line| line.retain(|e| e.request != request));
     }
 
     pub(super) fn first(&self, may_start: impl Fn(RequestSlot) -> bool) -> Option<RequestSlot> {
-        let firsts = self.0.iter().filter_map(|line| line.iter().find(|e| may_start(e.request)));
+        let firsts = self
+            .0
+            .iter()
+            .filter_map(|line| line.iter().find(|e| may_start(e.request)));
         firsts.min().map(|e| e.request)
     }
 
@@ -49,9 +54,17 @@
 
 impl Decider {
     /// Queues a request by its latest start, long work apart from short.
-    pub(super) fn enqueue(&mut self, _: Timestamp, r: RequestSlot, _: &mut dyn Actions) -> ControlFlow<()> {
+    pub(super) fn enqueue(
+        &mut self,
+        _: Timestamp,
+        r: RequestSlot,
+        _: &mut dyn Actions,
+    ) -> ControlFlow<()> {
         let run = self.expected_run(r);
-        let entry = Entry { latest_start: self.requests[r].objective.saturating_sub(run), request: r };
+        let entry = Entry {
+            latest_start: self.requests[r].objective.saturating_sub(run),
+            request: r,
+        };
         let line = &mut self.queue.0[usize::from(run.as_secs_f64() > self.budget.mean_run)];
         line.insert(line.partition_point(|e| *e < entry), entry);
         Break(())
@@ -63,9 +76,15 @@
         let (mut planned, mut infeasible) = (vec![], vec![]);
         let mut queued = self.ceilings.count(std::iter::empty());
         for request in self.queue.in_order() {
-            let Request { handler, objective, .. } = self.requests[request];
+            let Request {
+                handler, objective, ..
+            } = self.requests[request];
             let run = self.expected_run(request).as_secs_f64();
-            planned.push(Planned { request, handler, run });
+            planned.push(Planned {
+                request,
+                handler,
+                run,
+            });
             self.ceilings.add(&mut queued, handler);
             let delay = self.ceilings.start_delay(handler, &queued);
             let wait = work_ahead / self.concurrency.limit;
@@ -82,16 +101,26 @@
         let idle = self.requests.running() == 0 && planned.is_empty();
         let spares = |r: &RequestSlot| idle && now < self.requests[*r].objective;
         let spared = usize::from(infeasible.first().is_some_and(spares));
-        infeasible.into_iter().skip(spared).for_each(|r| self.reject(now, r, out));
+        infeasible
+            .into_iter()
+            .skip(spared)
+            .for_each(|r| self.reject(now, r, out));
     }
 
     /// Index of the planned request of least weight, then of longest run, within the group if one is given.
     fn least_useful(&self, planned: &[Planned], group: Option<usize>) -> usize {
-        let in_group = |i: &usize| group.is_none_or(|g| self.ceilings.covers(g, planned[*i].handler));
+        let in_group =
+            |i: &usize| group.is_none_or(|g| self.ceilings.covers(g, planned[*i].handler));
         let usefulness = |i: &usize| (self.requests[planned[*i].request].weight, -planned[*i].run);
         let order = |a: &usize, b: &usize| {
-            usefulness(a).partial_cmp(&usefulness(b)).unwrap_or(std::cmp::Ordering::Equal)
+            usefulness(a)
+                .partial_cmp(&usefulness(b))
+                .unwrap_or(std::cmp::Ordering::Equal)
         };
-        (0..planned.len()).rev().filter(in_group).min_by(order).unwrap_or(0)
+        (0..planned.len())
+            .rev()
+            .filter(in_group)
+            .min_by(order)
+            .unwrap_or(0)
     }
 }
--- a/src/decide/stall_detection.rs
+++ b/src/decide/stall_detection.rs
@@ -18,16 +18,28 @@
     /// The control loops need completions. Where none come though work runs, the age of the oldest run stands
     /// for one, and an idle handler's MRT drifts back. Harm: a long run cuts the budget.
     pub(super) fn detect_stalls(&mut self, now: Timestamp) {
-        let (ages, usual) = (self.requests.ages_on_cores(now), USUAL_AGE * self.budget.mean_run);
+        let (ages, usual) = (
+            self.requests.ages_on_cores(now),
+            USUAL_AGE * self.budget.mean_run,
+        );
         let prior = PRIOR_AGES * usual;
-        self.stalls.slowdown = ((ages.seconds + prior) / (usual * (ages.runs + PRIOR_AGES))).max(1.0);
+        self.stalls.slowdown =
+            ((ages.seconds + prior) / (usual * (ages.runs + PRIOR_AGES))).max(1.0);
         self.stalls.pace = (ages.seconds / (usual * ages.runs.max(1.0))).max(1.0);
-        let oldest = self.requests.oldest_started().map(|q| (q.handler, now - q.reached));
+        let oldest = self
+            .requests
+            .oldest_started()
+            .map(|q| (q.handler, now - q.reached));
         if let Some((handler, age)) = oldest
             && now - self.stalls.last_completion > STALL_TIMEOUT
             && age.as_secs_f64() > self.budget.handlers[handler].mrt
         {
-            self.budget.complete(now, handler, age, self.queue.len() + self.requests.running());
+            self.budget.complete(
+                now,
+                handler,
+                age,
+                self.queue.len() + self.requests.running(),
+            );
         }
         let idle = (0..self.handlers.len()).filter(|handler| self.requests.is_idle(*handler));
         idle.for_each(|handler| self.budget.relax_idle(handler));
@@ -35,7 +47,9 @@
 
     /// Expected run time of a request at the present pace.
     pub(super) fn expected_run(&self, r: RequestSlot) -> Duration {
-        let Request { handler, work_hint, .. } = self.requests[r];
+        let Request {
+            handler, work_hint, ..
+        } = self.requests[r];
         Duration::from_secs_f64(self.budget.expected_run(handler, work_hint) * self.stalls.pace)
     }
 
--- a/src/decide/tenant_quota.rs
+++ b/src/decide/tenant_quota.rs
@@ -16,11 +16,21 @@
 }
 
 impl TenantQuotas {
-    pub(super) fn new(now: Timestamp, tenants: &[Tenant], position: &FleetPosition) -> TenantQuotas {
+    pub(super) fn new(
+        now: Timestamp,
+        tenants: &[Tenant],
+        position: &FleetPosition,
+    ) -> TenantQuotas {
         let quota = |t: &Tenant| t.requests_per_second / f64::from(position.servers.max(1));
-        let rate = |t: &Tenant| TenantRate { quota: quota(t), measured: EventRate::new(now) };
+        let rate = |t: &Tenant| TenantRate {
+            quota: quota(t),
+            measured: EventRate::new(now),
+        };
         let tenants = tenants.iter().map(rate).collect();
-        TenantQuotas { tenants, over_quota_weight: position.over_quota_weight }
+        TenantQuotas {
+            tenants,
+            over_quota_weight: position.over_quota_weight,
+        }
     }
 }
 
@@ -33,15 +43,26 @@
     }
 
     /// Weighs a request: its handler's weight, less what its tenant sends past its quota, per expected work.
-    pub(super) fn weigh(&mut self, now: Timestamp, r: RequestSlot, _: &mut dyn Actions) -> ControlFlow<()> {
-        let Request { handler, tenant, .. } = self.requests[r];
+    pub(super) fn weigh(
+        &mut self,
+        now: Timestamp,
+        r: RequestSlot,
+        _: &mut dyn Actions,
+    ) -> ControlFlow<()> {
+        let Request {
+            handler, tenant, ..
+        } = self.requests[r];
         let mut weight = self.handlers[handler].weight;
         if let Some(tenant) = self.tenants.tenants.get_mut(tenant) {
             let within = (tenant.quota / tenant.measured.record(now, RATE_WINDOW)).min(1.0);
             weight *= within + (1.0 - within) * self.tenants.over_quota_weight;
         }
         let relative_work = self.budget.handlers[handler].mean_run / self.budget.mean_run;
-        let work = if self.weight_by_work { 1.0 } else { relative_work };
+        let work = if self.weight_by_work {
+            1.0
+        } else {
+            relative_work
+        };
         self.requests[r].weight = weight / work.max(1e-3);
         Continue(())
     }
--- a/src/decide/upstream_calls.rs
+++ b/src/decide/upstream_calls.rs
@@ -33,18 +33,30 @@
     /// at different times, the smaller their quota the later.
     pub(super) fn new(now: Timestamp, guess: f64, part: f64) -> UpstreamCalls {
         let (credit, best_time) = (-part * guess, guess * 0.5);
-        UpstreamCalls { credit, settled: now, mean_time: guess, best_time, ..UpstreamCalls::default() }
+        UpstreamCalls {
+            credit,
+            settled: now,
+            mean_time: guess,
+            best_time,
+            ..UpstreamCalls::default()
+        }
     }
 
     /// The calls that may be in flight on average: a part of the quota that shrinks as they slow.
     fn capacity(&self) -> f64 {
-        let min = if self.has_ceilings { MAX_QUOTA_FRACTION } else { MIN_QUOTA_FRACTION };
+        let min = if self.has_ceilings {
+            MAX_QUOTA_FRACTION
+        } else {
+            MIN_QUOTA_FRACTION
+        };
         let fraction = MAX_QUOTA_FRACTION * SLOW_CALLS * self.best_time / self.mean_time;
         self.upstream.quota * fraction.clamp(min, MAX_QUOTA_FRACTION)
     }
 
     fn max_credit(&self) -> f64 {
-        self.upstream.quota * (1.0 - MAX_QUOTA_FRACTION) * self.upstream.averaging_window.as_secs_f64()
+        self.upstream.quota
+            * (1.0 - MAX_QUOTA_FRACTION)
+            * self.upstream.averaging_window.as_secs_f64()
     }
 
     /// Brings the account up to now; returns the number of calls in flight.
@@ -70,7 +82,8 @@
         let rejected = f64::from(outcome == Outcome::Rejected);
         self.rejected_fraction += CALL_WEIGHT * (rejected - self.rejected_fraction);
         if matches!(outcome, Outcome::TimedOut | Outcome::Cancelled) {
-            self.abandoned.add(now + self.upstream.abandoned_call_lifetime);
+            self.abandoned
+                .add(now + self.upstream.abandoned_call_lifetime);
         }
         // A timeout bounds the call time from below, except at a tier, where a machine may have gone silent.
         let is_bound = outcome == Outcome::TimedOut && self.upstream.kind == UpstreamKind::Shared;
@@ -84,8 +97,15 @@
     /// Time after which a call is stuck and only holds a run; no call may hold more than a window's quota.
     fn stuck_after(&self) -> Duration {
         let usual = Duration::from_secs_f64(STUCK_CALL * self.mean_time) + BACKOFF_UNIT;
-        let affordable = self.upstream.averaging_window.mul_f64(self.upstream.quota * MAX_QUOTA_FRACTION);
-        if self.upstream.kind == UpstreamKind::Shared { usual.min(affordable) } else { usual }
+        let affordable = self
+            .upstream
+            .averaging_window
+            .mul_f64(self.upstream.quota * MAX_QUOTA_FRACTION);
+        if self.upstream.kind == UpstreamKind::Shared {
+            usual.min(affordable)
+        } else {
+            usual
+        }
     }
 }
 
@@ -98,7 +118,12 @@
 
     /// A run waits at an upstream call.
     pub fn on_call_needed(&mut self, now: Timestamp, id: u64, out: &mut dyn Actions) {
-        let Some(r) = self.requests.find(id, |q| q.stage() == Stage::Running && !q.answered) else { return };
+        let Some(r) = self
+            .requests
+            .find(id, |q| q.stage() == Stage::Running && !q.answered)
+        else {
+            return;
+        };
         self.requests.set_run_stage(r, Stage::AtCall);
         self.attempt_call(now, r, out);
     }
@@ -108,7 +133,8 @@
     pub(super) fn attempt_call(&mut self, now: Timestamp, r: RequestSlot, out: &mut dyn Actions) {
         let (request, handler) = (&self.requests[r], &self.handlers[self.requests[r].handler]);
         let rank = self.admission.recent_weights.rank(request.weight, 1.0);
-        let within = |ceiling: &Ceiling| self.requests.load(&ceiling.handlers).calls < ceiling.calls;
+        let within =
+            |ceiling: &Ceiling| self.requests.load(&ceiling.handlers).calls < ceiling.calls;
         let in_ceilings = self.ceilings.over(request.handler).all(within);
         // Under ceilings, required calls go first where capacity is scarce.
         let yields = !self.ceilings.is_empty() && !self.calls.waiting.is_empty();
@@ -118,13 +144,19 @@
         let late_is_useless = handler.late_weight == 0.0;
         if late && !optional && late_is_useless && self.calls.in_flight > 0 {
             self.fail(r, out); // Another run makes better use of the capacity.
-        } else if optional && (spent || late || yields || !in_ceilings || !self.calls.allows(now, rank)) {
+        } else if optional
+            && (spent || late || yields || !in_ceilings || !self.calls.allows(now, rank))
+        {
             self.requests.skip_call(r, out);
         } else if !in_ceilings || !self.calls.allows(now, 1.0) {
             self.calls.waiting.push(r);
         } else {
             let answer_by = request.deadline.saturating_sub(ANSWER_MARGIN);
-            let useful_until = if optional || late_is_useless { request.objective } else { answer_by };
+            let useful_until = if optional || late_is_useless {
+                request.objective
+            } else {
+                answer_by
+            };
             let until = useful_until.min(now + self.calls.stuck_after());
             out.call(request.id, (until - now).max(Duration::from_millis(1)));
             self.calls.in_flight += 1;
@@ -142,20 +174,33 @@
 
     /// An upstream call ended after the time spent. A failed one is skipped, repeated, or fails its request.
     pub fn on_call_finished(
-        &mut self, now: Timestamp, id: u64, outcome: Outcome, spent: Duration, out: &mut dyn Actions,
+        &mut self,
+        now: Timestamp,
+        id: u64,
+        outcome: Outcome,
+        spent: Duration,
+        out: &mut dyn Actions,
     ) {
-        let Some(r) = self.requests.find(id, |q| q.stage() == Stage::Calling) else { return };
+        let Some(r) = self.requests.find(id, |q| q.stage() == Stage::Calling) else {
+            return;
+        };
         self.calls.finish(now, outcome, spent);
         self.requests.finish_call(r, outcome == Outcome::Completed);
         let request = &self.requests[r];
         if outcome == Outcome::Completed || request.answered {
             return;
         }
-        let Handler { partial_weight, retry_safety, .. } = self.handlers[request.handler];
+        let Handler {
+            partial_weight,
+            retry_safety,
+            ..
+        } = self.handlers[request.handler];
         let may_have_run = !matches!(outcome, Outcome::Rejected | Outcome::Unreachable);
         let backoff = BACKOFF_UNIT.mul_f64(f64::from(1u32 << request.failed_calls.min(6)));
-        let late = now + backoff + Duration::from_secs_f64(self.calls.mean_time) > request.objective;
-        let hopeless = late || request.failed_calls > 1 || self.calls.rejected_fraction > OVERLOADED;
+        let late =
+            now + backoff + Duration::from_secs_f64(self.calls.mean_time) > request.objective;
+        let hopeless =
+            late || request.failed_calls > 1 || self.calls.rejected_fraction > OVERLOADED;
         if partial_weight > 0.0 && hopeless {
             self.requests.skip_call(r, out);
         } else if (may_have_run && retry_safety != RetrySafety::Idempotent) || late {
@@ -168,7 +213,8 @@
     /// Takes a request off the account; its call, if one is in flight, counts as abandoned.
     pub(super) fn abandon_call(&mut self, now: Timestamp, r: RequestSlot) {
         if self.requests[r].stage() == Stage::Calling {
-            self.calls.finish(now, Outcome::Cancelled, now - self.requests[r].started);
+            self.calls
+                .finish(now, Outcome::Cancelled, now - self.requests[r].started);
         }
         self.calls.waiting.retain(|waiting| *waiting != r);
     }
--- a/src/estimators.rs
+++ b/src/estimators.rs
@@ -45,7 +45,10 @@
 
 impl EventRate {
     pub(crate) fn new(now: Timestamp) -> EventRate {
-        EventRate { rate: 0.0, updated: now }
+        EventRate {
+            rate: 0.0,
+            updated: now,
+        }
     }
 
     /// Counts an event; returns the rate per second over that many seconds.
@@ -66,7 +69,10 @@
 
 impl RecentClients {
     pub(crate) fn new(window: Duration) -> RecentClients {
-        RecentClients { last_seen: HashMap::new(), window }
+        RecentClients {
+            last_seen: HashMap::new(),
+            window,
+        }
     }
 
     /// Records a client; returns whether it was seen within the window before.
@@ -114,7 +120,10 @@
 
 impl Ranking {
     pub(crate) fn new(capacity: usize) -> Ranking {
-        Ranking { values: VecDeque::new(), capacity }
+        Ranking {
+            values: VecDeque::new(),
+            capacity,
+        }
     }
 
     pub(crate) fn push(&mut self, value: f64) {
@@ -165,7 +174,11 @@
     /// Begins with coefficients of zero and that variance of each.
     pub(crate) fn new(variance: f64) -> LeastSquares<N> {
         let covariance = from_fn(|i| from_fn(|j| if i == j { variance } else { 0.0 }));
-        LeastSquares { coefficients: [0.0; N], covariance, inputs: [0.0; N] }
+        LeastSquares {
+            coefficients: [0.0; N],
+            covariance,
+            inputs: [0.0; N],
+        }
     }
 
     /// The fitted effect of an input.
--- a/src/idempotency.rs
+++ b/src/idempotency.rs
@@ -45,14 +45,21 @@
 impl IdempotencyTable {
     /// A stored entry takes `entry_kb` of memory.
     pub(crate) fn new(entry_kb: f64) -> IdempotencyTable {
-        IdempotencyTable { entry_kb, ..IdempotencyTable::default() }
+        IdempotencyTable {
+            entry_kb,
+            ..IdempotencyTable::default()
+        }
     }
 
     /// The key that the attempt or the one that it retries belongs to, else a new one; both belong to it after.
     /// `retry_of` is 0 for none. Attempts of one batch may name each other before the other is known: the name
     /// alone binds them.
     pub(crate) fn bind(&mut self, attempt_id: u64, retry_of: u64) -> KeySlot {
-        let ids = if retry_of == 0 { &[attempt_id][..] } else { &[attempt_id, retry_of] };
+        let ids = if retry_of == 0 {
+            &[attempt_id][..]
+        } else {
+            &[attempt_id, retry_of]
+        };
         let known = ids.iter().find_map(|id| self.key_of.get(id).copied());
         let key = known.unwrap_or_else(|| self.entries.insert(Entry::default()));
         for id in ids {
@@ -75,7 +82,10 @@
 
     /// Enters an attempt under its key; `in_flight` tells of another one whether it has not ended.
     pub(crate) fn enter(
-        &mut self, key: KeySlot, attempt: RequestSlot, in_flight: impl Fn(RequestSlot) -> bool,
+        &mut self,
+        key: KeySlot,
+        attempt: RequestSlot,
+        in_flight: impl Fn(RequestSlot) -> bool,
     ) -> Role {
         let entry = &mut self.entries[key];
         if entry.has_run {
@@ -90,7 +100,11 @@
     }
 
     /// Makes the first of the attempts the one to run, and the others wait for it.
-    pub(crate) fn promote(&mut self, key: KeySlot, attempts: &[RequestSlot]) -> Option<RequestSlot> {
+    pub(crate) fn promote(
+        &mut self,
+        key: KeySlot,
+        attempts: &[RequestSlot],
+    ) -> Option<RequestSlot> {
         let (first, others) = attempts.split_first()?;
         let entry = &mut self.entries[key];
         (entry.leader, entry.followers) = (Some(*first), others.to_vec());
@@ -105,7 +119,11 @@
     }
 
     /// Takes out an attempt that never started. If it was to run, returns those that waited for it.
-    pub(crate) fn withdraw(&mut self, key: KeySlot, attempt: RequestSlot) -> Option<Vec<RequestSlot>> {
+    pub(crate) fn withdraw(
+        &mut self,
+        key: KeySlot,
+        attempt: RequestSlot,
+    ) -> Option<Vec<RequestSlot>> {
         let entry = &mut self.entries[key];
         entry.followers.retain(|f| *f != attempt);
         let was_to_run = entry.leader == Some(attempt) && !entry.has_run;
@@ -120,7 +138,9 @@
 
     /// Removes a key's stored entry if it has expired; a later one stays.
     pub(crate) fn expire(&mut self, now: Timestamp, key: KeySlot) {
-        let Some(entry) = self.entries.get_mut(key) else { return };
+        let Some(entry) = self.entries.get_mut(key) else {
+            return;
+        };
         if entry.stored_until.is_some_and(|until| until <= now) {
             entry.stored_until = None;
             self.stored_entries -= 1;
@@ -134,7 +154,9 @@
 
     /// Forgets a key and its attempts; returns whether the key was stored.
     pub(crate) fn remove(&mut self, key: KeySlot) -> bool {
-        let Some(entry) = self.entries.remove(key) else { return false };
+        let Some(entry) = self.entries.remove(key) else {
+            return false;
+        };
         let was_stored = entry.stored_until.is_some();
         self.stored_entries -= usize::from(was_stored);
         for id in entry.attempt_ids {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -156,7 +156,10 @@
 impl Default for Rules {
     /// No grace period; requests carry their timeout.
     fn default() -> Rules {
-        Rules { drain_grace: Duration::ZERO, requests_carry_timeout: true }
+        Rules {
+            drain_grace: Duration::ZERO,
+            requests_carry_timeout: true,
+        }
     }
 }
 
--- a/src/request.rs
+++ b/src/request.rs
@@ -66,7 +66,10 @@
 
 impl Request {
     pub(crate) fn new(
-        arrival: &Arrival, reached: Timestamp, objective: Timestamp, deadline: Timestamp,
+        arrival: &Arrival,
+        reached: Timestamp,
+        objective: Timestamp,
+        deadline: Timestamp,
     ) -> Request {
         Request {
             id: arrival.id,
@@ -138,7 +141,11 @@
     /// A run takes `running_factor` times the request's memory while queued.
     pub(crate) fn new(handlers: usize, running_factor: f64) -> RequestTable {
         let handler_loads = vec![Load::default(); handlers];
-        RequestTable { handler_loads, running_factor, ..RequestTable::default() }
+        RequestTable {
+            handler_loads,
+            running_factor,
+            ..RequestTable::default()
+        }
     }
 
     pub(crate) fn get(&self, r: RequestSlot) -> Option<&Request> {
@@ -146,8 +153,15 @@
     }
 
     /// The request of this identifier, if there is one and the condition holds for it.
-    pub(crate) fn find(&self, id: u64, condition: impl Fn(&Request) -> bool) -> Option<RequestSlot> {
-        self.slot_of.get(&id).copied().filter(|r| condition(&self.requests[*r]))
+    pub(crate) fn find(
+        &self,
+        id: u64,
+        condition: impl Fn(&Request) -> bool,
+    ) -> Option<RequestSlot> {
+        self.slot_of
+            .get(&id)
+            .copied()
+            .filter(|r| condition(&self.requests[*r]))
     }
 
     /// Runs that hold a core, and the sum of their ages in seconds.
@@ -161,7 +175,10 @@
 
     /// The started request that reached the machine first.
     pub(crate) fn oldest_started(&self) -> Option<&Request> {
-        self.requests.values().filter(|r| r.has_started()).min_by_key(|r| r.reached)
+        self.requests
+            .values()
+            .filter(|r| r.has_started())
+            .min_by_key(|r| r.reached)
     }
 
     /// Whether no request of the handler is queued or in flight.
@@ -192,7 +209,10 @@
     /// The load of a group of handlers.
     pub(crate) fn load(&self, handlers: &[usize]) -> Load {
         let loads = handlers.iter().filter_map(|h| self.handler_loads.get(*h));
-        loads.fold(Load::default(), |sum, l| Load { runs: sum.runs + l.runs, calls: sum.calls + l.calls })
+        loads.fold(Load::default(), |sum, l| Load {
+            runs: sum.runs + l.runs,
+            calls: sum.calls + l.calls,
+        })
     }
 
     /// Adds a queued request.
@@ -231,7 +251,14 @@
 
     /// The request's call came back: its run goes on, or waits at the call that failed.
     pub(crate) fn finish_call(&mut self, r: RequestSlot, completed: bool) {
-        self.set_run_stage(r, if completed { Stage::Running } else { Stage::AtCall });
+        self.set_run_stage(
+            r,
+            if completed {
+                Stage::Running
+            } else {
+                Stage::AtCall
+            },
+        );
         self.requests[r].failed_calls += u32::from(!completed);
     }
 
@@ -253,7 +280,9 @@
     }
 
     pub(crate) fn remove(&mut self, r: RequestSlot) {
-        let Some(request) = self.requests.remove(r) else { return };
+        let Some(request) = self.requests.remove(r) else {
+            return;
+        };
         self.slot_of.remove(&request.id);
         if !request.stage.has_started() {
             self.queued_kb -= request.memory_kb;
