--- a/crates/concurrency/src/ceilings.rs
+++ b/crates/concurrency/src/ceilings.rs
@@ -4,14 +4,13 @@
 //! and runs among pools; never changes a limit or a counter.
 
 use crate::UNLIMITED;
-use crate::config::CallRequirement;
 use crate::fair_share::{self, Demand};
 use crate::handlers::{HandlerLoad, HandlerTable};
-use crate::ids::{HandlerId, PoolId, handler_indices};
+use crate::ids::PoolId;
 use crate::pool::Pool;
 use crate::reserve::ReserveState;
 use crate::upstream::UpstreamLimits;
-use madderbay::interface::Ceiling;
+use madderbay::interface::{CallRequirement, Ceiling, HandlerId};
 use madderbay::time::{Duration, Timestamp};
 
 /// Time for which a skipped call counts as demand: its pool has a share of the calls meanwhile.
@@ -73,7 +72,7 @@
         let calls = self.call_ceilings(upstreams);
         let runs = self.run_ceilings(&calls);
         let ceiling = |(index, pool): (usize, &Pool)| Ceiling {
-            handlers: handler_indices(&pool.handlers),
+            handlers: pool.handlers.clone(),
             runs: runs[index],
             calls: calls[index],
             start_interval: self.start_interval(PoolId(index)),
@@ -192,7 +191,7 @@
 /// A ceiling on calls that leaves runs unlimited.
 fn calls_only(handlers: &[HandlerId], calls: usize) -> Ceiling {
     Ceiling {
-        handlers: handler_indices(handlers),
+        handlers: handlers.to_vec(),
         runs: UNLIMITED,
         calls,
         start_interval: Duration::ZERO,
--- a/crates/concurrency/src/config.rs
+++ b/crates/concurrency/src/config.rs
@@ -3,33 +3,16 @@
 //! Plain data, given by the operator file and the site's settings. Handlers are given by their
 //! index in the settings.
 
+use madderbay::interface::HandlerId;
 use madderbay::time::Duration;
 
-/// Whether the runs of a handler make an upstream call.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallRequirement {
-    /// Runs make no call.
-    Never,
-    /// Runs make a call, but can complete without it.
-    Optional,
-    /// Runs cannot complete without a call.
-    Required,
-}
-
-/// What the limiter knows about a handler.
-#[derive(Clone, Copy, Debug)]
-pub struct HandlerProfile {
-    /// Whether its runs make calls.
-    pub calls: CallRequirement,
-}
-
 /// One pool of handlers (a bulkhead).
 #[derive(Clone, Debug)]
 pub struct PoolConfig {
     /// Name in counters; no effect on limits.
     pub name: String,
     /// Handlers of the pool; each handler belongs to at most one pool.
-    pub handlers: Vec<usize>,
+    pub handlers: Vec<HandlerId>,
     /// Relative weight among pools that want runs.
     pub weight: f64,
     /// Relative weight among pools that want calls.
@@ -57,7 +40,7 @@
 #[derive(Clone, Debug)]
 pub struct Reserve {
     /// The handlers that own the reserve; if empty, the handler with the shortest runs.
-    pub handlers: Vec<usize>,
+    pub handlers: Vec<HandlerId>,
     /// Reserved fraction of all runs and calls, from 0 to 1.
     pub fraction: f64,
 }
@@ -87,7 +70,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamGroup {
     /// Indices of the handlers.
-    pub handlers: Vec<usize>,
+    pub handlers: Vec<HandlerId>,
     /// Fraction of the call quota at which the upstream's limit starts, 0 to 1.
     pub quota_fraction: f64,
 }
--- a/crates/concurrency/src/handlers.rs
+++ b/crates/concurrency/src/handlers.rs
@@ -3,9 +3,8 @@
 //! Owns the counters per handler and the mean duration of its runs. Given each change of a request
 //! by [`requests`](crate::requests), which keeps the counters consistent with the requests.
 
-use crate::config::{CallRequirement, HandlerProfile};
-use crate::ids::HandlerId;
 use crate::requests::RequestStage;
+use madderbay::interface::{CallRequirement, HandlerId};
 use madderbay::time::Timestamp;
 
 /// Weight of the newest run in the mean duration: averages about ten runs.
@@ -28,9 +27,9 @@
 }
 
 impl HandlerLoad {
-    fn new(profile: &HandlerProfile) -> HandlerLoad {
+    fn new(calls: CallRequirement) -> HandlerLoad {
         HandlerLoad {
-            calls: profile.calls,
+            calls,
             queued: 0,
             running: 0,
             awaiting_call: 0,
@@ -76,27 +75,31 @@
 }
 
 impl HandlerTable {
-    pub(crate) fn new(profiles: &[HandlerProfile]) -> HandlerTable {
+    pub(crate) fn new(call_requirements: &[CallRequirement]) -> HandlerTable {
         HandlerTable {
-            loads: profiles.iter().map(HandlerLoad::new).collect(),
+            loads: call_requirements
+                .iter()
+                .copied()
+                .map(HandlerLoad::new)
+                .collect(),
         }
     }
 
-    /// The handler of an index; `None` for one that is not in the settings.
-    pub(crate) fn id(&self, index: usize) -> Option<HandlerId> {
-        (index < self.loads.len()).then_some(HandlerId(index))
+    /// Whether the settings have the handler.
+    pub(crate) fn contains(&self, handler: HandlerId) -> bool {
+        handler.index() < self.loads.len()
     }
 
     pub(crate) fn ids(&self) -> impl Iterator<Item = HandlerId> + use<> {
-        (0..self.loads.len()).map(HandlerId)
+        HandlerId::first(self.loads.len())
     }
 
     pub(crate) fn get(&self, handler: HandlerId) -> &HandlerLoad {
-        &self.loads[handler.0]
+        &self.loads[handler.index()]
     }
 
     pub(crate) fn get_mut(&mut self, handler: HandlerId) -> &mut HandlerLoad {
-        &mut self.loads[handler.0]
+        &mut self.loads[handler.index()]
     }
 
     /// Sum of a counter over some handlers.
--- a/crates/concurrency/src/lib.rs
+++ b/crates/concurrency/src/lib.rs
@@ -7,24 +7,25 @@
 //! admits, orders or rejects requests: [`madderbay::decide`] does, within the ceilings.
 //!
 //! ```
+//! use madderbay::interface::{CallRequirement, HandlerId};
 //! use madderbay::time::Timestamp;
 //! use madderbay_concurrency::{
-//!     CallRequirement, ConcurrencyConfig, ConcurrencyLimiter, HandlerProfile, PoolConfig,
-//!     RequestStage,
+//!     ConcurrencyConfig, ConcurrencyLimiter, PoolConfig, RequestStage,
 //! };
+//! let (first, second) = (HandlerId::new(0), HandlerId::new(1));
 //! let pool = |name: &str, handlers| PoolConfig {
 //!     name: name.into(),
 //!     handlers,
 //!     ..PoolConfig::default()
 //! };
 //! let config = ConcurrencyConfig {
-//!     pools: vec![pool("a", vec![0]), pool("b", vec![1])],
+//!     pools: vec![pool("a", vec![first]), pool("b", vec![second])],
 //!     ..ConcurrencyConfig::default()
 //! };
-//! let profiles = [HandlerProfile { calls: CallRequirement::Never }; 2];
-//! let mut limiter = ConcurrencyLimiter::new(Timestamp::from_micros(0), 7, config, &profiles);
+//! let calls = [CallRequirement::Never; 2];
+//! let mut limiter = ConcurrencyLimiter::new(Timestamp::from_micros(0), 7, config, &calls);
 //! // No request of pool b is in flight: pool a may use all four workers.
-//! limiter.set_stage(Timestamp::from_micros(1), 1, 0, RequestStage::Queued);
+//! limiter.set_stage(Timestamp::from_micros(1), 1, first, RequestStage::Queued);
 //! assert_eq!(limiter.ceilings(Timestamp::from_micros(1), 4.0)[1].runs, 4);
 //! ```
 
@@ -43,9 +44,7 @@
 mod upstream;
 mod usage;
 
-pub use config::{
-    CallRequirement, ConcurrencyConfig, HandlerProfile, PoolConfig, Reserve, UpstreamGroup,
-};
+pub use config::{ConcurrencyConfig, PoolConfig, Reserve, UpstreamGroup};
 pub use limit::{AdjustmentCause, Completion, LimitChange, LimitChanges};
 pub use limiter::ConcurrencyLimiter;
 pub use requests::RequestStage;
--- a/crates/concurrency/src/limiter.rs
+++ b/crates/concurrency/src/limiter.rs
@@ -1,16 +1,15 @@
 //! [`ConcurrencyLimiter`]: receives the events of requests and hands out ceilings.
 
 use crate::ceilings::CeilingInputs;
-use crate::config::{ConcurrencyConfig, HandlerProfile};
+use crate::config::ConcurrencyConfig;
 use crate::handlers::HandlerLoad;
-use crate::ids::handler_indices;
 use crate::limit::{Completion, LimitChanges};
 use crate::pool::{Pool, complete_pools};
 use crate::requests::{RequestStage, RequestTable};
 use crate::reserve::ReserveState;
 use crate::upstream::{UpstreamLimit, UpstreamLimits};
 use crate::usage::{CallUsage, PoolUsage, UpstreamUsage};
-use madderbay::interface::Ceiling;
+use madderbay::interface::{CallRequirement, Ceiling, HandlerId};
 use madderbay::time::{Duration, Timestamp};
 
 /// Time after which ceilings are computed again although nothing changed.
@@ -34,24 +33,24 @@
 }
 
 impl ConcurrencyLimiter {
-    /// Creates a limiter for the handlers that `profiles` describes. `seed` determines the jitter
-    /// of backoffs.
+    /// Creates a limiter for handlers with these calls, in the order of the settings. `seed`
+    /// determines the jitter of backoffs.
     ///
     /// # Panics
     ///
-    /// [`ConcurrencyLimiter::ceilings`] panics if `config` names a handler that `profiles` lacks.
+    /// [`ConcurrencyLimiter::ceilings`] panics if `config` names a handler beyond `call_requirements`.
     pub fn new(
         now: Timestamp,
         seed: u64,
         config: ConcurrencyConfig,
-        profiles: &[HandlerProfile],
+        call_requirements: &[CallRequirement],
     ) -> ConcurrencyLimiter {
         ConcurrencyLimiter {
             cores: config.cores,
-            requests: RequestTable::new(profiles),
-            upstreams: UpstreamLimits::new(now, seed, &config, profiles),
+            requests: RequestTable::new(call_requirements),
+            upstreams: UpstreamLimits::new(now, seed, &config, call_requirements),
             reserve: config.reserve.as_ref().map(|r| ReserveState::new(now, r)),
-            pools: complete_pools(config.pools, profiles),
+            pools: complete_pools(config.pools, call_requirements),
             runs_recorded_at: now,
             ceilings: vec![],
             ceilings_computed_at: now,
@@ -61,10 +60,10 @@
 
     /// Moves a request to another stage; a new one is added. Ignored for a handler that is not in
     /// the settings.
-    pub fn set_stage(&mut self, now: Timestamp, id: u64, handler: usize, stage: RequestStage) {
-        let Some(handler) = self.requests.handlers().id(handler) else {
+    pub fn set_stage(&mut self, now: Timestamp, id: u64, handler: HandlerId, stage: RequestStage) {
+        if !self.requests.handlers().contains(handler) {
             return;
-        };
+        }
         self.changed = true;
         let request = self.requests.set_stage(now, id, handler, stage);
         let Some(limit) = self.upstreams.limit_of(request.handler()) else {
@@ -119,7 +118,7 @@
         };
         let handler = request.handler();
         self.requests.record_skipped_call(now, handler);
-        self.set_stage(now, id, handler.0, RequestStage::Running);
+        self.set_stage(now, id, handler, RequestStage::Running);
     }
 
     /// Removes a request: its run ended, or it was answered or abandoned before it started.
@@ -162,7 +161,7 @@
     /// The same for each upstream.
     pub fn upstream_usage(&self) -> impl Iterator<Item = UpstreamUsage> {
         self.upstreams.iter().map(|upstream| UpstreamUsage {
-            handlers: handler_indices(upstream.handlers()),
+            handlers: upstream.handlers().to_vec(),
             calls: call_usage_of(upstream),
         })
     }
@@ -193,9 +192,9 @@
     }
 
     /// The handlers that own the reserve now.
-    pub fn reserved(&self) -> Vec<usize> {
+    pub fn reserved(&self) -> Vec<HandlerId> {
         let reserve = self.reserve.as_ref();
-        reserve.map_or(vec![], |r| handler_indices(r.owners()))
+        reserve.map_or(vec![], |r| r.owners().to_vec())
     }
 
     /// Whether the ceilings handed out last may have changed.
--- a/crates/concurrency/src/pool.rs
+++ b/crates/concurrency/src/pool.rs
@@ -2,8 +2,8 @@
 //!
 //! Owns the moving average of its runs. Given the current number of runs; never counts them itself.
 
-use crate::config::{HandlerProfile, PoolConfig};
-use crate::ids::{HandlerId, handler_ids};
+use crate::config::PoolConfig;
+use madderbay::interface::{CallRequirement, HandlerId};
 use madderbay::time::Duration;
 
 /// Name of the pool of all handlers that belong to no configured pool.
@@ -26,7 +26,7 @@
 impl Pool {
     fn new(config: PoolConfig) -> Pool {
         Pool {
-            handlers: handler_ids(&config.handlers),
+            handlers: config.handlers.clone(),
             name: config.name,
             weight: config.weight,
             call_weight: config.call_weight,
@@ -51,10 +51,12 @@
 /// The configured pools and, where a handler belongs to none, the remaining pool.
 pub(crate) fn complete_pools(
     mut configs: Vec<PoolConfig>,
-    profiles: &[HandlerProfile],
+    call_requirements: &[CallRequirement],
 ) -> Vec<Pool> {
-    let is_pooled = |handler: &usize| configs.iter().any(|p| p.handlers.contains(handler));
-    let others: Vec<usize> = (0..profiles.len()).filter(|h| !is_pooled(h)).collect();
+    let is_pooled = |handler: &HandlerId| configs.iter().any(|p| p.handlers.contains(handler));
+    let others: Vec<HandlerId> = HandlerId::first(call_requirements.len())
+        .filter(|h| !is_pooled(h))
+        .collect();
     if !others.is_empty() {
         configs.push(PoolConfig {
             name: REMAINING_POOL_NAME.into(),
--- a/crates/concurrency/src/requests.rs
+++ b/crates/concurrency/src/requests.rs
@@ -3,10 +3,9 @@
 //! Owns the requests and, through [`HandlerTable`], the counters, which always agree. Given each
 //! event of a request; never decides a limit.
 
-use crate::config::HandlerProfile;
 use crate::handlers::HandlerTable;
-use crate::ids::HandlerId;
 use crate::limit::Permit;
+use madderbay::interface::{CallRequirement, HandlerId};
 use madderbay::time::{Duration, Timestamp};
 use std::collections::{HashMap, VecDeque};
 
@@ -65,11 +64,11 @@
 }
 
 impl RequestTable {
-    pub(crate) fn new(profiles: &[HandlerProfile]) -> RequestTable {
+    pub(crate) fn new(call_requirements: &[CallRequirement]) -> RequestTable {
         RequestTable {
             requests: HashMap::new(),
             answered: VecDeque::new(),
-            handlers: HandlerTable::new(profiles),
+            handlers: HandlerTable::new(call_requirements),
         }
     }
 
--- a/crates/concurrency/src/reserve.rs
+++ b/crates/concurrency/src/reserve.rs
@@ -6,8 +6,7 @@
 use crate::UNLIMITED;
 use crate::config::Reserve;
 use crate::handlers::HandlerTable;
-use crate::ids::{HandlerId, handler_ids, handler_indices};
-use madderbay::interface::Ceiling;
+use madderbay::interface::{Ceiling, HandlerId};
 use madderbay::time::{Duration, Timestamp};
 
 /// How often the cheapest handler is determined.
@@ -31,7 +30,7 @@
         ReserveState {
             fraction: config.fraction,
             owner_is_cheapest: config.handlers.is_empty(),
-            owners: handler_ids(&config.handlers),
+            owners: config.handlers.clone(),
             chosen_at: now,
         }
     }
@@ -73,7 +72,7 @@
             calls - self.reserved_of(calls)
         };
         Ceiling {
-            handlers: handler_indices(&bound),
+            handlers: bound,
             runs: workers - self.reserved_of(workers),
             calls,
             start_interval: Duration::ZERO,
--- a/crates/concurrency/src/upstream.rs
+++ b/crates/concurrency/src/upstream.rs
@@ -3,9 +3,9 @@
 //! Owns the limits, which handlers each applies to, and the log of their changes. Given this
 //! server's quota and the time of process stalls; never divides a limit among pools.
 
-use crate::config::{CallRequirement, ConcurrencyConfig, HandlerProfile, UpstreamGroup};
-use crate::ids::{HandlerId, handler_ids};
+use crate::config::{ConcurrencyConfig, UpstreamGroup};
 use crate::limit::{AdaptiveLimit, Completion, LimitChange, LimitChanges, Permit};
+use madderbay::interface::{CallRequirement, HandlerId};
 use madderbay::time::Timestamp;
 
 /// Lower bound on a limit, in calls, whatever the quota. Short calls may then overlap; the decision
@@ -51,21 +51,21 @@
         now: Timestamp,
         seed: u64,
         config: &ConcurrencyConfig,
-        profiles: &[HandlerProfile],
+        call_requirements: &[CallRequirement],
     ) -> UpstreamLimits {
         let limit_at = |(index, group): (usize, UpstreamGroup)| {
             let quota = config.call_quota.unwrap_or(0.0);
             let max = (quota * group.quota_fraction).max(MIN_CALL_LIMIT);
             let seed = seed + index as u64;
             UpstreamLimit {
-                handlers: handler_ids(&group.handlers),
+                handlers: group.handlers.clone(),
                 quota_fraction: group.quota_fraction,
                 limit: AdaptiveLimit::new(now, seed, max, config.abandoned_call_lifetime),
             }
         };
         let limits = match config.call_quota {
             Some(_) => {
-                let groups = complete_groups(config, profiles).into_iter();
+                let groups = complete_groups(config, call_requirements).into_iter();
                 groups.enumerate().map(limit_at).collect()
             }
             None => vec![],
@@ -154,11 +154,17 @@
 
 /// The configured groups and, where a handler in none of them makes calls, one more with the full
 /// quota.
-fn complete_groups(config: &ConcurrencyConfig, profiles: &[HandlerProfile]) -> Vec<UpstreamGroup> {
+fn complete_groups(
+    config: &ConcurrencyConfig,
+    call_requirements: &[CallRequirement],
+) -> Vec<UpstreamGroup> {
     let mut groups = config.upstream_groups.clone();
-    let is_grouped = |handler: &usize| groups.iter().any(|g| g.handlers.contains(handler));
-    let others: Vec<usize> = (0..profiles.len()).filter(|h| !is_grouped(h)).collect();
-    let makes_calls = |handler: &usize| profiles[*handler].calls != CallRequirement::Never;
+    let is_grouped = |handler: &HandlerId| groups.iter().any(|g| g.handlers.contains(handler));
+    let others: Vec<HandlerId> = HandlerId::first(call_requirements.len())
+        .filter(|h| !is_grouped(h))
+        .collect();
+    let makes_calls =
+        |handler: &HandlerId| call_requirements[handler.index()] != CallRequirement::Never;
     if groups.is_empty() || others.iter().any(makes_calls) {
         groups.push(UpstreamGroup {
             handlers: others,
--- a/crates/concurrency/src/usage.rs
+++ b/crates/concurrency/src/usage.rs
@@ -1,5 +1,7 @@
 //! What the limiter reports for counters.
 
+use madderbay::interface::HandlerId;
+
 /// Use of one pool. `usize::MAX` in a ceiling means that there is none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolUsage<'a> {
@@ -30,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamUsage {
     /// Handlers that call it.
-    pub handlers: Vec<usize>,
+    pub handlers: Vec<HandlerId>,
     /// Limit and calls in flight.
     pub calls: CallUsage,
 }
--- a/crates/concurrency/tests/concurrency/arbitrary_events.rs
+++ b/crates/concurrency/tests/concurrency/arbitrary_events.rs
@@ -1,6 +1,7 @@
 //! Invariants of the limiter after arbitrary events.
 
 use crate::support::{QUOTE, at, fixed_seed, limiter, reserve, three_pools};
+use madderbay::interface::HandlerId;
 use madderbay_concurrency::limit::Completion;
 use madderbay_concurrency::{ConcurrencyConfig, ConcurrencyLimiter, RequestStage};
 use proptest::prelude::*;
@@ -23,7 +24,7 @@
 enum Event {
     SetStage {
         id: u64,
-        handler: usize,
+        handler: HandlerId,
         stage: RequestStage,
     },
     CallFinished {
@@ -45,7 +46,7 @@
     let id = || 0u64..12;
     prop_oneof![
         6 => (id(), 0u8..3, 0u8..4).prop_map(|(id, handler, stage)| {
-            let (handler, stage) = (usize::from(handler), STAGES[usize::from(stage)]);
+            let (handler, stage) = (HandlerId::new(handler.into()), STAGES[usize::from(stage)]);
             Event::SetStage { id, handler, stage }
         }),
         2 => (id(), 0u8..4).prop_map(|(id, completion)| {
--- a/crates/concurrency/tests/concurrency/pools.rs
+++ b/crates/concurrency/tests/concurrency/pools.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{
     BOOK, QUOTE, SEARCH, at, complete_runs, limiter, limiter_of_equal_pools, pool, pool_ceiling,
-    queue, start, three_pools,
+    pool_ceiling_at, queue, start, three_pools,
 };
 use madderbay::time::Duration;
 use madderbay_concurrency::{ConcurrencyConfig, RequestStage};
@@ -85,7 +85,7 @@
 #[test]
 fn divides_calls_by_their_own_weights() {
     let mut pools = three_pools([1.0; 3]);
-    pools[SEARCH].call_weight = 0.0;
+    pools[SEARCH.index()].call_weight = 0.0;
     let mut limiter = limiter(ConcurrencyConfig {
         pools,
         ..ConcurrencyConfig::default()
@@ -109,7 +109,7 @@
     queue(&mut two, 0..20, SEARCH);
     queue(&mut two, 100..120, QUOTE);
     queue(&mut two, 200..220, BOOK);
-    let remaining = pool_ceiling(&mut two, 1, 8.0, 1);
+    let remaining = pool_ceiling_at(&mut two, 1, 8.0, 1);
     assert_eq!(
         (remaining.handlers, remaining.runs),
         (vec![SEARCH, QUOTE], 4)
@@ -117,17 +117,17 @@
     let names: Vec<&str> = two.pool_usage().map(|usage| usage.name).collect();
     assert_eq!(names, ["book", "rest"]);
     // One worker: each pool may use it, and the decision module's limit decides.
-    assert!((0..2).all(|pool| pool_ceiling(&mut two, 1, 1.0, pool).runs <= 1));
+    assert!((0..2).all(|pool| pool_ceiling_at(&mut two, 1, 1.0, pool).runs <= 1));
     let mut one = limiter(config(vec![pool("all", &[SEARCH, QUOTE, BOOK], 1.0)]));
     queue(&mut one, 0..20, QUOTE);
-    assert_eq!(pool_ceiling(&mut one, 1, 8.0, 0).runs, 8);
+    assert_eq!(pool_ceiling_at(&mut one, 1, 8.0, 0).runs, 8);
 }
 
 #[test]
 fn obeys_configured_bounds() {
     let mut pools = three_pools([1.0; 3]);
-    pools[QUOTE].max_runs = Some(2);
-    pools[BOOK].max_calls = Some(3);
+    pools[QUOTE.index()].max_runs = Some(2);
+    pools[BOOK.index()].max_calls = Some(3);
     let mut limiter = limiter(ConcurrencyConfig {
         pools,
         ..ConcurrencyConfig::default()
--- a/crates/concurrency/tests/concurrency/reference_run/configs.rs
+++ b/crates/concurrency/tests/concurrency/reference_run/configs.rs
@@ -1,10 +1,11 @@
 //! The configurations of the limiter.
 
-use crate::support::reserve;
+use crate::support::{BOOK, QUOTE, SEARCH, reserve};
+use madderbay::interface::HandlerId;
 use madderbay::time::Duration;
 use madderbay_concurrency::{ConcurrencyConfig, PoolConfig, UpstreamGroup};
 
-fn pool(name: &str, handlers: &[usize], weight: f64, call_weight: f64) -> PoolConfig {
+fn pool(name: &str, handlers: &[HandlerId], weight: f64, call_weight: f64) -> PoolConfig {
     let handlers = handlers.to_vec();
     PoolConfig {
         name: name.into(),
@@ -17,9 +18,9 @@
 
 fn three_pools() -> Vec<PoolConfig> {
     vec![
-        pool("a", &[0], 1.0, 0.0),
-        pool("b", &[1], 2.0, 1.0),
-        pool("c", &[2], 3.0, 2.0),
+        pool("a", &[SEARCH], 1.0, 0.0),
+        pool("b", &[QUOTE], 2.0, 1.0),
+        pool("c", &[BOOK], 3.0, 2.0),
     ]
 }
 
@@ -49,21 +50,21 @@
 /// The recorded configurations, by name.
 pub(super) fn configs() -> Vec<(&'static str, ConcurrencyConfig)> {
     let rest = changed(|c| {
-        c.pools = vec![pool("c", &[2], 0.5, 1.0)];
-        c.reserve = reserve(&[1], 0.2);
+        c.pools = vec![pool("c", &[BOOK], 0.5, 1.0)];
+        c.reserve = reserve(&[QUOTE], 0.2);
     });
     let fixed = changed(|c| (c.adaptive, c.pools) = (false, bounded_pools()));
     let free = changed(|c| {
         (c.call_quota, c.pools) = (None, bounded_pools());
-        c.reserve = reserve(&[0, 1], 0.1);
+        c.reserve = reserve(&[SEARCH, QUOTE], 0.1);
     });
     let groups = changed(|c| {
-        c.upstream_groups = vec![upstream_group(0, 0.4), upstream_group(2, 0.6)];
+        c.upstream_groups = vec![upstream_group(SEARCH, 0.4), upstream_group(BOOK, 0.6)];
         c.call_quota = Some(20.0);
     });
     let group_and_others = changed(|c| {
-        c.upstream_groups = vec![upstream_group(2, 1.0)];
-        c.reserve = reserve(&[2], 0.2);
+        c.upstream_groups = vec![upstream_group(BOOK, 1.0)];
+        c.reserve = reserve(&[BOOK], 0.2);
     });
     vec![
         ("plain", base()),
@@ -76,7 +77,7 @@
     ]
 }
 
-fn upstream_group(handler: usize, quota_fraction: f64) -> UpstreamGroup {
+fn upstream_group(handler: HandlerId, quota_fraction: f64) -> UpstreamGroup {
     UpstreamGroup {
         handlers: vec![handler],
         quota_fraction,
--- a/crates/concurrency/tests/concurrency/reference_run/random_requests.rs
+++ b/crates/concurrency/tests/concurrency/reference_run/random_requests.rs
@@ -3,7 +3,8 @@
 use super::configs::configs;
 use super::{Digest, WRITES_TO_STRING, assert_same, recorded_name};
 use crate::simulation::at;
-use crate::support::profiles;
+use crate::support::{QUOTE, call_requirements};
+use madderbay::interface::HandlerId;
 use madderbay::time::Timestamp;
 use madderbay_concurrency::limit::Completion;
 use madderbay_concurrency::{ConcurrencyConfig, ConcurrencyLimiter, RequestStage};
@@ -21,7 +22,7 @@
 
 struct OpenRequest {
     id: u64,
-    handler: usize,
+    handler: HandlerId,
     progress: Progress,
 }
 
@@ -37,7 +38,7 @@
 impl RandomRequests {
     fn new(index: usize, config: ConcurrencyConfig) -> RandomRequests {
         RandomRequests {
-            limiter: ConcurrencyLimiter::new(at(0), 11, config, &profiles()),
+            limiter: ConcurrencyLimiter::new(at(0), 11, config, &call_requirements()),
             random: oorandom::Rand64::new(500 + index as u128),
             open: vec![],
             last_id: 0,
@@ -70,7 +71,7 @@
 
     fn add_request(&mut self) {
         self.last_id += 1;
-        let handler = self.random.rand_range(0..4) as usize;
+        let handler = HandlerId::new(self.random.rand_range(0..4) as usize);
         self.limiter
             .set_stage(self.now(), self.last_id, handler, RequestStage::Queued);
         self.open.push(OpenRequest {
@@ -93,7 +94,7 @@
                     .set_stage(now, id, handler, RequestStage::Running);
                 Progress::Started
             }
-            Progress::Started if handler != 1 && draw < 0.8 => {
+            Progress::Started if handler != QUOTE && draw < 0.8 => {
                 self.limiter
                     .set_stage(now, id, handler, RequestStage::AwaitingCall);
                 Progress::AwaitingCall
@@ -113,7 +114,7 @@
     }
 
     /// Starts a call if the limit allows it; otherwise some requests are answered without it.
-    fn start_call(&mut self, id: u64, handler: usize, draw: f64) -> Progress {
+    fn start_call(&mut self, id: u64, handler: HandlerId, draw: f64) -> Progress {
         let now = self.now();
         let usage = self.limiter.call_usage();
         if usage.is_none_or(|calls| (calls.in_flight as f64) < calls.limit) {
@@ -157,12 +158,16 @@
             ceiling
                 .handlers
                 .iter()
-                .for_each(|handler| digest.add(*handler as u64));
+                .for_each(|handler| digest.add(handler.index() as u64));
             digest.add(ceiling.runs as u64);
             digest.add(ceiling.calls as u64);
             let interval_secs = ceiling.start_interval.as_secs_f64();
             digest.add(interval_secs.to_bits());
-            let handlers: String = ceiling.handlers.iter().map(usize::to_string).collect();
+            let handlers: String = ceiling
+                .handlers
+                .iter()
+                .map(|handler| handler.index().to_string())
+                .collect();
             let (runs, calls) = (number(ceiling.runs), number(ceiling.calls));
             parts.push(format!("{handlers}:{runs}/{calls}/{interval_secs:?}"));
         }
@@ -171,7 +176,7 @@
 
     fn add_state(&self, digest: &mut Digest) {
         for handler in self.limiter.reserved() {
-            digest.add(100 + handler as u64);
+            digest.add(100 + handler.index() as u64);
         }
         for upstream in self.limiter.upstream_usage() {
             digest.add(upstream.calls.limit.to_bits());
--- a/crates/concurrency/tests/concurrency/reserve.rs
+++ b/crates/concurrency/tests/concurrency/reserve.rs
@@ -4,9 +4,8 @@
     BOOK, QUOTE, SEARCH, at, ceiling_outside_reserve, complete_runs, limiter, pool, pool_ceiling,
     queue, reserve, start, three_pools,
 };
-use madderbay_concurrency::{
-    CallRequirement, ConcurrencyConfig, ConcurrencyLimiter, HandlerProfile, Reserve,
-};
+use madderbay::interface::{CallRequirement, HandlerId};
+use madderbay_concurrency::{ConcurrencyConfig, ConcurrencyLimiter, Reserve};
 
 fn limiter_with(reserve: Option<Reserve>) -> ConcurrencyLimiter {
     let pools = three_pools([1.0; 3]);
@@ -32,17 +31,15 @@
 /// within one run, since each permit that is released goes to the owner first.
 #[test]
 fn returns_borrowed_reserve_within_one_run() {
-    let (owner, borrower) = (0, 1);
-    let profiles = [HandlerProfile {
-        calls: CallRequirement::Never,
-    }; 2];
+    let (owner, borrower) = (HandlerId::new(0), HandlerId::new(1));
+    let calls = [CallRequirement::Never; 2];
     let config = ConcurrencyConfig {
         pools: vec![pool("own", &[owner], 1.0), pool("short", &[borrower], 1.0)],
         reserve: reserve(&[owner], 0.5),
         cores: 4,
         ..ConcurrencyConfig::default()
     };
-    let mut limiter = ConcurrencyLimiter::new(at(0), 1, config, &profiles);
+    let mut limiter = ConcurrencyLimiter::new(at(0), 1, config, &calls);
     complete_runs(&mut limiter, owner, 30);
     // A handler of unknown or longer runs may not borrow; one of runs as short as the owner's may.
     assert_eq!(
--- a/crates/concurrency/tests/concurrency/support.rs
+++ b/crates/concurrency/tests/concurrency/support.rs
@@ -1,37 +1,35 @@
 //! Shared steps of the tests of the limiter: three handlers, three pools, and events of many
 //! requests.
 
-use madderbay::interface::Ceiling;
+use madderbay::interface::{CallRequirement, Ceiling, HandlerId};
 use madderbay::time::Timestamp;
 use madderbay_concurrency::{
-    CallRequirement, ConcurrencyConfig, ConcurrencyLimiter, HandlerProfile, PoolConfig,
-    RequestStage, Reserve,
+    ConcurrencyConfig, ConcurrencyLimiter, PoolConfig, RequestStage, Reserve,
 };
 use proptest::test_runner::{Config, RngSeed};
 use std::ops::Range;
 
 /// A handler whose runs may skip their call; also the index of its pool in [`three_pools`].
-pub(crate) const SEARCH: usize = 0;
+pub(crate) const SEARCH: HandlerId = HandlerId::new(0);
 /// A handler whose runs make no call.
-pub(crate) const QUOTE: usize = 1;
+pub(crate) const QUOTE: HandlerId = HandlerId::new(1);
 /// A handler whose runs require a call.
-pub(crate) const BOOK: usize = 2;
+pub(crate) const BOOK: HandlerId = HandlerId::new(2);
 
 pub(crate) fn at(ms: u64) -> Timestamp {
     Timestamp::from_micros(50_000_000 + ms * 1_000)
 }
 
-pub(crate) fn profiles() -> [HandlerProfile; 3] {
-    let calls = [
+pub(crate) fn call_requirements() -> [CallRequirement; 3] {
+    [
         CallRequirement::Optional,
         CallRequirement::Never,
         CallRequirement::Required,
-    ];
-    calls.map(|calls| HandlerProfile { calls })
+    ]
 }
 
 /// A pool with the same weight for runs and calls.
-pub(crate) fn pool(name: &str, handlers: &[usize], weight: f64) -> PoolConfig {
+pub(crate) fn pool(name: &str, handlers: &[HandlerId], weight: f64) -> PoolConfig {
     PoolConfig {
         name: name.into(),
         handlers: handlers.to_vec(),
@@ -44,13 +42,13 @@
 /// One pool for each handler, in the order of the handlers.
 pub(crate) fn three_pools(weights: [f64; 3]) -> Vec<PoolConfig> {
     vec![
-        pool("search", &[SEARCH], weights[SEARCH]),
-        pool("quote", &[QUOTE], weights[QUOTE]),
-        pool("book", &[BOOK], weights[BOOK]),
+        pool("search", &[SEARCH], weights[SEARCH.index()]),
+        pool("quote", &[QUOTE], weights[QUOTE.index()]),
+        pool("book", &[BOOK], weights[BOOK.index()]),
     ]
 }
 
-pub(crate) fn reserve(handlers: &[usize], fraction: f64) -> Option<Reserve> {
+pub(crate) fn reserve(handlers: &[HandlerId], fraction: f64) -> Option<Reserve> {
     Some(Reserve {
         handlers: handlers.to_vec(),
         fraction,
@@ -64,7 +62,7 @@
         cores: 4,
         ..config
     };
-    ConcurrencyLimiter::new(at(0), 1, config, &profiles())
+    ConcurrencyLimiter::new(at(0), 1, config, &call_requirements())
 }
 
 /// A limiter with [`three_pools`] of equal weight.
@@ -75,8 +73,18 @@
     })
 }
 
-/// The ceiling of a pool, by its index.
+/// The ceiling of the pool of a handler, where each handler has one.
 pub(crate) fn pool_ceiling(
+    limiter: &mut ConcurrencyLimiter,
+    ms: u64,
+    workers: f64,
+    handler: HandlerId,
+) -> Ceiling {
+    pool_ceiling_at(limiter, ms, workers, handler.index())
+}
+
+/// The ceiling of a pool, by its index.
+pub(crate) fn pool_ceiling_at(
     limiter: &mut ConcurrencyLimiter,
     ms: u64,
     workers: f64,
@@ -95,16 +103,25 @@
     ceilings.last().expect("there is a reserve").clone()
 }
 
-pub(crate) fn queue(limiter: &mut ConcurrencyLimiter, ids: Range<u64>, handler: usize) {
+pub(crate) fn queue(limiter: &mut ConcurrencyLimiter, ids: Range<u64>, handler: HandlerId) {
     ids.for_each(|id| limiter.set_stage(at(1), id, handler, RequestStage::Queued));
 }
 
-pub(crate) fn start(limiter: &mut ConcurrencyLimiter, ms: u64, ids: Range<u64>, handler: usize) {
+pub(crate) fn start(
+    limiter: &mut ConcurrencyLimiter,
+    ms: u64,
+    ids: Range<u64>,
+    handler: HandlerId,
+) {
     ids.for_each(|id| limiter.set_stage(at(ms), id, handler, RequestStage::Running));
 }
 
 /// Completes forty runs of this duration one after the other, so that the limiter knows the mean.
-pub(crate) fn complete_runs(limiter: &mut ConcurrencyLimiter, handler: usize, duration_ms: u64) {
+pub(crate) fn complete_runs(
+    limiter: &mut ConcurrencyLimiter,
+    handler: HandlerId,
+    duration_ms: u64,
+) {
     for n in 0..40 {
         limiter.set_stage(at(n), 900_000, handler, RequestStage::Running);
         limiter.request_finished(at(n + duration_ms), 900_000);
--- a/crates/concurrency/tests/concurrency/upstreams.rs
+++ b/crates/concurrency/tests/concurrency/upstreams.rs
@@ -1,13 +1,15 @@
 //! The limits on calls, by upstream.
 
 use crate::support::{
-    BOOK, SEARCH, at, limiter, limiter_of_equal_pools, pool_ceiling, profiles, queue, three_pools,
+    BOOK, SEARCH, at, call_requirements, limiter, limiter_of_equal_pools, pool_ceiling, queue,
+    three_pools,
 };
+use madderbay::interface::HandlerId;
 use madderbay_concurrency::limit::Completion;
 use madderbay_concurrency::{ConcurrencyConfig, ConcurrencyLimiter, RequestStage, UpstreamGroup};
 
 /// The handler's own upstream, with half of the quota.
-fn half_quota_group(handler: usize) -> UpstreamGroup {
+fn half_quota_group(handler: HandlerId) -> UpstreamGroup {
     UpstreamGroup {
         handlers: vec![handler],
         quota_fraction: 0.5,
@@ -24,7 +26,7 @@
         cores: 4,
         ..ConcurrencyConfig::default()
     };
-    let mut limiter = ConcurrencyLimiter::new(at(0), 1, config, &profiles());
+    let mut limiter = ConcurrencyLimiter::new(at(0), 1, config, &call_requirements());
     queue(&mut limiter, 0..20, BOOK);
     assert_eq!(pool_ceiling(&mut limiter, 1, 12.0, BOOK).calls, 4);
 }
--- a/crates/server/src/core/answers.rs
+++ b/crates/server/src/core/answers.rs
@@ -95,7 +95,7 @@
         self.deadlines
             .insert(request.answer_deadline, Deadline::DurableAnswer(id));
         self.counters.run_over(outcome);
-        self.counters.ran[request.handler] += 1;
+        self.counters.ran[request.handler.index()] += 1;
         self.cancel_call(id);
         self.observe(id, |o, now| o.request_finished(now, id));
         true
--- a/crates/server/src/core/arrivals.rs
+++ b/crates/server/src/core/arrivals.rs
@@ -168,7 +168,7 @@
     ) {
         let arrival = &request.arrival;
         let executor = &mut self.executor;
-        executor.counters.read[arrival.handler] += 1;
+        executor.counters.read[arrival.handler.index()] += 1;
         executor.counters.read_late(arrival.read_delay);
         let in_flight = InFlightRequest::new(now, connection, rpc_id, request);
         executor.requests.insert(arrival.id, in_flight);
--- a/crates/server/src/core/backend_selector.rs
+++ b/crates/server/src/core/backend_selector.rs
@@ -3,7 +3,7 @@
 //! Owns: the selector that the operator's backends give, and which handlers are idempotent. Never chooses a
 //! backend itself and never sends a call.
 
-use madderbay::interface::RetrySafety;
+use madderbay::interface::{Handler, HandlerId};
 use madderbay::time::Duration;
 use madderbay_settings::Settings;
 use madderbay_upstream::{AttemptOutcome, RetryKind, UpstreamAttempt};
@@ -12,7 +12,7 @@
 /// Whoever knows the backends and their health. Times are its own.
 pub trait BackendSelector {
     /// Selects a backend for the call of a handler; `None` if its calls go to the catalogue.
-    fn pick(&self, handler: usize) -> Option<UpstreamAttempt>;
+    fn pick(&self, handler: HandlerId) -> Option<UpstreamAttempt>;
     /// Selects a backend for a further attempt; `None` if the retry budget or the backends allow none.
     fn retry(&self, former: &UpstreamAttempt, kind: RetryKind) -> Option<UpstreamAttempt>;
     /// An attempt ended.
@@ -35,11 +35,13 @@
 impl BackendRouting {
     /// Without a selector: all calls go to the catalogue.
     pub(super) fn new(settings: &Settings) -> BackendRouting {
-        let is_idempotent =
-            |h: &madderbay::interface::Handler| h.retry_safety == RetrySafety::Idempotent;
         BackendRouting {
             selector: None,
-            idempotent: settings.handlers.iter().map(is_idempotent).collect(),
+            idempotent: settings
+                .handlers
+                .iter()
+                .map(Handler::is_idempotent)
+                .collect(),
         }
     }
 
@@ -54,8 +56,8 @@
     }
 
     /// Whether the calls of a handler may be made twice.
-    pub(super) fn is_idempotent(&self, handler: usize) -> bool {
-        self.idempotent[handler]
+    pub(super) fn is_idempotent(&self, handler: HandlerId) -> bool {
+        self.idempotent[handler.index()]
     }
 
     /// An attempt ended.
--- a/crates/server/src/core/concurrency_limits.rs
+++ b/crates/server/src/core/concurrency_limits.rs
@@ -5,11 +5,10 @@
 
 use crate::core::handler_names::{HandlerResolver, UnknownHandlers};
 use crate::support::metrics::Lines;
-use madderbay::interface::{Handler, Outcome, UpstreamKind};
+use madderbay::interface::{CallRequirement, Handler, Outcome, UpstreamKind};
 use madderbay_concurrency::limit::Completion;
 use madderbay_concurrency::{
-    CallRequirement, ConcurrencyConfig, ConcurrencyLimiter, HandlerProfile, PoolConfig, PoolUsage,
-    Reserve,
+    ConcurrencyConfig, ConcurrencyLimiter, PoolConfig, PoolUsage, Reserve,
 };
 use madderbay_operator_config::concurrency as operator;
 use madderbay_settings::Settings;
@@ -51,20 +50,9 @@
 }
 
 /// Whether each handler's runs make calls, in the order of handlers.
-pub fn handler_profiles(settings: &Settings) -> Vec<HandlerProfile> {
-    let profile = |handler| HandlerProfile {
-        calls: call_requirement(handler),
-    };
-    settings.handlers.iter().map(profile).collect()
-}
-
-/// A handler that has a partial answer can do without its calls.
-fn call_requirement(handler: &Handler) -> CallRequirement {
-    match (handler.makes_calls, handler.partial_weight > 0.0) {
-        (false, _) => CallRequirement::Never,
-        (true, true) => CallRequirement::Optional,
-        (true, false) => CallRequirement::Required,
-    }
+pub fn call_requirements(settings: &Settings) -> Vec<CallRequirement> {
+    let handlers = settings.handlers.iter();
+    handlers.map(Handler::call_requirement).collect()
 }
 
 /// What the outcome of a call says about the upstream servers.
--- a/crates/server/src/core/event_loop.rs
+++ b/crates/server/src/core/event_loop.rs
@@ -17,7 +17,7 @@
 use crate::upstream::calls::CallDispatcher;
 use crate::upstream::engine::EngineLink;
 use madderbay::decide::Decider;
-use madderbay::interface::{Gauges, Outcome};
+use madderbay::interface::{Gauges, HandlerId, Outcome};
 use madderbay::time::{Duration, Timestamp};
 use madderbay_concurrency::{ConcurrencyConfig, ConcurrencyLimiter};
 use madderbay_settings::Settings;
@@ -82,15 +82,15 @@
 
     /// Sets concurrency limits by pool. Without, nothing binds but the decision module's own limits.
     pub fn set_concurrency_limits(&mut self, now: Timestamp, plan: ConcurrencyConfig) {
-        let profiles = concurrency_limits::handler_profiles(&self.settings);
-        let limiter = ConcurrencyLimiter::new(now, self.seed, plan, &profiles);
+        let calls = concurrency_limits::call_requirements(&self.settings);
+        let limiter = ConcurrencyLimiter::new(now, self.seed, plan, &calls);
         self.executor.limits.set_concurrency(limiter);
     }
 
     /// Sets the fleet's quotas; what may be used of them is asked of `source`.
     pub fn set_quota_source(&mut self, source: Rc<dyn QuotaSource>, groups: Vec<QuotaGroup>) {
-        let profiles = concurrency_limits::handler_profiles(&self.settings);
-        let gate = QuotaGate::new(source, groups, &profiles, &self.settings.upstream);
+        let calls = concurrency_limits::call_requirements(&self.settings);
+        let gate = QuotaGate::new(source, groups, &calls, &self.settings.upstream);
         self.executor.limits.set_quota_gate(gate);
     }
 
@@ -169,8 +169,8 @@
         self.executor.connections.is_empty()
     }
 
-    /// The index of the handler of a method.
-    pub fn handler(&self, method: &str) -> Option<usize> {
+    /// The handler of a method.
+    pub fn handler(&self, method: &str) -> Option<HandlerId> {
         self.executor.validator.handler(method)
     }
 
@@ -181,7 +181,7 @@
     pub fn validate<'a>(
         &mut self,
         now: Timestamp,
-        handler: usize,
+        handler: HandlerId,
         params: &JsonObject<'a>,
     ) -> Result<ValidatedRequest<'a>, InvalidRequest> {
         let executor = &mut self.executor;
--- a/crates/server/src/core/handler_names.rs
+++ b/crates/server/src/core/handler_names.rs
@@ -2,6 +2,7 @@
 //!
 //! [`HandlerResolver`] owns what was not found while one section is planned, so that all of it is reported together.
 
+use madderbay::interface::HandlerId;
 use madderbay_operator_config::{Names, OperatorFileError};
 
 /// The unknown handlers of one section, in the order of the file; there is at least one.
@@ -31,10 +32,10 @@
         }
     }
 
-    /// The indices of the handlers; none of them where one is unknown, which [`finish`](Self::finish) then reports.
-    pub fn resolve(&mut self, names: &Names) -> Vec<usize> {
+    /// The handlers; none of them where one is unknown, which [`finish`](Self::finish) then reports.
+    pub fn resolve(&mut self, names: &Names) -> Vec<HandlerId> {
         match names.indices(self.known, "handler") {
-            Ok(handlers) => handlers,
+            Ok(indices) => indices.into_iter().map(HandlerId::new).collect(),
             Err(error) => {
                 self.unknown.push(error);
                 vec![]
--- a/crates/server/src/core/in_flight.rs
+++ b/crates/server/src/core/in_flight.rs
@@ -8,11 +8,11 @@
 use crate::downstream::idempotency_table::IdempotencyKey;
 use crate::downstream::request_validation::ValidatedRequest;
 use crate::support::attempt_name::AttemptName;
+use madderbay::decide::ANSWER_MARGIN;
+use madderbay::interface::HandlerId;
 use madderbay::time::{Duration, Timestamp};
 use std::collections::HashMap;
 
-/// An answer leaves this long before its client's timeout.
-const ANSWER_MARGIN: Duration = Duration::from_millis(30);
 /// The timeout of a client that gave none.
 const DEFAULT_TIMEOUT: Duration = Duration::from_millis(2_000);
 
@@ -25,7 +25,7 @@
     /// Its JSON-RPC id on that connection.
     pub(super) rpc_id: u64,
     /// The index of its handler.
-    pub(super) handler: usize,
+    pub(super) handler: HandlerId,
     /// Its idempotency key, if it has one.
     pub(super) key: Option<IdempotencyKey>,
     /// Hash of handler and body, the same for all attempts of a key.
--- a/crates/server/src/core/quota_gate.rs
+++ b/crates/server/src/core/quota_gate.rs
@@ -9,10 +9,10 @@
 
 use crate::core::request_observer::RequestObserver;
 use demand::Demand;
-use madderbay::interface::{Ceiling, Upstream};
+use madderbay::interface::{CallRequirement, Ceiling, HandlerId, TenantId, Upstream};
 use madderbay::time::{Duration, Timestamp};
+use madderbay_concurrency::RequestStage;
 use madderbay_concurrency::limit::Completion;
-use madderbay_concurrency::{CallRequirement, HandlerProfile, RequestStage};
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
@@ -36,7 +36,7 @@
     /// How long a budget that has no capacity may be without it.
     fn time_until_capacity(&self, budget: usize) -> Duration;
     /// A request of a tenant has been read.
-    fn count_request(&self, handler: usize, tenant: usize);
+    fn count_request(&self, handler: HandlerId, tenant: TenantId);
     /// The rates that this server may take of its tenants' allowances, of those that are counted.
     fn tenant_rates(&self) -> Vec<TenantRate>;
 }
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantRate {
     /// The tenant's index in the settings.
-    pub tenant: usize,
+    pub tenant: TenantId,
     /// Requests a second.
     pub per_second: f64,
 }
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug)]
 pub struct QuotaGroup {
     /// The handlers whose calls are under it.
-    pub handlers: Vec<usize>,
+    pub handlers: Vec<HandlerId>,
     /// The longest that a call under it is waited for.
     pub max_call_wait: Duration,
 }
@@ -103,21 +103,24 @@
 }
 
 impl QuotaGate {
-    /// Creates a gate without requests. `profiles` has one entry for each handler.
+    /// Creates a gate without requests. `call_requirements` has one entry for each handler.
     pub fn new(
         source: Rc<dyn QuotaSource>,
         groups: Vec<QuotaGroup>,
-        profiles: &[HandlerProfile],
+        call_requirements: &[CallRequirement],
         upstream: &Upstream,
     ) -> QuotaGate {
-        let quota = |(handler, profile): (usize, &HandlerProfile)| HandlerQuota {
-            budget: groups.iter().position(|g| g.handlers.contains(&handler)),
-            always_calls: profile.calls == CallRequirement::Required,
+        let quota = |(handler, calls): (usize, &CallRequirement)| HandlerQuota {
+            budget: groups
+                .iter()
+                .position(|g| g.handlers.contains(&HandlerId::new(handler))),
+            always_calls: *calls == CallRequirement::Required,
         };
-        let handlers: Vec<_> = profiles.iter().enumerate().map(quota).collect();
-        let all_calls_covered = profiles.iter().zip(&handlers).all(|(profile, handler)| {
-            profile.calls == CallRequirement::Never || handler.budget.is_some()
-        });
+        let handlers: Vec<_> = call_requirements.iter().enumerate().map(quota).collect();
+        let all_calls_covered = call_requirements
+            .iter()
+            .zip(&handlers)
+            .all(|(calls, handler)| *calls == CallRequirement::Never || handler.budget.is_some());
         QuotaGate {
             source,
             handlers,
@@ -137,19 +140,19 @@
     }
 
     /// The longest that a call of a handler may be waited for, at most `patience`.
-    pub fn max_call_wait(&self, handler: usize, patience: Duration) -> Duration {
-        let budget = self.handlers[handler].budget;
+    pub fn max_call_wait(&self, handler: HandlerId, patience: Duration) -> Duration {
+        let budget = self.handlers[handler.index()].budget;
         budget.map_or(patience, |b| patience.min(self.groups[b].max_call_wait))
     }
 
     /// Starts one more call of a handler, where its budget has capacity. The call must not be made on `false`.
-    pub fn try_start_call(&mut self, handler: usize) -> bool {
-        let budget = self.handlers[handler].budget;
+    pub fn try_start_call(&mut self, handler: HandlerId) -> bool {
+        let budget = self.handlers[handler.index()].budget;
         budget.is_none_or(|b| self.source.try_start_call(b))
     }
 
     /// A request of a tenant has been read.
-    pub fn count_request(&self, handler: usize, tenant: usize) {
+    pub fn count_request(&self, handler: HandlerId, tenant: TenantId) {
         self.source.count_request(handler, tenant);
     }
 
@@ -189,7 +192,9 @@
     fn ceiling(&self, budget: usize) -> Ceiling {
         let handlers = &self.groups[budget].handlers;
         let (usable, demand) = (self.usable[budget], &self.demands[budget]);
-        let all_runs_call = handlers.iter().all(|h| self.handlers[*h].always_calls);
+        let all_runs_call = handlers
+            .iter()
+            .all(|h| self.handlers[h.index()].always_calls);
         let runs = if all_runs_call {
             usable.saturating_add(EXTRA_RUNS)
         } else {
@@ -250,11 +255,11 @@
 }
 
 impl RequestObserver for QuotaGate {
-    fn set_stage(&mut self, now: Timestamp, id: u64, handler: usize, stage: RequestStage) {
+    fn set_stage(&mut self, now: Timestamp, id: u64, handler: HandlerId, stage: RequestStage) {
         let Some(HandlerQuota {
             budget: Some(budget),
             always_calls,
-        }) = self.handlers.get(handler).copied()
+        }) = self.handlers.get(handler.index()).copied()
         else {
             return;
         };
--- a/crates/server/src/core/request_limits.rs
+++ b/crates/server/src/core/request_limits.rs
@@ -8,6 +8,7 @@
 use super::quota_gate::QuotaGate;
 use super::request_observer::RequestObserver;
 use madderbay::decide::Decider;
+use madderbay::interface::{HandlerId, TenantId};
 use madderbay::time::{Duration, Timestamp};
 use madderbay_concurrency::ConcurrencyLimiter;
 
@@ -45,14 +46,14 @@
     }
 
     /// A request of a tenant was read.
-    pub(super) fn count_request(&self, handler: usize, tenant: usize) {
+    pub(super) fn count_request(&self, handler: HandlerId, tenant: TenantId) {
         if let Some(gate) = &self.quota_gate {
             gate.count_request(handler, tenant);
         }
     }
 
     /// Takes quota for one more call of a handler; false if none is available.
-    pub(super) fn acquire_call(&mut self, handler: usize) -> bool {
+    pub(super) fn acquire_call(&mut self, handler: HandlerId) -> bool {
         match &mut self.quota_gate {
             Some(gate) => gate.try_start_call(handler),
             None => true,
@@ -60,7 +61,7 @@
     }
 
     /// The timeout of a call, shortened to that of the handler's quota.
-    pub(super) fn call_timeout(&self, handler: usize, timeout: Duration) -> Duration {
+    pub(super) fn call_timeout(&self, handler: HandlerId, timeout: Duration) -> Duration {
         match &self.quota_gate {
             Some(gate) => gate.max_call_wait(handler, timeout),
             None => timeout,
--- a/crates/server/src/core/request_observer.rs
+++ b/crates/server/src/core/request_observer.rs
@@ -3,6 +3,7 @@
 //! An observer is given every stage of every request. It never ends a request; what it finds reaches the
 //! decision module as ceilings.
 
+use madderbay::interface::HandlerId;
 use madderbay::time::Timestamp;
 use madderbay_concurrency::limit::Completion;
 use madderbay_concurrency::{ConcurrencyLimiter, RequestStage};
@@ -10,7 +11,7 @@
 /// Follows requests in flight. Requests are named by their ids, handlers by their indices.
 pub(super) trait RequestObserver {
     /// A request is new or has reached another stage.
-    fn set_stage(&mut self, now: Timestamp, id: u64, handler: usize, stage: RequestStage);
+    fn set_stage(&mut self, now: Timestamp, id: u64, handler: HandlerId, stage: RequestStage);
     /// This process was stalled until now.
     fn process_stalled(&mut self, _now: Timestamp) {}
     /// The upstream call of a request ended.
@@ -24,7 +25,7 @@
 }
 
 impl RequestObserver for ConcurrencyLimiter {
-    fn set_stage(&mut self, now: Timestamp, id: u64, handler: usize, stage: RequestStage) {
+    fn set_stage(&mut self, now: Timestamp, id: u64, handler: HandlerId, stage: RequestStage) {
         ConcurrencyLimiter::set_stage(self, now, id, handler, stage);
     }
 
--- a/crates/server/src/core/stored_results.rs
+++ b/crates/server/src/core/stored_results.rs
@@ -47,7 +47,7 @@
             }
             Lookup::NoResult => self.answer_stored(now, connection, rpc_id, None),
         }
-        self.executor.counters.read[request.arrival.handler] += 1;
+        self.executor.counters.read[request.arrival.handler.index()] += 1;
         Ok(true)
     }
 
--- a/crates/server/src/core/upstream_events.rs
+++ b/crates/server/src/core/upstream_events.rs
@@ -40,7 +40,7 @@
         let (key, handler) = (request.key, request.handler);
         executor.counters.run_over(outcome);
         executor.answer_all_joined(key, result);
-        executor.counters.ran[handler] += 1;
+        executor.counters.ran[handler.index()] += 1;
         executor.remove(id);
         self.decide(now, |d, _| d.on_run_ended(now, id, outcome, run_time));
     }
@@ -116,7 +116,7 @@
         let Some(request) = self.executor.requests.get(id) else {
             return;
         };
-        if self.settings.handlers[request.handler].partial_weight > 0.0 {
+        if self.settings.handlers[request.handler.index()].has_partial_answer() {
             self.executor.skip_call(id);
         } else {
             self.fail_request(now, id);
--- a/crates/server/src/downstream/idempotency_table.rs
+++ b/crates/server/src/downstream/idempotency_table.rs
@@ -5,6 +5,7 @@
 //! answers a request, and never touches the disk: results that outlast an incarnation are the idempotency store's.
 
 use crate::downstream::wire_names::param;
+use madderbay::interface::HandlerId;
 use madderbay::time::{Duration, Timestamp};
 use madderbay_settings::Settings;
 use std::collections::{BTreeSet, HashMap};
@@ -126,12 +127,12 @@
     }
 
     /// Enters an attempt with its key, or makes it the holder of the key's entry, until the end of its window.
-    pub fn insert(&mut self, id: u64, key: IdempotencyKey, handler: usize, window: KeyWindow) {
+    pub fn insert(&mut self, id: u64, key: IdempotencyKey, handler: HandlerId, window: KeyWindow) {
         let entry = self.entries.entry(key).or_insert_with(|| Entry {
             holder: id,
             fingerprint: window.fingerprint,
             window_end: window.end,
-            read_delay_allowance: self.read_delay_allowances[handler],
+            read_delay_allowance: self.read_delay_allowances[handler.index()],
             run: RunState::NotStarted,
             joined: vec![],
         });
--- a/crates/server/src/downstream/request_validation.rs
+++ b/crates/server/src/downstream/request_validation.rs
@@ -9,7 +9,7 @@
 use crate::downstream::wire_names::param;
 use crate::support::attempt_name::{self, AttemptName};
 use crate::support::json::{JsonObject, number, text, unsigned};
-use madderbay::interface::{Arrival, RetrySafety};
+use madderbay::interface::{Arrival, HandlerId, RetrySafety, TenantId};
 use madderbay::time::{Duration, Timestamp};
 use madderbay_settings::Settings;
 use siphasher::sip::SipHasher24;
@@ -176,19 +176,20 @@
 
 /// Validates requests by the settings.
 pub struct RequestValidator {
-    handlers: HashMap<String, usize>,
+    handlers: HashMap<String, HandlerId>,
     rules: Vec<HandlerRules>,
-    tenants: HashMap<String, usize>,
+    tenants: HashMap<String, TenantId>,
     requests_carry_timeout: bool,
     last_request_id: u64,
 }
 
-fn indices_by_name(names: &[String]) -> HashMap<String, usize> {
+/// The ids of the settings' names, which stand in the order of their indices.
+fn ids_by_name<Id>(names: &[String], id: impl Fn(usize) -> Id) -> HashMap<String, Id> {
     names
         .iter()
         .cloned()
         .enumerate()
-        .map(|(index, name)| (name, index))
+        .map(|(index, name)| (name, id(index)))
         .collect()
 }
 
@@ -227,7 +228,7 @@
     pub fn new(settings: &Settings) -> RequestValidator {
         let rules = settings.handlers.iter().zip(&settings.handler_names);
         RequestValidator {
-            handlers: indices_by_name(&settings.handler_names),
+            handlers: ids_by_name(&settings.handler_names, HandlerId::new),
             rules: rules
                 .map(|(handler, name)| HandlerRules {
                     retry_safety: handler.retry_safety,
@@ -235,20 +236,20 @@
                     quoted_name: serde_json::Value::from(name.as_str()).to_string().into(),
                 })
                 .collect(),
-            tenants: indices_by_name(&settings.tenant_names),
+            tenants: ids_by_name(&settings.tenant_names, TenantId::new),
             requests_carry_timeout: settings.rules.requests_carry_timeout,
             last_request_id: 0,
         }
     }
 
     /// The handler of a JSON-RPC method.
-    pub fn handler(&self, method: &str) -> Option<usize> {
+    pub fn handler(&self, method: &str) -> Option<HandlerId> {
         self.handlers.get(method).copied()
     }
 
     /// The name of a handler as a JSON string with its quotes.
-    pub fn quoted_name(&self, handler: usize) -> Rc<str> {
-        self.rules[handler].quoted_name.clone()
+    pub fn quoted_name(&self, handler: HandlerId) -> Rc<str> {
+        self.rules[handler.index()].quoted_name.clone()
     }
 
     /// Validates a request that was read at `now`, and numbers it.
@@ -259,12 +260,12 @@
     pub fn validate<'a>(
         &mut self,
         now: Timestamp,
-        handler: usize,
+        handler: HandlerId,
         params: &JsonObject<'a>,
         keys: &IdempotencyTable,
     ) -> Result<ValidatedRequest<'a>, InvalidRequest> {
         let reader = ParamReader { params };
-        let max_ms = self.rules[handler].max_duration_ms;
+        let max_ms = self.rules[handler.index()].max_duration_ms;
         let name = reader.attempt_name()?;
         let arrived = reader.sent_at(now)?.min(now);
         let body = reader.required(param::BODY, base64_body, InvalidRequest::Body)?;
@@ -306,9 +307,9 @@
 
     /// The hash of handler and body that the attempts of a key share. It is stored, so it is the same in every
     /// incarnation.
-    fn fingerprint(&self, handler: usize, body: &str) -> u64 {
+    fn fingerprint(&self, handler: HandlerId, body: &str) -> u64 {
         let mut hasher = SipHasher24::new();
-        hasher.write(self.rules[handler].quoted_name.as_bytes());
+        hasher.write(self.rules[handler.index()].quoted_name.as_bytes());
         hasher.write(body.as_bytes());
         hasher.finish()
     }
@@ -327,10 +328,10 @@
         Ok(arrived + timeout - now)
     }
 
-    /// The tenant of a request; 0 where the settings have none.
-    fn tenant(&self, reader: &ParamReader) -> Result<usize, InvalidRequest> {
+    /// The tenant of a request; the first id where the settings have none.
+    fn tenant(&self, reader: &ParamReader) -> Result<TenantId, InvalidRequest> {
         if self.tenants.is_empty() {
-            return Ok(0);
+            return Ok(TenantId::default());
         }
         let known = |raw| self.tenants.get(&*text(raw)?).copied();
         reader.required(param::TENANT, known, InvalidRequest::Tenant)
@@ -339,10 +340,10 @@
     /// The idempotency key of a request, where the handler demands one.
     fn key(
         &self,
-        handler: usize,
+        handler: HandlerId,
         reader: &ParamReader,
     ) -> Result<Option<IdempotencyKey>, InvalidRequest> {
-        if self.rules[handler].retry_safety != RetrySafety::Keyed {
+        if self.rules[handler.index()].retry_safety != RetrySafety::Keyed {
             return Ok(None);
         }
         let error = InvalidRequest::IdempotencyKey;
--- a/crates/server/src/fleet/backends.rs
+++ b/crates/server/src/fleet/backends.rs
@@ -8,6 +8,7 @@
 use crate::support::clock::MonotonicClock;
 use crate::support::logging;
 use crate::support::metrics::Lines;
+use madderbay::interface::HandlerId;
 use madderbay::time::{Duration, Timestamp};
 use madderbay_upstream::{AttemptOutcome, RetryKind, UpstreamAttempt, UpstreamManager};
 use std::cell::RefCell;
@@ -70,7 +71,7 @@
 }
 
 impl BackendSelector for Backends {
-    fn pick(&self, handler: usize) -> Option<UpstreamAttempt> {
+    fn pick(&self, handler: HandlerId) -> Option<UpstreamAttempt> {
         self.manager.borrow_mut().pick(self.now(), handler)
     }
 
--- a/crates/server/src/fleet/counter_names.rs
+++ b/crates/server/src/fleet/counter_names.rs
@@ -1,6 +1,7 @@
 //! The names of what the fleet's counters count. A counter goes by handlers or by tenants; on the wire, a key is the
 //! hash of its name.
 
+use madderbay::interface::{HandlerId, TenantId};
 use madderbay_quota::name_hash;
 
 /// The names of handlers and tenants, and which counters go by which.
@@ -71,7 +72,7 @@
                 name: &key.name,
                 hash: key.hash,
                 fair_rate: if by_tenant {
-                    self.fair_rate(index)
+                    self.fair_rate(TenantId::new(index))
                 } else {
                     0.0
                 },
@@ -81,14 +82,14 @@
     /// For each counter, the hash of the key under which it counts a request.
     pub(super) fn hashes_of_request(
         &self,
-        handler: usize,
-        tenant: usize,
+        handler: HandlerId,
+        tenant: TenantId,
     ) -> impl Iterator<Item = Option<u32>> {
         self.by_tenant.iter().map(move |by_tenant| {
             let key = if *by_tenant {
-                self.tenants.get(tenant)
+                self.tenants.get(tenant.index())
             } else {
-                self.handlers.get(handler)
+                self.handlers.get(handler.index())
             };
             key.map(|key| key.hash)
         })
@@ -100,8 +101,8 @@
     }
 
     /// The allowance of a tenant over the fleet, in requests a second.
-    pub(super) fn tenant_allowance(&self, tenant: usize) -> f64 {
-        self.tenant_allowances[tenant]
+    pub(super) fn tenant_allowance(&self, tenant: TenantId) -> f64 {
+        self.tenant_allowances[tenant.index()]
     }
 
     /// Servers of the fleet.
@@ -110,8 +111,8 @@
     }
 
     /// The allowance of a tenant, divided equally over the servers.
-    fn fair_rate(&self, tenant: usize) -> f64 {
-        let allowance = self.tenant_allowances.get(tenant).copied();
+    fn fair_rate(&self, tenant: TenantId) -> f64 {
+        let allowance = self.tenant_allowances.get(tenant.index()).copied();
         allowance.unwrap_or(0.0) / f64::from(self.servers.max(1))
     }
 }
--- a/crates/server/src/fleet/quota_leases.rs
+++ b/crates/server/src/fleet/quota_leases.rs
@@ -5,6 +5,7 @@
 
 use crate::core::quota_gate::{QuotaSource, TenantRate};
 use crate::support::clock::MonotonicClock;
+use madderbay::interface::{HandlerId, TenantId};
 use madderbay::time::Duration;
 use madderbay_quota::FleetQuotas;
 use madderbay_upstream::FleetStack;
@@ -107,7 +108,7 @@
         quotas.map_or(Duration::ZERO, |q| q.budgets()[budget].until_capacity(now))
     }
 
-    fn count_request(&self, handler: usize, tenant: usize) {
+    fn count_request(&self, handler: HandlerId, tenant: TenantId) {
         let now = (self.clock)();
         let Some(mut quotas) = self.quotas_mut() else {
             return;
@@ -128,9 +129,10 @@
         let active = quotas.counters()[counter].heaviest_keys(MAX_RATED_TENANTS);
         let keys = names.keys(counter).filter(|k| active.contains(&k.hash));
         let rate = |key: CounterKey<'_>| {
-            let allowance = names.tenant_allowance(key.index);
+            let tenant = TenantId::new(key.index);
+            let allowance = names.tenant_allowance(tenant);
             TenantRate {
-                tenant: key.index,
+                tenant,
                 per_second: quotas.allowance(now, counter, key.hash, allowance, names.servers()),
             }
         };
--- a/crates/server/src/fleet/routing_plan.rs
+++ b/crates/server/src/fleet/routing_plan.rs
@@ -1,6 +1,7 @@
 //! Upstream backends, planned from the operator file over the platform's handlers. It owns no state.
 
 use crate::core::handler_names::{HandlerResolver, UnknownHandlers};
+use madderbay::interface::HandlerId;
 use madderbay_concurrency::UpstreamGroup;
 use madderbay_operator_config::upstream as operator;
 use madderbay_settings::Settings as PlatformSettings;
@@ -49,7 +50,7 @@
 }
 
 /// Groups of the same handlers compare equal in any order of the file.
-fn sorted(mut handlers: Vec<usize>) -> Vec<usize> {
+fn sorted(mut handlers: Vec<HandlerId>) -> Vec<HandlerId> {
     handlers.sort_unstable();
     handlers
 }
--- a/crates/simulation/src/node/assembly.rs
+++ b/crates/simulation/src/node/assembly.rs
@@ -258,7 +258,7 @@
 fn pool(name: &str, handler: Handler, call_weight: f64) -> PoolConfig {
     PoolConfig {
         name: name.into(),
-        handlers: vec![handler.index()],
+        handlers: vec![handler.id()],
         call_weight,
         ..PoolConfig::default()
     }
--- a/crates/simulation/src/workload.rs
+++ b/crates/simulation/src/workload.rs
@@ -1,5 +1,6 @@
 //! What the simulated clients ask for, and the settings that the servers run with.
 
+use madderbay::interface::HandlerId;
 use madderbay::time::Duration;
 use madderbay_settings::Settings;
 use oorandom::Rand64;
@@ -52,14 +53,19 @@
     /// All of them, in the order of the settings.
     pub const ALL: [Handler; Handler::COUNT] = [Handler::Search, Handler::Quote, Handler::Book];
 
-    /// Those that call upstream, by their indices in the settings.
-    pub(crate) const CALLING: [usize; 2] = [Handler::Search.index(), Handler::Book.index()];
+    /// Those that call upstream.
+    pub(crate) const CALLING: [HandlerId; 2] = [Handler::Search.id(), Handler::Book.id()];
 
     /// Its index in the settings and in the counts of a [`SecondRow`](crate::SecondRow).
     pub const fn index(self) -> usize {
         self as usize
     }
 
+    /// Its id for the server's parts.
+    pub(crate) const fn id(self) -> HandlerId {
+        HandlerId::new(self.index())
+    }
+
     /// Its name in requests.
     pub const fn name(self) -> &'static str {
         match self {
--- a/crates/simulator-adapter/src/codec/event.rs
+++ b/crates/simulator-adapter/src/codec/event.rs
@@ -3,7 +3,7 @@
 use super::InstanceId;
 use super::field_reader::FieldReader;
 use crate::error::AdapterError;
-use madderbay::interface::Outcome;
+use madderbay::interface::{HandlerId, Outcome, TenantId};
 use madderbay::time::Duration;
 
 /// Bit of a request's flags: the estimate of its work is valid.
@@ -172,9 +172,9 @@
     /// Identifier of the request.
     pub request_id: u64,
     /// Index of the handler.
-    pub handler: usize,
+    pub handler: HandlerId,
     /// Index of the tenant.
-    pub tenant: usize,
+    pub tenant: TenantId,
     /// What the request is about; 0 for nothing.
     pub subject: u64,
     /// Time that the client still waits.
@@ -198,8 +198,8 @@
 impl RequestRecord {
     fn decode(fields: &mut FieldReader) -> Result<RequestRecord, AdapterError> {
         let request_id = fields.read_u64()?;
-        let handler = fields.read_u16()? as usize;
-        let tenant = fields.read_u32()? as usize;
+        let handler = HandlerId::new(fields.read_u16()?.into());
+        let tenant = TenantId::new(fields.read_u32()? as usize);
         let subject = fields.read_u64()?;
         let timeout = fields.read_duration()?;
         let work_hint = fields.read_duration()?;
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,6 +1,7 @@
 //! Errors of this crate.
 
 use crate::codec::InstanceId;
+use madderbay::interface::{HandlerId, TenantId};
 use std::io;
 use thiserror::Error;
 
@@ -89,22 +90,22 @@
         instance: InstanceId,
     },
     /// A request names a handler that the settings do not define.
-    #[error("request {request_id}: class {handler} of {handlers} classes")]
+    #[error("request {request_id}: class {} of {handlers} classes", handler.index())]
     UnknownHandler {
         /// The request.
         request_id: u64,
         /// Index of the handler as it was sent.
-        handler: usize,
+        handler: HandlerId,
         /// Number of handlers in the settings.
         handlers: usize,
     },
     /// A request names a tenant that the settings do not define.
-    #[error("request {request_id}: tenant {tenant} of {tenants} tenants")]
+    #[error("request {request_id}: tenant {} of {tenants} tenants", tenant.index())]
     UnknownTenant {
         /// The request.
         request_id: u64,
         /// Index of the tenant as it was sent.
-        tenant: usize,
+        tenant: TenantId,
         /// Number of tenants in the settings.
         tenants: usize,
     },
--- a/crates/simulator-adapter/src/host/instance.rs
+++ b/crates/simulator-adapter/src/host/instance.rs
@@ -61,7 +61,7 @@
     }
 
     fn check_indices(&self, record: &RequestRecord) -> Result<(), AdapterError> {
-        if record.handler >= self.handlers {
+        if record.handler.index() >= self.handlers {
             return Err(AdapterError::UnknownHandler {
                 request_id: record.request_id,
                 handler: record.handler,
@@ -69,7 +69,7 @@
             });
         }
         // Where the settings define no tenants, all requests carry tenant 0.
-        if record.tenant >= self.tenants.max(1) {
+        if record.tenant.index() >= self.tenants.max(1) {
             return Err(AdapterError::UnknownTenant {
                 request_id: record.request_id,
                 tenant: record.tenant,
--- a/crates/testkit/src/backend_simulation/calls.rs
+++ b/crates/testkit/src/backend_simulation/calls.rs
@@ -2,13 +2,14 @@
 
 use super::setup::backend_index;
 use super::{BACKEND_DELAY, BackendSimulation, Event, RoutingPolicy};
+use madderbay::interface::HandlerId;
 use madderbay::time::{Duration, Timestamp};
 use madderbay_upstream::{AttemptOutcome, RetryKind, UpstreamAttempt};
 
 /// Retries of a call under [`RoutingPolicy::LeastInHand`].
 const MAX_PLAIN_RETRIES: u32 = 2;
 /// The handler of all calls.
-const HANDLER: usize = 0;
+const HANDLER: HandlerId = HandlerId::new(0);
 
 /// One attempt in flight.
 pub(super) struct Attempt {
--- a/crates/testkit/src/backend_simulation/setup.rs
+++ b/crates/testkit/src/backend_simulation/setup.rs
@@ -1,6 +1,7 @@
 //! How a simulation is set up, and the names and addresses in it.
 
 use compact_str::{CompactString, format_compact};
+use madderbay::interface::HandlerId;
 use madderbay::time::Duration;
 use madderbay_upstream::{BackendSettings, Settings};
 use std::net::{IpAddr, SocketAddr};
@@ -126,7 +127,7 @@
         address: ([127, 2, subnet, host], PORT).into(),
         zone: zone_name(backend % zones),
         weight: 1.0,
-        handlers: vec![0],
+        handlers: vec![HandlerId::new(0)],
     }
 }
 
--- a/crates/upstream/benches/selection.rs
+++ b/crates/upstream/benches/selection.rs
@@ -3,6 +3,7 @@
 //!     cargo bench -p madderbay-upstream
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
+use madderbay::interface::HandlerId;
 use madderbay::time::{Duration, Timestamp};
 use madderbay_upstream::{AttemptOutcome, BackendSettings, Settings, UpstreamManager};
 
@@ -12,7 +13,7 @@
         address: ([127, 0, 0, 1], 1_000 + n).into(),
         zone: ["north", "south"][usize::from(n % 2)].into(),
         weight: 1.0,
-        handlers: vec![0],
+        handlers: vec![HandlerId::new(0)],
     }
 }
 
@@ -30,7 +31,7 @@
         group.bench_with_input(id, &backends, |bencher, _| {
             bencher.iter(|| {
                 now = now + Duration::from_micros(100);
-                let attempt = upstream.pick(now, 0).expect("a backend");
+                let attempt = upstream.pick(now, HandlerId::new(0)).expect("a backend");
                 upstream.finish(now, &attempt, AttemptOutcome::Success);
             });
         });
--- a/crates/upstream/src/attempt.rs
+++ b/crates/upstream/src/attempt.rs
@@ -1,5 +1,6 @@
 //! One attempt of a call: where it went, why it was made, and how it ended.
 
+use madderbay::interface::HandlerId;
 use madderbay::time::Timestamp;
 use std::net::SocketAddr;
 
@@ -23,7 +24,7 @@
     pub address: SocketAddr,
     /// When the attempt was made.
     pub started_at: Timestamp,
-    pub(crate) handler: usize,
+    pub(crate) handler: HandlerId,
     pub(crate) id: u64,
 }
 
--- a/crates/upstream/src/backend_group.rs
+++ b/crates/upstream/src/backend_group.rs
@@ -14,6 +14,7 @@
 use crate::retry_budget::RetryBudget;
 use crate::selection::{Candidate, ZoneAwareSelector};
 use crate::settings::Settings;
+use madderbay::interface::HandlerId;
 use madderbay::time::{Duration, Timestamp};
 use oorandom::Rand64;
 
@@ -56,7 +57,7 @@
 
 /// A group of backends.
 pub(crate) struct BackendGroup {
-    handlers: Vec<usize>,
+    handlers: Vec<HandlerId>,
     backends: Vec<BackendId>,
     selector: ZoneAwareSelector,
     /// Backends that get single calls until they have proved healthy.
@@ -70,7 +71,7 @@
 
 impl BackendGroup {
     /// A group without backends; `retry_ratio` is the number of retries for each first attempt.
-    pub(crate) fn new(now: Timestamp, handlers: Vec<usize>, retry_ratio: f64) -> BackendGroup {
+    pub(crate) fn new(now: Timestamp, handlers: Vec<HandlerId>, retry_ratio: f64) -> BackendGroup {
         BackendGroup {
             handlers,
             backends: vec![],
@@ -83,7 +84,7 @@
         }
     }
 
-    pub(crate) fn handlers(&self) -> &[usize] {
+    pub(crate) fn handlers(&self) -> &[HandlerId] {
         &self.handlers
     }
 
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -13,6 +13,7 @@
 //! | gossip of judgements | `gossip` |
 //!
 //! ```
+//! use madderbay::interface::HandlerId;
 //! use madderbay::time::{Duration, Timestamp};
 //! use madderbay_upstream::{AttemptOutcome, BackendSettings, Settings, State, UpstreamManager};
 //! let backend = |n: u16| BackendSettings {
@@ -20,7 +21,7 @@
 //!     address: ([127, 0, 0, 1], 7_700 + n).into(),
 //!     zone: "north".into(),
 //!     weight: 1.0,
-//!     handlers: vec![0],
+//!     handlers: vec![HandlerId::new(0)],
 //! };
 //! let set = Settings { zone: "north".into(), ..Settings::default() };
 //! let at = |ms: u64| Timestamp::from_micros(1_000_000 + ms * 1_000);
@@ -29,7 +30,7 @@
 //! for step in 0..200 {
 //!     let now = at(step * 10);
 //!     upstream.handle_timeout(now);
-//!     let attempt = upstream.pick(now, 0).unwrap();
+//!     let attempt = upstream.pick(now, HandlerId::new(0)).unwrap();
 //!     let failed = attempt.backend == 2;
 //!     let outcome = if failed { AttemptOutcome::Failed } else { AttemptOutcome::Success };
 //!     upstream.finish(now + Duration::from_millis(5), &attempt, outcome);
--- a/crates/upstream/src/manager.rs
+++ b/crates/upstream/src/manager.rs
@@ -15,6 +15,7 @@
 use crate::settings::{BackendSettings, Settings};
 use crate::status::{BackendStatus, Totals};
 use compact_str::CompactString;
+use madderbay::interface::HandlerId;
 use madderbay::time::{Duration, Timestamp};
 use oorandom::Rand64;
 
@@ -77,7 +78,7 @@
     // --- attempts
 
     /// The first attempt of a call of a handler; nothing where the handler has no backends.
-    pub fn pick(&mut self, now: Timestamp, handler: usize) -> Option<UpstreamAttempt> {
+    pub fn pick(&mut self, now: Timestamp, handler: HandlerId) -> Option<UpstreamAttempt> {
         self.registry.group_index(handler)?;
         // An evaluation that is due comes before the choice, whoever drives this manager.
         if now >= self.next_evaluation {
@@ -132,7 +133,7 @@
     fn begin_attempt(
         &mut self,
         now: Timestamp,
-        handler: usize,
+        handler: HandlerId,
         backend: BackendId,
     ) -> UpstreamAttempt {
         self.last_attempt_id += 1;
@@ -306,12 +307,12 @@
     }
 
     /// The index of the group that serves a handler; nothing where the handler has no backends.
-    pub fn group_of(&self, handler: usize) -> Option<usize> {
+    pub fn group_of(&self, handler: HandlerId) -> Option<usize> {
         self.registry.group_index(handler)
     }
 
     /// The handlers of each group, and how many backends it has.
-    pub fn groups(&self) -> impl Iterator<Item = (&[usize], usize)> {
+    pub fn groups(&self) -> impl Iterator<Item = (&[HandlerId], usize)> {
         self.registry
             .groups()
             .iter()
--- a/crates/upstream/src/registry.rs
+++ b/crates/upstream/src/registry.rs
@@ -14,13 +14,14 @@
 use crate::retry_budget::AttemptCounts;
 use crate::settings::BackendSettings;
 use crate::status::BackendStatus;
+use madderbay::interface::HandlerId;
 use madderbay::time::Timestamp;
 use oorandom::Rand64;
 use std::collections::{HashMap, HashSet};
 
 /// The backends with one list of handlers, while a configuration is read.
 struct GroupMembers {
-    handlers: Vec<usize>,
+    handlers: Vec<HandlerId>,
     backends: Vec<BackendId>,
 }
 
@@ -39,7 +40,7 @@
 pub(crate) struct BackendRegistry {
     backends: Vec<Backend>,
     groups: Vec<BackendGroup>,
-    group_by_handler: HashMap<usize, usize>,
+    group_by_handler: HashMap<HandlerId, usize>,
     /// Hashes of the names of the configured backends.
     name_hashes: HashSet<u32>,
 }
@@ -176,17 +177,17 @@
     }
 
     /// The index of the group that serves a handler.
-    pub(crate) fn group_index(&self, handler: usize) -> Option<usize> {
+    pub(crate) fn group_index(&self, handler: HandlerId) -> Option<usize> {
         self.group_by_handler.get(&handler).copied()
     }
 
     /// The group that serves a handler.
-    pub(crate) fn group(&self, handler: usize) -> Option<&BackendGroup> {
+    pub(crate) fn group(&self, handler: HandlerId) -> Option<&BackendGroup> {
         self.group_index(handler).map(|index| &self.groups[index])
     }
 
     /// The group that serves a handler, to be changed.
-    pub(crate) fn group_mut(&mut self, handler: usize) -> Option<&mut BackendGroup> {
+    pub(crate) fn group_mut(&mut self, handler: HandlerId) -> Option<&mut BackendGroup> {
         self.group_index(handler)
             .map(|index| &mut self.groups[index])
     }
@@ -238,7 +239,7 @@
     pub(crate) fn pick(
         &mut self,
         now: Timestamp,
-        handler: usize,
+        handler: HandlerId,
         avoid: Option<BackendId>,
         rng: &mut Rand64,
     ) -> Option<BackendId> {
@@ -253,7 +254,7 @@
     pub(crate) fn begin_attempt(
         &mut self,
         now: Timestamp,
-        handler: usize,
+        handler: HandlerId,
         backend: BackendId,
         id: u64,
     ) -> UpstreamAttempt {
--- a/crates/upstream/src/settings.rs
+++ b/crates/upstream/src/settings.rs
@@ -1,6 +1,7 @@
 //! What the operator sets: the backends, and the bounds within which they are selected and judged.
 
 use compact_str::CompactString;
+use madderbay::interface::HandlerId;
 use std::net::SocketAddr;
 
 /// One backend as the operator set it.
@@ -15,7 +16,7 @@
     /// Its share of the calls, relative to the weights of the others.
     pub weight: f64,
     /// Indices of the handlers that it serves, sorted. Backends with the same handlers form a group.
-    pub handlers: Vec<usize>,
+    pub handlers: Vec<HandlerId>,
 }
 
 impl BackendSettings {
--- a/crates/upstream/tests/arbitrary_events.rs
+++ b/crates/upstream/tests/arbitrary_events.rs
@@ -1,6 +1,7 @@
 //! Attempts, outcomes, gossip, peers and configurations in any order: no panic, tables within their bounds, and a
 //! backend for each call whose handler has any.
 
+use madderbay::interface::HandlerId;
 use madderbay::time::{Duration, Timestamp};
 use madderbay_membership::MAX_SUBSYSTEM_PAYLOAD_BYTES;
 use madderbay_upstream::{
@@ -42,13 +43,13 @@
         address: ([127, 0, 0, 1], 7_000 + n as u16).into(),
         zone: zone(n).into(),
         weight: 1.0 + n as f64,
-        handlers: vec![n % 2],
+        handlers: vec![HandlerId::new(n % 2)],
     }
 }
 
-fn handler_of(status: &BackendStatus) -> usize {
+fn handler_of(status: &BackendStatus) -> HandlerId {
     let number: usize = status.name[1..].parse().unwrap_or(0);
-    number % 2
+    HandlerId::new(number % 2)
 }
 
 /// One step: what is done, with which number, and the payload where it is one of gossip.
@@ -111,9 +112,9 @@
     }
 
     fn pick(&mut self, n: usize) -> Result<(), TestCaseError> {
-        let handler = n % HANDLERS;
+        let handler = HandlerId::new(n % HANDLERS);
         let picked = self.upstream.pick(self.now, handler);
-        let has_backends = handler < 2 && self.upstream.group_of(handler).is_some();
+        let has_backends = handler.index() < 2 && self.upstream.group_of(handler).is_some();
         prop_assert_eq!(picked.is_some(), has_backends);
         self.in_flight.extend(picked);
         Ok(())
--- a/crates/upstream/tests/slow_start.rs
+++ b/crates/upstream/tests/slow_start.rs
@@ -1,5 +1,6 @@
 //! A backend that is added may have cold caches: what all servers together send to it has to be little at first.
 
+use madderbay::interface::HandlerId;
 use madderbay::time::{Duration, Timestamp};
 use madderbay_upstream::{AttemptOutcome, BackendSettings, Settings, State, UpstreamManager};
 
@@ -14,7 +15,7 @@
         address: ([127, 0, 0, 1], 7_000 + n as u16).into(),
         zone: "north".into(),
         weight: 1.0,
-        handlers: vec![0],
+        handlers: vec![HandlerId::new(0)],
     }
 }
 
@@ -39,7 +40,7 @@
     for n in 0..CALLS_PER_BURST {
         let now = now + BURST.mul_f64(n as f64 / CALLS_PER_BURST as f64);
         for upstream in servers.iter_mut() {
-            let attempt = upstream.pick(now, 0).expect("a backend");
+            let attempt = upstream.pick(now, HandlerId::new(0)).expect("a backend");
             calls += usize::from(attempt.address.port() == port);
             // Latencies differ, as real ones do: of two equal ones the same backend would always be cheaper.
             let latency = Duration::from_millis(3 + (n as u64 * 7 + calls as u64) % 5);
--- a/src/ceilings.rs
+++ b/src/ceilings.rs
@@ -1,7 +1,7 @@
 //! External ceilings on the runs and calls of groups of handlers. Owns the ceilings and the counts under
 //! them. Whether a load is within them, and what follows, is decided elsewhere.
 
-use crate::interface::Ceiling;
+use crate::interface::{Ceiling, HandlerId};
 
 /// How long the start intervals over a handler delay its next request.
 #[derive(Debug, Default)]
@@ -29,11 +29,11 @@
     }
 
     /// The ceilings over a handler.
-    pub(crate) fn over(&self, handler: usize) -> impl Iterator<Item = &Ceiling> {
+    pub(crate) fn over(&self, handler: HandlerId) -> impl Iterator<Item = &Ceiling> {
         self.indexed(handler).map(|(_, ceiling)| ceiling)
     }
 
-    fn indexed(&self, handler: usize) -> impl Iterator<Item = (usize, &Ceiling)> {
+    fn indexed(&self, handler: HandlerId) -> impl Iterator<Item = (usize, &Ceiling)> {
         self.0
             .iter()
             .enumerate()
@@ -41,29 +41,29 @@
     }
 
     /// Whether the ceiling of that index covers the handler.
-    pub(crate) fn covers(&self, ceiling: usize, handler: usize) -> bool {
+    pub(crate) fn covers(&self, ceiling: usize, handler: HandlerId) -> bool {
         self.0[ceiling].handlers.contains(&handler)
     }
 
     /// Counts queued requests, given by their handlers, under each ceiling.
-    pub(crate) fn count(&self, handlers: impl Iterator<Item = usize>) -> QueuedCounts {
+    pub(crate) fn count(&self, handlers: impl Iterator<Item = HandlerId>) -> QueuedCounts {
         let mut counts = QueuedCounts(vec![0.0; self.0.len()]);
         handlers.for_each(|handler| self.add(&mut counts, handler));
         counts
     }
 
     /// Counts one more queued request.
-    pub(crate) fn add(&self, counts: &mut QueuedCounts, handler: usize) {
+    pub(crate) fn add(&self, counts: &mut QueuedCounts, handler: HandlerId) {
         self.indexed(handler).for_each(|(i, _)| counts.0[i] += 1.0);
     }
 
     /// Counts one queued request less.
-    pub(crate) fn take_off(&self, counts: &mut QueuedCounts, handler: usize) {
+    pub(crate) fn take_off(&self, counts: &mut QueuedCounts, handler: HandlerId) {
         self.indexed(handler).for_each(|(i, _)| counts.0[i] -= 1.0);
     }
 
     /// The longest delay that the ceilings over a handler make, at its end of the queued requests.
-    pub(crate) fn start_delay(&self, handler: usize, queued: &QueuedCounts) -> StartDelay {
+    pub(crate) fn start_delay(&self, handler: HandlerId, queued: &QueuedCounts) -> StartDelay {
         let mut longest = StartDelay::default();
         for (i, ceiling) in self.indexed(handler) {
             let seconds = queued.0[i] * ceiling.start_interval.as_secs_f64();
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -31,7 +31,8 @@
 use crate::timers::{Timer, Timers};
 use std::ops::ControlFlow::{self, Break, Continue};
 
-const ANSWER_MARGIN: Duration = Duration::from_millis(30); // Answers leave this early: three ticks (ours).
+/// Time before its deadline at which an answer leaves: three ticks.
+pub const ANSWER_MARGIN: Duration = Duration::from_millis(30);
 const STALL_TIMEOUT: Duration = Duration::from_millis(300); // Without a completion or cancellation (ours).
 const RUN_TIME_GUESS: f64 = 0.1; // First guess of a run or call time, in latency objectives (ours).
 const SAMPLE_WEIGHT: f64 = 0.03; // Of the newest run or arrival in a mean: about the last 30 (ours).
@@ -210,7 +211,7 @@
         self.rejections.sample(true, arrival.is_retry);
         self.connections
             .record(now, arrival.client, self.rejections.retry_fraction, out);
-        let handler = &self.handlers[arrival.handler];
+        let handler = &self.handlers[arrival.handler.index()];
         let reached = now.saturating_sub(arrival.read_delay);
         let given_up = (reached + handler.timeout).max(now);
         let deadline = if self.rules.requests_carry_timeout {
@@ -279,7 +280,7 @@
                 idempotency_window,
                 timeout,
                 ..
-            } = self.handlers[handler];
+            } = self.handlers[handler.index()];
             self.timers
                 .set(now + idempotency_window + timeout, Timer::ForgetKey(key));
         }
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -55,7 +55,7 @@
     ) -> ControlFlow<()> {
         let (weight, chance) = (self.requests[r].weight, self.rng.rand_float());
         let idempotent =
-            self.handlers[self.requests[r].handler].retry_safety == RetrySafety::Idempotent;
+            self.handlers[self.requests[r].handler.index()].retry_safety == RetrySafety::Idempotent;
         let failure_rate = self.admission.failures.value();
         let probe =
             idempotent && (self.rng.rand_float() > failure_rate || self.requests.running() == 0);
--- a/src/decide/budget_controller.rs
+++ b/src/decide/budget_controller.rs
@@ -87,8 +87,8 @@
     }
 
     /// Records the time of a run that skipped no call.
-    pub(super) fn record_run(&mut self, handler: usize, hint: Option<Duration>, run: Duration) {
-        let (run, times) = (run.as_secs_f64(), &mut self.handlers[handler]);
+    pub(super) fn record_run(&mut self, handler: HandlerId, hint: Option<Duration>, run: Duration) {
+        let (run, times) = (run.as_secs_f64(), &mut self.handlers[handler.index()]);
         if let Some(hint) = hint {
             let deviation = hint.as_secs_f64() - times.mean_hint;
             times.mean_hint += SAMPLE_WEIGHT * deviation;
@@ -108,11 +108,11 @@
     pub(super) fn complete(
         &mut self,
         now: Timestamp,
-        handler: usize,
+        handler: HandlerId,
         response: Duration,
         pending: usize,
     ) {
-        let mrt = &mut self.handlers[handler].mrt;
+        let mrt = &mut self.handlers[handler.index()].mrt;
         *mrt += MRT_ALPHA * (response.as_secs_f64() - *mrt);
         let max = ((pending as f64 + self.cores) * self.largest_run).max(self.floor());
         if now > self.last_step {
@@ -145,8 +145,8 @@
     }
 
     /// Lets an idle handler's MRT drift back to its run time: one wholly rejected would else keep its cut.
-    pub(super) fn relax_idle(&mut self, handler: usize) {
-        let times = &mut self.handlers[handler];
+    pub(super) fn relax_idle(&mut self, handler: HandlerId) {
+        let times = &mut self.handlers[handler.index()];
         let rest = times.mean_run.min(times.setpoint * 0.5);
         times.mrt = rest + (times.mrt - rest) * IDLE_MRT_DECAY;
         times.mean_run = times.mean_run.min(times.setpoint / SETPOINT);
@@ -154,8 +154,8 @@
 
     /// Expected run time in seconds. Waits do not grow with the work, so a hint moves the mean along a slope:
     /// were the mean scaled by it, long requests would pass for infeasible.
-    pub(super) fn expected_run(&self, handler: usize, hint: Option<Duration>) -> f64 {
-        let (times, slope) = (&self.handlers[handler], self.hint_slope.value());
+    pub(super) fn expected_run(&self, handler: HandlerId, hint: Option<Duration>) -> f64 {
+        let (times, slope) = (&self.handlers[handler.index()], self.hint_slope.value());
         let extra = hint.map_or(0.0, |hint| slope * (hint.as_secs_f64() - times.mean_hint));
         (times.mean_run + extra).max(0.0)
     }
--- a/src/decide/concurrency_limit.rs
+++ b/src/decide/concurrency_limit.rs
@@ -93,7 +93,7 @@
 
     /// While a call waits for capacity, a run that requires one would only wait too; ceilings allow for that.
     fn may_start(&self, r: RequestSlot) -> bool {
-        let handler = &self.handlers[self.requests[r].handler];
+        let handler = &self.handlers[self.requests[r].handler.index()];
         let requires_call = handler.makes_calls && handler.partial_weight == 0.0;
         let blocked = requires_call && !self.calls.waiting.is_empty() && self.ceilings.is_empty();
         let within = |ceiling: &Ceiling| self.requests.load(&ceiling.handlers).runs < ceiling.runs;
--- a/src/decide/idempotent_attempts.rs
+++ b/src/decide/idempotent_attempts.rs
@@ -14,7 +14,7 @@
         out: &mut dyn Actions,
     ) -> ControlFlow<()> {
         let Request { id, retry_of, .. } = self.requests[r];
-        if self.handlers[self.requests[r].handler].retry_safety != RetrySafety::Keyed {
+        if self.handlers[self.requests[r].handler.index()].retry_safety != RetrySafety::Keyed {
             return Continue(());
         }
         let key = self.keys.bind(id, retry_of);
@@ -40,7 +40,7 @@
     /// Stores an attempt's key until its window, counted from its arrival, has passed.
     fn store_key(&mut self, now: Timestamp, key: KeySlot, r: RequestSlot, out: &mut dyn Actions) {
         let until = self.requests[r].reached
-            + self.handlers[self.requests[r].handler].idempotency_window
+            + self.handlers[self.requests[r].handler.index()].idempotency_window
             + KEY_SLACK;
         self.keys.store(key, until);
         self.timers.set(until, Timer::ExpireKey(key));
--- a/src/decide/request_queue.rs
+++ b/src/decide/request_queue.rs
@@ -48,7 +48,7 @@
 /// A queued request in the tentative schedule, with its expected run time in seconds.
 struct Planned {
     request: RequestSlot,
-    handler: usize,
+    handler: HandlerId,
     run: f64,
 }
 
--- a/src/decide/stall_detection.rs
+++ b/src/decide/stall_detection.rs
@@ -32,7 +32,7 @@
             .map(|q| (q.handler, now - q.reached));
         if let Some((handler, age)) = oldest
             && now - self.stalls.last_completion > STALL_TIMEOUT
-            && age.as_secs_f64() > self.budget.handlers[handler].mrt
+            && age.as_secs_f64() > self.budget.handlers[handler.index()].mrt
         {
             self.budget.complete(
                 now,
@@ -41,7 +41,8 @@
                 self.queue.len() + self.requests.running(),
             );
         }
-        let idle = (0..self.handlers.len()).filter(|handler| self.requests.is_idle(*handler));
+        let idle =
+            HandlerId::first(self.handlers.len()).filter(|handler| self.requests.is_idle(*handler));
         idle.for_each(|handler| self.budget.relax_idle(handler));
     }
 
--- a/src/decide/tenant_quota.rs
+++ b/src/decide/tenant_quota.rs
@@ -36,8 +36,8 @@
 
 impl Decider {
     /// Sets the rate that this server may take of a tenant's fleet-wide quota.
-    pub fn set_tenant_rate(&mut self, tenant: usize, requests_per_second: f64) {
-        if let Some(tenant) = self.tenants.tenants.get_mut(tenant) {
+    pub fn set_tenant_rate(&mut self, tenant: TenantId, requests_per_second: f64) {
+        if let Some(tenant) = self.tenants.tenants.get_mut(tenant.index()) {
             tenant.quota = requests_per_second;
         }
     }
@@ -52,12 +52,12 @@
         let Request {
             handler, tenant, ..
         } = self.requests[r];
-        let mut weight = self.handlers[handler].weight;
-        if let Some(tenant) = self.tenants.tenants.get_mut(tenant) {
+        let mut weight = self.handlers[handler.index()].weight;
+        if let Some(tenant) = self.tenants.tenants.get_mut(tenant.index()) {
             let within = (tenant.quota / tenant.measured.record(now, RATE_WINDOW)).min(1.0);
             weight *= within + (1.0 - within) * self.tenants.over_quota_weight;
         }
-        let relative_work = self.budget.handlers[handler].mean_run / self.budget.mean_run;
+        let relative_work = self.budget.handlers[handler.index()].mean_run / self.budget.mean_run;
         let work = if self.weight_by_work {
             1.0
         } else {
--- a/src/decide/upstream_calls.rs
+++ b/src/decide/upstream_calls.rs
@@ -131,7 +131,10 @@
     /// Makes the call that a run waits at, skips it or lets it wait. An optional call is skipped once the
     /// allowance is spent while a handler exceeds its setpoint, and where it is late or has no capacity.
     pub(super) fn attempt_call(&mut self, now: Timestamp, r: RequestSlot, out: &mut dyn Actions) {
-        let (request, handler) = (&self.requests[r], &self.handlers[self.requests[r].handler]);
+        let (request, handler) = (
+            &self.requests[r],
+            &self.handlers[self.requests[r].handler.index()],
+        );
         let rank = self.admission.recent_weights.rank(request.weight, 1.0);
         let within =
             |ceiling: &Ceiling| self.requests.load(&ceiling.handlers).calls < ceiling.calls;
@@ -194,7 +197,7 @@
             partial_weight,
             retry_safety,
             ..
-        } = self.handlers[request.handler];
+        } = self.handlers[request.handler.index()];
         let may_have_run = !matches!(outcome, Outcome::Rejected | Outcome::Unreachable);
         let backoff = BACKOFF_UNIT.mul_f64(f64::from(1u32 << request.failed_calls.min(6)));
         let late =
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,5 +1,6 @@
 //! What the decision module is given, and the `Actions` through which it answers. Plain data, no decisions.
 
+pub use crate::ids::{HandlerId, TenantId};
 use crate::time::Duration;
 
 /// What may be done with a request that arrives a second time.
@@ -13,6 +14,17 @@
     NonIdempotent,
 }
 
+/// Whether the runs of a handler make an upstream call.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CallRequirement {
+    /// Runs make no call.
+    Never,
+    /// Runs make a call, but can complete without it, for a partial answer.
+    Optional,
+    /// Runs cannot complete without a call.
+    Required,
+}
+
 /// One class of requests.
 #[derive(Clone, Debug)]
 pub struct Handler {
@@ -36,6 +48,27 @@
     pub partial_weight: f64,
 }
 
+impl Handler {
+    /// Whether its runs make a call, and whether they can do without it.
+    pub fn call_requirement(&self) -> CallRequirement {
+        match (self.makes_calls, self.has_partial_answer()) {
+            (false, _) => CallRequirement::Never,
+            (true, true) => CallRequirement::Optional,
+            (true, false) => CallRequirement::Required,
+        }
+    }
+
+    /// Whether an answer without its calls has a weight.
+    pub fn has_partial_answer(&self) -> bool {
+        self.partial_weight > 0.0
+    }
+
+    /// Whether its requests and their calls may run twice.
+    pub fn is_idempotent(&self) -> bool {
+        self.retry_safety == RetrySafety::Idempotent
+    }
+}
+
 /// One tenant of the fleet.
 #[derive(Clone, Debug)]
 pub struct Tenant {
@@ -171,9 +204,9 @@
     /// The client's number.
     pub client: u16,
     /// Index of its handler.
-    pub handler: usize,
+    pub handler: HandlerId,
     /// Index of its tenant.
-    pub tenant: usize,
+    pub tenant: TenantId,
     /// What the request is about; requests about the same have the same number.
     pub subject: u64,
     /// Time that the client will wait from now on.
@@ -196,7 +229,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ceiling {
     /// Indices of the handlers.
-    pub handlers: Vec<usize>,
+    pub handlers: Vec<HandlerId>,
     /// Most runs in flight.
     pub runs: usize,
     /// Most upstream calls in flight.
--- a/src/request.rs
+++ b/src/request.rs
@@ -2,7 +2,7 @@
 //! load that follow from it; is given identifiers from outside and decides nothing.
 
 use crate::idempotency::KeySlot;
-use crate::interface::{Actions, Arrival};
+use crate::interface::{Actions, Arrival, HandlerId, TenantId};
 use crate::time::{Duration, Timestamp};
 use slotmap::{SlotMap, new_key_type};
 use std::collections::HashMap;
@@ -38,8 +38,8 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Request {
     pub(crate) id: u64,
-    pub(crate) handler: usize,
-    pub(crate) tenant: usize,
+    pub(crate) handler: HandlerId,
+    pub(crate) tenant: TenantId,
     /// When it reached the machine, read or not.
     pub(crate) reached: Timestamp,
     /// The latency objective as an instant.
@@ -182,7 +182,7 @@
     }
 
     /// Whether no request of the handler is queued or in flight.
-    pub(crate) fn is_idle(&self, handler: usize) -> bool {
+    pub(crate) fn is_idle(&self, handler: HandlerId) -> bool {
         self.requests.values().all(|r| r.handler != handler)
     }
 
@@ -207,8 +207,10 @@
     }
 
     /// The load of a group of handlers.
-    pub(crate) fn load(&self, handlers: &[usize]) -> Load {
-        let loads = handlers.iter().filter_map(|h| self.handler_loads.get(*h));
+    pub(crate) fn load(&self, handlers: &[HandlerId]) -> Load {
+        let loads = handlers
+            .iter()
+            .filter_map(|h| self.handler_loads.get(h.index()));
         loads.fold(Load::default(), |sum, l| Load {
             runs: sum.runs + l.runs,
             calls: sum.calls + l.calls,
@@ -236,14 +238,14 @@
         self.queued_kb -= request.memory_kb;
         self.running_kb += request.memory_kb;
         self.running += 1;
-        self.handler_loads[request.handler].runs += 1;
+        self.handler_loads[request.handler.index()].runs += 1;
     }
 
     /// Moves a started request to another started stage.
     pub(crate) fn set_run_stage(&mut self, r: RequestSlot, stage: Stage) {
         debug_assert!(stage.has_started() && self.requests[r].stage.has_started());
         let request = &mut self.requests[r];
-        let calls = &mut self.handler_loads[request.handler].calls;
+        let calls = &mut self.handler_loads[request.handler.index()].calls;
         *calls -= usize::from(request.stage == Stage::Calling);
         *calls += usize::from(stage == Stage::Calling);
         request.stage = stage;
@@ -275,7 +277,7 @@
         let request = &mut self.requests[r];
         if !std::mem::replace(&mut request.slot_released, true) {
             self.running -= 1;
-            self.handler_loads[request.handler].runs -= 1;
+            self.handler_loads[request.handler.index()].runs -= 1;
         }
     }
 
@@ -290,7 +292,7 @@
         }
         self.running_kb -= request.memory_kb;
         self.running -= usize::from(!request.slot_released);
-        let load = &mut self.handler_loads[request.handler];
+        let load = &mut self.handler_loads[request.handler.index()];
         load.runs -= usize::from(!request.slot_released);
         load.calls -= usize::from(request.stage == Stage::Calling);
     }
--- a/tests/scenario_runner/mod.rs
+++ b/tests/scenario_runner/mod.rs
@@ -19,8 +19,8 @@
 use actions::ActionLog;
 use madderbay::decide::Decider;
 use madderbay::interface::{
-    Actions, Arrival, Ceiling, Downstream, FleetPosition, Gauges, Handler, Machine, Outcome, Rules,
-    Tenant, Upstream,
+    Actions, Arrival, Ceiling, Downstream, FleetPosition, Gauges, Handler, HandlerId, Machine,
+    Outcome, Rules, Tenant, TenantId, Upstream,
 };
 use madderbay::time::{Duration, Timestamp};
 use setup::{Words, duration};
@@ -201,10 +201,10 @@
         self.with(|d, _, _| d.set_ceilings(&ceilings));
     }
 
-    /// Index of the handler of that name.
-    fn handler(&self, name: &str) -> usize {
+    /// The handler of that name.
+    fn handler(&self, name: &str) -> HandlerId {
         let position = self.handlers.iter().position(|h| h.0 == name);
-        position.expect("a handler set up")
+        HandlerId::new(position.expect("a handler set up"))
     }
 
     fn arrival(&self, id: u64, w: &Words) -> Arrival {
@@ -212,7 +212,7 @@
             id,
             client: w.number("from", id as f64) as u16,
             handler: self.handler(w.0[1]),
-            tenant: w.number("tenant", 0.0) as usize,
+            tenant: TenantId::new(w.number("tenant", 0.0) as usize),
             timeout: w.duration("wait", "4s"),
             work_hint: w.get("hint").map(duration),
             memory_kb: w.number("kb", 1.0),
