--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -1,71 +1,138 @@
-//! The fraction of arrivals admitted, cut by an integral latency loop, and the rate of failures. Owns both.
+//! Admission: which arrivals may start at all.
+//!
+//! Owns the fraction of arrivals that is admitted, cut by an integral loop on latency, the rate of failures, and the
+//! weights of the latest arrivals, among which a new one is ranked. Is given each arrival, the outcome of each run and
+//! the latency of each tick. Never answers a request.
 
-use super::*;
+use super::budget_controller::MAX_CONTROL_ERROR;
+use crate::estimators::{Average, Ranking};
+use crate::time::Duration;
+use oorandom::Rand64;
 
-const CUT_RATE: f64 = 0.5; // Cut of the fraction per second, for a latency one objective over (ours).
-const RECOVERY_RATE: f64 = 0.2; // Its slower recovery per second (ours).
-const MIN_ADMITTED: f64 = 0.3; // The loop needs completions to see that it may recover (ours).
-const RECENT_ARRIVALS: usize = 64; // Weights that rank a new one: a few seconds of a server's traffic (ours).
-const FAILURE_WEIGHT: f64 = 0.08; // Of the newest run in the failure rate (ours).
-pub(super) const FAILURE_DECAY: f64 = 0.999; // Per tick: in 7 s a server without runs tries again (ours).
-const MAX_FAILURE_RATE: f64 = 0.25; // Over which arrivals are sent to other servers (ours).
+/// Cut of the admitted fraction, per second, for a latency of one setpoint over the setpoint.
+const CUT_RATE_PER_SECOND: f64 = 0.5;
+/// Recovery of the admitted fraction, per second.
+const RECOVERY_RATE_PER_SECOND: f64 = 0.2;
+/// Least fraction admitted. The loop needs completions to see that it may recover.
+const MIN_ADMITTED_FRACTION: f64 = 0.3;
+/// Latest arrivals among whose weights a new one is ranked: a few seconds of a server's traffic.
+const RANKED_ARRIVALS: usize = 64;
+/// Weight of the newest run in the failure rate, 0 to 1.
+const FAILURE_WEIGHT: f64 = 0.08;
+/// Fraction of the failure rate kept per tick. A server without runs is tried again after some seconds.
+const FAILURE_KEPT_PER_TICK: f64 = 0.999;
+/// Failure rate above which arrivals are sent to other servers, 0 to 1.
+const MAX_FAILURE_RATE: f64 = 0.25;
 
-/// Decides how many arrivals are admitted. Other parts only read the fraction admitted.
-pub(super) struct AdmissionControl {
-    pub(super) admitted: f64,
-    pub(super) failures: Average,
-    pub(super) recent_weights: Ranking,
+/// What is decided on an arrival.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum AdmissionDecision {
+    /// It is queued.
+    Admit,
+    /// It is rejected: its weight ranks below the fraction that is cut, or the server fails its runs.
+    Reject,
 }
 
-impl AdmissionControl {
-    pub(super) fn new() -> AdmissionControl {
-        let (failures, recent_weights) =
-            (Average::new(FAILURE_WEIGHT), Ranking::new(RECENT_ARRIVALS));
-        AdmissionControl {
-            admitted: 1.0,
-            failures,
-            recent_weights,
+/// What admission needs to know of an arrival.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct AdmissionInputs {
+    /// The priority weight of the request.
+    pub(super) weight: f64,
+    /// Whether the request may run twice.
+    pub(super) is_idempotent: bool,
+    /// Whether no run is in flight.
+    pub(super) is_server_idle: bool,
+}
+
+/// Decides which arrivals are admitted.
+pub(super) struct AdmissionController {
+    /// Fraction of arrivals admitted, from `MIN_ADMITTED_FRACTION` to 1.
+    admitted_fraction: f64,
+    failure_rate: Average,
+    recent_weights: Ranking,
+}
+
+impl AdmissionController {
+    /// Admits all arrivals.
+    pub(super) fn new() -> AdmissionController {
+        AdmissionController {
+            admitted_fraction: 1.0,
+            failure_rate: Average::new(0.0, FAILURE_WEIGHT),
+            recent_weights: Ranking::new(RANKED_ARRIVALS),
         }
     }
 
+    /// The fraction of arrivals admitted, 0 to 1.
+    pub(super) fn admitted_fraction(&self) -> f64 {
+        self.admitted_fraction
+    }
+
+    /// The fraction of the latest runs that failed, 0 to 1.
+    pub(super) fn failure_rate(&self) -> f64 {
+        self.failure_rate.value()
+    }
+
+    /// Whether so many runs fail that arrivals do better on other servers.
     pub(super) fn is_failing(&self) -> bool {
-        self.failures.value() > MAX_FAILURE_RATE
+        self.failure_rate() > MAX_FAILURE_RATE
     }
 
-    /// One integral step. `excess`: the worst latency over its setpoint, as a ratio.
-    pub(super) fn update(&mut self, elapsed: Duration, excess: f64, cut_helps: bool) {
-        let cut = cut_helps && excess > 0.0;
-        let change = if cut {
-            -CUT_RATE * excess.min(MAX_ERROR)
-        } else {
-            RECOVERY_RATE
-        };
-        self.admitted = (self.admitted + elapsed.as_secs_f64() * change).clamp(MIN_ADMITTED, 1.0);
+    /// Rank of a weight among those of the latest arrivals, 0 to 1. It ranks above equal ones.
+    pub(super) fn rank(&self, weight: f64) -> f64 {
+        self.recent_weights.rank(weight, 1.0)
     }
-}
 
-impl Decider {
-    /// Rejects what is beyond the admitted fraction, the least weight first. A server that fails its runs
-    /// attracts traffic: it rejects as large a fraction as fails, and probes only with idempotent requests.
-    pub(super) fn admit(
+    /// Rejects what is beyond the admitted fraction, the lowest weight first.
+    ///
+    /// A server that fails its runs answers quickly, and so attracts traffic. It rejects as large a fraction as fails,
+    /// and probes with idempotent requests only.
+    pub(super) fn decide(
         &mut self,
-        now: Timestamp,
-        r: RequestSlot,
-        out: &mut dyn Actions,
-    ) -> ControlFlow<()> {
-        let (weight, chance) = (self.requests[r].weight, self.rng.rand_float());
-        let idempotent =
-            self.handlers[self.requests[r].handler.index()].retry_safety == RetrySafety::Idempotent;
-        let failure_rate = self.admission.failures.value();
-        let probe =
-            idempotent && (self.rng.rand_float() > failure_rate || self.requests.running() == 0);
-        if probe || !self.admission.is_failing() {
-            self.admission.recent_weights.push(weight);
-            if self.admission.recent_weights.rank(weight, chance) >= 1.0 - self.admission.admitted {
-                return Continue(());
-            }
+        arrival: AdmissionInputs,
+        random: &mut Rand64,
+    ) -> AdmissionDecision {
+        // Drawn in any case: equal seeds and events give equal decisions whatever the branch.
+        let tie_break = random.rand_float();
+        let may_probe = self.may_probe(arrival, random);
+        if self.is_failing() && !may_probe {
+            return AdmissionDecision::Reject;
         }
-        self.reject(now, r, out);
-        Break(())
+        self.recent_weights.push(arrival.weight);
+        let rank = self.recent_weights.rank(arrival.weight, tie_break);
+        if rank >= 1.0 - self.admitted_fraction {
+            AdmissionDecision::Admit
+        } else {
+            AdmissionDecision::Reject
+        }
+    }
+
+    /// Whether the request may show whether runs still fail.
+    fn may_probe(&self, arrival: AdmissionInputs, random: &mut Rand64) -> bool {
+        arrival.is_idempotent
+            && (random.rand_float() > self.failure_rate() || arrival.is_server_idle)
+    }
+
+    /// A run that answers its request has completed or failed.
+    pub(super) fn record_run(&mut self, has_failed: bool) {
+        self.failure_rate.record(f64::from(has_failed));
+    }
+
+    /// Lets the failure rate fade by one tick.
+    pub(super) fn fade_failures(&mut self) {
+        self.failure_rate.relax_towards(0.0, FAILURE_KEPT_PER_TICK);
+    }
+
+    /// One step of the integral loop, `elapsed` after the last.
+    ///
+    /// `latency_excess` is the worst latency of a handler over its setpoint, in setpoints. Where `cut_helps` is false,
+    /// the latency has another cause than the arrivals, and the fraction recovers.
+    pub(super) fn update(&mut self, elapsed: Duration, latency_excess: f64, cut_helps: bool) {
+        let change_per_second = if cut_helps && latency_excess > 0.0 {
+            -CUT_RATE_PER_SECOND * latency_excess.min(MAX_CONTROL_ERROR)
+        } else {
+            RECOVERY_RATE_PER_SECOND
+        };
+        let changed = self.admitted_fraction + elapsed.as_secs_f64() * change_per_second;
+        self.admitted_fraction = changed.clamp(MIN_ADMITTED_FRACTION, 1.0);
     }
 }
--- /dev/null
+++ b/src/decide/answers.rs
@@ -0,0 +1,147 @@
+//! The steps to the end of a request: rejecting, failing, withdrawing and cancelling it.
+
+use super::Decider;
+use super::rejection::{Rejection, RejectionInputs, RejectionKind, ServerPace};
+use crate::idempotency::KeySlot;
+use crate::interface::{Actions, Cancellation};
+use crate::request::{Request, RequestSlot, Stage};
+use crate::time::{Duration, Timestamp};
+use crate::timers::Timer;
+
+/// Time after which a run that is at a call, and whose answer is final, should have ended.
+const CALL_END_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Time after which the cancellation of a run is repeated. It is lost where the cores are stalled.
+const CANCEL_REPEAT_INTERVAL: Duration = Duration::from_millis(300);
+
+/// What is left of an attempt that was to run and never started.
+struct WithdrawnRunner {
+    id: u64,
+    key: KeySlot,
+    /// The attempts that waited for its start.
+    waiting: Vec<RequestSlot>,
+}
+
+impl Decider {
+    /// Final answer of a request that never started: it was not run here, and may run elsewhere. The attempts that
+    /// wait for its start are rejected with it.
+    pub(super) fn reject(&mut self, now: Timestamp, slot: RequestSlot, out: &mut dyn Actions) {
+        let Rejection { kind, retry_after } = self.rejection(now, slot);
+        let is_final = kind == RejectionKind::Final;
+        out.reject(self.requests[slot].id, retry_after, is_final);
+        self.rejections.on_rejection();
+        let Some(withdrawn) = self.remove_unstarted(slot) else {
+            return;
+        };
+        self.remove_key(&withdrawn, out);
+        for attempt in withdrawn.waiting {
+            self.requests[attempt].key = None;
+            self.reject(now, attempt, out);
+        }
+    }
+
+    /// What the rejection of a request says.
+    fn rejection(&mut self, now: Timestamp, slot: RequestSlot) -> Rejection {
+        let inputs = RejectionInputs {
+            expected_wait_secs: self.expected_wait_secs(slot),
+            is_past_objective: now > self.requests[slot].objective,
+            sends_to_others: self.admission.is_failing() || self.drain.is_some(),
+            is_slow_alone: self.pace(now).is_slow_alone(),
+        };
+        self.rejections.decide(&inputs, &mut self.random)
+    }
+
+    /// Wait expected at the end of the queue, in seconds, for a request of the same handler.
+    fn expected_wait_secs(&self, slot: RequestSlot) -> f64 {
+        let queued_secs = self.queue.iter().map(|queued| {
+            let run = self.expected_run(queued);
+            run.as_secs_f64()
+        });
+        let work_secs = queued_secs.sum::<f64>() + self.remaining_run_secs();
+        let handlers = self
+            .queue
+            .iter()
+            .map(|queued| self.requests[queued].handler);
+        let queued = self.ceilings.count(handlers);
+        let handler = self.requests[slot].handler;
+        let delay = self.ceilings.start_delay(handler, &queued);
+        (work_secs / self.concurrency.limit()).max(delay.seconds)
+    }
+
+    fn pace(&self, now: Timestamp) -> ServerPace {
+        ServerPace {
+            is_warming_up: self.concurrency.supported().is_warming_up(now),
+            slowdown: self.stalls.slowdown(),
+            crowding: self.concurrency.crowding(),
+            mean_run_secs: self.run_times.mean_secs(),
+            best_run_secs: self.run_times.best_secs(),
+        }
+    }
+
+    /// Nobody waits for a request that never started. One of the attempts that wait for its start takes its place.
+    pub(super) fn withdraw(&mut self, now: Timestamp, slot: RequestSlot, out: &mut dyn Actions) {
+        let Some(withdrawn) = self.remove_unstarted(slot) else {
+            return;
+        };
+        let key = withdrawn.key;
+        match self.keys.promote(key, &withdrawn.waiting) {
+            Some(next) => {
+                self.requests.wait(next, Stage::Queued);
+                self.store_key(now, key, next, out);
+                self.admit_or_reject(now, next, out);
+            }
+            None => self.remove_key(&withdrawn, out),
+        }
+    }
+
+    /// Removes a request that never started. Returns what is left of it if it was the attempt of a key that was to run.
+    fn remove_unstarted(&mut self, slot: RequestSlot) -> Option<WithdrawnRunner> {
+        self.queue.remove(slot);
+        let Request { id, key, .. } = self.requests[slot];
+        self.requests.remove(slot);
+        let key = key?;
+        let waiting = self.keys.withdraw(key, slot)?;
+        Some(WithdrawnRunner { id, key, waiting })
+    }
+
+    /// Forgets a key under which nothing runs.
+    fn remove_key(&mut self, withdrawn: &WithdrawnRunner, out: &mut dyn Actions) {
+        if self.keys.remove(withdrawn.key) {
+            out.remove_key(withdrawn.id);
+        }
+    }
+
+    /// Answers a request with an error; its run, if it has begun, is cancelled.
+    pub(super) fn fail(&mut self, slot: RequestSlot, out: &mut dyn Actions) {
+        out.fail(self.requests[slot].id);
+        if self.requests[slot].has_started() {
+            self.cancel_answered(slot, out);
+        } else {
+            self.requests.remove(slot);
+        }
+    }
+
+    /// Cancels a run whose answer is final, if runs can be cancelled. One that is at a call ends by itself.
+    pub(super) fn cancel_answered(&mut self, slot: RequestSlot, out: &mut dyn Actions) {
+        let request = &mut self.requests[slot];
+        request.answered = true;
+        if !request.is_running() {
+            let due = self.last_tick + CALL_END_TIMEOUT;
+            self.timers.set(due, Timer::CheckEnded(slot));
+        } else if self.cancellation != Cancellation::Unsupported {
+            out.cancel(request.id);
+            let due = self.last_tick + CANCEL_REPEAT_INTERVAL;
+            self.timers.set(due, Timer::CheckEnded(slot));
+        }
+    }
+
+    /// Removes a request whose run has ended. Its key is remembered while further attempts may arrive.
+    pub(super) fn end_request(&mut self, now: Timestamp, slot: RequestSlot) {
+        let handler = self.handler_of(slot);
+        let forget_at = now + handler.idempotency_window + handler.timeout;
+        let key = self.requests[slot].key;
+        self.requests.remove(slot);
+        if let Some(key) = key {
+            self.timers.set(forget_at, Timer::ForgetKey(key));
+        }
+    }
+}
--- /dev/null
+++ b/src/decide/calls.rs
@@ -0,0 +1,116 @@
+//! The steps of the upstream calls of runs: attempting, retrying, skipping and abandoning them.
+
+use super::Decider;
+use super::call_policy::{
+    CallDecision, CallInputs, FailedCall, RetryDecision, decide_call, decide_retry,
+};
+use crate::interface::{Actions, Ceiling, Handler, Outcome};
+use crate::request::{Request, RequestSlot, Stage};
+use crate::time::{Duration, Timestamp};
+use crate::timers::Timer;
+
+impl Decider {
+    /// A run has come to an upstream call.
+    pub(super) fn reach_call(&mut self, now: Timestamp, slot: RequestSlot, out: &mut dyn Actions) {
+        self.requests.set_run_stage(slot, Stage::AtCall);
+        self.attempt_call(now, slot, out);
+    }
+
+    /// Makes the call that a run waits at, skips it, lets it wait, or fails the request.
+    fn attempt_call(&mut self, now: Timestamp, slot: RequestSlot, out: &mut dyn Actions) {
+        let inputs = self.call_inputs(now, slot);
+        match decide_call(now, &inputs, &mut self.calls) {
+            CallDecision::Fail => self.fail(slot, out),
+            CallDecision::Skip => self.requests.skip_call(slot, out),
+            CallDecision::Wait => self.waiting_calls.push(slot),
+            CallDecision::Send { timeout } => self.send_call(slot, timeout, out),
+        }
+    }
+
+    fn call_inputs(&self, now: Timestamp, slot: RequestSlot) -> CallInputs {
+        let request = &self.requests[slot];
+        let handler = self.handler_of(slot);
+        let has_room =
+            |ceiling: &Ceiling| self.requests.load(&ceiling.handlers).calls < ceiling.calls;
+        let has_overrun = now - request.started > request.allowance;
+        CallInputs {
+            is_optional: handler.has_partial_answer(),
+            is_late_answer_useless: handler.late_weight == 0.0,
+            is_allowance_spent: has_overrun && self.budget.exceeds_setpoint(),
+            is_within_ceilings: self.ceilings.over(request.handler).all(has_room),
+            yields_to_waiting: !self.ceilings.is_empty() && !self.waiting_calls.is_empty(),
+            rank: self.admission.rank(request.weight),
+            objective: request.objective,
+            deadline: request.deadline,
+        }
+    }
+
+    fn send_call(&mut self, slot: RequestSlot, timeout: Duration, out: &mut dyn Actions) {
+        out.call(self.requests[slot].id, timeout);
+        self.calls.start_call();
+        self.requests.set_run_stage(slot, Stage::Calling);
+    }
+
+    /// Attempts the calls that wait for capacity.
+    pub(super) fn attempt_waiting_calls(&mut self, now: Timestamp, out: &mut dyn Actions) {
+        for slot in self.waiting_calls.take_latest_first() {
+            self.retry_call(now, slot, out);
+        }
+        self.waiting_calls.restore_order();
+    }
+
+    /// Attempts a call once more if its run still waits at it and somebody waits for the answer.
+    pub(super) fn retry_call(&mut self, now: Timestamp, slot: RequestSlot, out: &mut dyn Actions) {
+        let request = self.requests.get(slot);
+        if request.is_some_and(|request| request.stage() == Stage::AtCall && !request.answered) {
+            self.attempt_call(now, slot, out);
+        }
+    }
+
+    /// A call in flight ended. The run goes on, or it is decided what comes after the failure.
+    pub(super) fn finish_call(
+        &mut self,
+        now: Timestamp,
+        slot: RequestSlot,
+        outcome: Outcome,
+        spent: Duration,
+        out: &mut dyn Actions,
+    ) {
+        let is_completed = outcome == Outcome::Completed;
+        self.calls.finish_call(now, outcome, spent);
+        self.requests.finish_call(slot, is_completed);
+        if is_completed || self.requests[slot].answered {
+            return;
+        }
+        let failed = self.failed_call(slot, outcome);
+        match decide_retry(now, &failed, &self.calls) {
+            RetryDecision::Skip => self.requests.skip_call(slot, out),
+            RetryDecision::Fail => self.fail(slot, out),
+            RetryDecision::Retry { backoff } => {
+                self.timers.set(now + backoff, Timer::RetryCall(slot));
+            }
+        }
+    }
+
+    fn failed_call(&self, slot: RequestSlot, outcome: Outcome) -> FailedCall {
+        let request = &self.requests[slot];
+        let handler: &Handler = self.handler_of(slot);
+        FailedCall {
+            outcome,
+            failures: request.failed_calls,
+            is_optional: handler.has_partial_answer(),
+            is_idempotent: handler.is_idempotent(),
+            objective: request.objective,
+        }
+    }
+
+    /// Takes a request off the calls; the call that it has in flight counts as abandoned.
+    pub(super) fn abandon_call(&mut self, now: Timestamp, slot: RequestSlot) {
+        let request: &Request = &self.requests[slot];
+        if request.is_calling() {
+            let spent = now - request.started;
+            self.calls.finish_call(now, Outcome::Cancelled, spent);
+        }
+        self.waiting_calls.remove(slot);
+    }
+}
--- /dev/null
+++ b/src/decide/control_loops.rs
@@ -0,0 +1,113 @@
+//! The steps of the control loops: what completions and ticks do to the budget, the limits and the admitted fraction.
+
+use super::Decider;
+use super::budget_controller::Completion;
+use crate::interface::{Gauges, HandlerId, Outcome};
+use crate::request::{Request, RequestSlot};
+use crate::time::{Duration, Timestamp};
+
+/// Time between two ticks from which the process was held up. The latencies of a pause say nothing of the load.
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(40);
+
+impl Decider {
+    /// Feeds a run that answered its request to the control loops.
+    pub(super) fn record_run(
+        &mut self,
+        now: Timestamp,
+        slot: RequestSlot,
+        outcome: Outcome,
+        spent: Duration,
+    ) {
+        let Request {
+            handler,
+            work_hint,
+            reached,
+            answered,
+            call_skipped,
+            ..
+        } = self.requests[slot];
+        let has_answered = self.requests[slot].has_started() && !answered;
+        if !has_answered || !matches!(outcome, Outcome::Completed | Outcome::Failed) {
+            return;
+        }
+        self.admission.record_run(outcome == Outcome::Failed);
+        self.stalls.on_completion(now);
+        if outcome == Outcome::Failed {
+            return;
+        }
+        if !call_skipped {
+            self.run_times.record(handler, work_hint, spent);
+        }
+        self.complete(now, handler, now - reached);
+    }
+
+    /// Steers the budget by a completion with that response time.
+    fn complete(&mut self, now: Timestamp, handler: HandlerId, response: Duration) {
+        let completion = Completion {
+            handler,
+            response,
+            pending: self.pending(),
+        };
+        self.budget.on_completion(now, completion, &self.run_times);
+    }
+
+    /// One tick of the limits on runs and calls.
+    pub(super) fn update_limits(&mut self, now: Timestamp, gauges: &Gauges) {
+        let running = self.requests.running();
+        // Ceilings bind before the limit: where they hold a request up, the limit may be the cause.
+        let at_limit = self.concurrency.is_reached(running) || !self.ceilings.is_empty();
+        let holds_requests_up = at_limit && !self.queue.is_empty();
+        let run_queue = gauges.run_queue.unwrap_or(running as f64);
+        self.concurrency.on_tick(now, run_queue, holds_requests_up);
+        self.calls.update(now);
+        self.admission.fade_failures();
+        self.connections.on_tick(now);
+    }
+
+    /// One tick of the loops on latency, unless the process was held up.
+    pub(super) fn update_control_loops(&mut self, now: Timestamp, elapsed: Duration) {
+        if elapsed >= PAUSE_THRESHOLD {
+            return;
+        }
+        self.detect_stalls(now);
+        // While cores are idle the cause lies elsewhere, most often upstream, and a cut does not help.
+        let is_floored = self.budget.is_floored(&self.run_times);
+        let cut_helps = is_floored && self.concurrency.are_cores_busy();
+        let latency_excess = self.budget.worst_latency() - 1.0;
+        self.admission.update(elapsed, latency_excess, cut_helps);
+    }
+
+    /// The control loops need completions. Where none come though requests run, the age of the oldest run stands for
+    /// one; a long run may so cut the budget. The MRT of an idle handler drifts back.
+    fn detect_stalls(&mut self, now: Timestamp) {
+        let ages = self.requests.ages_on_cores(now);
+        self.stalls.measure(ages, self.run_times.mean_secs());
+        if self.stalls.is_stalled(now) {
+            self.complete_oldest_run(now);
+        }
+        for handler in HandlerId::first(self.handlers.len()) {
+            if self.requests.is_idle(handler) {
+                self.relax_idle(handler);
+            }
+        }
+    }
+
+    /// Counts the age of the oldest run as a response, where that is longer than the mean.
+    fn complete_oldest_run(&mut self, now: Timestamp) {
+        let Some(oldest) = self.requests.oldest_started() else {
+            return;
+        };
+        let handler = oldest.handler;
+        let age = now - oldest.reached;
+        if age.as_secs_f64() > self.budget.mrt_secs(handler) {
+            self.complete(now, handler, age);
+        }
+    }
+
+    /// Lets what was measured of an idle handler drift back: one that is rejected altogether would keep its cut.
+    fn relax_idle(&mut self, handler: HandlerId) {
+        self.budget.relax_idle(handler, &self.run_times);
+        let objective_secs = self.budget.objective_secs(handler);
+        self.run_times.limit_mean(handler, objective_secs);
+    }
+}
--- /dev/null
+++ b/src/decide/drain.rs
@@ -0,0 +1,38 @@
+//! A graceful shutdown: what is still served, and by when all is answered.
+//!
+//! Owns when it began and when the process stops. Answers nothing itself.
+
+use super::deadlines::{ANSWER_MARGIN, answer_by};
+use crate::time::{Duration, Timestamp};
+
+/// A graceful shutdown that has begun.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Drain {
+    began: Timestamp,
+    stop: Timestamp,
+}
+
+impl Drain {
+    /// Begins now; the process stops after `left`.
+    pub(super) fn new(now: Timestamp, left: Duration) -> Drain {
+        Drain {
+            began: now,
+            stop: answer_by(now + left),
+        }
+    }
+
+    /// Whether a request that reached the machine at that time came after the grace period, and is rejected.
+    pub(super) fn is_too_late(&self, reached: Timestamp, grace: Duration) -> bool {
+        reached > self.began + grace.saturating_sub(ANSWER_MARGIN)
+    }
+
+    /// The last instant at which a client may wait for this server.
+    pub(super) fn stop(&self) -> Timestamp {
+        self.stop
+    }
+
+    /// The latency objective of a request, early enough for its answer to leave before the stop.
+    pub(super) fn limit_objective(&self, objective: Timestamp) -> Timestamp {
+        objective.min(answer_by(self.stop))
+    }
+}
--- a/src/decide/idle_connections.rs
+++ b/src/decide/idle_connections.rs
@@ -1,16 +1,31 @@
-//! The limit on idle time of client connections. Owns which clients were seen of late; closes nothing itself.
+//! The limit on the idle time of client connections.
+//!
+//! Owns which clients were seen of late, and the limit. Is given each arrival. Closes no connection.
 
-use super::*;
+use crate::estimators::{Average, RecentClients};
+use crate::time::{Duration, Timestamp};
 
-const WORTHWHILE_IDLE: Duration = Duration::from_millis(5000); // Costs no more than a new connection (ours).
-const MIN_LIMIT: Duration = Duration::from_millis(200); // Where most connections would idle longer (ours).
-const RETRY_FLOOD: f64 = 0.7; // Fraction of retries from which, down to half of it, all are kept (ours).
+/// Idle time up to which keeping a connection costs no more than a new one.
+const WORTHWHILE_IDLE: Duration = Duration::from_millis(5000);
+/// Limit on the idle time where most connections would idle longer.
+const SHORT_LIMIT: Duration = Duration::from_millis(200);
+/// Weight of the newest arrival in the fraction of frequent clients: about the last 30 count.
+const ARRIVAL_WEIGHT: f64 = 0.03;
+/// First guess of the fraction of arrivals from frequent clients.
+const FIRST_FREQUENT_FRACTION: f64 = 0.5;
+/// Fraction of arrivals from frequent clients above which connections are kept.
+const MIN_FREQUENT_FRACTION: f64 = 0.5;
+/// Fraction of retries among arrivals at which a flood begins.
+const FLOOD_BEGINS: f64 = 0.7;
+/// Fraction of retries among arrivals at which a flood is over.
+const FLOOD_ENDS: f64 = FLOOD_BEGINS * 0.5;
 
-/// The clients seen within `WORTHWHILE_IDLE` and the limit set for their idle connections.
+/// Decides how long connections may idle.
 pub(super) struct IdleConnections {
-    pub(super) clients: RecentClients,
+    /// The clients seen within `WORTHWHILE_IDLE`.
+    clients: RecentClients,
     /// Fraction of arrivals whose client had been seen within `WORTHWHILE_IDLE`.
-    frequent: f64,
+    frequent_fraction: Average,
     limit: Duration,
     max_idle: Duration,
 }
@@ -18,39 +33,54 @@
 impl IdleConnections {
     /// Clients close their connections by themselves after `max_idle`.
     pub(super) fn new(max_idle: Duration) -> IdleConnections {
-        let clients = RecentClients::new(WORTHWHILE_IDLE);
         IdleConnections {
-            clients,
-            frequent: 0.5,
+            clients: RecentClients::new(WORTHWHILE_IDLE),
+            frequent_fraction: Average::new(FIRST_FREQUENT_FRACTION, ARRIVAL_WEIGHT),
             limit: Duration::ZERO,
             max_idle,
         }
     }
 
-    /// Counts an arrival and sets the limit. Many infrequent clients would fill the table, few frequent ones
-    /// would pay for new connections. In a flood of retries a full table turns clients off at low cost.
-    pub(super) fn record(
+    /// Clients seen of late.
+    pub(super) fn clients_seen(&self) -> usize {
+        self.clients.count()
+    }
+
+    /// Forgets the clients that were not seen of late.
+    pub(super) fn on_tick(&mut self, now: Timestamp) {
+        self.clients.expire(now);
+    }
+
+    /// Counts an arrival; returns the limit on idle time where it changes.
+    ///
+    /// Many infrequent clients would fill the table of connections, few frequent ones would pay for new connections.
+    /// In a flood of retries a full table turns clients off at low cost, so all connections are kept.
+    pub(super) fn on_arrival(
         &mut self,
         now: Timestamp,
         client: u16,
-        retries: f64,
-        out: &mut dyn Actions,
-    ) {
-        let frequent = self.clients.record(now, client);
-        self.frequent += SAMPLE_WEIGHT * (f64::from(frequent) - self.frequent);
-        let flood = if self.limit == self.max_idle {
-            RETRY_FLOOD * 0.5
+        retry_fraction: f64,
+    ) -> Option<Duration> {
+        let is_frequent = self.clients.record(now, client);
+        self.frequent_fraction.record(f64::from(is_frequent));
+        let keeps_connections = self.frequent_fraction.value() > MIN_FREQUENT_FRACTION;
+        let limit = if keeps_connections || self.is_flood(retry_fraction) {
+            self.max_idle
         } else {
-            RETRY_FLOOD
+            SHORT_LIMIT.min(self.max_idle)
         };
-        let keep_all = self.frequent > 0.5 || retries > flood;
-        let limit = if keep_all {
-            self.max_idle
+        let has_changed = std::mem::replace(&mut self.limit, limit) != limit;
+        has_changed.then_some(limit)
+    }
+
+    /// Whether so many arrivals are retries that new connections would take most of the cores. While connections are
+    /// kept, it takes fewer.
+    fn is_flood(&self, retry_fraction: f64) -> bool {
+        let threshold = if self.limit == self.max_idle {
+            FLOOD_ENDS
         } else {
-            MIN_LIMIT.min(self.max_idle)
+            FLOOD_BEGINS
         };
-        if std::mem::replace(&mut self.limit, limit) != limit {
-            out.set_idle_limit(limit);
-        }
+        retry_fraction > threshold
     }
 }
--- a/src/decide/load_report.rs
+++ b/src/decide/load_report.rs
@@ -1,80 +1,93 @@
-//! The load report on answers: no limit, or a part of this server's capacity per client. Owns the last one.
+//! The load report on answers: no limit, or a part of this server's capacity for each client.
+//!
+//! Owns the last report. Is given the state of the server at each tick. Sends nothing itself.
 
-use super::*;
+use crate::interface::{Downstream, LoadReport};
+use crate::time::{Duration, Timestamp};
 
-const REPORT_INTERVAL: Duration = Duration::from_millis(100); // Least time between two reports (ours).
-const UNLIMITED: f64 = 1000.0; // Allowance that means no limit on requests (ours).
-const CLIENT_SKEW: f64 = 4.0; // Sum of the clients' allowances over the limit: their traffic is unequal.
+/// Least time between two reports.
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// Allowance that means no limit on requests.
+const UNLIMITED_ALLOWANCE: f64 = 1000.0;
+/// Sum of the clients' allowances over the concurrency limit: clients send unequal traffic.
+const ALLOWANCE_SKEW: f64 = 4.0;
 
+/// The state of the server that a load report tells of.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct LoadInputs {
+    /// Fraction of arrivals admitted, 0 to 1.
+    pub(super) admitted_fraction: f64,
+    /// Fraction of runs that fail, 0 to 1.
+    pub(super) failure_rate: f64,
+    /// Whether no request is queued.
+    pub(super) is_queue_empty: bool,
+    /// Limit on concurrent runs.
+    pub(super) concurrency_limit: f64,
+    /// Runs that the machine supports now, while it warms up.
+    pub(super) max_runs_while_cold: Option<f64>,
+    /// Clients seen of late.
+    pub(super) clients_seen: usize,
+}
+
+/// Decides what load is reported, and when.
 pub(super) struct LoadReporter {
     meaning: LoadReport,
+    /// Clients of the settings; more may come.
     clients: u32,
     value: f64,
-    updated: Timestamp,
+    reported_at: Timestamp,
 }
 
 impl LoadReporter {
+    /// No limit was reported.
     pub(super) fn new(now: Timestamp, downstream: &Downstream) -> LoadReporter {
-        let Downstream {
-            load_report: meaning,
-            clients,
-            ..
-        } = *downstream;
         LoadReporter {
-            meaning,
-            clients,
-            value: UNLIMITED,
-            updated: now,
+            meaning: downstream.load_report,
+            clients: downstream.clients,
+            value: UNLIMITED_ALLOWANCE,
+            reported_at: now,
         }
     }
-}
 
-impl Decider {
-    /// A cold server limits its clients before the first answer.
-    pub(super) fn report_initial_load(&mut self, out: &mut dyn Actions) {
-        self.load_report.value = self.warm_up_allowance(self.last_tick);
-        if self.load_report.meaning == LoadReport::Allowance && self.load_report.value < UNLIMITED {
-            out.set_load_report(self.load_report.value);
-        }
+    /// The report before the first answer: a cold server limits its clients from the start.
+    pub(super) fn initial_report(&mut self, inputs: &LoadInputs) -> Option<f64> {
+        self.value = self.warm_up_allowance(inputs);
+        let is_limited = self.value < UNLIMITED_ALLOWANCE;
+        (self.meaning == LoadReport::Allowance && is_limited).then_some(self.value)
     }
 
-    /// Reports the load where it changed, at most once per interval.
-    pub(super) fn report_load(&mut self, now: Timestamp, out: &mut dyn Actions) {
-        let LoadReporter {
-            meaning,
-            clients,
-            updated,
-            ..
-        } = self.load_report;
-        if meaning == LoadReport::Unused || now - updated < REPORT_INTERVAL {
-            return;
+    /// The load to report now: where it changed, at most once per interval.
+    pub(super) fn report(&mut self, now: Timestamp, inputs: &LoadInputs) -> Option<f64> {
+        if now - self.reported_at < REPORT_INTERVAL {
+            return None;
         }
-        let (admitted, warm_up) = (self.admission.admitted, self.warm_up_allowance(now));
-        let fair = CLIENT_SKEW * self.concurrency.limit / f64::from(clients.max(1));
-        let value = match meaning {
-            LoadReport::Allowance if admitted >= 1.0 && self.queue.len() == 0 => warm_up,
-            LoadReport::Allowance => warm_up.min(fair),
-            LoadReport::Floor => 1.0 - admitted,
-            _ => admitted * (1.0 - self.admission.failures.value()),
+        let value = match self.meaning {
+            LoadReport::Unused => return None,
+            LoadReport::Allowance => self.allowance(inputs),
+            LoadReport::Floor => 1.0 - inputs.admitted_fraction,
+            LoadReport::Weight => inputs.admitted_fraction * (1.0 - inputs.failure_rate),
         };
-        self.load_report.updated = now;
-        if std::mem::replace(&mut self.load_report.value, value) != value {
-            out.set_load_report(value);
-        }
+        self.reported_at = now;
+        let has_changed = std::mem::replace(&mut self.value, value) != value;
+        has_changed.then_some(value)
     }
 
-    /// Allowance of each client while this server warms up: the supported runs over all clients there may be.
-    fn warm_up_allowance(&self, now: Timestamp) -> f64 {
-        let clients = self
-            .connections
-            .clients
-            .count()
-            .max(self.load_report.clients as usize)
-            .max(1) as f64;
-        if self.concurrency.is_warming_up(now) {
-            self.concurrency.max_runs(now) / clients
-        } else {
-            UNLIMITED
+    /// The requests that one client may have in flight: no limit while all is admitted and nothing queued.
+    fn allowance(&self, inputs: &LoadInputs) -> f64 {
+        let warm_up = self.warm_up_allowance(inputs);
+        if inputs.admitted_fraction >= 1.0 && inputs.is_queue_empty {
+            return warm_up;
         }
+        let clients = f64::from(self.clients.max(1));
+        warm_up.min(ALLOWANCE_SKEW * inputs.concurrency_limit / clients)
+    }
+
+    /// Allowance of each client while the server warms up: the supported runs, over all clients that there may be.
+    fn warm_up_allowance(&self, inputs: &LoadInputs) -> f64 {
+        let Some(max_runs) = inputs.max_runs_while_cold else {
+            return UNLIMITED_ALLOWANCE;
+        };
+        let clients = inputs.clients_seen.max(self.clients as usize).max(1);
+        max_runs / clients as f64
     }
 }
--- a/src/decide/memory_guard.rs
+++ b/src/decide/memory_guard.rs
@@ -1,27 +1,36 @@
-//! Bounds on the memory of queued requests, runs and idempotency keys, in kB. The tables own what is used.
+//! Bounds on the memory of queued requests, runs and idempotency keys, in kB.
+//!
+//! Owns the capacity. The tables own what is used; whoever asks passes it in.
 
-use super::*;
+/// Fraction of the memory up to which runs start.
+const START_FRACTION: f64 = 0.90;
+/// Fraction of the memory up to which requests are queued and keys stored.
+const QUEUE_FRACTION: f64 = 0.96;
 
-pub(super) const START_FRACTION: f64 = 0.90; // Of the memory, up to which runs start (ours).
-pub(super) const QUEUE_FRACTION: f64 = 0.96; // Of the memory, past which queued requests are rejected (ours).
+/// The memory of the machine.
+pub(super) struct MemoryGuard {
+    capacity_kb: f64,
+}
+
+impl MemoryGuard {
+    /// The memory for requests, runs and idempotency keys.
+    pub(super) fn new(capacity_kb: f64) -> MemoryGuard {
+        MemoryGuard { capacity_kb }
+    }
+
+    /// Whether a run that takes `growth_kb` more than its queued request may start.
+    pub(super) fn may_start(&self, used_kb: f64, growth_kb: f64) -> bool {
+        used_kb + growth_kb <= self.capacity_kb * START_FRACTION
+    }
 
-impl Decider {
-    /// Whether that many kB more stay within a fraction of the machine's memory.
-    pub(super) fn memory_allows(&self, more_kb: f64, fraction: f64) -> bool {
-        self.requests.memory_kb() + self.keys.memory_kb() + more_kb <= self.memory_kb * fraction
+    /// Whether an idempotency key of that size may be stored.
+    pub(super) fn may_store_key(&self, used_kb: f64, entry_kb: f64) -> bool {
+        used_kb + entry_kb <= self.capacity_kb * QUEUE_FRACTION
     }
 
-    /// Rejects queued requests, the least weight first, before the machine needs more memory than it has.
-    pub(super) fn free_memory(&mut self, now: Timestamp, out: &mut dyn Actions) {
-        while !self.memory_allows(0.0, QUEUE_FRACTION) {
-            let weight = |r: &RequestSlot| self.requests[*r].weight;
-            let lightest = self
-                .queue
-                .in_order()
-                .into_iter()
-                .min_by(|a, b| weight(a).total_cmp(&weight(b)));
-            let Some(r) = lightest else { return };
-            self.reject(now, r, out);
-        }
+    /// Whether the queue may stay as long as it is. Past that, queued requests have to go before the machine needs
+    /// more memory than it has.
+    pub(super) fn may_keep_queue(&self, used_kb: f64) -> bool {
+        used_kb <= self.capacity_kb * QUEUE_FRACTION
     }
 }
--- a/src/decide/stall_detection.rs
+++ b/src/decide/stall_detection.rs
@@ -1,61 +1,70 @@
-//! Stalls: what the ages of unfinished runs say of the server. Owns the measured pace; cancels nothing.
+//! Stalls: what the ages of unfinished runs say of the server.
+//!
+//! Owns the measured pace and the time of the last completion. Is given the ages of the runs on the cores at each
+//! tick. Cancels nothing.
 
-use super::*;
+use crate::request::RunAges;
+use crate::time::{Duration, Timestamp};
 
-const USUAL_AGE: f64 = 1.5; // Mean age of runs, in mean runs, past which longer ones are expected (ours).
-const PRIOR_AGES: f64 = 3.0; // Usual ages in the slowdown beside those seen: few runs say little (ours).
-pub(super) const HUNG: f64 = 4.0; // Slowdown of a hung server (ours).
+/// Time without a completion after which the oldest run stands for one.
+const STALL_TIMEOUT: Duration = Duration::from_millis(300);
+/// Usual mean age of the runs on the cores, in mean run times. Past it, longer runs are expected.
+const USUAL_AGE_IN_RUNS: f64 = 1.5;
+/// Usual ages that count beside those seen: few runs say little.
+const PRIOR_AGES: f64 = 3.0;
+/// Slowdown from which a server counts as hung.
+const HUNG_SLOWDOWN: f64 = 4.0;
 
-/// Mean ages of the runs on the cores, as ratios to the usual age, at least 1. Other parts only read these.
+/// Mean ages of the runs on the cores, as ratios to the usual age, at least 1.
 pub(super) struct StallDetector {
-    pub(super) pace: f64,
-    /// Damped by prior ages: what the server itself is judged by.
-    pub(super) slowdown: f64,
-    pub(super) last_completion: Timestamp,
+    pace: f64,
+    /// Damped by prior ages.
+    slowdown: f64,
+    last_completion: Timestamp,
 }
 
-impl Decider {
-    /// The control loops need completions. Where none come though work runs, the age of the oldest run stands
-    /// for one, and an idle handler's MRT drifts back. Harm: a long run cuts the budget.
-    pub(super) fn detect_stalls(&mut self, now: Timestamp) {
-        let (ages, usual) = (
-            self.requests.ages_on_cores(now),
-            USUAL_AGE * self.budget.mean_run,
-        );
-        let prior = PRIOR_AGES * usual;
-        self.stalls.slowdown =
-            ((ages.seconds + prior) / (usual * (ages.runs + PRIOR_AGES))).max(1.0);
-        self.stalls.pace = (ages.seconds / (usual * ages.runs.max(1.0))).max(1.0);
-        let oldest = self
-            .requests
-            .oldest_started()
-            .map(|q| (q.handler, now - q.reached));
-        if let Some((handler, age)) = oldest
-            && now - self.stalls.last_completion > STALL_TIMEOUT
-            && age.as_secs_f64() > self.budget.handlers[handler.index()].mrt
-        {
-            self.budget.complete(
-                now,
-                handler,
-                age,
-                self.queue.len() + self.requests.running(),
-            );
+impl StallDetector {
+    /// A server at its usual pace.
+    pub(super) fn new(now: Timestamp) -> StallDetector {
+        StallDetector {
+            pace: 1.0,
+            slowdown: 1.0,
+            last_completion: now,
         }
-        let idle =
-            HandlerId::first(self.handlers.len()).filter(|handler| self.requests.is_idle(*handler));
-        idle.for_each(|handler| self.budget.relax_idle(handler));
     }
 
-    /// Expected run time of a request at the present pace.
-    pub(super) fn expected_run(&self, r: RequestSlot) -> Duration {
-        let Request {
-            handler, work_hint, ..
-        } = self.requests[r];
-        Duration::from_secs_f64(self.budget.expected_run(handler, work_hint) * self.stalls.pace)
+    /// Factor on expected run times at the present pace, at least 1.
+    pub(super) fn pace(&self) -> f64 {
+        self.pace
     }
 
-    /// Run time still expected of the runs in flight, in worker seconds: half a mean run each.
-    pub(super) fn remaining_run_time(&self) -> f64 {
-        self.requests.running() as f64 * self.budget.mean_run * self.stalls.pace * 0.5
+    /// How much slower than usual the server judges itself, at least 1.
+    pub(super) fn slowdown(&self) -> f64 {
+        self.slowdown
+    }
+
+    /// Whether the server is so slow that load balancers should turn away from it.
+    pub(super) fn is_hung(&self) -> bool {
+        self.slowdown >= HUNG_SLOWDOWN
+    }
+
+    /// A run has completed or failed.
+    pub(super) fn on_completion(&mut self, now: Timestamp) {
+        self.last_completion = now;
+    }
+
+    /// Whether nothing has completed for so long that the oldest run stands for a completion.
+    pub(super) fn is_stalled(&self, now: Timestamp) -> bool {
+        now - self.last_completion > STALL_TIMEOUT
+    }
+
+    /// Measures the pace by the ages of the runs on the cores.
+    pub(super) fn measure(&mut self, ages: RunAges, mean_run_secs: f64) {
+        let usual_age = USUAL_AGE_IN_RUNS * mean_run_secs;
+        let prior_secs = PRIOR_AGES * usual_age;
+        let damped = (ages.seconds + prior_secs) / (usual_age * (ages.runs + PRIOR_AGES));
+        self.slowdown = damped.max(1.0);
+        let undamped = ages.seconds / (usual_age * ages.runs.max(1.0));
+        self.pace = undamped.max(1.0);
     }
 }
--- a/src/decide/tenant_quota.rs
+++ b/src/decide/tenant_quota.rs
@@ -1,69 +1,82 @@
-//! Tenants' quotas: requests past a tenant's rate on this server lose weight. Owns the measured rates.
+//! Tenants' quotas, and the priority weight of a request.
+//!
+//! Owns the quota and the measured rate of each tenant on this server, in requests per second. Rejects nothing: a
+//! request past its tenant's quota loses weight.
 
-use super::*;
+use crate::estimators::EventRate;
+use crate::interface::{FleetPosition, Tenant, TenantId};
+use crate::time::Timestamp;
 
-const RATE_WINDOW: f64 = 5.0; // Seconds of averaging: a handful of the smallest tenant's requests (ours).
+/// Time over which a tenant's rate is averaged, in seconds: a handful of the smallest tenant's requests.
+const RATE_WINDOW_SECS: f64 = 5.0;
+/// Least work of a request, in mean run times; avoids a division by zero.
+const MIN_RELATIVE_WORK: f64 = 1e-3;
 
-/// One tenant's quota in requests per second, and its measured rate.
+/// One tenant on this server.
 struct TenantRate {
-    quota: f64,
+    quota_per_second: f64,
     measured: EventRate,
 }
 
+/// The tenants' quotas on this server.
 pub(super) struct TenantQuotas {
     tenants: Vec<TenantRate>,
-    over_quota_weight: f64,
+    over_quota_factor: f64,
+    /// Whether handlers' weights already count per unit of work.
+    weight_is_per_work: bool,
 }
 
 impl TenantQuotas {
+    /// Each server of the fleet takes an equal part of a tenant's quota.
     pub(super) fn new(
         now: Timestamp,
         tenants: &[Tenant],
         position: &FleetPosition,
     ) -> TenantQuotas {
-        let quota = |t: &Tenant| t.requests_per_second / f64::from(position.servers.max(1));
-        let rate = |t: &Tenant| TenantRate {
-            quota: quota(t),
+        let servers = f64::from(position.servers.max(1));
+        let rate = |tenant: &Tenant| TenantRate {
+            quota_per_second: tenant.requests_per_second / servers,
             measured: EventRate::new(now),
         };
-        let tenants = tenants.iter().map(rate).collect();
         TenantQuotas {
-            tenants,
-            over_quota_weight: position.over_quota_weight,
+            tenants: tenants.iter().map(rate).collect(),
+            over_quota_factor: position.over_quota_weight,
+            weight_is_per_work: position.weight_by_work,
         }
     }
-}
 
-impl Decider {
-    /// Sets the rate that this server may take of a tenant's fleet-wide quota.
-    pub fn set_tenant_rate(&mut self, tenant: TenantId, requests_per_second: f64) {
-        if let Some(tenant) = self.tenants.tenants.get_mut(tenant.index()) {
-            tenant.quota = requests_per_second;
+    /// Sets the rate that this server may take of a tenant's quota.
+    pub(super) fn set_quota(&mut self, tenant: TenantId, requests_per_second: f64) {
+        if let Some(rate) = self.tenants.get_mut(tenant.index()) {
+            rate.quota_per_second = requests_per_second;
         }
     }
 
-    /// Weighs a request: its handler's weight, less what its tenant sends past its quota, per expected work.
+    /// Counts a request; returns its weight: that of its handler, less what its tenant sends past its quota, per
+    /// expected work. `relative_work` is the mean run of its handler over that of all handlers.
     pub(super) fn weigh(
         &mut self,
         now: Timestamp,
-        r: RequestSlot,
-        _: &mut dyn Actions,
-    ) -> ControlFlow<()> {
-        let Request {
-            handler, tenant, ..
-        } = self.requests[r];
-        let mut weight = self.handlers[handler.index()].weight;
-        if let Some(tenant) = self.tenants.tenants.get_mut(tenant.index()) {
-            let within = (tenant.quota / tenant.measured.record(now, RATE_WINDOW)).min(1.0);
-            weight *= within + (1.0 - within) * self.tenants.over_quota_weight;
-        }
-        let relative_work = self.budget.handlers[handler.index()].mean_run / self.budget.mean_run;
-        let work = if self.weight_by_work {
+        tenant: TenantId,
+        handler_weight: f64,
+        relative_work: f64,
+    ) -> f64 {
+        let weight = handler_weight * self.quota_factor(now, tenant);
+        let work = if self.weight_is_per_work {
             1.0
         } else {
             relative_work
         };
-        self.requests[r].weight = weight / work.max(1e-3);
-        Continue(())
+        weight / work.max(MIN_RELATIVE_WORK)
+    }
+
+    /// Counts a request; returns the factor on its weight: 1 within the quota, less beyond.
+    fn quota_factor(&mut self, now: Timestamp, tenant: TenantId) -> f64 {
+        let Some(rate) = self.tenants.get_mut(tenant.index()) else {
+            return 1.0;
+        };
+        let measured = rate.measured.record(now, RATE_WINDOW_SECS);
+        let within = (rate.quota_per_second / measured).min(1.0);
+        within + (1.0 - within) * self.over_quota_factor
     }
 }
--- a/src/estimators.rs
+++ b/src/estimators.rs
@@ -1,5 +1,7 @@
-//! Estimators and counters: averages, rates, ranks, regressions, recent clients, expiring counts. Each owns what
-//! it measured. This is arithmetic only: what is measured, and what follows from it, is the caller's decision.
+//! Estimators: averages, rates, ranks, regressions, recent clients.
+//!
+//! Each owns what it measured and is given samples. This is arithmetic only: what is measured, and what follows from
+//! it, is decided by the caller.
 
 use crate::time::{Duration, Timestamp};
 use std::array::from_fn;
@@ -10,7 +12,7 @@
 /// Least variance of a regression's input, so that no slope is infinite.
 const MIN_VARIANCE: f64 = 1e-9;
 
-/// Average of samples from zero on; the newest counts by its weight.
+/// Average of samples; the newest counts by its weight.
 #[derive(Debug)]
 pub(crate) struct Average {
     value: f64,
@@ -18,8 +20,12 @@
 }
 
 impl Average {
-    pub(crate) fn new(weight: f64) -> Average {
-        Average { value: 0.0, weight }
+    /// Begins at a first guess; `weight`, 0 to 1, is that of the newest sample.
+    pub(crate) fn new(first_guess: f64, weight: f64) -> Average {
+        Average {
+            value: first_guess,
+            weight,
+        }
     }
 
     pub(crate) fn value(&self) -> f64 {
@@ -30,9 +36,19 @@
         self.value += self.weight * (sample - self.value);
     }
 
-    /// Lets the average keep that fraction of its value.
-    pub(crate) fn decay(&mut self, fraction: f64) {
-        self.value *= fraction;
+    /// Lets the average drift to a rest, from which it keeps that fraction of its distance.
+    pub(crate) fn relax_towards(&mut self, rest: f64, kept_fraction: f64) {
+        self.value = rest + (self.value - rest) * kept_fraction;
+    }
+
+    /// Lowers the average to `max` where it is above.
+    pub(crate) fn limit_to(&mut self, max: f64) {
+        self.value = self.value.min(max);
+    }
+
+    /// Raises the average to `min` where it is below.
+    pub(crate) fn raise_to(&mut self, min: f64) {
+        self.value = self.value.max(min);
     }
 }
 
@@ -92,25 +108,6 @@
     }
 }
 
-/// A count of things that each end at a known time, added in the order of these times.
-#[derive(Debug, Default)]
-pub(crate) struct ExpiringCount(VecDeque<Timestamp>);
-
-impl ExpiringCount {
-    /// Counts one more, which ends then.
-    pub(crate) fn add(&mut self, end: Timestamp) {
-        self.0.push_back(end);
-    }
-
-    /// Drops what has ended; returns the count of the rest.
-    pub(crate) fn count(&mut self, now: Timestamp) -> usize {
-        while self.0.front().is_some_and(|end| *end <= now) {
-            self.0.pop_front();
-        }
-        self.0.len()
-    }
-}
-
 /// The latest values, among which a value is ranked.
 #[derive(Debug)]
 pub(crate) struct Ranking {
@@ -166,8 +163,6 @@
 pub(crate) struct LeastSquares<const N: usize> {
     coefficients: [f64; N],
     covariance: [[f64; N]; N],
-    /// The inputs of the next observation.
-    pub(crate) inputs: [f64; N],
 }
 
 impl<const N: usize> LeastSquares<N> {
@@ -177,7 +172,6 @@
         LeastSquares {
             coefficients: [0.0; N],
             covariance,
-            inputs: [0.0; N],
         }
     }
 
@@ -187,15 +181,15 @@
     }
 
     /// The value that the fit expects of the inputs.
-    pub(crate) fn predict(&self) -> f64 {
-        dot(&self.coefficients, &self.inputs)
+    pub(crate) fn predict(&self, inputs: &[f64; N]) -> f64 {
+        dot(&self.coefficients, inputs)
     }
 
     /// Learns the value observed with the inputs; older observations lose weight by the forgetting factor.
-    pub(crate) fn learn(&mut self, observed: f64, forgetting: f64) {
-        let projected: [f64; N] = from_fn(|i| dot(&self.covariance[i], &self.inputs));
-        let gain = forgetting + dot(&self.inputs, &projected);
-        let error = observed - self.predict();
+    pub(crate) fn learn(&mut self, inputs: &[f64; N], observed: f64, forgetting: f64) {
+        let projected: [f64; N] = from_fn(|i| dot(&self.covariance[i], inputs));
+        let gain = forgetting + dot(inputs, &projected);
+        let error = observed - self.predict(inputs);
         for (i, row) in self.covariance.iter_mut().enumerate() {
             self.coefficients[i] += projected[i] / gain * error;
             for (entry, other) in row.iter_mut().zip(&projected) {
--- a/src/idempotency.rs
+++ b/src/idempotency.rs
@@ -11,25 +11,25 @@
     pub(crate) struct KeySlot;
 }
 
-/// What an attempt is to its key.
+/// What an attempt is to do under its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Role {
-    /// Another attempt's run has started; this one shares its answer.
-    Joiner,
-    /// Another attempt is to run; this one waits for its start.
-    Follower,
-    /// This attempt is to run.
-    Leader,
+pub(crate) enum AttemptRole {
+    /// Another attempt's run has started: share its answer.
+    Join,
+    /// Another attempt is to run: wait for its start.
+    AwaitStart,
+    /// Run.
+    Run,
 }
 
 /// All attempts of one keyed request on this server.
 #[derive(Clone, Debug, Default)]
 struct Entry {
-    leader: Option<RequestSlot>,
+    runner: Option<RequestSlot>,
     has_run: bool,
     /// When the stored entry expires, while there is one.
     stored_until: Option<Timestamp>,
-    followers: Vec<RequestSlot>,
+    waiting: Vec<RequestSlot>,
     attempt_ids: Vec<u64>,
 }
 
@@ -86,17 +86,17 @@
         key: KeySlot,
         attempt: RequestSlot,
         in_flight: impl Fn(RequestSlot) -> bool,
-    ) -> Role {
+    ) -> AttemptRole {
         let entry = &mut self.entries[key];
         if entry.has_run {
-            return Role::Joiner;
+            return AttemptRole::Join;
         }
-        if entry.leader.is_some_and(in_flight) {
-            entry.followers.push(attempt);
-            return Role::Follower;
+        if entry.runner.is_some_and(in_flight) {
+            entry.waiting.push(attempt);
+            return AttemptRole::AwaitStart;
         }
-        entry.leader = Some(attempt);
-        Role::Leader
+        entry.runner = Some(attempt);
+        AttemptRole::Run
     }
 
     /// Makes the first of the attempts the one to run, and the others wait for it.
@@ -107,15 +107,15 @@
     ) -> Option<RequestSlot> {
         let (first, others) = attempts.split_first()?;
         let entry = &mut self.entries[key];
-        (entry.leader, entry.followers) = (Some(*first), others.to_vec());
-        entry.leader
+        (entry.runner, entry.waiting) = (Some(*first), others.to_vec());
+        entry.runner
     }
 
-    /// Records that the leader started; returns the attempts that wait for it, which are bound no more.
+    /// Records that the runner started; returns the attempts that wait for it, which are bound no more.
     pub(crate) fn start_run(&mut self, key: KeySlot) -> Vec<RequestSlot> {
         let entry = &mut self.entries[key];
         entry.has_run = true;
-        std::mem::take(&mut entry.followers)
+        std::mem::take(&mut entry.waiting)
     }
 
     /// Takes out an attempt that never started. If it was to run, returns those that waited for it.
@@ -125,9 +125,9 @@
         attempt: RequestSlot,
     ) -> Option<Vec<RequestSlot>> {
         let entry = &mut self.entries[key];
-        entry.followers.retain(|f| *f != attempt);
-        let was_to_run = entry.leader == Some(attempt) && !entry.has_run;
-        was_to_run.then(|| std::mem::take(&mut entry.followers))
+        entry.waiting.retain(|f| *f != attempt);
+        let was_to_run = entry.runner == Some(attempt) && !entry.has_run;
+        was_to_run.then(|| std::mem::take(&mut entry.waiting))
     }
 
     /// Records that the key is stored until then.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -259,6 +259,13 @@
     AlreadyEnded,
 }
 
+impl Outcome {
+    /// Whether a run or a call with this outcome may have had its effect, so that a second one might double it.
+    pub fn may_have_run(self) -> bool {
+        !matches!(self, Outcome::Rejected | Outcome::Unreachable)
+    }
+}
+
 /// The server's gauges, as far as they were sent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,5 +1,7 @@
-//! The table of requests, queued or in flight, under small slots. Owns each request's stage, and the memory and
-//! load that follow from it; is given identifiers from outside and decides nothing.
+//! The table of requests, queued or in flight, under small slots.
+//!
+//! Owns the stage of each request, and the memory and load that follow from it. Is given identifiers from outside.
+//! Decides nothing.
 
 use crate::idempotency::KeySlot;
 use crate::interface::{Actions, Arrival, HandlerId, TenantId};
@@ -16,22 +18,51 @@
 /// How far a request has come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Stage {
+    /// Waits for its start. A request that has just arrived is in this stage too.
     #[default]
     Queued,
     /// Waits for another attempt of the same request to start.
-    Following,
-    /// Waits for another attempt's answer.
+    AwaitingOtherStart,
+    /// Waits for the answer of another attempt.
     Joined,
+    /// Runs on the cores, or waits for one.
     Running,
-    /// Waits at a call that is not in flight.
+    /// Its run waits at an upstream call that is not in flight.
     AtCall,
+    /// Its run waits for an upstream call in flight.
     Calling,
 }
 
 impl Stage {
-    fn has_started(self) -> bool {
+    /// The stages that may follow. A request may end in any stage.
+    ///
+    /// ```text
+    /// arrival -> Queued -> Running <-> AtCall <-> Calling
+    ///              ^ |                  Calling -> Running
+    ///              | v
+    ///   AwaitingOtherStart -> Joined <- Queued
+    /// ```
+    const fn successors(self) -> &'static [Stage] {
+        match self {
+            Stage::Queued => &[Stage::AwaitingOtherStart, Stage::Joined, Stage::Running],
+            Stage::AwaitingOtherStart => &[Stage::Queued, Stage::Joined],
+            Stage::Joined => &[],
+            Stage::Running => &[Stage::AtCall],
+            // Back to itself where the place of a run that should have ended is released.
+            Stage::AtCall => &[Stage::Running, Stage::Calling, Stage::AtCall],
+            Stage::Calling => &[Stage::Running, Stage::AtCall],
+        }
+    }
+
+    /// Whether the run has begun.
+    pub(crate) fn has_started(self) -> bool {
         matches!(self, Stage::Running | Stage::AtCall | Stage::Calling)
     }
+
+    /// Whether the request waits for its own start or for that of another attempt.
+    pub(crate) fn awaits_start(self) -> bool {
+        matches!(self, Stage::Queued | Stage::AwaitingOtherStart)
+    }
 }
 
 /// One request. Its stage and memory change by the table's methods only.
@@ -46,17 +77,23 @@
     pub(crate) objective: Timestamp,
     /// When the client stops waiting.
     pub(crate) deadline: Timestamp,
+    /// The client's estimate of the work.
     pub(crate) work_hint: Option<Duration>,
     /// Identifier of the attempt that this one names; 0 for none.
     pub(crate) retry_of: u64,
-    /// Priority weight, set by the arrival stage that weighs it.
+    /// Priority weight, set on arrival.
     pub(crate) weight: f64,
+    /// When its run was started.
     pub(crate) started: Timestamp,
     /// EqResv allowance for its run.
     pub(crate) allowance: Duration,
+    /// Its run went on without an optional call.
     pub(crate) call_skipped: bool,
+    /// Its answer is final, or nobody waits for it.
     pub(crate) answered: bool,
+    /// Attempts of its calls that failed.
     pub(crate) failed_calls: u32,
+    /// Its idempotency key, if it has one.
     pub(crate) key: Option<KeySlot>,
     memory_kb: f64,
     stage: Stage,
@@ -65,6 +102,7 @@
 }
 
 impl Request {
+    /// A request that has just been read.
     pub(crate) fn new(
         arrival: &Arrival,
         reached: Timestamp,
@@ -93,6 +131,26 @@
     pub(crate) fn has_started(&self) -> bool {
         self.stage.has_started()
     }
+
+    /// Whether its run goes on without waiting for a call.
+    pub(crate) fn is_running(&self) -> bool {
+        self.stage == Stage::Running
+    }
+
+    /// Whether its run waits for an upstream call in flight.
+    pub(crate) fn is_calling(&self) -> bool {
+        self.stage == Stage::Calling
+    }
+
+    /// Moves the request to a stage that may follow the present one.
+    fn enter(&mut self, stage: Stage) {
+        debug_assert!(
+            self.stage.successors().contains(&stage),
+            "{:?} to {stage:?}",
+            self.stage
+        );
+        self.stage = stage;
+    }
 }
 
 /// Runs and calls in flight.
@@ -102,7 +160,7 @@
     pub(crate) calls: usize,
 }
 
-/// Runs that hold a core.
+/// The runs that are on the cores, or wait for one.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RunAges {
     pub(crate) runs: f64,
@@ -126,30 +184,29 @@
 impl Index<RequestSlot> for RequestTable {
     type Output = Request;
 
-    fn index(&self, r: RequestSlot) -> &Request {
-        &self.requests[r]
+    fn index(&self, slot: RequestSlot) -> &Request {
+        &self.requests[slot]
     }
 }
 
 impl IndexMut<RequestSlot> for RequestTable {
-    fn index_mut(&mut self, r: RequestSlot) -> &mut Request {
-        &mut self.requests[r]
+    fn index_mut(&mut self, slot: RequestSlot) -> &mut Request {
+        &mut self.requests[slot]
     }
 }
 
 impl RequestTable {
     /// A run takes `running_factor` times the request's memory while queued.
     pub(crate) fn new(handlers: usize, running_factor: f64) -> RequestTable {
-        let handler_loads = vec![Load::default(); handlers];
         RequestTable {
-            handler_loads,
+            handler_loads: vec![Load::default(); handlers],
             running_factor,
             ..RequestTable::default()
         }
     }
 
-    pub(crate) fn get(&self, r: RequestSlot) -> Option<&Request> {
-        self.requests.get(r)
+    pub(crate) fn get(&self, slot: RequestSlot) -> Option<&Request> {
+        self.requests.get(slot)
     }
 
     /// The request of this identifier, if there is one and the condition holds for it.
@@ -158,27 +215,26 @@
         id: u64,
         condition: impl Fn(&Request) -> bool,
     ) -> Option<RequestSlot> {
-        self.slot_of
-            .get(&id)
-            .copied()
-            .filter(|r| condition(&self.requests[*r]))
+        let slot = self.slot_of.get(&id).copied()?;
+        condition(&self.requests[slot]).then_some(slot)
     }
 
-    /// Runs that hold a core, and the sum of their ages in seconds.
+    /// The runs on the cores, and the sum of their ages in seconds.
     pub(crate) fn ages_on_cores(&self, now: Timestamp) -> RunAges {
-        let on_cores = self.requests.values().filter(|r| r.stage == Stage::Running);
-        on_cores.fold(RunAges::default(), |sum, r| RunAges {
-            runs: sum.runs + 1.0,
-            seconds: sum.seconds + (now - r.started).as_secs_f64(),
-        })
+        let mut ages = RunAges::default();
+        for request in self.requests.values() {
+            if request.stage == Stage::Running {
+                ages.runs += 1.0;
+                ages.seconds += (now - request.started).as_secs_f64();
+            }
+        }
+        ages
     }
 
     /// The started request that reached the machine first.
     pub(crate) fn oldest_started(&self) -> Option<&Request> {
-        self.requests
-            .values()
-            .filter(|r| r.has_started())
-            .min_by_key(|r| r.reached)
+        let started = self.requests.values().filter(|r| r.has_started());
+        started.min_by_key(|r| r.reached)
     }
 
     /// Whether no request of the handler is queued or in flight.
@@ -202,39 +258,43 @@
     }
 
     /// Memory that a queued request takes more once it runs, in kB.
-    pub(crate) fn growth_kb(&self, r: RequestSlot) -> f64 {
-        self.requests[r].memory_kb * (self.running_factor - 1.0)
+    pub(crate) fn growth_kb(&self, slot: RequestSlot) -> f64 {
+        self.requests[slot].memory_kb * (self.running_factor - 1.0)
     }
 
     /// The load of a group of handlers.
     pub(crate) fn load(&self, handlers: &[HandlerId]) -> Load {
-        let loads = handlers
-            .iter()
-            .filter_map(|h| self.handler_loads.get(h.index()));
-        loads.fold(Load::default(), |sum, l| Load {
-            runs: sum.runs + l.runs,
-            calls: sum.calls + l.calls,
-        })
+        let mut sum = Load::default();
+        for handler in handlers {
+            if let Some(load) = self.handler_loads.get(handler.index()) {
+                sum.runs += load.runs;
+                sum.calls += load.calls;
+            }
+        }
+        sum
     }
 
     /// Adds a queued request.
     pub(crate) fn add(&mut self, request: Request) -> RequestSlot {
-        let (id, memory_kb) = (request.id, request.memory_kb);
-        let r = self.requests.insert(request);
-        self.slot_of.insert(id, r);
-        self.queued_kb += memory_kb;
-        r
+        self.queued_kb += request.memory_kb;
+        let id = request.id;
+        let slot = self.requests.insert(request);
+        self.slot_of.insert(id, slot);
+        slot
     }
 
     /// Moves a request that has not started to another waiting stage.
-    pub(crate) fn wait(&mut self, r: RequestSlot, stage: Stage) {
-        debug_assert!(!stage.has_started() && !self.requests[r].stage.has_started());
-        self.requests[r].stage = stage;
+    pub(crate) fn wait(&mut self, slot: RequestSlot, stage: Stage) {
+        debug_assert!(!stage.has_started() && !self.requests[slot].has_started());
+        self.requests[slot].enter(stage);
     }
 
-    pub(crate) fn start(&mut self, r: RequestSlot, now: Timestamp, allowance: Duration) {
-        let request = &mut self.requests[r];
-        (request.stage, request.started, request.allowance) = (Stage::Running, now, allowance);
+    /// Starts the run of a queued request.
+    pub(crate) fn start(&mut self, slot: RequestSlot, now: Timestamp, allowance: Duration) {
+        let request = &mut self.requests[slot];
+        request.enter(Stage::Running);
+        request.started = now;
+        request.allowance = allowance;
         self.queued_kb -= request.memory_kb;
         self.running_kb += request.memory_kb;
         self.running += 1;
@@ -242,51 +302,50 @@
     }
 
     /// Moves a started request to another started stage.
-    pub(crate) fn set_run_stage(&mut self, r: RequestSlot, stage: Stage) {
-        debug_assert!(stage.has_started() && self.requests[r].stage.has_started());
-        let request = &mut self.requests[r];
+    pub(crate) fn set_run_stage(&mut self, slot: RequestSlot, stage: Stage) {
+        debug_assert!(stage.has_started());
+        let request = &mut self.requests[slot];
         let calls = &mut self.handler_loads[request.handler.index()].calls;
         *calls -= usize::from(request.stage == Stage::Calling);
         *calls += usize::from(stage == Stage::Calling);
-        request.stage = stage;
+        request.enter(stage);
     }
 
     /// The request's call came back: its run goes on, or waits at the call that failed.
-    pub(crate) fn finish_call(&mut self, r: RequestSlot, completed: bool) {
-        self.set_run_stage(
-            r,
-            if completed {
-                Stage::Running
-            } else {
-                Stage::AtCall
-            },
-        );
-        self.requests[r].failed_calls += u32::from(!completed);
+    pub(crate) fn finish_call(&mut self, slot: RequestSlot, completed: bool) {
+        let stage = if completed {
+            Stage::Running
+        } else {
+            Stage::AtCall
+        };
+        self.set_run_stage(slot, stage);
+        self.requests[slot].failed_calls += u32::from(!completed);
     }
 
     /// The run goes on without the call that it waits at.
-    pub(crate) fn skip_call(&mut self, r: RequestSlot, out: &mut dyn Actions) {
-        self.set_run_stage(r, Stage::Running);
-        self.requests[r].call_skipped = true;
-        out.skip_call(self.requests[r].id);
+    pub(crate) fn skip_call(&mut self, slot: RequestSlot, out: &mut dyn Actions) {
+        self.set_run_stage(slot, Stage::Running);
+        self.requests[slot].call_skipped = true;
+        out.skip_call(self.requests[slot].id);
     }
 
     /// A run at a call that should have ended long ago counts no more, but its memory stays taken.
-    pub(crate) fn release_run(&mut self, r: RequestSlot) {
-        self.set_run_stage(r, Stage::AtCall);
-        let request = &mut self.requests[r];
-        if !std::mem::replace(&mut request.slot_released, true) {
+    pub(crate) fn release_run(&mut self, slot: RequestSlot) {
+        self.set_run_stage(slot, Stage::AtCall);
+        let request = &mut self.requests[slot];
+        if !request.slot_released {
+            request.slot_released = true;
             self.running -= 1;
             self.handler_loads[request.handler.index()].runs -= 1;
         }
     }
 
-    pub(crate) fn remove(&mut self, r: RequestSlot) {
-        let Some(request) = self.requests.remove(r) else {
+    pub(crate) fn remove(&mut self, slot: RequestSlot) {
+        let Some(request) = self.requests.remove(slot) else {
             return;
         };
         self.slot_of.remove(&request.id);
-        if !request.stage.has_started() {
+        if !request.has_started() {
             self.queued_kb -= request.memory_kb;
             return;
         }
