--- a/src/decide/feasibility.rs
+++ b/src/decide/feasibility.rs
@@ -4,7 +4,7 @@
 //! fit. After Moore and Hodgson, but by weight: where a request would be late, the least useful one up to it is given
 //! up, and those that remain are on time.
 
-use crate::ceilings::{CeilingTable, QueuedCounts};
+use crate::ceilings::{CeilingId, CeilingTable, QueuedCounts};
 use crate::interface::HandlerId;
 use crate::request::RequestSlot;
 use crate::time::{Duration, Timestamp};
@@ -89,8 +89,9 @@
             .ceilings
             .start_delay(request.handler, &self.planned_by_ceiling);
         let wait_secs = self.work_ahead_secs / self.load.concurrency_limit;
-        let time_left = Duration::from_secs_f64(wait_secs.max(delay.seconds) + request.run_secs);
-        if self.load.now + time_left > request.objective {
+        let expected_end_in =
+            Duration::from_secs_f64(wait_secs.max(delay.seconds) + request.run_secs);
+        if self.load.now + expected_end_in > request.objective {
             // Where a group's start interval is the cause, only giving up one of that group is of use.
             let group = delay.ceiling.filter(|_| delay.seconds > wait_secs);
             self.give_up_least_useful(group);
@@ -99,16 +100,16 @@
     }
 
     /// Gives up the least useful planned request, of the group under one ceiling if that is given.
-    fn give_up_least_useful(&mut self, group: Option<usize>) {
+    fn give_up_least_useful(&mut self, group: Option<CeilingId>) {
         let victim = self.planned.remove(self.least_useful(group));
         self.ceilings
-            .take_off(&mut self.planned_by_ceiling, victim.handler);
+            .remove(&mut self.planned_by_ceiling, victim.handler);
         self.work_ahead_secs -= victim.run_secs;
         self.given_up.push(victim);
     }
 
     /// Index of the least useful planned request; of equal ones the last.
-    fn least_useful(&self, group: Option<usize>) -> usize {
+    fn least_useful(&self, group: Option<CeilingId>) -> usize {
         let is_in_group = |index: &usize| {
             let handler = self.planned[*index].handler;
             group.is_none_or(|ceiling| self.ceilings.covers(ceiling, handler))
