--- a/src/decide/call_policy.rs
+++ b/src/decide/call_policy.rs
@@ -150,3 +150,6 @@
     let doublings = failures.min(MAX_BACKOFF_DOUBLINGS);
     BACKOFF_UNIT.mul_f64(f64::from(1u32 << doublings))
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/decide/feasibility.rs
+++ b/src/decide/feasibility.rs
@@ -129,3 +129,6 @@
         rejected.map(|request| request.slot).collect()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/decide/feasibility/tests.rs
@@ -0,0 +1,110 @@
+use super::{PlannedRequest, ServerLoad, infeasible_requests};
+use crate::ceilings::CeilingTable;
+use crate::interface::{Ceiling, HandlerId};
+use crate::request::RequestSlot;
+use crate::time::{Duration, Timestamp};
+use slotmap::SlotMap;
+
+const NOW: Timestamp = Timestamp::from_micros(10_000_000);
+const FIRST: HandlerId = HandlerId::new(0);
+const SECOND: HandlerId = HandlerId::new(1);
+
+/// Makes requests of a tentative schedule.
+#[derive(Default)]
+struct Requests {
+    slots: SlotMap<RequestSlot, ()>,
+}
+
+impl Requests {
+    /// A request of weight 1 and a run of 1 s.
+    fn request(&mut self, handler: HandlerId, objective_secs: f64) -> PlannedRequest {
+        PlannedRequest {
+            slot: self.slots.insert(()),
+            handler,
+            objective: NOW + Duration::from_secs_f64(objective_secs),
+            weight: 1.0,
+            run_secs: 1.0,
+        }
+    }
+}
+
+/// One run at a time, none of it done.
+fn busy() -> ServerLoad {
+    ServerLoad {
+        now: NOW,
+        remaining_run_secs: 0.0,
+        concurrency_limit: 1.0,
+        is_idle: false,
+    }
+}
+
+fn infeasible(load: ServerLoad, queue: &[PlannedRequest]) -> Vec<RequestSlot> {
+    infeasible_requests(load, queue.iter().copied(), &CeilingTable::default())
+}
+
+#[test]
+fn keeps_all_requests_that_are_in_time_one_after_the_other() {
+    let mut requests = Requests::default();
+    let queue = [1.0, 2.0, 3.0].map(|secs| requests.request(FIRST, secs));
+    assert!(infeasible(busy(), &queue).is_empty());
+}
+
+#[test]
+fn gives_up_the_least_weight_up_to_the_request_that_would_be_late() {
+    let mut requests = Requests::default();
+    let light = PlannedRequest {
+        weight: 0.5,
+        ..requests.request(FIRST, 2.0)
+    };
+    let queue = [
+        requests.request(FIRST, 1.5),
+        light,
+        requests.request(FIRST, 2.5),
+    ];
+    assert_eq!(infeasible(busy(), &queue), [light.slot]);
+}
+
+#[test]
+fn gives_up_the_longest_run_among_equal_weights() {
+    let mut requests = Requests::default();
+    let long = PlannedRequest {
+        run_secs: 2.0,
+        ..requests.request(FIRST, 2.5)
+    };
+    let queue = [long, requests.request(FIRST, 2.9)];
+    assert_eq!(infeasible(busy(), &queue), [long.slot]);
+}
+
+#[test]
+fn idle_server_keeps_its_only_request_while_that_is_not_late() {
+    let idle = ServerLoad {
+        is_idle: true,
+        ..busy()
+    };
+    let mut requests = Requests::default();
+    let hopeful = requests.request(FIRST, 0.5);
+    assert!(infeasible(idle, &[hopeful]).is_empty());
+    assert_eq!(infeasible(busy(), &[hopeful]), [hopeful.slot]);
+    let late = requests.request(FIRST, 0.0);
+    assert_eq!(infeasible(idle, &[late]), [late.slot]);
+}
+
+#[test]
+fn start_interval_of_a_group_is_relieved_by_a_request_of_that_group() {
+    let mut ceilings = CeilingTable::default();
+    ceilings.replace(&[Ceiling {
+        handlers: vec![SECOND],
+        runs: 1,
+        calls: 1,
+        start_interval: Duration::from_millis(10_000),
+    }]);
+    let mut requests = Requests::default();
+    let lightest_of_others = PlannedRequest {
+        weight: 0.1,
+        ..requests.request(FIRST, 5.0)
+    };
+    let delayed = requests.request(SECOND, 9.0);
+    let queue = [lightest_of_others, delayed];
+    let rejected = infeasible_requests(busy(), queue.into_iter(), &ceilings);
+    assert_eq!(rejected, [delayed.slot]);
+}
--- a/src/decide/rejection.rs
+++ b/src/decide/rejection.rs
@@ -147,3 +147,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
