--- a/tests/scenario_runner/actions.rs
+++ b/tests/scenario_runner/actions.rs
@@ -1,36 +1,53 @@
-//! The actions of a scenario as lines of text, in the words of the scenario files.
+//! The actions of a scenario, a line of text each: the method of [`Actions`] that was called, then
+//! what it was given.
 
+use super::checks::ActionPattern;
 use madderbay::interface::Actions;
 use madderbay::time::Duration;
 
+/// The first words of all lines.
+pub(crate) const ACTION_WORDS: [&str; 12] = [
+    "start",
+    "cancel",
+    "reject",
+    "fail",
+    "call",
+    "skip_call",
+    "store_key",
+    "remove_key",
+    "join_attempt",
+    "health",
+    "load_report",
+    "idle_limit",
+];
+
 /// Most actions shown with a failure.
 const MAX_SHOWN: usize = 40;
 
-/// All actions so far, a line each.
+/// All actions so far, in order.
 #[derive(Default)]
-pub(crate) struct ActionLog(Vec<String>);
+pub(crate) struct ActionLog {
+    lines: Vec<String>,
+}
 
 impl ActionLog {
     pub(crate) fn len(&self) -> usize {
-        self.0.len()
+        self.lines.len()
     }
 
-    /// How many actions from that index on start with the text, or contain it after a `*`.
-    pub(crate) fn count(&self, from: usize, what: &str) -> usize {
-        let matches = |line: &&String| match what.strip_prefix('*') {
-            Some(part) => line.contains(part),
-            None => line.starts_with(what),
-        };
-        self.0[from..].iter().filter(matches).count()
+    /// How many actions from that index on the pattern is about.
+    pub(crate) fn count(&self, from: usize, pattern: &ActionPattern) -> usize {
+        let lines = self.lines[from..].iter();
+        lines.filter(|line| pattern.matches(line)).count()
     }
 
     /// The actions from that index on, at least the last `MAX_SHOWN`.
     pub(crate) fn tail(&self, from: usize) -> &[String] {
-        &self.0[from.min(self.0.len().saturating_sub(MAX_SHOWN))..]
+        &self.lines[from.min(self.lines.len().saturating_sub(MAX_SHOWN))..]
     }
 
     fn add(&mut self, line: String) {
-        self.0.push(line);
+        self.lines.push(line);
     }
 }
 
@@ -40,46 +57,46 @@
 
 impl Actions for ActionLog {
     fn start(&mut self, id: u64) {
-        self.add(format!("start {id} "));
+        self.add(format!("start {id}"));
     }
     fn cancel(&mut self, id: u64) {
-        self.add(format!("stop {id} "));
+        self.add(format!("cancel {id}"));
     }
     fn reject(&mut self, id: u64, retry_after: Duration, is_final: bool) {
-        let elsewhere = if is_final { "last" } else { "elsewhere" };
-        let when = if retry_after > Duration::ZERO {
-            "away"
+        let retry = if is_final { "final" } else { "retry_elsewhere" };
+        let advice = if retry_after > Duration::ZERO {
+            "retry_after"
         } else {
-            "now"
+            "no_retry_after"
         };
-        self.add(format!("shed {id} {elsewhere} {when}"));
+        self.add(format!("reject {id} {retry} {advice}"));
     }
     fn fail(&mut self, id: u64) {
-        self.add(format!("errored {id} "));
+        self.add(format!("fail {id}"));
     }
     fn call(&mut self, id: u64, timeout: Duration) {
         self.add(format!("call {id} {}ms", millis(timeout)));
     }
     fn skip_call(&mut self, id: u64) {
-        self.add(format!("skip {id} "));
+        self.add(format!("skip_call {id}"));
     }
     fn store_key(&mut self, id: u64, lifetime: Duration) {
-        self.add(format!("keep {id} {}ms", millis(lifetime)));
+        self.add(format!("store_key {id} {}ms", millis(lifetime)));
     }
     fn remove_key(&mut self, id: u64) {
-        self.add(format!("drop {id} "));
+        self.add(format!("remove_key {id}"));
     }
     fn join_attempt(&mut self, id: u64) {
-        self.add(format!("join {id} "));
+        self.add(format!("join_attempt {id}"));
     }
     fn set_health(&mut self, healthy: bool) {
         self.add(format!("health {healthy}"));
     }
     fn set_load_report(&mut self, value: f64) {
-        self.add(format!("report {value:.2}"));
+        self.add(format!("load_report {value:.2}"));
     }
     fn set_idle_limit(&mut self, limit: Duration) {
-        self.add(format!("idle {}ms", millis(limit)));
+        self.add(format!("idle_limit {}ms", millis(limit)));
     }
     fn set_timer(&mut self, _after: Duration) {}
 }
--- a/tests/scenario_runner/setup.rs
+++ b/tests/scenario_runner/setup.rs
@@ -1,137 +1,185 @@
-//! The settings of a scenario, from the words of its file.
+//! The lines that set the server up.
 
+use super::error::{Problem, WordError};
+use super::words::Words;
+use madderbay::decide::Decider;
 use madderbay::interface::{
-    Cancellation, Downstream, FleetPosition, Handler, LoadReport, Machine, Outcome, RetrySafety,
+    Cancellation, Downstream, FleetPosition, Handler, HandlerId, LoadReport, Machine, RetrySafety,
     Rules, Tenant, Upstream, UpstreamKind,
 };
-use madderbay::time::Duration;
+use madderbay::time::{Duration, Timestamp};
 
-/// The words of a line after its first: `key=value` pairs and bare flags.
-pub(crate) struct Words<'a>(pub(crate) Vec<&'a str>);
+/// Seed of the decision module's random numbers, the same for all scenarios.
+const SEED: u64 = 7;
 
-impl<'a> Words<'a> {
-    pub(crate) fn get(&self, key: &str) -> Option<&'a str> {
-        let value = |word: &&'a str| word.strip_prefix(key)?.strip_prefix('=');
-        self.0.iter().find_map(value)
-    }
+/// What the decision module is given before the first event.
+pub(crate) struct Setup {
+    machine: Machine,
+    handlers: Vec<NamedHandler>,
+    tenants: Vec<Tenant>,
+    upstream: Upstream,
+    downstream: Downstream,
+    position: FleetPosition,
+    rules: Rules,
+}
+
+struct NamedHandler {
+    name: String,
+    handler: Handler,
+}
 
-    pub(crate) fn number(&self, key: &str, default: f64) -> f64 {
-        self.get(key)
-            .map_or(default, |v| v.parse().expect("a number"))
+impl Setup {
+    /// A warm machine, alone, without handlers, tenants and an upstream, and one client: the
+    /// defaults of each line.
+    pub(crate) fn new() -> Result<Setup, WordError> {
+        Ok(Setup {
+            machine: machine(&mut Words::new(""))?,
+            handlers: vec![],
+            tenants: vec![],
+            upstream: Upstream {
+                kind: UpstreamKind::None,
+                ..upstream(&mut Words::new("tier"))?
+            },
+            downstream: downstream(&mut Words::new(""))?,
+            position: position(&mut Words::new(""))?,
+            rules: Rules::default(),
+        })
     }
 
-    pub(crate) fn duration(&self, key: &str, default: &str) -> Duration {
-        duration(self.get(key).unwrap_or(default))
+    /// Applies one line, given its first word and the others.
+    pub(crate) fn apply(&mut self, what: &str, mut words: Words) -> Result<(), WordError> {
+        let line = &mut words;
+        match what {
+            "machine" => self.machine = machine(line)?,
+            "handler" => self.handlers.push(named_handler(line)?),
+            "tenant" => self.tenants.push(tenant(line)?),
+            "upstream" => self.upstream = upstream(line)?,
+            "clients" => self.downstream = downstream(line)?,
+            "position" => self.position = position(line)?,
+            "rules" => self.rules = rules(line)?,
+            _ => return Err(WordError::new(what, Problem::UnknownLine)),
+        }
+        words.finish()
     }
 
-    pub(crate) fn has(&self, flag: &str) -> bool {
-        self.0.contains(&flag)
+    /// The handler of that name; `word` is the word that an error names.
+    pub(crate) fn handler(&self, name: &str, word: &str) -> Result<HandlerId, WordError> {
+        let index = self.handlers.iter().position(|h| h.name == name);
+        index
+            .map(HandlerId::new)
+            .ok_or_else(|| WordError::new(word, Problem::UnknownHandler))
     }
-}
 
-/// A duration such as `250ms` or `1.5s`.
-pub(crate) fn duration(text: &str) -> Duration {
-    let unit_start = text.find(|c: char| c.is_alphabetic());
-    let (number, unit) = text.split_at(unit_start.expect("a unit of time"));
-    let unit_seconds = if unit == "ms" { 1e-3 } else { 1.0 };
-    Duration::from_secs_f64(number.parse::<f64>().expect("a number") * unit_seconds)
+    /// The decision module, before its start.
+    pub(crate) fn decider(&self, now: Timestamp) -> Decider {
+        let handlers: Vec<Handler> = self.handlers.iter().map(|h| h.handler.clone()).collect();
+        let builder = Decider::builder(
+            now,
+            SEED,
+            &self.machine,
+            &handlers,
+            &self.position,
+            &self.rules,
+        );
+        builder
+            .tenants(&self.tenants, &self.position)
+            .upstream(&self.upstream)
+            .downstream(&self.downstream)
+            .build()
+    }
 }
 
-pub(crate) fn machine(w: &Words) -> Machine {
-    Machine {
-        cores: w.number("cores", 2.0) as u32,
-        memory_kb: w.number("memory", 1000.0),
-        running_memory_factor: w.number("factor", 4.0),
-        key_memory_kb: w.number("key", 1.0),
-        cancellation: match (w.has("unstoppable"), w.has("discards")) {
-            (true, _) => Cancellation::Unsupported,
-            (_, true) => Cancellation::Discards,
-            _ => Cancellation::Pauses,
-        },
-        max_concurrency_per_core: w.number("survives", 5.0),
-        starts_cold: w.has("cold"),
-        cold_speed: w.number("cold_from", 0.2),
-        warm_up: w.duration("cold_for", "10s"),
-    }
+fn machine(words: &mut Words) -> Result<Machine, WordError> {
+    let cancellations = [
+        ("unsupported", Cancellation::Unsupported),
+        ("discards", Cancellation::Discards),
+        ("pauses", Cancellation::Pauses),
+    ];
+    Ok(Machine {
+        cores: words.number("cores", 2)?,
+        memory_kb: words.number("memory_kb", 1000.0)?,
+        running_memory_factor: words.number("running_memory_factor", 4.0)?,
+        key_memory_kb: words.number("key_memory_kb", 1.0)?,
+        cancellation: words.choice("cancellation", &cancellations, Cancellation::Pauses)?,
+        max_concurrency_per_core: words.number("max_concurrency_per_core", 5.0)?,
+        starts_cold: words.flag("starts_cold"),
+        cold_speed: words.number("cold_speed", 0.2)?,
+        warm_up: words.duration("warm_up", Duration::from_millis(10_000))?,
+    })
 }
 
-pub(crate) fn handler(w: &Words) -> Handler {
-    Handler {
-        latency_objective: w.duration("target", "1s"),
+fn named_handler(words: &mut Words) -> Result<NamedHandler, WordError> {
+    let name = words.next("handler's name")?.to_string();
+    let keyed = words.flag("keyed");
+    let non_idempotent = words.flag("non_idempotent");
+    let handler = Handler {
+        latency_objective: words.duration("objective", Duration::from_millis(1_000))?,
         objective_stretch: 0.0,
-        timeout: w.duration("timeout", "4s"),
-        weight: w.number("value", 1.0),
-        late_weight: w.number("late", 0.0),
-        retry_safety: match (w.has("keyed"), w.has("nonreplayable")) {
+        timeout: words.duration("timeout", Duration::from_millis(4_000))?,
+        weight: words.number("weight", 1.0)?,
+        late_weight: words.number("late_weight", 0.0)?,
+        retry_safety: match (keyed, non_idempotent) {
             (true, _) => RetrySafety::Keyed,
-            (_, true) => RetrySafety::NonIdempotent,
-            _ => RetrySafety::Idempotent,
+            (false, true) => RetrySafety::NonIdempotent,
+            (false, false) => RetrySafety::Idempotent,
         },
-        idempotency_window: w.duration("window", "10s"),
-        makes_calls: w.has("calls"),
-        partial_weight: w.number("partial", 0.0),
-    }
+        idempotency_window: words.duration("idempotency_window", Duration::from_millis(10_000))?,
+        makes_calls: words.flag("calls"),
+        partial_weight: words.number("partial_weight", 0.0)?,
+    };
+    Ok(NamedHandler { name, handler })
 }
 
-pub(crate) fn tenant(w: &Words) -> Tenant {
-    Tenant {
-        requests_per_second: w.number("per_second", 1.0),
-    }
+fn tenant(words: &mut Words) -> Result<Tenant, WordError> {
+    Ok(Tenant {
+        requests_per_second: words.number("requests_per_second", 1.0)?,
+    })
 }
 
-pub(crate) fn upstream(w: &Words) -> Upstream {
-    Upstream {
-        kind: match (w.0.is_empty(), w.has("shared")) {
-            (true, _) => UpstreamKind::None,
-            (_, true) => UpstreamKind::Shared,
-            _ => UpstreamKind::Tier,
-        },
-        quota: w.number("share", 1.0),
-        abandoned_call_lifetime: w.duration("linger", "200ms"),
-        averaging_window: w.duration("span", "5s"),
-    }
+fn upstream(words: &mut Words) -> Result<Upstream, WordError> {
+    let kind = match words.next("kind of upstream")? {
+        "shared" => UpstreamKind::Shared,
+        "tier" => UpstreamKind::Tier,
+        other => return Err(WordError::new(other, Problem::UnknownValue)),
+    };
+    Ok(Upstream {
+        kind,
+        quota: words.number("quota", 1.0)?,
+        abandoned_call_lifetime: words
+            .duration("abandoned_call_lifetime", Duration::from_millis(200))?,
+        averaging_window: words.duration("averaging_window", Duration::from_millis(5_000))?,
+    })
 }
 
-pub(crate) fn downstream(w: &Words) -> Downstream {
-    let meanings = [
+fn downstream(words: &mut Words) -> Result<Downstream, WordError> {
+    let load_reports = [
+        ("unused", LoadReport::Unused),
+        ("floor", LoadReport::Floor),
         ("allowance", LoadReport::Allowance),
         ("weight", LoadReport::Weight),
-        ("floor", LoadReport::Floor),
     ];
-    let meaning = meanings.iter().find(|m| w.has(m.0));
-    Downstream {
-        clients: w.number("count", 1.0) as u32,
-        load_report: meaning.map_or(LoadReport::Unused, |m| m.1),
-        max_retry_after: w.duration("come_back", "0s"),
-        marks_retries: w.has("marks"),
-        max_idle: w.duration("idle", "0s"),
-    }
+    Ok(Downstream {
+        clients: words.number("count", 1)?,
+        load_report: words.choice("load_report", &load_reports, LoadReport::Unused)?,
+        max_retry_after: words.duration("max_retry_after", Duration::ZERO)?,
+        marks_retries: words.flag("marks_retries"),
+        max_idle: words.duration("max_idle", Duration::ZERO)?,
+    })
 }
 
-pub(crate) fn position(w: &Words) -> FleetPosition {
-    FleetPosition {
-        servers: w.number("servers", 1.0) as u32,
-        tier: w.number("tier", 0.0) as u32,
+fn position(words: &mut Words) -> Result<FleetPosition, WordError> {
+    Ok(FleetPosition {
+        servers: words.number("servers", 1)?,
+        tier: words.number("tier", 0)?,
         weight_by_work: false,
-        over_quota_weight: w.number("over", 0.05),
-    }
+        over_quota_weight: words.number("over_quota_weight", 0.05)?,
+    })
 }
 
-pub(crate) fn rules(w: &Words) -> Rules {
-    Rules {
-        drain_grace: w.duration("grace", "0s"),
-        requests_carry_timeout: !w.has("silent"),
-    }
-}
-
-/// The outcome of a call.
-pub(crate) fn call_outcome(word: &str) -> Outcome {
-    match word {
-        "done" => Outcome::Completed,
-        "errored" => Outcome::Failed,
-        "shed" => Outcome::Rejected,
-        "timeout" => Outcome::TimedOut,
-        "unreached" => Outcome::Unreachable,
-        other => panic!("outcome '{other}'"),
-    }
+fn rules(words: &mut Words) -> Result<Rules, WordError> {
+    let yes_or_no = [("yes", true), ("no", false)];
+    Ok(Rules {
+        drain_grace: words.duration("drain_grace", Duration::ZERO)?,
+        requests_carry_timeout: words.choice("requests_carry_timeout", &yes_or_no, true)?,
+    })
 }
