--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -5,7 +5,7 @@
 //! count of calls in flight. It is given the time and the decisions of [`crate::budget`]: how
 //! much is requested, granted and returned. Whatever is decided there, the sum of calls in flight
 //! over the fleet never exceeds the sum of all base quotas. It never sees names, randomness or
-//! demand. `docs/notes/shared.md` states the invariant and its proof.
+//! demand. `docs/notes/quotas.md` states the invariant and its proof.
 
 mod grants;
 mod leases;
--- a/crates/upstream/src/selection/bounded_load.rs
+++ b/crates/upstream/src/selection/bounded_load.rs
@@ -1,4 +1,4 @@
-//! Rendezvous hashing with bounded load. Nothing uses it yet: `docs/notes/routes.md` weighs it.
+//! Rendezvous hashing with bounded load. Nothing uses it yet: `docs/notes/backends.md` weighs it.
 
 /// Load from which a backend is passed over, in multiples of the mean load.
 const MAX_RELATIVE_LOAD: f64 = 1.25;
