--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -30,8 +30,8 @@
     format!("machine cores=1\nhandler search objective=1s\n0ms request 1 search\n{last}\n")
 }
 
-/// Each line, as the last of a sound file, is told with file, line, word and problem.
-fn assert_told(cases: &[(&str, &str, Problem)]) {
+/// Each line, as the last of a sound file, is reported with file, line, word and problem.
+fn assert_reported(cases: &[(&str, &str, Problem)]) {
     for (line, word, problem) in cases {
         let expected = ScriptError {
             file: "wrong.txt".to_string(),
@@ -39,14 +39,14 @@
             word: (*word).to_string(),
             problem: *problem,
         };
-        let told = play("wrong.txt", &with_last_line(line));
-        assert_eq!(told, Err(expected), "{line}");
+        let reported = play("wrong.txt", &with_last_line(line));
+        assert_eq!(reported, Err(expected), "{line}");
     }
 }
 
 #[test]
-fn wrong_event_is_told_with_file_line_and_word() {
-    assert_told(&[
+fn wrong_event_is_reported_with_file_line_and_word() {
+    assert_reported(&[
         ("100ms arrive 2", "arrive", Problem::UnknownEvent),
         (
             "100ms request 2 search slowly",
@@ -74,8 +74,8 @@
 }
 
 #[test]
-fn wrong_number_or_time_is_told_with_file_line_and_word() {
-    assert_told(&[
+fn wrong_number_or_time_is_reported_with_file_line_and_word() {
+    assert_reported(&[
         ("100ms request two search", "two", Problem::NotANumber),
         (
             "100ms request 2 search tenant=a",
@@ -99,8 +99,8 @@
 }
 
 #[test]
-fn missing_word_is_told_with_file_line_and_word_before() {
-    assert_told(&[
+fn missing_word_is_reported_with_file_line_and_word_before() {
+    assert_reported(&[
         ("100ms", "100ms", Problem::Missing("event")),
         ("100ms request", "request", Problem::Missing("identifier")),
         ("100ms request 2", "2", Problem::Missing("handler")),
@@ -116,8 +116,8 @@
 }
 
 #[test]
-fn wrong_check_is_told_with_file_line_and_word() {
-    assert_told(&[
+fn wrong_check_is_reported_with_file_line_and_word() {
+    assert_reported(&[
         ("> begin 1", "begin", Problem::UnknownAction),
         ("= start 1 some", "some", Problem::NotARange),
         ("= start 1..", "1..", Problem::NotARange),
@@ -128,8 +128,8 @@
 }
 
 #[test]
-fn wrong_set_up_is_told_with_file_line_and_word() {
-    assert_told(&[("handler book", "handler", Problem::LateSetup)]);
+fn wrong_set_up_is_reported_with_file_line_and_word() {
+    assert_reported(&[("handler book", "handler", Problem::LateSetup)]);
     let cases = [
         ("servers 3", "servers", Problem::UnknownLine),
         ("machine cores=two", "cores=two", Problem::NotANumber),
@@ -150,8 +150,8 @@
         ("> start 1", ">", Problem::EarlyCheck),
     ];
     for (line, word, problem) in cases {
-        let told = play("wrong.txt", &format!("# a comment\n{line}\n"));
-        let error = told.expect_err(line);
+        let reported = play("wrong.txt", &format!("# a comment\n{line}\n"));
+        let error = reported.expect_err(line);
         assert_eq!(
             (error.line, error.word.as_str(), error.problem),
             (2, word, problem),
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn failed_check_is_told_with_file_line_and_actions() {
+fn failed_check_is_reported_with_file_line_and_actions() {
     let failures = play("failing.txt", &with_last_line("! start 1")).expect("a sound file");
     assert_eq!(failures.len(), 1);
     let prefix = "failing.txt:4: ! start 1  actions [";
