--- a/src/decide.rs
+++ b/src/decide.rs
@@ -81,6 +81,8 @@
 
 /// Interval of the one timer: finer than the slack of any answer.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
+/// Run time still expected of a run in flight, in mean run times.
+const REMAINING_RUN_FRACTION: f64 = 0.5;
 
 /// The decisions of one server incarnation.
 pub struct Decider {
@@ -338,10 +340,10 @@
         Duration::from_secs_f64(usual_secs * self.stalls.pace())
     }
 
-    /// Run time still expected of the runs in flight, in seconds: half a mean run each.
+    /// Run time still expected of the runs in flight, in seconds.
     fn remaining_run_secs(&self) -> f64 {
         let running = self.requests.running() as f64;
-        running * self.run_times.mean_secs() * self.stalls.pace() * 0.5
+        running * self.run_times.mean_secs() * self.stalls.pace() * REMAINING_RUN_FRACTION
     }
 }
 
--- a/src/decide/concurrency_limit.rs
+++ b/src/decide/concurrency_limit.rs
@@ -12,7 +12,7 @@
 const GROW_BELOW_PER_CORE: f64 = 1.1;
 /// Run queue per core above which the limit shrinks. Crowded cores do less work.
 const SHRINK_ABOVE_PER_CORE: f64 = 1.4;
-/// Change of the limit per tick, in runs: from the cores to twice the cores in a quarter of a second on four cores.
+/// Change of the limit per tick, in runs: 25 runs a second.
 const STEP_PER_TICK: f64 = 0.25;
 /// Weight of the newest sample in the mean run queue: about the last 50 ms count.
 const RUN_QUEUE_WEIGHT: f64 = 0.2;
