--- a/crates/server/src/core/actions.rs
+++ b/crates/server/src/core/actions.rs
@@ -35,7 +35,7 @@
             return;
         };
         request.started = true;
-        self.counters.runs += 1;
+        self.counters.run_started();
         let body = std::mem::take(&mut request.body);
         let (key, handler) = (request.key, request.handler);
         if let Some(key) = key {
@@ -79,7 +79,7 @@
         let deadline = self.now + timeout;
         request.call.set_deadline(deadline);
         self.deadlines.insert(deadline, Deadline::CallTimeout(id));
-        self.counters.calls += 1;
+        self.counters.call_sent();
         self.send_call(id, timeout, target);
         self.set_stage(id, RequestStage::Calling);
     }
@@ -90,7 +90,7 @@
         };
         request.partial = true;
         let serial = request.call.serial();
-        self.counters.skipped += 1;
+        self.counters.call_skipped();
         self.observe(id, |o, now| o.call_skipped(now, id));
         self.send_command(id, "SKIP", format_args!(",\"serial\":{serial}"));
     }
--- a/crates/server/src/core/answers.rs
+++ b/crates/server/src/core/answers.rs
@@ -33,8 +33,12 @@
             Some(result) => response::done(out, rpc_id, result, report),
             None => response::errored(out, rpc_id, report),
         });
-        if answered {
-            self.counters.answered(result.is_some(), partial);
+        if !answered {
+            return;
+        }
+        match result {
+            Some(_) => self.counters.request_completed(partial),
+            None => self.counters.request_failed(),
         }
     }
 
@@ -44,7 +48,7 @@
             response::shed(out, rpc_id, retry_after, is_final, report);
         });
         if answered {
-            self.counters.shed += 1;
+            self.counters.request_rejected();
         }
     }
 
@@ -54,7 +58,7 @@
             return;
         }
         self.answer_run(id, result);
-        self.counters.joined += 1;
+        self.counters.request_joined();
         self.remove(id);
         let outcome = match result {
             Some(_) => Outcome::Completed,
@@ -94,8 +98,7 @@
         durability.record_result(id, key, result, expiry);
         self.deadlines
             .insert(request.answer_deadline, Deadline::DurableAnswer(id));
-        self.counters.run_over(outcome);
-        self.counters.ran[request.handler.index()] += 1;
+        self.counters.run_ended(request.handler, outcome);
         self.cancel_call(id);
         self.observe(id, |o, now| o.request_finished(now, id));
         true
@@ -121,7 +124,7 @@
             return;
         };
         let key = request.key;
-        self.counters.run_over(Outcome::AlreadyEnded);
+        self.counters.run_not_sent();
         let joined = key.map_or(vec![], |key| self.idempotency.run_ended(key, None));
         for id in std::iter::once(id).chain(joined) {
             self.answer_rejected(id, retry_after, false);
--- a/crates/server/src/core/arrivals.rs
+++ b/crates/server/src/core/arrivals.rs
@@ -22,7 +22,7 @@
     /// A connection was accepted. Gives its number.
     pub fn connection_opened(&mut self, now: Timestamp, outbox: Outbox) -> u64 {
         let executor = &mut self.executor;
-        executor.counters.connections += 1;
+        executor.counters.connection_accepted();
         let opened = executor.connections.open(now, outbox);
         if let Some(limit) = executor.connections.idle_limit() {
             let deadline = Deadline::ConnectionIdle(opened.id);
@@ -34,7 +34,7 @@
     /// A connection was accepted that exceeds the limit on connections. Gives its number.
     pub fn connection_opened_over_limit(&mut self, now: Timestamp, outbox: Outbox) -> u64 {
         let executor = &mut self.executor;
-        executor.counters.connections_refused += 1;
+        executor.counters.connection_over_limit();
         let opened = executor.connections.open_over_limit(now, outbox);
         self.await_first_request(opened)
     }
@@ -61,7 +61,9 @@
     /// Evicts a connection without open requests in favour of a new one; false if there is none.
     pub fn evict_connection(&mut self, now: Timestamp) -> bool {
         let evicted = self.executor.connections.evict(now);
-        self.executor.counters.connections_cut += u64::from(evicted);
+        if evicted {
+            self.executor.counters.connection_evicted();
+        }
         evicted
     }
 
@@ -88,7 +90,9 @@
         let Some(open_requests) = self.executor.connections.remove(connection) else {
             return;
         };
-        self.executor.counters.cut += open_requests.len() as u64;
+        self.executor
+            .counters
+            .requests_disconnected(open_requests.len());
         for id in open_requests {
             self.client_gone(now, id);
         }
@@ -168,8 +172,8 @@
     ) {
         let arrival = &request.arrival;
         let executor = &mut self.executor;
-        executor.counters.read[arrival.handler.index()] += 1;
-        executor.counters.read_late(arrival.read_delay);
+        executor.counters.request_read(arrival.handler);
+        executor.counters.read_delayed(arrival.read_delay);
         let in_flight = InFlightRequest::new(now, connection, rpc_id, request);
         executor.requests.insert(arrival.id, in_flight);
         executor.now = now;
@@ -214,7 +218,7 @@
             "request: client gone, request={id}, started={}",
             request.started
         );
-        self.executor.counters.gone += 1;
+        self.executor.counters.client_gone();
         self.decide(now, |d, executor| d.on_client_gone(now, id, executor));
         self.executor.request_settled(id);
     }
--- a/crates/server/src/core/stored_results.rs
+++ b/crates/server/src/core/stored_results.rs
@@ -47,7 +47,7 @@
             }
             Lookup::NoResult => self.answer_stored(now, connection, rpc_id, None),
         }
-        self.executor.counters.read[request.arrival.handler.index()] += 1;
+        self.executor.counters.request_read(request.arrival.handler);
         Ok(true)
     }
 
@@ -59,7 +59,7 @@
         executor.connections.answer(now, connection, |out| {
             response::shed(out, rpc_id, retry_after, false, report);
         });
-        executor.counters.shed += 1;
+        executor.counters.request_rejected();
     }
 
     /// Answers with the result of the earlier run; without one, the attempt fails.
@@ -78,7 +78,10 @@
                 Some(result) => response::done(out, rpc_id, result, report),
                 None => response::errored(out, rpc_id, report),
             });
-        executor.counters.answered(result.is_some(), false);
+        match result {
+            Some(_) => executor.counters.request_completed(false),
+            None => executor.counters.request_failed(),
+        }
     }
 
     /// The writer's thread has reported how far records are durable.
--- a/crates/server/src/core/turns.rs
+++ b/crates/server/src/core/turns.rs
@@ -90,7 +90,7 @@
         let Some(deadline) = self.executor.tick_timer.take_due(now) else {
             return;
         };
-        self.executor.counters.tick(now - deadline);
+        self.executor.counters.ticked(now - deadline);
         let gauges = self.gauges;
         self.decide_within_turn(now, |d, executor| d.on_tick(now, &gauges, executor));
         self.executor.engine_link.on_tick();
--- a/crates/server/src/core/upstream_events.rs
+++ b/crates/server/src/core/upstream_events.rs
@@ -38,9 +38,8 @@
             return;
         };
         let (key, handler) = (request.key, request.handler);
-        executor.counters.run_over(outcome);
+        executor.counters.run_ended(handler, outcome);
         executor.answer_all_joined(key, result);
-        executor.counters.ran[handler.index()] += 1;
         executor.remove(id);
         self.decide(now, |d, _| d.on_run_ended(now, id, outcome, run_time));
     }
@@ -48,7 +47,7 @@
     /// A call is over with all its attempts.
     fn call_ended(&mut self, now: Timestamp, id: u64, outcome: Outcome, elapsed: Duration) {
         let executor = &mut self.executor;
-        executor.counters.call_over(outcome);
+        executor.counters.call_ended(outcome);
         let request = executor.requests.get_mut(id);
         if let Some(deadline) = request.and_then(|r| r.call.take_deadline()) {
             executor
@@ -135,7 +134,7 @@
         if durability.is_some_and(|d| d.complete_recovered_run(name, result)) {
             self.work_pending.notify_one();
         } else {
-            executor.counters.strays += 1;
+            executor.counters.unmatched_end();
         }
     }
 
@@ -160,12 +159,12 @@
     }
 
     fn unread(&mut self) {
-        self.executor.counters.bad_notices += 1;
+        self.executor.counters.notice_unreadable();
     }
 
     fn unlinked(&mut self) {
         self.executor.engine_link_lost();
-        self.executor.counters.relinks += 1;
+        self.executor.counters.engine_link_lost();
     }
 
     /// The engine is up. The first time, the decision module begins; not while draining, when no work is taken
@@ -235,7 +234,7 @@
     /// The engine did not carry a command out. If that is a run, the engine knows no such request: nothing ran or
     /// will, and a further attempt of its key is a new one.
     fn declined(&mut self, now: Timestamp, command: &str, name: &AttemptName) {
-        self.executor.counters.declined += 1;
+        self.executor.counters.command_declined();
         log::debug!("engine: command declined, command={command}");
         let Some(id) = self.executor.requests.id(name).filter(|_| command == "RUN") else {
             return;
@@ -260,7 +259,7 @@
     }
 
     fn unread(&mut self) {
-        self.executor.counters.bad_replies += 1;
+        self.executor.counters.reply_unreadable();
     }
 
     /// The reply to a call was read.
@@ -274,7 +273,7 @@
     ) {
         let Some((id, elapsed)) = self.executor.calls.replied(now, upstream_connection, name)
         else {
-            self.executor.counters.strays += 1;
+            self.executor.counters.unmatched_end();
             return;
         };
         let end = AttemptEnd {
--- a/crates/server/src/downstream/json_rpc.rs
+++ b/crates/server/src/downstream/json_rpc.rs
@@ -142,7 +142,7 @@
 impl InvalidLine {
     fn answer(&self, now: Timestamp, connection: u64, event_loop: &mut EventLoop) {
         let error = self.error;
-        event_loop.counters_mut().bad_lines += 1;
+        event_loop.counters_mut().line_unreadable();
         log::debug!("connection: line rejected, id={connection}, error={error}");
         if let Some(outbox) = event_loop.outbox(connection) {
             outbox.put(|out| response::invalid(out, self.id, error.code(), error));
--- a/crates/server/src/downstream/registration.rs
+++ b/crates/server/src/downstream/registration.rs
@@ -140,7 +140,7 @@
             error = report_on_one_connection(registry, &name, &event_loop) => error,
         };
         log::warn!("registry: report failed, error={error}");
-        count(&event_loop, |counters| counters.reports_lost += 1);
+        count(&event_loop, Counters::report_failed);
         let _ = timeout(RETRY_BACKOFF, address.changed()).await;
     }
 }
@@ -211,7 +211,7 @@
             if self.status.get() != NO_CONTENT {
                 return ReportError::Refused(self.status.get());
             }
-            count(self.event_loop, |counters| counters.reports += 1);
+            count(self.event_loop, Counters::report_accepted);
             let _ = timeout(REPORT_INTERVAL, self.state_changed.notified()).await;
         }
     }
--- a/crates/server/tests/counters.rs
+++ b/crates/server/tests/counters.rs
@@ -1,9 +1,12 @@
 //! The counters' names, their order and their form: operators' pages and programs depend on them.
 
-use madderbay::interface::Outcome;
+use madderbay::interface::{HandlerId, Outcome};
 use madderbay::time::Duration;
 use madderbay_server::support::metrics::{Counters, Lines, LoadGauges};
 
+const QUOTE: HandlerId = HandlerId::new(0);
+const BOOK: HandlerId = HandlerId::new(1);
+
 const EXPECTED: &str = "\
 counter read.quote 1
 counter ran.quote 2
@@ -52,54 +55,87 @@
 counter reads.latest_ms 21
 ";
 
+/// Counts an event so many times.
+fn repeat(times: u64, mut count: impl FnMut()) {
+    for _ in 0..times {
+        count();
+    }
+}
+
+/// Counters that have counted each event another number of times, as far as the lines allow.
 fn counted() -> Counters {
     let mut counters = Counters::new(&["quote".into(), "book".into()]);
-    (counters.read, counters.ran) = (vec![1, 3], vec![2, 4]);
-    for (is_done, is_partial, times) in [(true, false, 2), (true, true, 1), (false, false, 2)] {
-        (0..times).for_each(|_| counters.answered(is_done, is_partial));
+    count_requests(&mut counters);
+    count_runs(&mut counters);
+    count_calls(&mut counters);
+    count_connections(&mut counters);
+    for late_micros in [0, 30_000, 30_001] {
+        counters.ticked(Duration::from_micros(late_micros));
+    }
+    for delay_micros in [20_000, 21_999] {
+        counters.read_delayed(Duration::from_micros(delay_micros));
+    }
+    counters
+}
+
+fn count_requests(counters: &mut Counters) {
+    repeat(1, || counters.request_read(QUOTE));
+    repeat(3, || counters.request_read(BOOK));
+    repeat(2, || counters.request_completed(false));
+    repeat(1, || counters.request_completed(true));
+    repeat(3, || counters.request_failed());
+    repeat(5, || counters.request_rejected());
+    repeat(6, || counters.request_joined());
+    repeat(7, || counters.client_gone());
+    counters.requests_disconnected(3);
+    counters.requests_disconnected(5);
+}
+
+fn count_runs(counters: &mut Counters) {
+    repeat(9, || counters.run_started());
+    for outcome in [Outcome::Completed, Outcome::Completed] {
+        counters.run_ended(QUOTE, outcome);
     }
-    counters.answered(false, true);
-    (counters.shed, counters.joined, counters.gone, counters.cut) = (5, 6, 7, 8);
-    (counters.runs, counters.calls, counters.skipped) = (9, 10, 11);
-    counters.connections = 12;
-    (counters.connections_cut, counters.connections_refused) = (13, 14);
-    (
-        counters.bad_lines,
-        counters.bad_notices,
-        counters.bad_replies,
-    ) = (15, 16, 17);
-    (counters.strays, counters.declined, counters.relinks) = (18, 19, 20);
-    (counters.reports, counters.reports_lost) = (21, 22);
     for outcome in [
-        Outcome::Completed,
-        Outcome::Rejected,
         Outcome::Failed,
+        Outcome::Cancelled,
         Outcome::TimedOut,
-        Outcome::Unreachable,
         Outcome::Disconnected,
-        Outcome::Cancelled,
-        Outcome::AlreadyEnded,
     ] {
-        counters.call_over(outcome);
+        counters.run_ended(BOOK, outcome);
     }
+    counters.run_not_sent();
+    repeat(16, || counters.notice_unreadable());
+    repeat(18, || counters.unmatched_end());
+    repeat(19, || counters.command_declined());
+    repeat(20, || counters.engine_link_lost());
+}
+
+fn count_calls(counters: &mut Counters) {
+    repeat(10, || counters.call_sent());
+    repeat(11, || counters.call_skipped());
+    repeat(17, || counters.reply_unreadable());
     for outcome in [
         Outcome::Completed,
-        Outcome::Completed,
+        Outcome::Rejected,
         Outcome::Failed,
-        Outcome::Cancelled,
-        Outcome::AlreadyEnded,
         Outcome::TimedOut,
+        Outcome::Unreachable,
         Outcome::Disconnected,
+        Outcome::Cancelled,
+        Outcome::AlreadyEnded,
     ] {
-        counters.run_over(outcome);
-    }
-    for late_micros in [0, 30_000, 30_001] {
-        counters.tick(Duration::from_micros(late_micros));
+        counters.call_ended(outcome);
     }
-    for unread_micros in [20_000, 21_999] {
-        counters.read_late(Duration::from_micros(unread_micros));
-    }
-    counters
+}
+
+fn count_connections(counters: &mut Counters) {
+    repeat(12, || counters.connection_accepted());
+    repeat(13, || counters.connection_evicted());
+    repeat(14, || counters.connection_over_limit());
+    repeat(15, || counters.line_unreadable());
+    repeat(21, || counters.report_accepted());
+    repeat(22, || counters.report_failed());
 }
 
 #[test]
--- a/crates/server/tests/crossings/over_limit.rs
+++ b/crates/server/tests/crossings/over_limit.rs
@@ -41,13 +41,13 @@
         wait_until(|| {
             server.run_turn();
             server.core.borrow().connection_count() == 1
-                && server.core.borrow().counters().connections_refused == 19
+                && server.core.borrow().counters().connections_over_limit() == 19
         })
         .await;
         assert_eq!(silent.read_to_end().await.expect("no reset"), "");
         server.complete_run(1);
         assert!(busy.next_line().await.contains("\"id\":2,\"result\""));
-        assert_eq!(server.core.borrow().counters().runs, 1);
+        assert_eq!(server.core.borrow().counters().runs_started(), 1);
     });
 }
 
@@ -75,7 +75,7 @@
                     .contains(&format!("\"id\":{id},\"result\":{{\"bytes\":\"WFla\""))
             );
         }
-        assert_eq!(server.core.borrow().counters().runs, 1);
+        assert_eq!(server.core.borrow().counters().runs_started(), 1);
     });
 }
 
