--- a/crates/server/src/core/answers.rs
+++ b/crates/server/src/core/answers.rs
@@ -30,8 +30,8 @@
     pub(super) fn answer_run(&mut self, id: u64, result: Option<&str>) {
         let partial = self.requests.get(id).is_some_and(|r| r.partial);
         let answered = self.answer(id, |out, rpc_id, report| match result {
-            Some(result) => response::done(out, rpc_id, result, report),
-            None => response::errored(out, rpc_id, report),
+            Some(result) => response::completed(out, rpc_id, result, report),
+            None => response::failed(out, rpc_id, report),
         });
         if !answered {
             return;
@@ -45,7 +45,7 @@
     /// Answers that a request was rejected and never ran.
     pub(super) fn answer_rejected(&mut self, id: u64, retry_after: Duration, is_final: bool) {
         let answered = self.answer(id, |out, rpc_id, report| {
-            response::shed(out, rpc_id, retry_after, is_final, report);
+            response::rejected(out, rpc_id, retry_after, is_final, report);
         });
         if answered {
             self.counters.request_rejected();
--- a/crates/server/src/core/stored_results.rs
+++ b/crates/server/src/core/stored_results.rs
@@ -33,7 +33,7 @@
         let Some(durability) = executor
             .durability
             .as_mut()
-            .filter(|_| !executor.idempotency.knows(key))
+            .filter(|_| !executor.idempotency.contains(key))
         else {
             return Ok(false);
         };
@@ -57,7 +57,7 @@
         let executor = &mut self.executor;
         let report = executor.status.load_report();
         executor.connections.answer(now, connection, |out| {
-            response::shed(out, rpc_id, retry_after, false, report);
+            response::rejected(out, rpc_id, retry_after, false, report);
         });
         executor.counters.request_rejected();
     }
@@ -75,8 +75,8 @@
         executor
             .connections
             .answer(now, connection, |out| match result {
-                Some(result) => response::done(out, rpc_id, result, report),
-                None => response::errored(out, rpc_id, report),
+                Some(result) => response::completed(out, rpc_id, result, report),
+                None => response::failed(out, rpc_id, report),
             });
         match result {
             Some(_) => executor.counters.request_completed(false),
--- a/crates/server/src/downstream/connection.rs
+++ b/crates/server/src/downstream/connection.rs
@@ -11,7 +11,7 @@
 use std::collections::HashMap;
 
 /// Time that a client has to close a connection after the notice that it is to end.
-const LEAVING_NOTICE: Duration = Duration::from_millis(1_000);
+const END_NOTICE_PERIOD: Duration = Duration::from_millis(1_000);
 /// Time until a new connection without an answered request ends, with half a line read or none: load balancers
 /// open a connection to send at once, and the close of a bad client is due within 3 s.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -34,12 +34,16 @@
 /// The order in which connections are evicted; the least goes first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionOrder {
+    /// It is not closing already.
     stays_open: bool,
+    /// Something was answered on it.
     was_answered: bool,
-    amid_line: bool,
+    /// A line was begun a short time ago.
+    has_partial_line: bool,
     last_used: Timestamp,
 }
 
+/// What is open on one connection, and by what it is judged.
 pub(super) struct Connection {
     outbox: Outbox,
     /// Ids of the requests that are open, by their JSON-RPC ids.
@@ -57,7 +61,7 @@
 }
 
 impl Connection {
-    fn new(now: Timestamp, outbox: Outbox, notified_of_end: bool, over_limit: bool) -> Connection {
+    fn new(now: Timestamp, outbox: Outbox) -> Connection {
         Connection {
             outbox,
             open_requests: HashMap::new(),
@@ -69,8 +73,8 @@
             was_answered: false,
             partial_line_since: None,
             ends_when_settled: false,
-            notified_of_end,
-            over_limit,
+            notified_of_end: false,
+            over_limit: false,
         }
     }
 
@@ -82,9 +86,10 @@
         draining: bool,
     ) -> (Connection, Timestamp) {
         if draining {
-            outbox.put(response::leaving);
+            outbox.put(response::connection_ending);
         }
-        let connection = Connection::new(now, outbox, draining, false);
+        let mut connection = Connection::new(now, outbox);
+        connection.notified_of_end = draining;
         (connection, now + FIRST_REQUEST_TIMEOUT)
     }
 
@@ -95,14 +100,18 @@
         outbox: Outbox,
         draining: bool,
     ) -> (Connection, Timestamp) {
-        let connection = Connection::new(now, outbox, draining, true);
+        let mut connection = Connection::new(now, outbox);
+        connection.notified_of_end = draining;
+        connection.over_limit = true;
         (connection, now + NEW_CONNECTION_PROTECTION)
     }
 
+    /// Where its answers leave by.
     pub(super) fn outbox(&self) -> &Outbox {
         &self.outbox
     }
 
+    /// Whether it was accepted beyond the limit on connections.
     pub(super) fn is_over_limit(&self) -> bool {
         self.over_limit
     }
@@ -124,6 +133,7 @@
         ids
     }
 
+    /// Checks that a request with this JSON-RPC id may be opened.
     pub(super) fn check_open(&self, rpc_id: u64) -> Result<(), OpenRequestError> {
         if self.open_requests.contains_key(&rpc_id) {
             Err(OpenRequestError::IdInUse)
@@ -172,6 +182,7 @@
         self.end_if_settled();
     }
 
+    /// Ends the connection if it is to end and no request is open.
     fn end_if_settled(&self) {
         if !self.open_requests.is_empty() {
             return;
@@ -186,12 +197,12 @@
     /// Sends the notice that this connection is to end, once.
     pub(super) fn notify_of_end(&mut self) {
         if !std::mem::replace(&mut self.notified_of_end, true) {
-            self.outbox.put(response::leaving);
+            self.outbox.put(response::connection_ending);
         }
     }
 
     /// Whether an incomplete line was begun less than `limit` ago.
-    fn is_amid_line(&self, now: Timestamp, limit: Duration) -> bool {
+    fn has_partial_line(&self, now: Timestamp, limit: Duration) -> bool {
         self.partial_line_since
             .is_some_and(|since| now - since < limit)
     }
@@ -199,7 +210,7 @@
     /// Whether a request may be on its way that nobody has read.
     fn is_protected(&self, now: Timestamp) -> bool {
         if self.was_answered {
-            self.is_amid_line(now, PARTIAL_LINE_PROTECTION)
+            self.has_partial_line(now, PARTIAL_LINE_PROTECTION)
         } else {
             now - self.last_used <= NEW_CONNECTION_PROTECTION
         }
@@ -218,7 +229,7 @@
         EvictionOrder {
             stays_open: !self.outbox.is_closing(),
             was_answered: self.was_answered,
-            amid_line: self.is_amid_line(now, PARTIAL_LINE_PROTECTION),
+            has_partial_line: self.has_partial_line(now, PARTIAL_LINE_PROTECTION),
             last_used: self.last_used,
         }
     }
@@ -246,7 +257,7 @@
         self.was_answered
             && self.open_requests.is_empty()
             && now - self.last_used >= limit
-            && !self.is_amid_line(now, WRITE_STALL_TIMEOUT)
+            && !self.has_partial_line(now, WRITE_STALL_TIMEOUT)
     }
 
     /// If it is idle it is notified, and closed if the notice was not heeded. Gives the instant of the next check.
@@ -263,7 +274,7 @@
             return None;
         }
         self.notify_of_end();
-        Some(now + LEAVING_NOTICE)
+        Some(now + END_NOTICE_PERIOD)
     }
 
     /// Ends the connection unless something was answered, a request is open or a line is begun. Gives the instant
@@ -275,7 +286,7 @@
         if !self.open_requests.is_empty() {
             return Some(now + FIRST_REQUEST_TIMEOUT);
         }
-        if !self.over_limit && self.is_amid_line(now, PARTIAL_LINE_PROTECTION) {
+        if !self.over_limit && self.has_partial_line(now, PARTIAL_LINE_PROTECTION) {
             return self
                 .partial_line_since
                 .map(|since| since + PARTIAL_LINE_PROTECTION);
--- a/crates/server/src/downstream/idempotency_table.rs
+++ b/crates/server/src/downstream/idempotency_table.rs
@@ -15,12 +15,17 @@
 
 /// What is known of the one run of a key.
 enum RunState {
+    /// The decision module has not started it yet.
     NotStarted,
+    /// It was started and has not ended.
     Running,
+    /// It ended with this result, a JSON string with its quotes.
     Completed(Box<str>),
+    /// It failed, or its result was too large to be cached.
     Failed,
 }
 
+/// What is known of one key.
 struct Entry {
     /// The id of the newest attempt.
     holder: u64,
@@ -35,6 +40,7 @@
 }
 
 impl Entry {
+    /// When the entry is removed, unless its run goes on.
     fn expiry(&self) -> Timestamp {
         self.window_end + self.read_delay_allowance
     }
@@ -99,7 +105,7 @@
     }
 
     /// Whether a key is known from this incarnation.
-    pub fn knows(&self, key: IdempotencyKey) -> bool {
+    pub fn contains(&self, key: IdempotencyKey) -> bool {
         self.entries.contains_key(&key)
     }
 
--- a/crates/server/src/downstream/json_rpc.rs
+++ b/crates/server/src/downstream/json_rpc.rs
@@ -20,33 +20,46 @@
 /// Why a line can't be served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum LineError {
+    /// It exceeds [`MAX_LINE_BYTES`]; where the next line begins is unknown.
     #[error("line too long")]
     TooLong,
+    /// Its bytes are no text.
     #[error("not UTF-8")]
     NotUtf8,
+    /// It is no JSON value.
     #[error("not JSON")]
     NotJson,
+    /// It is a JSON value, but no object.
     #[error("not an object")]
     NotAnObject,
+    /// Its version of JSON-RPC is missing or not [`VERSION`].
     #[error("{} is not {}", envelope::VERSION, VERSION)]
     WrongVersion,
+    /// It names no method.
     #[error("no {}", envelope::METHOD)]
     NoMethod,
+    /// Its id is not an unsigned integer, so no answer can carry it.
     #[error("{} is not a whole number", envelope::ID)]
     MalformedId,
+    /// It has no id, and its method is one that is answered.
     #[error("no {}", envelope::ID)]
     NoId,
+    /// No handler has the name of its method.
     #[error("no such {}", envelope::METHOD)]
     UnknownMethod,
+    /// Its params are missing or no JSON object.
     #[error("{} is not an object", envelope::PARAMS)]
     ParamsNotAnObject,
+    /// No further request may be opened on its connection under its id.
     #[error(transparent)]
     Open(#[from] OpenRequestError),
+    /// A member of its params is missing, malformed or out of range.
     #[error(transparent)]
     Request(#[from] InvalidRequest),
 }
 
 impl LineError {
+    /// The JSON-RPC code that the line is answered with.
     fn code(self) -> i32 {
         match self {
             LineError::TooLong | LineError::NotUtf8 | LineError::NotJson => error_code::PARSE_ERROR,
@@ -109,7 +122,8 @@
     /// Serves the lines that were completed by what was read; no bytes are the end of the input. False when
     /// nothing more is read.
     pub fn feed(&mut self, now: Timestamp, bytes: &[u8], event_loop: &mut EventLoop) -> bool {
-        let (connection, ended) = (self.connection, &mut self.ended);
+        let connection = self.connection;
+        let ended = &mut self.ended;
         let mut completed = false;
         let in_bounds = self.lines.feed(bytes, |line| {
             completed = true;
@@ -140,6 +154,7 @@
 }
 
 impl InvalidLine {
+    /// Answers the line with its error, and ends a connection that violated the protocol.
     fn answer(&self, now: Timestamp, connection: u64, event_loop: &mut EventLoop) {
         let error = self.error;
         event_loop.counters_mut().line_unreadable();
@@ -154,6 +169,7 @@
 }
 
 impl<'a> Call<'a> {
+    /// Reads the envelope of a line.
     fn read(line: &'a [u8]) -> Result<Call<'a>, InvalidLine> {
         let text = std::str::from_utf8(line).map_err(|_| LineError::NotUtf8)?;
         let Some(members) = JsonObject::read(text) else {
@@ -181,11 +197,13 @@
         })
     }
 
+    /// The members of the params, if these are an object.
     fn params(&self) -> Option<JsonObject<'a>> {
         self.params.and_then(JsonObject::read)
     }
 }
 
+/// Serves one line: a withdrawal, a health check or a request.
 fn serve_line(
     now: Timestamp,
     connection: u64,
@@ -193,12 +211,12 @@
     event_loop: &mut EventLoop,
 ) -> Result<(), InvalidLine> {
     let call = Call::read(line)?;
-    if call.method == method::FORGET {
-        forget(now, connection, &call, event_loop);
+    if call.method == method::WITHDRAW {
+        withdraw(now, connection, &call, event_loop);
         return Ok(());
     }
     let id = call.id.ok_or(LineError::NoId)?;
-    if call.method == method::IS_WELL {
+    if call.method == method::HEALTH_CHECK {
         event_loop.health_checked(now, connection, id);
         return Ok(());
     }
@@ -209,7 +227,7 @@
 }
 
 /// Withdraws a request by its id or by the name of the attempt; without either, nothing is done.
-fn forget(now: Timestamp, connection: u64, call: &Call, event_loop: &mut EventLoop) {
+fn withdraw(now: Timestamp, connection: u64, call: &Call, event_loop: &mut EventLoop) {
     if let Some(params) = call.params() {
         let attempt = params.text(param::ATTEMPT_NAME);
         let attempt = attempt.as_deref().and_then(attempt_name::parse);
@@ -222,6 +240,7 @@
     }
 }
 
+/// Validates a request and hands it to the core.
 fn serve_request(
     now: Timestamp,
     connection: u64,
--- a/crates/server/src/downstream/listener.rs
+++ b/crates/server/src/downstream/listener.rs
@@ -15,7 +15,7 @@
 use tokio::sync::Notify;
 
 /// Descriptors of the program itself: standard streams, runtime, listener, links.
-const OWN_DESCRIPTORS: usize = 16;
+const RESERVED_DESCRIPTORS: usize = 16;
 /// One in this many descriptors is set aside for calls to the catalogue.
 const CALL_DESCRIPTORS_DIVISOR: usize = 8;
 /// Connections over the limit that are served at the same time, each to be rejected with an answer; further ones
@@ -26,15 +26,15 @@
 /// Pause after an accept that failed, most often for want of descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// The descriptors that are not the program's own.
-pub fn others(descriptors: usize) -> usize {
-    descriptors.saturating_sub(OWN_DESCRIPTORS)
+/// The descriptors that downstream connections and upstream calls may take together.
+pub fn usable_descriptors(descriptors: usize) -> usize {
+    descriptors.saturating_sub(RESERVED_DESCRIPTORS)
 }
 
 /// How many connections a limit on descriptors leaves; none where it is too small to serve.
-pub fn room(descriptors: usize) -> Option<usize> {
+pub fn max_connections(descriptors: usize) -> Option<usize> {
     descriptors
-        .checked_sub(OWN_DESCRIPTORS + descriptors / CALL_DESCRIPTORS_DIVISOR)
+        .checked_sub(RESERVED_DESCRIPTORS + descriptors / CALL_DESCRIPTORS_DIVISOR)
         .filter(|connections| *connections > 0)
 }
 
@@ -51,7 +51,8 @@
         match self.event_loop.try_borrow_mut() {
             Ok(mut event_loop) => event_loop.connection_closed(self.clock.now(), self.connection),
             Err(_) => {
-                let (clock, event_loop) = (self.clock.clone(), self.event_loop.clone());
+                let clock = self.clock.clone();
+                let event_loop = self.event_loop.clone();
                 tokio::task::spawn_local(report_closed(self.connection, clock, event_loop));
             }
         }
@@ -84,7 +85,7 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                let within_limit = make_way(max_connections, &clock, &event_loop).await;
+                let within_limit = evict_over_limit(max_connections, &clock, &event_loop).await;
                 start(stream, within_limit, &clock, &event_loop);
             }
             Err(e) => {
@@ -121,7 +122,8 @@
 /// Enters a connection into the core and starts its task. It counts from here on, not from its task's first
 /// poll, because many may be accepted before that.
 fn start(stream: TcpStream, within_limit: bool, clock: &Rc<Clock>, event_loop: &SharedEventLoop) {
-    let (outbox, now) = (Outbox::default(), clock.now());
+    let outbox = Outbox::default();
+    let now = clock.now();
     let mut core = event_loop.borrow_mut();
     // One over the limit is served too: what was written to it is owed an answer.
     let connection = if within_limit {
@@ -139,7 +141,11 @@
 
 /// Evicts idle connections until one more is within the limit. False where none can be evicted: the next is
 /// rejected, once few enough others are being rejected.
-async fn make_way(max_connections: usize, clock: &Clock, event_loop: &SharedEventLoop) -> bool {
+async fn evict_over_limit(
+    max_connections: usize,
+    clock: &Clock,
+    event_loop: &SharedEventLoop,
+) -> bool {
     while event_loop.borrow().connection_count() >= max_connections {
         if !event_loop.borrow_mut().evict_connection(clock.now()) {
             if event_loop.borrow().connections_over_limit() < MAX_OVER_LIMIT {
@@ -152,6 +158,7 @@
     true
 }
 
+/// Moves bytes between one connection and its session until either ends.
 async fn serve_connection(stream: TcpStream, outbox: Outbox, guard: ConnectionGuard) {
     let mut session = JsonRpcSession::new(guard.connection);
     let feed = |bytes: &[u8]| {
--- a/crates/server/src/downstream/registration.rs
+++ b/crates/server/src/downstream/registration.rs
@@ -51,7 +51,7 @@
 }
 
 /// Encodes one report, an HTTP request.
-pub fn report(host: &str, name: &str, ready: bool) -> Vec<u8> {
+pub fn encode_report(host: &str, name: &str, ready: bool) -> Vec<u8> {
     let state = if ready { STATE_READY } else { STATE_DRAINING };
     let body = format!("{{\"state\":\"{state}\"}}");
     let len = body.len();
@@ -63,7 +63,7 @@
 
 /// Reads the HTTP answers of one connection.
 #[derive(Default)]
-pub struct Answers {
+pub struct ResponseReader {
     buffer: Vec<u8>,
 }
 
@@ -73,7 +73,7 @@
     body_len: usize,
 }
 
-impl Answers {
+impl ResponseReader {
     /// Passes the status of each final answer that was completed to `each`; false when the stream can't be read
     /// on.
     pub fn feed(&mut self, bytes: &[u8], mut each: impl FnMut(u16)) -> bool {
@@ -165,7 +165,7 @@
         state_changed: event_loop.borrow().report_changed(),
         event_loop,
     };
-    let mut answers = Answers::default();
+    let mut answers = ResponseReader::default();
     let link = drive_link(&stream, &reporter.outbox, |bytes| {
         answers.feed(bytes, |status| {
             reporter.status.set(status);
@@ -200,7 +200,7 @@
     async fn run(&self) -> ReportError {
         loop {
             let ready = self.event_loop.borrow().is_ready();
-            let bytes = report(&self.host, self.name, ready);
+            let bytes = encode_report(&self.host, self.name, ready);
             self.outbox.put(|out| out.extend_from_slice(&bytes));
             if timeout(REPORT_TIMEOUT, self.answered.notified())
                 .await
--- a/crates/server/src/downstream/response.rs
+++ b/crates/server/src/downstream/response.rs
@@ -47,7 +47,7 @@
 }
 
 /// A completed request, with the engine's result as it came: a JSON string with its quotes.
-pub fn done(out: &mut Vec<u8>, id: u64, result: &str, report: Option<f64>) {
+pub fn completed(out: &mut Vec<u8>, id: u64, result: &str, report: Option<f64>) {
     begin(out, id, envelope::RESULT);
     put!(out, "\"{}\":{result}", answer::BODY);
     load_report(out, report, ",");
@@ -56,7 +56,13 @@
 
 /// A request that was rejected and never ran. A `retry_after` under a millisecond is left out; `last` says that
 /// no other server would admit it either.
-pub fn shed(out: &mut Vec<u8>, id: u64, retry_after: Duration, last: bool, report: Option<f64>) {
+pub fn rejected(
+    out: &mut Vec<u8>,
+    id: u64,
+    retry_after: Duration,
+    last: bool,
+    report: Option<f64>,
+) {
     begin_error_data(out, id, error_code::REJECTED, error_message::REJECTED);
     let mut comma = "";
     let millis = retry_after.as_micros() / 1000;
@@ -73,7 +79,7 @@
 }
 
 /// A request that failed after a possible effect.
-pub fn errored(out: &mut Vec<u8>, id: u64, report: Option<f64>) {
+pub fn failed(out: &mut Vec<u8>, id: u64, report: Option<f64>) {
     begin_error_data(out, id, error_code::FAILED, error_message::FAILED);
     load_report(out, report, "");
     out.extend_from_slice(b"}}}\n");
@@ -98,12 +104,12 @@
 }
 
 /// The notice that a connection is to end.
-pub fn leaving(out: &mut Vec<u8>) {
+pub fn connection_ending(out: &mut Vec<u8>) {
     put!(
         out,
         "{{\"{}\":\"{VERSION}\",\"{}\":\"{}\"}}\n",
         envelope::VERSION,
         envelope::METHOD,
-        method::LEAVING
+        method::CONNECTION_ENDING
     );
 }
--- a/crates/server/src/downstream/wire_names.rs
+++ b/crates/server/src/downstream/wire_names.rs
@@ -9,11 +9,11 @@
 /// Methods beside the handlers' names.
 pub(super) mod method {
     /// The client does not wait for a request any more.
-    pub(crate) const FORGET: &str = "forget";
+    pub(crate) const WITHDRAW: &str = "forget";
     /// The health check.
-    pub(crate) const IS_WELL: &str = "isWell";
+    pub(crate) const HEALTH_CHECK: &str = "isWell";
     /// The notice that a connection is to end.
-    pub(crate) const LEAVING: &str = "leaving";
+    pub(crate) const CONNECTION_ENDING: &str = "leaving";
 }
 
 /// Members of the envelope of calls and answers.
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -165,7 +165,7 @@
     fn new(config: &Config) -> Result<DescriptorLimits, StartError> {
         let configured = config.max_descriptors;
         let total = configured.min(system_descriptor_limit());
-        match listener::room(total) {
+        match listener::max_connections(total) {
             Some(max_connections) => Ok(DescriptorLimits {
                 total,
                 max_connections,
@@ -201,7 +201,7 @@
     let results_bytes = (config.memory_mb << 20) / RESULTS_MEMORY_DIVISOR;
     let settings = config.settings.clone();
     let mut core = EventLoop::new(clock.now(), config.seed, settings, results_bytes);
-    core.limit_descriptors(listener::others(limits.total));
+    core.limit_descriptors(listener::usable_descriptors(limits.total));
     Rc::new(RefCell::new(core))
 }
 
--- a/crates/server/tests/wires.rs
+++ b/crates/server/tests/wires.rs
@@ -1,13 +1,13 @@
 //! Parsers that no scenario feeds with all that they may meet: complete input, and input cut at every byte.
 
 use madderbay::interface::Outcome;
-use madderbay_server::downstream::registration::{Answers, report};
+use madderbay_server::downstream::registration::{ResponseReader, encode_report};
 use madderbay_server::support::json::{JsonObject, is_value, number, text, unsigned};
 use madderbay_server::upstream::calls::ReplyReader;
 
 /// Feeds a registry's bytes in pieces of a size; gives the statuses found, and whether the stream may be read on.
 fn answers(bytes: &[u8], piece: usize) -> (Vec<u16>, bool) {
-    let (mut parser, mut found) = (Answers::default(), vec![]);
+    let (mut parser, mut found) = (ResponseReader::default(), vec![]);
     let readable = bytes
         .chunks(piece)
         .all(|p| parser.feed(p, |status| found.push(status)));
@@ -31,12 +31,13 @@
 
 #[test]
 fn encodes_reports_to_registry() {
-    let sent = String::from_utf8(report("127.0.0.1:2379", "n3", true)).unwrap();
+    let sent = String::from_utf8(encode_report("127.0.0.1:2379", "n3", true)).unwrap();
     let expected = "PUT /v1/instances/n3 HTTP/1.1\r\nHost: 127.0.0.1:2379\r\nContent-Length: 17\r\n\r\n\
         {\"state\":\"ready\"}";
     assert_eq!(sent, expected);
     assert!(
-        report("h", "n3", false).ends_with(b"Content-Length: 20\r\n\r\n{\"state\":\"draining\"}")
+        encode_report("h", "n3", false)
+            .ends_with(b"Content-Length: 20\r\n\r\n{\"state\":\"draining\"}")
     );
 }
 
