--- a/crates/server/src/core/actions.rs
+++ b/crates/server/src/core/actions.rs
@@ -6,6 +6,7 @@
 use super::deadlines::Deadline;
 use super::executor::ActionExecutor;
 use crate::downstream::idempotency_table::{IdempotencyKey, JoinedAttempt, KeyWindow};
+use crate::upstream::engine::EngineCommand;
 use madderbay::interface::Actions;
 use madderbay::time::Duration;
 use madderbay_concurrency::RequestStage;
@@ -45,13 +46,13 @@
             }
         }
         self.set_stage(id, RequestStage::Running);
-        let service = self.validator.quoted_name(handler);
-        let members = format_args!(",\"service\":{service},\"blob\":{body}");
-        self.send_command(id, "RUN", members);
+        let handler = &self.validator.quoted_name(handler);
+        let body = &body;
+        self.send_command(id, EngineCommand::Run { handler, body });
     }
 
     fn cancel(&mut self, id: u64) {
-        self.send_command(id, "HALT", format_args!(""));
+        self.send_command(id, EngineCommand::Cancel);
     }
 
     fn reject(&mut self, id: u64, retry_after: Duration, is_final: bool) {
@@ -92,7 +93,7 @@
         let serial = request.call.serial();
         self.counters.call_skipped();
         self.observe(id, |o, now| o.call_skipped(now, id));
-        self.send_command(id, "SKIP", format_args!(",\"serial\":{serial}"));
+        self.send_command(id, EngineCommand::SkipCall { serial });
     }
 
     fn store_key(&mut self, id: u64, lifetime: Duration) {
--- a/crates/server/src/core/engine_commands.rs
+++ b/crates/server/src/core/engine_commands.rs
@@ -5,15 +5,13 @@
 
 use super::executor::ActionExecutor;
 use super::run_commands::ResendOutcome;
-use crate::upstream::engine::command;
-use base64::Engine as _;
-use base64::engine::general_purpose::STANDARD as BASE64;
+use crate::upstream::engine::EngineCommand;
 
 impl ActionExecutor {
-    /// Sends a command about the run of a request; `members` are the further members of its line.
-    pub(super) fn send_command(&mut self, id: u64, kind: &str, members: std::fmt::Arguments) {
+    /// Sends a command about the run of a request.
+    pub(super) fn send_command(&mut self, id: u64, command: EngineCommand) {
         if let Some(request) = self.requests.get_mut(id) {
-            let line = command(kind, &request.name, members);
+            let line = command.line(&request.name);
             request.commands.submit(line, &self.engine_link);
         }
     }
@@ -27,9 +25,8 @@
 
     /// Sends the reply to the call that a run waits at.
     pub(super) fn send_reply(&mut self, id: u64, body: &[u8]) {
-        let blob = BASE64.encode(body);
         let position = self.engine_link.out.queued();
-        self.send_command(id, "FEED", format_args!(",\"blob\":\"{blob}\""));
+        self.send_command(id, EngineCommand::Reply { body });
         if self.engine_link.up
             && let Some(request) = self.requests.get_mut(id)
         {
--- a/crates/server/src/core/event_loop.rs
+++ b/crates/server/src/core/event_loop.rs
@@ -15,7 +15,7 @@
 use crate::support::json::JsonObject;
 use crate::support::metrics::{Counters, LoadGauges};
 use crate::upstream::calls::CallDispatcher;
-use crate::upstream::engine::EngineLink;
+use crate::upstream::engine::{EngineLink, RUN_QUEUE_GAUGE};
 use madderbay::decide::Decider;
 use madderbay::interface::{Gauges, HandlerId, Outcome};
 use madderbay::time::{Duration, Timestamp};
@@ -62,7 +62,7 @@
         max_cached_bytes: usize,
     ) -> EventLoop {
         let executor = ActionExecutor::new(now, &settings, max_cached_bytes);
-        let run_queue_gauge = settings.gauge_index("on_cores");
+        let run_queue_gauge = settings.gauge_index(RUN_QUEUE_GAUGE);
         EventLoop {
             decider: None,
             settings,
--- a/crates/server/src/core/upstream_events.rs
+++ b/crates/server/src/core/upstream_events.rs
@@ -10,7 +10,7 @@
 use super::event_loop::EventLoop;
 use crate::support::attempt_name::AttemptName;
 use crate::upstream::calls::{CallDispatcher, CallObserver};
-use crate::upstream::engine::{EngineLink, EngineObserver};
+use crate::upstream::engine::{DeclinedCommand, EngineLink, EngineObserver, EngineStart};
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD as BASE64;
 use madderbay::interface::{Actions, Outcome};
@@ -96,7 +96,7 @@
         log::warn!("engine: notices lost, runs_failed={}", started.len());
         for (id, name) in started {
             self.executor.cancel(id);
-            self.run_over(now, &name, Outcome::Failed, Duration::ZERO, "");
+            self.run_ended(now, &name, Outcome::Failed, Duration::ZERO, "");
         }
     }
 
@@ -123,9 +123,9 @@
     }
 
     /// A run ended that is not in flight. It may be one of a former incarnation, which proves its outcome.
-    fn unknown_run_ended(&mut self, name: &AttemptName, outcome: Outcome, blob: &str) {
+    fn unknown_run_ended(&mut self, name: &AttemptName, outcome: Outcome, result: &str) {
         let executor = &mut self.executor;
-        let result = (outcome == Outcome::Completed).then_some(blob.as_bytes());
+        let result = (outcome == Outcome::Completed).then_some(result.as_bytes());
         let took_place = matches!(
             outcome,
             Outcome::Completed | Outcome::Failed | Outcome::Cancelled
@@ -158,31 +158,32 @@
         &mut self.executor.engine_link
     }
 
-    fn unread(&mut self) {
+    fn notice_unreadable(&mut self) {
         self.executor.counters.notice_unreadable();
     }
 
-    fn unlinked(&mut self) {
+    fn link_lost(&mut self) {
         self.executor.engine_link_lost();
         self.executor.counters.engine_link_lost();
     }
 
     /// The engine is up. The first time, the decision module begins; not while draining, when no work is taken
     /// on any more.
-    fn hello(&mut self, now: Timestamp, how: &str, age: Duration) {
-        log::info!("engine: up, how={how}, age_ms={}", age.as_micros() / 1000);
+    fn engine_up(&mut self, now: Timestamp, start: EngineStart) {
+        let age_ms = start.age().as_micros() / 1000;
+        log::info!("engine: up, how={start}, age_ms={age_ms}");
         if self.decider.is_none() && !self.executor.status.is_draining() {
-            self.begin_deciding(now, how == "new");
+            self.begin_deciding(now, start.is_new());
         }
         self.executor.engine_link.query_gauges(true);
         self.work_pending.notify_one();
     }
 
     /// The gauges. After a lost link they arrive behind all notices that were missed.
-    fn gauges(&mut self, now: Timestamp, values: &[f64], gap: bool) {
+    fn gauges_read(&mut self, now: Timestamp, values: &[f64], notices_lost: bool) {
         self.gauges.run_queue = self.run_queue_gauge.and_then(|at| values.get(at)).copied();
         let link_restored = !std::mem::replace(&mut self.executor.engine_link.up, true);
-        if gap {
+        if notices_lost {
             self.fail_started_runs(now);
         }
         if link_restored {
@@ -191,7 +192,7 @@
     }
 
     /// A run waits at a call.
-    fn at_call(&mut self, now: Timestamp, name: &AttemptName, serial: u64, blob: &str) {
+    fn call_needed(&mut self, now: Timestamp, name: &AttemptName, serial: u64, body: &str) {
         let executor = &mut self.executor;
         let Some(id) = executor.requests.id(name) else {
             return;
@@ -201,7 +202,7 @@
         };
         request.commands.all_read();
         request.call.requested(serial);
-        match BASE64.decode(blob) {
+        match BASE64.decode(body) {
             Ok(body) => request.call.set_body(body),
             Err(_) => log::warn!("engine: call body is not base64, serial={serial}"),
         }
@@ -211,19 +212,19 @@
     }
 
     /// A run is over. A request that still waits for it is answered with its outcome.
-    fn run_over(
+    fn run_ended(
         &mut self,
         now: Timestamp,
         name: &AttemptName,
         outcome: Outcome,
         run_time: Duration,
-        blob: &str,
+        result: &str,
     ) {
         let Some(id) = self.executor.requests.id(name) else {
-            return self.unknown_run_ended(name, outcome, blob);
+            return self.unknown_run_ended(name, outcome, result);
         };
         self.executor.now = now;
-        let result = (outcome == Outcome::Completed).then_some(blob);
+        let result = (outcome == Outcome::Completed).then_some(result);
         if self.executor.answer_once_durable(id, outcome, result) {
             return self.decide(now, |d, _| d.on_run_ended(now, id, outcome, run_time));
         }
@@ -233,10 +234,10 @@
 
     /// The engine did not carry a command out. If that is a run, the engine knows no such request: nothing ran or
     /// will, and a further attempt of its key is a new one.
-    fn declined(&mut self, now: Timestamp, command: &str, name: &AttemptName) {
+    fn command_declined(&mut self, now: Timestamp, command: DeclinedCommand, name: &AttemptName) {
         self.executor.counters.command_declined();
         log::debug!("engine: command declined, command={command}");
-        let Some(id) = self.executor.requests.id(name).filter(|_| command == "RUN") else {
+        let Some(id) = self.executor.requests.id(name).filter(|_| command.is_run()) else {
             return;
         };
         let outcome = Outcome::AlreadyEnded;
--- a/crates/server/src/upstream/engine/driver.rs
+++ b/crates/server/src/upstream/engine/driver.rs
@@ -67,16 +67,16 @@
     core: &RefCell<C>,
 ) -> LinkEnd {
     let out = Outbox::default();
-    notices.relinked();
+    notices.link_opened();
     core.borrow_mut()
         .link()
         .attach(out.clone(), notices.serial());
-    let feed = |bytes: &[u8]| notices.fed(clock.now(), bytes, &mut *core.borrow_mut());
+    let feed = |bytes: &[u8]| notices.feed(clock.now(), bytes, &mut *core.borrow_mut());
     let end = tokio::select! {
         result = drive_link(stream, &out, feed) => LinkEnd::Lost(result),
         stream = connect_to_new_address(address) => LinkEnd::Replaced(stream),
     };
-    core.borrow_mut().unlinked();
+    core.borrow_mut().link_lost();
     end
 }
 
--- a/crates/server/src/upstream/engine/link.rs
+++ b/crates/server/src/upstream/engine/link.rs
@@ -4,7 +4,7 @@
 //! read all that was sent before their query on the same link. Commands that were not proven are the core's to send
 //! again.
 
-use crate::support::attempt_name::{self, AttemptName};
+use super::wire_names::{command, member};
 use crate::support::io::Outbox;
 use std::io::Write;
 
@@ -12,17 +12,6 @@
 /// anew: two seconds. Counted, not timed, since a pause of this process is no silence.
 const MAX_SILENT_TICKS: u32 = 200;
 
-/// One command as a line. `rest` holds further members, each with a comma before it, as they stand on the wire.
-pub fn command(msg: &str, call: &AttemptName, rest: std::fmt::Arguments) -> Vec<u8> {
-    let mut line = Vec::with_capacity(64);
-    let _ = writeln!(
-        line,
-        "{{\"msg\":\"{msg}\",\"call\":\"{}\"{rest}}}",
-        attempt_name::as_text(call)
-    );
-    line
-}
-
 /// The sending side: what was queried on the link, and what is proven by the answers.
 #[derive(Default)]
 pub struct EngineLink {
@@ -44,7 +33,13 @@
     /// Begins a fresh connection: the engine is notified of the last notice that was read.
     pub fn attach(&mut self, out: Outbox, serial: u64) {
         out.put(|b| {
-            let _ = writeln!(b, "{{\"msg\":\"ATTACH\",\"serial\":{serial}}}");
+            let _ = writeln!(
+                b,
+                "{{\"{}\":\"{}\",\"{}\":{serial}}}",
+                member::KIND,
+                command::ATTACH,
+                member::SERIAL
+            );
         });
         self.out = out;
         self.last_answer = self.last_query;
@@ -85,9 +80,15 @@
     pub fn query_gauges(&mut self, even_if_open: bool) {
         if self.last_answer == self.last_query || even_if_open {
             self.last_query += 1;
-            let cookie = self.last_query;
+            let query = self.last_query;
             self.out.put(|b| {
-                let _ = writeln!(b, "{{\"msg\":\"STAT\",\"cookie\":\"{cookie}\"}}");
+                let _ = writeln!(
+                    b,
+                    "{{\"{}\":\"{}\",\"{}\":\"{query}\"}}",
+                    member::KIND,
+                    command::QUERY_GAUGES,
+                    member::QUERY
+                );
             });
         }
     }
@@ -108,7 +109,7 @@
     }
 
     /// The gauges came that this query asked for.
-    pub(super) fn answered(&mut self, cookie: u64) {
-        self.last_answer = self.last_answer.max(cookie.min(self.last_query));
+    pub(super) fn gauges_answered(&mut self, query: u64) {
+        self.last_answer = self.last_answer.max(query.min(self.last_query));
     }
 }
--- /dev/null
+++ b/crates/server/src/upstream/engine/wire_names/tests.rs
@@ -0,0 +1,42 @@
+//! The words of the engine's wire, which the engine depends on.
+
+use super::*;
+
+#[test]
+fn engine_wire_has_these_commands() {
+    use command::*;
+    let words = [ATTACH, RUN, CANCEL, REPLY, SKIP_CALL, QUERY_GAUGES];
+    assert_eq!(words, ["ATTACH", "RUN", "HALT", "FEED", "SKIP", "STAT"]);
+}
+
+#[test]
+fn engine_wire_has_these_notices() {
+    use notice::*;
+    let words = [
+        ENGINE_UP,
+        RUN_ENDED,
+        CALL_NEEDED,
+        GAUGES,
+        COMMAND_DECLINED,
+        REMARK,
+    ];
+    assert_eq!(words, ["HELLO", "DONE", "NEED", "STATS", "NO", "NOTE"]);
+}
+
+#[test]
+fn engine_wire_has_these_members() {
+    use member::*;
+    let words = [KIND, ATTEMPT_NAME, SERIAL, HANDLER, BODY];
+    assert_eq!(words, ["msg", "call", "serial", "service", "blob"]);
+    let words = [QUERY, GAUGES, HOW, DURATION_MS];
+    assert_eq!(words, ["cookie", "stats", "how", "duration"]);
+}
+
+#[test]
+fn engine_wire_has_these_outcomes_and_gauges() {
+    use run_outcome::*;
+    let words = [COMPLETED, FAILED, CANCELLED, ALREADY_ENDED];
+    assert_eq!(words, ["good", "bad", "cut", "gone"]);
+    assert_eq!(NEW_ENGINE, "new");
+    assert_eq!(RUN_QUEUE_GAUGE, "on_cores");
+}
--- a/crates/server/tests/crossings/resources.rs
+++ b/crates/server/tests/crossings/resources.rs
@@ -54,7 +54,7 @@
             server
                 .core
                 .borrow_mut()
-                .at_call(now, name, serial as u64 + 1, "YWJj");
+                .call_needed(now, name, serial as u64 + 1, "YWJj");
         }
         server.run_turn();
         let (stream, _) = catalogue.accept().await.expect("one call");
--- a/crates/server/tests/crossings/support.rs
+++ b/crates/server/tests/crossings/support.rs
@@ -7,7 +7,7 @@
 use madderbay_server::downstream::listener;
 use madderbay_server::support::clock::Clock;
 use madderbay_server::support::io::Outbox;
-use madderbay_server::upstream::engine::EngineObserver as _;
+use madderbay_server::upstream::engine::{EngineObserver as _, EngineStart};
 use madderbay_testkit::{WAIT_TIMEOUT, unix_ms};
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -56,8 +56,9 @@
         let mut core = EventLoop::new(clock.now(), 7, settings, 1_000);
         let engine = Outbox::default();
         core.link().attach(engine.clone(), 0);
-        core.hello(clock.now(), "old", Duration::from_millis(3_600_000));
-        core.gauges(clock.now(), &[0.1, 1.0, 0.1, 1.0], false);
+        let start = EngineStart::new("old", Duration::from_millis(3_600_000));
+        core.engine_up(clock.now(), start);
+        core.gauges_read(clock.now(), &[0.1, 1.0, 0.1, 1.0], false);
         let core = Rc::new(RefCell::new(core));
         let stop_listening = Rc::new(Notify::new());
         spawn_local(listener::run(
@@ -83,7 +84,7 @@
 
     /// The engine reports that the run of an attempt has completed.
     pub(crate) fn complete_run(&self, attempt: u64) {
-        self.core.borrow_mut().run_over(
+        self.core.borrow_mut().run_ended(
             self.clock.now(),
             &attempt_name(attempt),
             Outcome::Completed,
--- a/crates/server/tests/scenarios/player.rs
+++ b/crates/server/tests/scenarios/player.rs
@@ -119,7 +119,7 @@
     /// Makes a new link to the engine.
     pub(crate) fn link_engine(&mut self) {
         let outbox = Outbox::default();
-        self.notices.relinked();
+        self.notices.link_opened();
         self.core
             .engine_link_mut()
             .attach(outbox.clone(), self.notices.serial());
@@ -154,7 +154,7 @@
 
     fn feed_engine(&mut self, piece: &[u8]) {
         assert!(
-            self.notices.fed(self.now, piece, &mut self.core),
+            self.notices.feed(self.now, piece, &mut self.core),
             "the engine's link is read on"
         );
     }
--- a/crates/simulation/src/node/assembly.rs
+++ b/crates/simulation/src/node/assembly.rs
@@ -232,7 +232,7 @@
 
     fn connect_engine(&self, event_loop: &mut EventLoop) -> EngineConnection {
         let mut notices = NoticeReader::default();
-        notices.relinked();
+        notices.link_opened();
         let output = Outbox::default();
         event_loop
             .engine_link_mut()
--- a/crates/simulation/src/node/process.rs
+++ b/crates/simulation/src/node/process.rs
@@ -129,7 +129,7 @@
     /// A line of the engine arrives.
     pub(crate) fn receive_notice(&mut self, now: Timestamp, line: &str) {
         let notices = &mut self.engine.notices;
-        notices.fed(now, line.as_bytes(), &mut self.event_loop);
+        notices.feed(now, line.as_bytes(), &mut self.event_loop);
     }
 
     /// A datagram arrives from another server, at a time of the server's own clock.
