--- a/crates/server/src/downstream/registration.rs
+++ b/crates/server/src/downstream/registration.rs
@@ -4,6 +4,8 @@
 //! server's name, and from the core whether this server takes work. Sends one report at a time. Never decides
 //! whether the server is ready, and never ends the program: a report that fails is made again.
 
+mod wire_names;
+
 use crate::core::event_loop::SharedEventLoop;
 use crate::support::io::{Outbox, drive_link};
 use crate::support::metrics::Counters;
@@ -14,6 +16,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, watch};
 use tokio::time::timeout;
+use wire_names::{INSTANCES_PATH, METHOD, STATE, STATE_DRAINING, STATE_READY};
 
 /// Interval between two reports: an entry lapses 3 s after the last, so two reports may get lost.
 const REPORT_INTERVAL: Duration = Duration::from_millis(800);
@@ -31,9 +34,6 @@
 const NOT_MODIFIED: u16 = 304;
 /// Statuses from here on are final; those before are of interim answers.
 const FIRST_FINAL_STATUS: u16 = 200;
-/// The states of a server in the registry.
-const STATE_READY: &str = "ready";
-const STATE_DRAINING: &str = "draining";
 
 /// Why a connection to the registry can't be used any longer.
 #[derive(Debug, thiserror::Error)]
@@ -53,12 +53,11 @@
 /// Encodes one report, an HTTP request.
 pub fn encode_report(host: &str, name: &str, ready: bool) -> Vec<u8> {
     let state = if ready { STATE_READY } else { STATE_DRAINING };
-    let body = format!("{{\"state\":\"{state}\"}}");
-    let len = body.len();
-    format!(
-        "PUT /v1/instances/{name} HTTP/1.1\r\nHost: {host}\r\nContent-Length: {len}\r\n\r\n{body}"
-    )
-    .into_bytes()
+    let body = format!("{{\"{STATE}\":\"{state}\"}}");
+    let length = body.len();
+    let request_line = format!("{METHOD} {INSTANCES_PATH}{name} HTTP/1.1");
+    let head = format!("{request_line}\r\nHost: {host}\r\nContent-Length: {length}\r\n\r\n");
+    format!("{head}{body}").into_bytes()
 }
 
 /// Reads the HTTP answers of one connection.
@@ -178,6 +177,7 @@
     }
 }
 
+/// Counts what became of a report.
 fn count(event_loop: &SharedEventLoop, change: impl FnOnce(&mut Counters)) {
     change(event_loop.borrow_mut().counters_mut());
 }
--- a/crates/server/src/downstream/wire_names.rs
+++ b/crates/server/src/downstream/wire_names.rs
@@ -105,3 +105,6 @@
     /// The request was rejected and never ran.
     pub(crate) const REJECTED: &str = "shed";
 }
+
+#[cfg(test)]
+mod tests;
