--- a/crates/server/src/core/upstream_events.rs
+++ b/crates/server/src/core/upstream_events.rs
@@ -9,7 +9,7 @@
 use super::dispatch::{AttemptEnd, CallProgress};
 use super::event_loop::EventLoop;
 use crate::support::attempt_name::AttemptName;
-use crate::upstream::calls::{CallDispatcher, CallObserver};
+use crate::upstream::calls::{CallDispatcher, CallObserver, Reply};
 use crate::upstream::engine::{DeclinedCommand, EngineLink, EngineObserver, EngineStart};
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD as BASE64;
@@ -254,29 +254,24 @@
         &mut self.executor.calls
     }
 
-    fn may_dial(&self, open: usize) -> bool {
+    fn may_connect(&self, open: usize) -> bool {
         let downstream = self.executor.connections.len();
         open < self.max_descriptors.saturating_sub(downstream)
     }
 
-    fn unread(&mut self) {
+    fn reply_unreadable(&mut self) {
         self.executor.counters.reply_unreadable();
     }
 
     /// The reply to a call was read.
-    fn call_over(
-        &mut self,
-        now: Timestamp,
-        upstream_connection: u64,
-        name: &AttemptName,
-        outcome: Outcome,
-        body: &[u8],
-    ) {
-        let Some((id, elapsed)) = self.executor.calls.replied(now, upstream_connection, name)
-        else {
+    fn reply_read(&mut self, now: Timestamp, upstream_connection: u64, reply: &Reply) {
+        let outcome = reply.outcome;
+        let calls = &mut self.executor.calls;
+        let Some(call) = calls.replied(now, upstream_connection, &reply.name) else {
             self.executor.counters.unmatched_end();
             return;
         };
+        let id = call.request;
         let end = AttemptEnd {
             upstream_connection,
             outcome,
@@ -284,15 +279,15 @@
         };
         let progress = self.executor.attempt_ended(now, id, end);
         if outcome == Outcome::Completed && self.executor.requests.unanswered(id).is_some() {
-            self.executor.send_reply(id, body);
+            self.executor.send_reply(id, reply.body);
         } else if progress == CallProgress::Continues {
             return;
         }
-        self.call_ended(now, id, outcome, elapsed);
+        self.call_ended(now, id, outcome, call.elapsed);
     }
 
     /// An upstream connection is over, and with it the call on it.
-    fn call_lost(&mut self, now: Timestamp, upstream_connection: u64) {
+    fn call_connection_ended(&mut self, now: Timestamp, upstream_connection: u64) {
         let calls = &mut self.executor.calls;
         let Some(call) = calls.connection_ended(now, upstream_connection) else {
             return;
--- a/crates/server/src/upstream/calls/dispatcher.rs
+++ b/crates/server/src/upstream/calls/dispatcher.rs
@@ -4,6 +4,7 @@
 //! calls to send, replies and ends of connections. It opens no connection itself: it lists those that it wants, and
 //! hands each one's bytes to an outbox.
 
+use super::wire_names::{CALL, END};
 use crate::support::attempt_name::{self, AttemptName};
 use crate::support::io::Outbox;
 use madderbay::interface::Outcome;
@@ -63,14 +64,12 @@
         self.callers.insert(name);
         self.outbox.put(|out| {
             let millis = (timeout.as_micros() / 1000).max(1);
-            let _ = write!(
-                out,
-                "FETCH {} {millis} {}\r\n",
-                attempt_name::as_text(&name),
-                body.len()
-            );
+            let attempt = attempt_name::as_text(&name);
+            // Writing to a vector can't fail.
+            let _ = write!(out, "{CALL} {attempt} {millis} {}", body.len());
+            out.extend_from_slice(END);
             out.extend_from_slice(body);
-            out.extend_from_slice(b"\r\n");
+            out.extend_from_slice(END);
         });
     }
 }
@@ -96,6 +95,15 @@
     pub elapsed: Duration,
 }
 
+/// A call that ended with its reply.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RepliedCall {
+    /// The request that called.
+    pub request: u64,
+    /// The time since it was sent.
+    pub elapsed: Duration,
+}
+
 /// All calls in flight and the connections that they are on; no more than the runs in flight.
 #[derive(Default)]
 pub struct CallDispatcher {
@@ -193,14 +201,14 @@
         })
     }
 
-    /// Takes a reply on a connection. Returns the request that called and the time since; nothing if the reply is not
-    /// that of the call in flight there.
+    /// Takes a reply on a connection. Returns the call that it ends; nothing if the reply is not that of the call in
+    /// flight there.
     pub fn replied(
         &mut self,
         now: Timestamp,
         connection_id: u64,
         name: &AttemptName,
-    ) -> Option<(u64, Duration)> {
+    ) -> Option<RepliedCall> {
         let connection = self
             .connections
             .iter_mut()
@@ -210,7 +218,10 @@
         if connection.is_outdated {
             connection.outbox.cut();
         }
-        Some((call.request, now - call.sent_at))
+        Some(RepliedCall {
+            request: call.request,
+            elapsed: now - call.sent_at,
+        })
     }
 
     /// A connection is over, and with it the call on it, if there is one.
--- a/crates/server/src/upstream/calls/driver.rs
+++ b/crates/server/src/upstream/calls/driver.rs
@@ -1,11 +1,9 @@
 //! The driver of calls: it opens the connections that the dispatcher wants and carries bytes until each is over.
 
 use super::dispatcher::{CallDispatcher, WantedConnection};
-use super::reply_reader::ReplyReader;
-use crate::support::attempt_name::AttemptName;
+use super::reply_reader::{Reply, ReplyReader};
 use crate::support::clock::Clock;
 use crate::support::io::{connect, drive_link};
-use madderbay::interface::Outcome;
 use madderbay::time::Timestamp;
 use std::cell::RefCell;
 use std::io::ErrorKind;
@@ -22,20 +20,13 @@
     /// The calls that it owns.
     fn dispatcher(&mut self) -> &mut CallDispatcher;
     /// Whether one more connection may be opened beside so many.
-    fn may_dial(&self, open: usize) -> bool;
+    fn may_connect(&self, open: usize) -> bool;
     /// A reply came on a connection.
-    fn call_over(
-        &mut self,
-        now: Timestamp,
-        connection_id: u64,
-        name: &AttemptName,
-        outcome: Outcome,
-        body: &[u8],
-    );
+    fn reply_read(&mut self, now: Timestamp, connection_id: u64, reply: &Reply);
     /// A connection is over, and with it the call on it, if there is one.
-    fn call_lost(&mut self, now: Timestamp, connection_id: u64);
+    fn call_connection_ended(&mut self, now: Timestamp, connection_id: u64);
     /// A reply could not be read.
-    fn unread(&mut self);
+    fn reply_unreadable(&mut self);
 }
 
 /// Opens the connections that the dispatcher wants and serves each until it is over, without an end. While the
@@ -52,14 +43,17 @@
         let address = *catalogue.borrow_and_update();
         let wanted = core.borrow_mut().dispatcher().take_wanted();
         for connection in wanted {
-            if !core.borrow().may_dial(Rc::strong_count(&open) - 1) {
+            if !core.borrow().may_connect(Rc::strong_count(&open) - 1) {
                 log::debug!("catalogue: no descriptor available for call");
-                core.borrow_mut().call_lost(clock.now(), connection.id);
+                core.borrow_mut()
+                    .call_connection_ended(clock.now(), connection.id);
                 continue;
             }
-            let (clock, core, open) = (clock.clone(), core.clone(), open.clone());
+            let clock = clock.clone();
+            let core = core.clone();
+            let counted_as_open = open.clone();
             tokio::task::spawn_local(async move {
-                let _open = open;
+                let _counted_as_open = counted_as_open;
                 serve_to_end(address, &connection, &clock, &core).await;
             });
         }
@@ -88,9 +82,11 @@
             None => log::info!("catalogue: connection lost, error={error}"),
         }
     }
-    core.borrow_mut().call_lost(clock.now(), connection.id);
+    core.borrow_mut()
+        .call_connection_ended(clock.now(), connection.id);
 }
 
+/// Connects, and moves bytes until the connection is over or its replies can't be read.
 async fn serve<C: CallObserver>(
     address: Option<SocketAddr>,
     connection: &WantedConnection,
@@ -101,12 +97,13 @@
     let stream = connect(address, CONNECT_TIMEOUT).await?;
     let mut replies = ReplyReader::default();
     let feed = |bytes: &[u8]| {
-        let (now, mut core) = (clock.now(), core.borrow_mut());
+        let now = clock.now();
+        let mut core = core.borrow_mut();
         let is_readable = replies.feed(bytes, |reply| {
-            core.call_over(now, connection.id, &reply.name, reply.outcome, reply.body);
+            core.reply_read(now, connection.id, &reply);
         });
         if !is_readable {
-            core.unread();
+            core.reply_unreadable();
             log::debug!("catalogue: unreadable reply received and connection closed");
         }
         is_readable
--- a/crates/server/src/upstream/calls/reply_reader.rs
+++ b/crates/server/src/upstream/calls/reply_reader.rs
@@ -3,6 +3,7 @@
 //! The reader owns the bytes of a reply that is not complete yet. It is given bytes as they come and never keeps more
 //! than one reply may have.
 
+use super::wire_names::{END, outcome};
 use crate::support::attempt_name::AttemptName;
 use madderbay::interface::Outcome;
 
@@ -10,8 +11,6 @@
 const MAX_LINE_BYTES: usize = 64;
 /// Longer than any legal body, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 10;
-/// What a body ends with.
-const BODY_END: &[u8] = b"\r\n";
 
 /// One reply.
 #[derive(Debug)]
@@ -88,14 +87,14 @@
     let line = line.and_then(|line| std::str::from_utf8(line).ok());
     let mut words = line.ok_or(ReplyError::LineEnd)?.split(' ');
     let name = words.next().unwrap_or_default();
-    let outcome = words.next().ok_or(ReplyError::Outcome)?;
+    let outcome_word = words.next().ok_or(ReplyError::Outcome)?;
     let name: AttemptName = name.as_bytes().try_into().map_err(|_| ReplyError::Name)?;
-    let outcome = match outcome {
-        "DATA" => return parse_body(bytes, line_end + 1, name, words.next()),
-        "LATER" => Outcome::Rejected,
-        "FAULT" => Outcome::Failed,
-        "TOOSLOW" => Outcome::TimedOut,
-        "NOUSE" => Outcome::Unreachable,
+    let outcome = match outcome_word {
+        outcome::COMPLETED => return parse_body(bytes, line_end + 1, name, words.next()),
+        outcome::REJECTED => Outcome::Rejected,
+        outcome::FAILED => Outcome::Failed,
+        outcome::TIMED_OUT => Outcome::TimedOut,
+        outcome::UNREACHABLE => Outcome::Unreachable,
         _ => return Err(ReplyError::Outcome),
     };
     Ok(Some(ParsedReply {
@@ -120,10 +119,10 @@
         .filter(|length| *length <= MAX_BODY_BYTES)
         .ok_or(ReplyError::BodyLength)?;
     let end = start + length;
-    let reply_end = end + BODY_END.len();
+    let reply_end = end + END.len();
     match bytes.get(end..reply_end) {
         None => Ok(None),
-        Some(BODY_END) => Ok(Some(ParsedReply {
+        Some(END) => Ok(Some(ParsedReply {
             reply: Reply {
                 name,
                 outcome: Outcome::Completed,
--- /dev/null
+++ b/crates/server/src/upstream/calls/wire_names/tests.rs
@@ -0,0 +1,11 @@
+//! The words of the catalogue's wire, which catalogue and backends depend on.
+
+use super::*;
+
+#[test]
+fn catalogue_wire_has_these_words() {
+    use outcome::*;
+    assert_eq!((CALL, END), ("FETCH", &b"\r\n"[..]));
+    let words = [COMPLETED, REJECTED, FAILED, TIMED_OUT, UNREACHABLE];
+    assert_eq!(words, ["DATA", "LATER", "FAULT", "TOOSLOW", "NOUSE"]);
+}
--- a/crates/server/tests/scenarios/player.rs
+++ b/crates/server/tests/scenarios/player.rs
@@ -165,7 +165,7 @@
         let call = &mut self.calls[index];
         let id = call.id;
         let is_read = call.replies.feed(piece, |reply| {
-            core.call_over(now, id, &reply.name, reply.outcome, reply.body);
+            core.reply_read(now, id, &reply);
         });
         if !is_read {
             call.outbox.close();
@@ -293,7 +293,7 @@
         } else if let Some(index) = call_index(peer) {
             self.open_wanted_calls();
             let id = self.calls[index].id;
-            self.core.call_lost(self.now, id);
+            self.core.call_connection_ended(self.now, id);
         } else {
             let id = self.client(peer).id;
             self.core.connection_closed(self.now, id);
--- a/crates/simulation/src/node/process.rs
+++ b/crates/simulation/src/node/process.rs
@@ -151,7 +151,7 @@
         };
         let event_loop = &mut self.event_loop;
         let is_readable = connection.replies.feed(text.as_bytes(), |reply| {
-            event_loop.call_over(now, number, &reply.name, reply.outcome, reply.body);
+            event_loop.reply_read(now, number, &reply);
         });
         if !is_readable {
             connection.output.close();
@@ -161,14 +161,14 @@
     /// An upstream connection broke.
     pub(crate) fn lose_connection(&mut self, now: Timestamp, number: u64) {
         if self.connections.remove(&number).is_some() {
-            self.event_loop.call_lost(now, number);
+            self.event_loop.call_connection_ended(now, number);
         }
     }
 
     /// An upstream connection that the server asked to be closed is closed.
     pub(crate) fn close_connection(&mut self, now: Timestamp, number: u64) {
         self.connections.remove(&number);
-        self.event_loop.call_lost(now, number);
+        self.event_loop.call_connection_ended(now, number);
     }
 
     // Time
