--- a/crates/server/src/core/actions.rs
+++ b/crates/server/src/core/actions.rs
@@ -140,6 +140,6 @@
     }
 
     fn set_timer(&mut self, after: Duration) {
-        self.tick_timer.set(self.now, after);
+        self.deadlines.tick_timer().set(self.now, after);
     }
 }
--- a/crates/server/src/core/deadlines.rs
+++ b/crates/server/src/core/deadlines.rs
@@ -23,39 +23,71 @@
     Maintenance,
 }
 
-/// All deadlines that are set.
-#[derive(Debug, Default)]
-pub(super) struct Deadlines(BTreeSet<(Timestamp, Deadline)>);
+/// A deadline and its instant, ordered by the instant first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct ScheduledDeadline {
+    at: Timestamp,
+    deadline: Deadline,
+}
+
+/// All deadlines that are set, and the decision module's timer.
+#[derive(Debug)]
+pub(super) struct Deadlines {
+    scheduled: BTreeSet<ScheduledDeadline>,
+    tick: TickTimer,
+}
 
 impl Deadlines {
+    /// The timer is not set, and maintenance is due at once.
+    pub(super) fn new(now: Timestamp) -> Deadlines {
+        let mut deadlines = Deadlines {
+            scheduled: BTreeSet::new(),
+            tick: TickTimer::new(now),
+        };
+        deadlines.insert(now, Deadline::Maintenance);
+        deadlines
+    }
+
     /// Sets a deadline.
     pub(super) fn insert(&mut self, at: Timestamp, deadline: Deadline) {
-        self.0.insert((at, deadline));
+        self.scheduled.insert(ScheduledDeadline { at, deadline });
     }
 
     /// Removes a deadline that was set for this instant; nothing happens if there is none.
     pub(super) fn remove(&mut self, at: Timestamp, deadline: Deadline) {
-        self.0.remove(&(at, deadline));
+        self.scheduled.remove(&ScheduledDeadline { at, deadline });
     }
 
     /// Removes and gives the first deadline that has been reached.
     pub(super) fn pop_due(&mut self, now: Timestamp) -> Option<Deadline> {
-        let first = *self.0.first().filter(|(at, _)| *at <= now)?;
-        self.0.remove(&first);
-        Some(first.1)
+        let first = *self.scheduled.first().filter(|first| first.at <= now)?;
+        self.scheduled.remove(&first);
+        Some(first.deadline)
     }
 
-    /// The instant of the first deadline.
+    /// The instant of the first deadline or of the tick, whichever is earlier.
     pub(super) fn next(&self) -> Option<Timestamp> {
-        self.0.first().map(|(at, _)| *at)
+        let first = self.scheduled.first().map(|first| first.at);
+        [self.tick.deadline, first].into_iter().flatten().min()
     }
 
     /// Sets the deadlines of idle connections anew, given as instants and numbers of connections.
     pub(super) fn replace_idle(&mut self, idle: impl Iterator<Item = (Timestamp, u64)>) {
-        self.0
-            .retain(|(_, deadline)| !matches!(deadline, Deadline::ConnectionIdle(_)));
-        self.0
-            .extend(idle.map(|(at, connection)| (at, Deadline::ConnectionIdle(connection))));
+        self.scheduled
+            .retain(|scheduled| !matches!(scheduled.deadline, Deadline::ConnectionIdle(_)));
+        for (at, connection) in idle {
+            self.insert(at, Deadline::ConnectionIdle(connection));
+        }
+    }
+
+    /// The decision module's timer.
+    pub(super) fn tick_timer(&mut self) -> &mut TickTimer {
+        &mut self.tick
+    }
+
+    /// Whether the tick is overdue by more than `tolerance`.
+    pub(super) fn is_tick_overdue(&self, now: Timestamp, tolerance: Duration) -> bool {
+        self.tick.is_overdue(now, tolerance)
     }
 }
 
@@ -70,7 +102,7 @@
 
 impl TickTimer {
     /// A timer that is not set.
-    pub(super) fn new(now: Timestamp) -> TickTimer {
+    fn new(now: Timestamp) -> TickTimer {
         TickTimer {
             deadline: None,
             last_deadline: now,
@@ -87,11 +119,6 @@
         self.deadline = Some((self.last_deadline + after).max(now + after.mul_f64(0.5)));
     }
 
-    /// The deadline, if the timer is set.
-    pub(super) fn deadline(&self) -> Option<Timestamp> {
-        self.deadline
-    }
-
     /// Takes the deadline if it has been reached; the timer is not set then.
     pub(super) fn take_due(&mut self, now: Timestamp) -> Option<Timestamp> {
         let due = self.deadline.take_if(|deadline| *deadline <= now)?;
@@ -100,7 +127,7 @@
     }
 
     /// Whether the deadline passed more than `tolerance` ago.
-    pub(super) fn is_overdue(&self, now: Timestamp, tolerance: Duration) -> bool {
+    fn is_overdue(&self, now: Timestamp, tolerance: Duration) -> bool {
         self.deadline
             .is_some_and(|deadline| now - deadline > tolerance)
     }
--- a/crates/server/src/core/executor.rs
+++ b/crates/server/src/core/executor.rs
@@ -7,7 +7,7 @@
 //! backends and catalogue.
 
 use super::backend_selector::BackendRouting;
-use super::deadlines::{Deadline, Deadlines, TickTimer};
+use super::deadlines::Deadlines;
 use super::deferred_events::DeferredEvents;
 use super::durability::DurabilityQueue;
 use super::in_flight::InFlightRequests;
@@ -48,10 +48,8 @@
     pub(super) durability: Option<DurabilityQueue>,
     /// What the decision module is told after it has acted.
     pub(super) deferred_events: DeferredEvents,
-    /// What is due and when, except the tick.
+    /// What is due and when, with the decision module's timer.
     pub(super) deadlines: Deadlines,
-    /// The decision module's timer.
-    pub(super) tick_timer: TickTimer,
     /// Health, load report and draining.
     pub(super) status: ServerStatus,
     /// What is counted since the start.
@@ -65,8 +63,6 @@
         settings: &Settings,
         max_cached_bytes: usize,
     ) -> ActionExecutor {
-        let mut deadlines = Deadlines::default();
-        deadlines.insert(now, Deadline::Maintenance);
         ActionExecutor {
             now,
             requests: InFlightRequests::default(),
@@ -79,8 +75,7 @@
             backends: BackendRouting::new(settings),
             durability: None,
             deferred_events: DeferredEvents::default(),
-            deadlines,
-            tick_timer: TickTimer::new(now),
+            deadlines: Deadlines::new(now),
             status: ServerStatus::default(),
             counters: Counters::new(&settings.handler_names),
         }
--- a/crates/server/src/core/turns.rs
+++ b/crates/server/src/core/turns.rs
@@ -13,11 +13,7 @@
 impl EventLoop {
     /// When the next turn is due at the latest.
     pub fn next_deadline(&self) -> Option<Timestamp> {
-        let executor = &self.executor;
-        [executor.tick_timer.deadline(), executor.deadlines.next()]
-            .into_iter()
-            .flatten()
-            .min()
+        self.executor.deadlines.next()
     }
 
     /// One turn, after all that was ready has been taken in: the deadlines that have been reached, the decision
@@ -87,7 +83,7 @@
 
     /// The decision module's tick, if its timer has reached the deadline.
     fn tick_if_due(&mut self, now: Timestamp) {
-        let Some(deadline) = self.executor.tick_timer.take_due(now) else {
+        let Some(deadline) = self.executor.deadlines.tick_timer().take_due(now) else {
             return;
         };
         self.executor.counters.ticked(now - deadline);
--- a/crates/server/src/core/upstream_events.rs
+++ b/crates/server/src/core/upstream_events.rs
@@ -56,7 +56,7 @@
         }
         executor.now = now;
         executor.end_attempts(id, AttemptOutcome::Cancelled);
-        let stalled = executor.tick_timer.is_overdue(now, STALL_THRESHOLD);
+        let stalled = executor.deadlines.is_tick_overdue(now, STALL_THRESHOLD);
         executor.observe(id, |observer, now| {
             if stalled {
                 observer.process_stalled(now);
@@ -147,7 +147,7 @@
         self.settings.machine.starts_cold |= engine_is_new;
         let mut decider = self.settings.decider(now, self.seed);
         self.executor.now = now;
-        self.executor.tick_timer.restart(now);
+        self.executor.deadlines.tick_timer().restart(now);
         decider.on_start(&mut self.executor);
         self.decider = Some(decider);
     }
