--- a/crates/server/src/core/actions.rs
+++ b/crates/server/src/core/actions.rs
@@ -30,6 +30,30 @@
     }
 }
 
+/// Commands to the engine.
+impl ActionExecutor {
+    /// Sends a command about the run of a request.
+    fn send_command(&mut self, id: u64, command: EngineCommand) {
+        if let Some(request) = self.requests.get_mut(id) {
+            self.engine_commands.send(request, command);
+        }
+    }
+
+    /// Sends the reply to the call that the run of a request waits at.
+    pub(super) fn send_reply(&mut self, id: u64, body: &[u8]) {
+        if let Some(request) = self.requests.get_mut(id) {
+            self.engine_commands.send_reply(request, body);
+        }
+    }
+
+    /// The write-ahead record of a run is durable: the run is sent.
+    pub(super) fn release_run(&mut self, id: u64) {
+        if let Some(request) = self.requests.get_mut(id) {
+            self.engine_commands.release(request);
+        }
+    }
+}
+
 impl Actions for ActionExecutor {
     fn start(&mut self, id: u64) {
         let Some(request) = self.requests.get_mut(id) else {
--- a/crates/server/src/core/event_loop.rs
+++ b/crates/server/src/core/event_loop.rs
@@ -134,7 +134,7 @@
 
     /// The link to the engine, for the driver that keeps it.
     pub fn engine_link_mut(&mut self) -> &mut EngineLink {
-        &mut self.executor.engine_link
+        self.executor.engine_commands.link_mut()
     }
 
     /// The load balancers' connections.
--- a/crates/server/src/core/executor.rs
+++ b/crates/server/src/core/executor.rs
@@ -10,6 +10,7 @@
 use super::deadlines::Deadlines;
 use super::deferred_events::DeferredEvents;
 use super::durability::DurabilityQueue;
+use super::engine_commands::EngineCommands;
 use super::in_flight::InFlightRequests;
 use super::request_limits::RequestLimits;
 use super::request_observer::RequestObserver;
@@ -19,7 +20,6 @@
 use crate::downstream::request_validation::RequestValidator;
 use crate::support::metrics::Counters;
 use crate::upstream::calls::CallDispatcher;
-use crate::upstream::engine::EngineLink;
 use madderbay::time::Timestamp;
 use madderbay_concurrency::RequestStage;
 use madderbay_settings::Settings;
@@ -36,8 +36,8 @@
     pub(super) validator: RequestValidator,
     /// The idempotency keys of this incarnation.
     pub(super) idempotency: IdempotencyTable,
-    /// The sending side of the link to the engine.
-    pub(super) engine_link: EngineLink,
+    /// The commands of runs, on their way to the engine.
+    pub(super) engine_commands: EngineCommands,
     /// The upstream calls that are out.
     pub(super) calls: CallDispatcher,
     /// The operator's limits, which follow each request.
@@ -69,7 +69,7 @@
             connections: Connections::default(),
             validator: RequestValidator::new(settings),
             idempotency: IdempotencyTable::new(settings, max_cached_bytes),
-            engine_link: EngineLink::default(),
+            engine_commands: EngineCommands::default(),
             calls: CallDispatcher::default(),
             limits: RequestLimits::default(),
             backends: BackendRouting::new(settings),
--- a/crates/server/src/core/stored_results.rs
+++ b/crates/server/src/core/stored_results.rs
@@ -115,7 +115,7 @@
     /// The record of some work is durable.
     fn carry_out(&mut self, work: PendingWork) {
         match work {
-            PendingWork::Run { request } => self.executor.release(request),
+            PendingWork::Run { request } => self.executor.release_run(request),
             PendingWork::Response { request, result } => {
                 self.executor
                     .durable_answer_ready(request, result.as_deref());
--- a/crates/server/src/core/turns.rs
+++ b/crates/server/src/core/turns.rs
@@ -89,7 +89,7 @@
         self.executor.counters.ticked(now - deadline);
         let gauges = self.gauges;
         self.decide_within_turn(now, |d, executor| d.on_tick(now, &gauges, executor));
-        self.executor.engine_link.on_tick();
+        self.executor.engine_commands.link_mut().on_tick();
     }
 
     /// Hands the operator's limits to the decision module before it settles.
--- a/crates/server/src/core/upstream_events.rs
+++ b/crates/server/src/core/upstream_events.rs
@@ -103,8 +103,10 @@
     /// All notices that were missed have been read: sends again what may not have reached the engine. That starts
     /// nothing twice, since all runs that ended meanwhile are known.
     fn resend_commands(&mut self, now: Timestamp) {
-        self.executor.now = now;
-        for id in self.executor.resend_commands() {
+        let executor = &mut self.executor;
+        executor.now = now;
+        let in_doubt = executor.engine_commands.resend(&mut executor.requests);
+        for id in in_doubt {
             self.reply_in_doubt(now, id);
         }
     }
@@ -155,7 +157,7 @@
 
 impl EngineObserver for EventLoop {
     fn link(&mut self) -> &mut EngineLink {
-        &mut self.executor.engine_link
+        self.executor.engine_commands.link_mut()
     }
 
     fn notice_unreadable(&mut self) {
@@ -163,7 +165,8 @@
     }
 
     fn link_lost(&mut self) {
-        self.executor.engine_link_lost();
+        let executor = &mut self.executor;
+        executor.engine_commands.link_lost(&mut executor.requests);
         self.executor.counters.engine_link_lost();
     }
 
@@ -175,14 +178,15 @@
         if self.decider.is_none() && !self.executor.status.is_draining() {
             self.begin_deciding(now, start.is_new());
         }
-        self.executor.engine_link.query_gauges(true);
+        let link = self.executor.engine_commands.link_mut();
+        link.query_gauges(true);
         self.work_pending.notify_one();
     }
 
     /// The gauges. After a lost link they arrive behind all notices that were missed.
     fn gauges_read(&mut self, now: Timestamp, values: &[f64], notices_lost: bool) {
         self.gauges.run_queue = self.run_queue_gauge.and_then(|at| values.get(at)).copied();
-        let link_restored = !std::mem::replace(&mut self.executor.engine_link.up, true);
+        let link_restored = self.executor.engine_commands.link_mut().restored();
         if notices_lost {
             self.fail_started_runs(now);
         }
--- a/crates/server/src/upstream/engine/link.rs
+++ b/crates/server/src/upstream/engine/link.rs
@@ -16,9 +16,9 @@
 #[derive(Default)]
 pub struct EngineLink {
     /// What is to be sent on the link of the moment.
-    pub out: Outbox,
+    outbox: Outbox,
     /// Linked, and all notices that were missed have been read.
-    pub up: bool,
+    is_up: bool,
     /// The number of the last query for the gauges.
     last_query: u64,
     /// The last query that was answered.
@@ -31,8 +31,8 @@
 
 impl EngineLink {
     /// Begins a fresh connection: the engine is notified of the last notice that was read.
-    pub fn attach(&mut self, out: Outbox, serial: u64) {
-        out.put(|b| {
+    pub fn attach(&mut self, outbox: Outbox, serial: u64) {
+        outbox.put(|b| {
             let _ = writeln!(
                 b,
                 "{{\"{}\":\"{}\",\"{}\":{serial}}}",
@@ -41,7 +41,7 @@
                 member::SERIAL
             );
         });
-        self.out = out;
+        self.outbox = outbox;
         self.last_answer = self.last_query;
         self.silent_ticks = 0;
     }
@@ -49,15 +49,36 @@
     /// The connection is gone: what is sent now waits for the next one. What was proven stays as it was when a link is
     /// lost before it was up, however often: else commands lost with the first would count as read.
     pub fn lost(&mut self) {
-        if std::mem::replace(&mut self.up, false) {
+        if std::mem::replace(&mut self.is_up, false) {
             self.answered_before = self.last_answer;
         }
     }
 
+    /// All notices that were missed have been read: what is sent goes out from now on. Returns whether it did not
+    /// before.
+    pub fn restored(&mut self) -> bool {
+        !std::mem::replace(&mut self.is_up, true)
+    }
+
+    /// Whether what is sent goes out.
+    pub fn is_up(&self) -> bool {
+        self.is_up
+    }
+
+    /// All bytes that were sent on the link of the moment, written or not.
+    pub fn queued_bytes(&self) -> u64 {
+        self.outbox.queued()
+    }
+
+    /// The bytes that were written to the link of the moment.
+    pub fn written_bytes(&self) -> u64 {
+        self.outbox.written()
+    }
+
     /// Sends a line while the link is up, else nothing.
     pub fn send(&self, line: &[u8]) {
-        if self.up {
-            self.out.put(|b| b.extend_from_slice(line));
+        if self.is_up {
+            self.outbox.put(|b| b.extend_from_slice(line));
         }
     }
 
@@ -69,9 +90,9 @@
             0
         };
         if self.silent_ticks == MAX_SILENT_TICKS {
-            self.out.cut();
+            self.outbox.cut();
         }
-        if self.up {
+        if self.is_up {
             self.query_gauges(false);
         }
     }
@@ -81,7 +102,7 @@
         if self.last_answer == self.last_query || even_if_open {
             self.last_query += 1;
             let query = self.last_query;
-            self.out.put(|b| {
+            self.outbox.put(|b| {
                 let _ = writeln!(
                     b,
                     "{{\"{}\":\"{}\",\"{}\":\"{query}\"}}",
