--- a/crates/server/src/core/actions.rs
+++ b/crates/server/src/core/actions.rs
@@ -151,15 +151,16 @@
     }
 
     fn set_health(&mut self, healthy: bool) {
-        self.status.set_health(healthy);
+        self.downstream.status_mut().set_health(healthy);
     }
 
     fn set_load_report(&mut self, value: f64) {
-        self.status.set_load_report(value);
+        self.downstream.status_mut().set_load_report(value);
     }
 
     fn set_idle_limit(&mut self, limit: Duration) {
-        let idle_deadlines = self.connections.set_idle_limit(limit);
+        let connections = self.downstream.connections_mut();
+        let idle_deadlines = connections.set_idle_limit(limit);
         self.deadlines.replace_idle(idle_deadlines);
     }
 
--- a/crates/server/src/core/answers.rs
+++ b/crates/server/src/core/answers.rs
@@ -5,51 +5,39 @@
 //! on disk. Never decides which answer a request gets.
 
 use super::deadlines::Deadline;
+use super::downstream_answers::Answer;
 use super::executor::ActionExecutor;
 use crate::downstream::idempotency_table::IdempotencyKey;
-use crate::downstream::response;
 use madderbay::interface::Outcome;
 use madderbay::time::{Duration, Timestamp};
 
 impl ActionExecutor {
-    /// Writes the final answer of a request, with its JSON-RPC id and the load report; false if it has one.
-    fn answer(&mut self, id: u64, write: impl FnOnce(&mut Vec<u8>, u64, Option<f64>)) -> bool {
+    /// Gives a request its final answer, unless it has one.
+    fn answer(&mut self, id: u64, answer: Answer) {
         let Some(request) = self.requests.get_mut(id).filter(|r| !r.answered) else {
-            return false;
+            return;
         };
         request.answered = true;
-        let (connection, rpc_id) = (request.connection, request.rpc_id);
-        let report = self.status.load_report();
-        self.connections
-            .answer(self.now, connection, |out| write(out, rpc_id, report));
-        self.connections.request_settled(connection, rpc_id);
-        true
+        let recipient = request.recipient;
+        let counters = &mut self.counters;
+        self.downstream
+            .answer(self.now, recipient, answer, counters);
+        self.downstream.request_settled(recipient);
     }
 
     /// Answers a request with the result of a run, or with an error without one.
     pub(super) fn answer_run(&mut self, id: u64, result: Option<&str>) {
-        let partial = self.requests.get(id).is_some_and(|r| r.partial);
-        let answered = self.answer(id, |out, rpc_id, report| match result {
-            Some(result) => response::completed(out, rpc_id, result, report),
-            None => response::failed(out, rpc_id, report),
-        });
-        if !answered {
-            return;
-        }
-        match result {
-            Some(_) => self.counters.request_completed(partial),
-            None => self.counters.request_failed(),
-        }
+        let is_partial = self.requests.get(id).is_some_and(|r| r.partial);
+        self.answer(id, Answer::of_run(result, is_partial));
     }
 
     /// Answers that a request was rejected and never ran.
     pub(super) fn answer_rejected(&mut self, id: u64, retry_after: Duration, is_final: bool) {
-        let answered = self.answer(id, |out, rpc_id, report| {
-            response::rejected(out, rpc_id, retry_after, is_final, report);
-        });
-        if answered {
-            self.counters.request_rejected();
-        }
+        let answer = Answer::Rejected {
+            retry_after,
+            is_final,
+        };
+        self.answer(id, answer);
     }
 
     /// Answers a request that joined a run with the result of that, and removes it.
@@ -156,8 +144,7 @@
             return;
         };
         request.answered = true;
-        self.connections
-            .request_settled(request.connection, request.rpc_id);
+        self.downstream.request_settled(request.recipient);
         if request.started {
             self.cancel_call(id);
             self.observe(id, |o, now| o.request_answered(now, id));
--- a/crates/server/src/core/arrivals.rs
+++ b/crates/server/src/core/arrivals.rs
@@ -6,11 +6,11 @@
 //! Never parses a line.
 
 use super::deadlines::Deadline;
+use super::downstream_answers::Recipient;
 use super::event_loop::EventLoop;
 use super::in_flight::InFlightRequest;
 use crate::downstream::connections::{OpenRequestError, OpenedConnection};
 use crate::downstream::request_validation::{InvalidRequest, ValidatedRequest};
-use crate::downstream::response;
 use crate::support::attempt_name::AttemptName;
 use crate::support::io::Outbox;
 use madderbay::interface::Actions;
@@ -23,8 +23,9 @@
     pub fn connection_opened(&mut self, now: Timestamp, outbox: Outbox) -> u64 {
         let executor = &mut self.executor;
         executor.counters.connection_accepted();
-        let opened = executor.connections.open(now, outbox);
-        if let Some(limit) = executor.connections.idle_limit() {
+        let connections = executor.downstream.connections_mut();
+        let opened = connections.open(now, outbox);
+        if let Some(limit) = connections.idle_limit() {
             let deadline = Deadline::ConnectionIdle(opened.id);
             executor.deadlines.insert(now + limit, deadline);
         }
@@ -35,7 +36,10 @@
     pub fn connection_opened_over_limit(&mut self, now: Timestamp, outbox: Outbox) -> u64 {
         let executor = &mut self.executor;
         executor.counters.connection_over_limit();
-        let opened = executor.connections.open_over_limit(now, outbox);
+        let opened = executor
+            .downstream
+            .connections_mut()
+            .open_over_limit(now, outbox);
         self.await_first_request(opened)
     }
 
@@ -50,17 +54,23 @@
 
     /// The number of open connections that exceed the limit on connections.
     pub fn connections_over_limit(&self) -> usize {
-        self.executor.connections.over_limit_count()
+        self.executor.downstream.connections().over_limit_count()
+    }
+
+    /// Whether a connection exceeds the limit on connections.
+    fn is_over_limit(&self, connection: u64) -> bool {
+        let connections = self.executor.downstream.connections();
+        connections.is_over_limit(connection)
     }
 
     /// The number of open connections.
     pub fn connection_count(&self) -> usize {
-        self.executor.connections.len()
+        self.executor.downstream.connections().len()
     }
 
     /// Evicts a connection without open requests in favour of a new one; false if there is none.
     pub fn evict_connection(&mut self, now: Timestamp) -> bool {
-        let evicted = self.executor.connections.evict(now);
+        let evicted = self.executor.downstream.connections_mut().evict(now);
         if evicted {
             self.executor.counters.connection_evicted();
         }
@@ -70,7 +80,8 @@
     /// The peer broke the protocol, and its requests can't be told from noise: all that are open on the
     /// connection fail, and it ends.
     pub fn reject_connection(&mut self, now: Timestamp, connection: u64) {
-        let Some(open_requests) = self.executor.connections.open_requests(connection) else {
+        let connections = self.executor.downstream.connections();
+        let Some(open_requests) = connections.open_requests(connection) else {
             return;
         };
         self.executor.now = now;
@@ -82,12 +93,16 @@
 
     /// The peer sends no more, or nothing that can be read: its open requests are still answered.
     pub fn input_ended(&mut self, connection: u64) {
-        self.executor.connections.input_ended(connection);
+        self.executor
+            .downstream
+            .connections_mut()
+            .input_ended(connection);
     }
 
     /// A connection is gone, and with it the clients of its open requests.
     pub fn connection_closed(&mut self, now: Timestamp, connection: u64) {
-        let Some(open_requests) = self.executor.connections.remove(connection) else {
+        let connections = self.executor.downstream.connections_mut();
+        let Some(open_requests) = connections.remove(connection) else {
             return;
         };
         self.executor
@@ -100,7 +115,7 @@
 
     /// The outbox of a connection, while that is open.
     pub fn outbox(&self, connection: u64) -> Option<&Outbox> {
-        self.executor.connections.outbox(connection)
+        self.executor.downstream.connections().outbox(connection)
     }
 
     /// Checks that a request with this JSON-RPC id may be opened on a connection.
@@ -108,18 +123,14 @@
     /// # Errors
     /// As [`Connections::check_open`](crate::downstream::connections::Connections::check_open).
     pub fn check_open(&self, connection: u64, rpc_id: u64) -> Result<(), OpenRequestError> {
-        self.executor.connections.check_open(connection, rpc_id)
+        let connections = self.executor.downstream.connections();
+        connections.check_open(connection, rpc_id)
     }
 
     /// Answers a health check.
     pub fn health_checked(&mut self, now: Timestamp, connection: u64, rpc_id: u64) {
-        let executor = &mut self.executor;
-        let status = &executor.status;
-        let healthy = status.is_healthy() && !status.is_draining();
-        let report = status.load_report();
-        executor.connections.answer(now, connection, |out| {
-            response::health(out, rpc_id, healthy, report);
-        });
+        let recipient = Recipient { connection, rpc_id };
+        self.executor.downstream.answer_health_check(now, recipient);
     }
 }
 
@@ -140,19 +151,20 @@
         if self.executor.requests.id(&request.name).is_some() {
             return Err(InvalidRequest::AttemptNameInUse);
         }
-        if self.answer_from_store(now, connection, rpc_id, &request)? {
+        let recipient = Recipient { connection, rpc_id };
+        if self.answer_from_store(now, recipient, &request)? {
             return Ok(());
         }
         let arrival = &request.arrival;
-        let connections = &mut self.executor.connections;
+        let connections = self.executor.downstream.connections_mut();
         if !connections.request_opened(now, connection, rpc_id, arrival.id) {
             return Ok(());
         }
-        self.enter_request(now, connection, rpc_id, &request);
+        self.enter_request(now, recipient, &request);
         if self.decider.is_none() {
             // Nothing can run before the engine is up.
             self.executor.reject(arrival.id, Duration::ZERO, false);
-        } else if self.executor.connections.is_over_limit(connection) && arrival.retry_of == 0 {
+        } else if self.is_over_limit(connection) && arrival.retry_of == 0 {
             // A retry with an idempotency key is admitted: it shares the outcome of the first attempt.
             let retry_after = self.unavailable_retry_after();
             self.executor.reject(arrival.id, retry_after, false);
@@ -163,18 +175,12 @@
     }
 
     /// Counts a request and enters it into the table.
-    fn enter_request(
-        &mut self,
-        now: Timestamp,
-        connection: u64,
-        rpc_id: u64,
-        request: &ValidatedRequest,
-    ) {
+    fn enter_request(&mut self, now: Timestamp, recipient: Recipient, request: &ValidatedRequest) {
         let arrival = &request.arrival;
         let executor = &mut self.executor;
         executor.counters.request_read(arrival.handler);
         executor.counters.read_delayed(arrival.read_delay);
-        let in_flight = InFlightRequest::new(now, connection, rpc_id, request);
+        let in_flight = InFlightRequest::new(now, recipient, request);
         executor.requests.insert(arrival.id, in_flight);
         executor.now = now;
         executor.set_stage(arrival.id, RequestStage::Queued);
@@ -192,7 +198,7 @@
         name: Option<AttemptName>,
     ) {
         let by_rpc_id = rpc_id.and_then(|rpc_id| {
-            let connections = &self.executor.connections;
+            let connections = self.executor.downstream.connections();
             connections.request_id(connection, rpc_id)
         });
         let by_name = || self.request_of_connection(&name?, connection);
@@ -206,7 +212,7 @@
         let requests = &self.executor.requests;
         let id = requests.id(name)?;
         let request = requests.get(id)?;
-        (request.connection == connection).then_some(id)
+        (request.recipient.connection == connection).then_some(id)
     }
 
     /// The client of a request no longer waits for its answer.
--- a/crates/server/src/core/event_loop.rs
+++ b/crates/server/src/core/event_loop.rs
@@ -139,7 +139,7 @@
 
     /// The load balancers' connections.
     pub fn connections_mut(&mut self) -> &mut Connections {
-        &mut self.executor.connections
+        self.executor.downstream.connections_mut()
     }
 
     /// Notified when the core has work that a turn settles.
@@ -149,24 +149,24 @@
 
     /// Notified when what the registry is told has changed.
     pub fn report_changed(&self) -> Rc<Notify> {
-        self.executor.status.changed()
+        self.executor.downstream.status().changed()
     }
 
     /// Whether the registry is told that this server takes work.
     pub fn is_ready(&self) -> bool {
-        let status = &self.executor.status;
+        let status = self.executor.downstream.status();
         !status.is_draining()
             && (status.is_healthy() || !self.settings.endpoint_lists_follow_health)
     }
 
     /// Whether no request is open and nothing waits to be written on any connection.
     pub fn is_quiescent(&self) -> bool {
-        self.executor.connections.is_quiescent()
+        self.executor.downstream.connections().is_quiescent()
     }
 
     /// Whether no connection is open.
     pub fn has_no_connections(&self) -> bool {
-        self.executor.connections.is_empty()
+        self.executor.downstream.connections().is_empty()
     }
 
     /// The handler of a method.
@@ -196,7 +196,7 @@
         let mut lines = executor.counters.lines(&LoadGauges {
             open_requests: executor.requests.unanswered_count(),
             requests_in_flight: executor.requests.len(),
-            connections: executor.connections.len(),
+            connections: executor.downstream.connections().len(),
             calls_in_flight: executor.calls.calls_in_flight(),
             keys: executor.idempotency.len(),
         });
@@ -262,13 +262,12 @@
     /// Begins draining: health checks and the registry are told so, clients are notified that their connections
     /// are to end, and the decision module ends its work within `remaining`.
     pub fn drain(&mut self, now: Timestamp, remaining: Duration) {
-        self.executor.status.begin_draining();
-        self.executor.connections.drain();
+        self.executor.downstream.begin_draining();
         self.decide(now, |d, _| d.drain(now, remaining));
     }
 
     /// Ends every connection once its open requests are answered.
     pub fn close_connections(&mut self) {
-        self.executor.connections.close_all();
+        self.executor.downstream.connections_mut().close_all();
     }
 }
--- a/crates/server/src/core/executor.rs
+++ b/crates/server/src/core/executor.rs
@@ -9,13 +9,12 @@
 use super::backend_selector::BackendRouting;
 use super::deadlines::Deadlines;
 use super::deferred_events::DeferredEvents;
+use super::downstream_answers::DownstreamAnswers;
 use super::durability::DurabilityQueue;
 use super::engine_commands::EngineCommands;
 use super::in_flight::InFlightRequests;
 use super::request_limits::RequestLimits;
 use super::request_observer::RequestObserver;
-use super::server_status::ServerStatus;
-use crate::downstream::connections::Connections;
 use crate::downstream::idempotency_table::IdempotencyTable;
 use crate::downstream::request_validation::RequestValidator;
 use crate::support::metrics::Counters;
@@ -30,8 +29,8 @@
     pub(super) now: Timestamp,
     /// The requests whose answer or run is open.
     pub(super) requests: InFlightRequests,
-    /// The downstream connections, with the outboxes that answers leave by.
-    pub(super) connections: Connections,
+    /// The downstream connections and the answers that leave by them.
+    pub(super) downstream: DownstreamAnswers,
     /// Knows the handlers' names as the engine has them.
     pub(super) validator: RequestValidator,
     /// The idempotency keys of this incarnation.
@@ -50,8 +49,6 @@
     pub(super) deferred_events: DeferredEvents,
     /// What is due and when, with the decision module's timer.
     pub(super) deadlines: Deadlines,
-    /// Health, load report and draining.
-    pub(super) status: ServerStatus,
     /// What is counted since the start.
     pub(super) counters: Counters,
 }
@@ -66,7 +63,7 @@
         ActionExecutor {
             now,
             requests: InFlightRequests::default(),
-            connections: Connections::default(),
+            downstream: DownstreamAnswers::default(),
             validator: RequestValidator::new(settings),
             idempotency: IdempotencyTable::new(settings, max_cached_bytes),
             engine_commands: EngineCommands::default(),
@@ -76,7 +73,6 @@
             durability: None,
             deferred_events: DeferredEvents::default(),
             deadlines: Deadlines::new(now),
-            status: ServerStatus::default(),
             counters: Counters::new(&settings.handler_names),
         }
     }
--- a/crates/server/src/core/in_flight.rs
+++ b/crates/server/src/core/in_flight.rs
@@ -3,6 +3,7 @@
 //! Owns: the table of these requests, by id and by the name of the attempt. Is given: requests that were read,
 //! until they are answered and their runs are over. Does no I/O and decides nothing.
 
+use super::downstream_answers::Recipient;
 use super::run_commands::RunCommands;
 use super::upstream_call::UpstreamCall;
 use crate::downstream::idempotency_table::IdempotencyKey;
@@ -20,10 +21,8 @@
 pub(super) struct InFlightRequest {
     /// The name of the attempt, which the engine and the upstream servers know it by.
     pub(super) name: AttemptName,
-    /// The downstream connection that it came on.
-    pub(super) connection: u64,
-    /// Its JSON-RPC id on that connection.
-    pub(super) rpc_id: u64,
+    /// The downstream connection that it came on, and its JSON-RPC id there.
+    pub(super) recipient: Recipient,
     /// The index of its handler.
     pub(super) handler: HandlerId,
     /// Its idempotency key, if it has one.
@@ -50,8 +49,7 @@
     /// A request that has just been read on a connection and is not started.
     pub(super) fn new(
         now: Timestamp,
-        connection: u64,
-        rpc_id: u64,
+        recipient: Recipient,
         request: &ValidatedRequest<'_>,
     ) -> InFlightRequest {
         let timeout = if request.arrival.timeout > Duration::ZERO {
@@ -61,8 +59,7 @@
         };
         InFlightRequest {
             name: request.name,
-            connection,
-            rpc_id,
+            recipient,
             handler: request.arrival.handler,
             key: request.key,
             fingerprint: request.fingerprint,
--- a/crates/server/src/core/mod.rs
+++ b/crates/server/src/core/mod.rs
@@ -20,6 +20,7 @@
 mod deadlines;
 mod deferred_events;
 mod dispatch;
+mod downstream_answers;
 pub mod durability;
 mod engine_commands;
 pub mod event_loop;
--- a/crates/server/src/core/stored_results.rs
+++ b/crates/server/src/core/stored_results.rs
@@ -3,11 +3,11 @@
 //!
 //! It owns no state; the table and the pending work are in the [`DurabilityQueue`](super::durability).
 
+use super::downstream_answers::{Answer, Recipient};
 use super::durability::{PendingWork, StorageEvent};
 use super::event_loop::EventLoop;
 use crate::downstream::idempotency_table::FingerprintMismatch;
 use crate::downstream::request_validation::ValidatedRequest;
-use crate::downstream::response;
 use madderbay::time::Timestamp;
 use madderbay_idempotency_store::Lookup;
 
@@ -15,15 +15,12 @@
     /// Answers an attempt of a request whose intent an earlier incarnation recorded; it never runs again. An attempt
     /// of a new request is rejected here where no intent can be recorded. Returns whether the attempt was answered.
     ///
-    /// `connection` and `rpc_id` say where the answer goes.
-    ///
     /// # Errors
     /// Where the key was used with another handler or body.
     pub(super) fn answer_from_store(
         &mut self,
         now: Timestamp,
-        connection: u64,
-        rpc_id: u64,
+        recipient: Recipient,
         request: &ValidatedRequest,
     ) -> Result<bool, FingerprintMismatch> {
         let Some(key) = request.key else {
@@ -40,48 +37,30 @@
         match durability.lookup(key, request.fingerprint) {
             Lookup::Mismatch => return Err(FingerprintMismatch),
             Lookup::NotFound if durability.admit_intent().is_ok() => return Ok(false),
-            Lookup::NotFound => self.reject_without_intent(now, connection, rpc_id),
+            // No intent can be recorded now.
+            Lookup::NotFound => {
+                let answer = Answer::Rejected {
+                    retry_after: self.unavailable_retry_after(),
+                    is_final: false,
+                };
+                self.answer_at_once(now, recipient, answer);
+            }
             Lookup::Completed(result) => {
                 let result = String::from_utf8_lossy(&result);
-                self.answer_stored(now, connection, rpc_id, Some(&result));
+                let answer = Answer::of_run(Some(&result), false);
+                self.answer_at_once(now, recipient, answer);
             }
-            Lookup::NoResult => self.answer_stored(now, connection, rpc_id, None),
+            Lookup::NoResult => self.answer_at_once(now, recipient, Answer::Failed),
         }
         self.executor.counters.request_read(request.arrival.handler);
         Ok(true)
     }
 
-    /// No intent can be recorded now: the attempt is rejected with a Retry-After.
-    fn reject_without_intent(&mut self, now: Timestamp, connection: u64, rpc_id: u64) {
-        let retry_after = self.unavailable_retry_after();
-        let executor = &mut self.executor;
-        let report = executor.status.load_report();
-        executor.connections.answer(now, connection, |out| {
-            response::rejected(out, rpc_id, retry_after, false, report);
-        });
-        executor.counters.request_rejected();
-    }
-
-    /// Answers with the result of the earlier run; without one, the attempt fails.
-    fn answer_stored(
-        &mut self,
-        now: Timestamp,
-        connection: u64,
-        rpc_id: u64,
-        result: Option<&str>,
-    ) {
+    /// Answers an attempt that is not entered into the table of requests.
+    fn answer_at_once(&mut self, now: Timestamp, recipient: Recipient, answer: Answer) {
         let executor = &mut self.executor;
-        let report = executor.status.load_report();
-        executor
-            .connections
-            .answer(now, connection, |out| match result {
-                Some(result) => response::completed(out, rpc_id, result, report),
-                None => response::failed(out, rpc_id, report),
-            });
-        match result {
-            Some(_) => executor.counters.request_completed(false),
-            None => executor.counters.request_failed(),
-        }
+        let counters = &mut executor.counters;
+        executor.downstream.answer(now, recipient, answer, counters);
     }
 
     /// The writer's thread has reported how far records are durable.
--- a/crates/server/src/core/turns.rs
+++ b/crates/server/src/core/turns.rs
@@ -49,7 +49,8 @@
     /// Checks a connection at its limit on idling, and sets the next check.
     fn idle_deadline_reached(&mut self, now: Timestamp, connection: u64) {
         let executor = &mut self.executor;
-        if let Some(at) = executor.connections.idle_deadline_reached(now, connection) {
+        let connections = executor.downstream.connections_mut();
+        if let Some(at) = connections.idle_deadline_reached(now, connection) {
             let deadline = Deadline::ConnectionIdle(connection);
             executor.deadlines.insert(at, deadline);
         }
@@ -58,10 +59,8 @@
     /// Checks a new connection that should have carried a request, and sets the next check.
     fn first_request_deadline_reached(&mut self, now: Timestamp, connection: u64) {
         let executor = &mut self.executor;
-        let next_check = executor
-            .connections
-            .first_request_deadline_reached(now, connection);
-        if let Some(at) = next_check {
+        let connections = executor.downstream.connections_mut();
+        if let Some(at) = connections.first_request_deadline_reached(now, connection) {
             let deadline = Deadline::FirstRequest(connection);
             executor.deadlines.insert(at, deadline);
         }
@@ -75,7 +74,7 @@
         }
         executor.calls.close_idle(now);
         executor.idempotency.expire(now);
-        executor.connections.cut_stalled(now);
+        executor.downstream.connections_mut().cut_stalled(now);
         executor
             .deadlines
             .insert(now + MAINTENANCE_INTERVAL, Deadline::Maintenance);
--- a/crates/server/src/core/upstream_events.rs
+++ b/crates/server/src/core/upstream_events.rs
@@ -175,7 +175,7 @@
     fn engine_up(&mut self, now: Timestamp, start: EngineStart) {
         let age_ms = start.age().as_micros() / 1000;
         log::info!("engine: up, how={start}, age_ms={age_ms}");
-        if self.decider.is_none() && !self.executor.status.is_draining() {
+        if self.decider.is_none() && !self.executor.downstream.status().is_draining() {
             self.begin_deciding(now, start.is_new());
         }
         let link = self.executor.engine_commands.link_mut();
@@ -259,7 +259,7 @@
     }
 
     fn may_connect(&self, open: usize) -> bool {
-        let downstream = self.executor.connections.len();
+        let downstream = self.executor.downstream.connections().len();
         open < self.max_descriptors.saturating_sub(downstream)
     }
 
