--- a/crates/server/src/core/actions.rs
+++ b/crates/server/src/core/actions.rs
@@ -5,30 +5,12 @@
 
 use super::deadlines::Deadline;
 use super::executor::ActionExecutor;
-use crate::downstream::idempotency_table::{IdempotencyKey, JoinedAttempt, KeyWindow};
+use super::idempotent_runs::RunRelease;
+use crate::downstream::idempotency_table::{JoinedAttempt, KeyWindow};
 use crate::upstream::engine::EngineCommand;
 use madderbay::interface::Actions;
 use madderbay::time::Duration;
 use madderbay_concurrency::RequestStage;
-use madderbay_idempotency_store::IntentError;
-
-impl ActionExecutor {
-    /// Where results are durable, holds the run of a request back until its write-ahead record is on disk.
-    fn record_intent(&mut self, id: u64, key: IdempotencyKey) -> Result<(), IntentError> {
-        let (Some(durability), Some(request)) = (&mut self.durability, self.requests.get_mut(id))
-        else {
-            return Ok(());
-        };
-        let window = self.idempotency.window(key);
-        let window = window.unwrap_or(KeyWindow {
-            fingerprint: 0,
-            end: self.now,
-        });
-        durability.record_intent(id, key, window, request.name)?;
-        request.commands.hold_back();
-        Ok(())
-    }
-}
 
 /// Commands to the engine.
 impl ActionExecutor {
@@ -62,11 +44,13 @@
         request.started = true;
         self.counters.run_started();
         let body = std::mem::take(&mut request.body);
-        let (key, handler) = (request.key, request.handler);
-        if let Some(key) = key {
-            self.idempotency.run_started(key);
-            if self.record_intent(id, key).is_err() {
-                return self.deferred_events.run_not_sent(id);
+        let handler = request.handler;
+        if let Some(key) = request.key {
+            let runs = &mut self.idempotent_runs;
+            match runs.run_started(self.now, id, key, request.name) {
+                Ok(RunRelease::Now) => {}
+                Ok(RunRelease::OnceDurable) => request.commands.hold_back(),
+                Err(_) => return self.deferred_events.run_not_sent(id),
             }
         }
         self.set_stage(id, RequestStage::Running);
@@ -129,12 +113,13 @@
                 fingerprint: request.fingerprint,
                 end: self.now + lifetime,
             };
-            self.idempotency.insert(id, key, request.handler, window);
+            self.idempotent_runs
+                .insert_key(id, key, request.handler, window);
         }
     }
 
     fn remove_key(&mut self, id: u64) {
-        self.idempotency.remove_held_by(id);
+        self.idempotent_runs.remove_held_by(id);
     }
 
     fn join_attempt(&mut self, id: u64) {
@@ -143,7 +128,7 @@
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        match self.idempotency.join(id, request.key) {
+        match self.idempotent_runs.join(id, request.key) {
             JoinedAttempt::Waits => {}
             JoinedAttempt::Completed(result) => self.answer_joined(id, Some(&result)),
             JoinedAttempt::Failed => self.answer_joined(id, None),
--- a/crates/server/src/core/answers.rs
+++ b/crates/server/src/core/answers.rs
@@ -9,7 +9,7 @@
 use super::executor::ActionExecutor;
 use crate::downstream::idempotency_table::IdempotencyKey;
 use madderbay::interface::Outcome;
-use madderbay::time::{Duration, Timestamp};
+use madderbay::time::Duration;
 
 impl ActionExecutor {
     /// Gives a request its final answer, unless it has one.
@@ -57,7 +57,7 @@
 
     /// The one run of a key ended: answers the attempts that joined it.
     pub(super) fn answer_all_joined(&mut self, key: Option<IdempotencyKey>, result: Option<&str>) {
-        let joined = key.map_or(vec![], |key| self.idempotency.run_ended(key, result));
+        let joined = key.map_or(vec![], |key| self.idempotent_runs.run_ended(key, result));
         for id in joined {
             self.answer_joined(id, result);
         }
@@ -71,19 +71,20 @@
         outcome: Outcome,
         result: Option<&str>,
     ) -> bool {
-        let Some(key) = self.requests.get(id).and_then(|r| r.key) else {
+        let Some(request) = self.requests.get(id) else {
+            return false;
+        };
+        let Some(key) = request.key else {
             return false;
         };
+        let runs = &mut self.idempotent_runs;
         if outcome == Outcome::AlreadyEnded {
-            self.record_not_run(key);
+            runs.record_not_run(self.now, key);
             return false;
         }
-        let expiry = self.key_expiry(key);
-        let (Some(durability), Some(request)) = (&mut self.durability, self.requests.get(id))
-        else {
+        if !runs.record_result(self.now, id, key, result) {
             return false;
-        };
-        durability.record_result(id, key, result, expiry);
+        }
         self.deadlines
             .insert(request.answer_deadline, Deadline::DurableAnswer(id));
         self.counters.run_ended(request.handler, outcome);
@@ -97,9 +98,9 @@
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        let (key, answer_deadline) = (request.key, request.answer_deadline);
+        let key = request.key;
         self.deadlines
-            .remove(answer_deadline, Deadline::DurableAnswer(id));
+            .remove(request.answer_deadline, Deadline::DurableAnswer(id));
         self.answer_run(id, result);
         self.answer_all_joined(key, result);
         self.remove(id);
@@ -113,31 +114,18 @@
         };
         let key = request.key;
         self.counters.run_not_sent();
-        let joined = key.map_or(vec![], |key| self.idempotency.run_ended(key, None));
+        let joined = key.map_or(vec![], |key| self.idempotent_runs.run_ended(key, None));
         for id in std::iter::once(id).chain(joined) {
             self.answer_rejected(id, retry_after, false);
             self.remove(id);
             self.deferred_events.ended(id, Outcome::AlreadyEnded);
         }
         if let Some(key) = key {
-            self.record_not_run(key);
-            self.idempotency.remove_held_by(id);
+            self.idempotent_runs.record_not_run(self.now, key);
+            self.idempotent_runs.remove_held_by(id);
         }
     }
 
-    /// Records that the run of a key, recorded as intended, never took place.
-    fn record_not_run(&mut self, key: IdempotencyKey) {
-        let expiry = self.key_expiry(key);
-        if let Some(durability) = &mut self.durability {
-            durability.record_not_run(key, expiry);
-        }
-    }
-
-    /// When the window of a key ends.
-    fn key_expiry(&self, key: IdempotencyKey) -> Timestamp {
-        self.idempotency.window(key).map_or(self.now, |w| w.end)
-    }
-
     /// A request is answered or its client gone: a call for it is given up, and unless it runs it is over.
     pub(super) fn request_settled(&mut self, id: u64) {
         let Some(request) = self.requests.get_mut(id) else {
--- a/crates/server/src/core/event_loop.rs
+++ b/crates/server/src/core/event_loop.rs
@@ -101,7 +101,7 @@
 
     /// Makes results of requests with an idempotency key durable through `queue`.
     pub fn set_durability(&mut self, queue: DurabilityQueue) {
-        self.executor.durability = Some(queue);
+        self.executor.idempotent_runs.set_durability(queue);
     }
 }
 
@@ -185,9 +185,8 @@
         params: &JsonObject<'a>,
     ) -> Result<ValidatedRequest<'a>, InvalidRequest> {
         let executor = &mut self.executor;
-        executor
-            .validator
-            .validate(now, handler, params, &executor.idempotency)
+        let keys = executor.idempotent_runs.table();
+        executor.validator.validate(now, handler, params, keys)
     }
 
     /// All counters, one line each.
@@ -198,13 +197,11 @@
             requests_in_flight: executor.requests.len(),
             connections: executor.downstream.connections().len(),
             calls_in_flight: executor.calls.calls_in_flight(),
-            keys: executor.idempotency.len(),
+            keys: executor.idempotent_runs.table().len(),
         });
         lines += &executor.limits.counters();
         lines += &executor.backends.counters();
-        if let Some(durability) = &executor.durability {
-            lines += &durability.counters();
-        }
+        lines += &executor.idempotent_runs.counters();
         lines
     }
 }
--- a/crates/server/src/core/executor.rs
+++ b/crates/server/src/core/executor.rs
@@ -10,12 +10,11 @@
 use super::deadlines::Deadlines;
 use super::deferred_events::DeferredEvents;
 use super::downstream_answers::DownstreamAnswers;
-use super::durability::DurabilityQueue;
 use super::engine_commands::EngineCommands;
+use super::idempotent_runs::IdempotentRuns;
 use super::in_flight::InFlightRequests;
 use super::request_limits::RequestLimits;
 use super::request_observer::RequestObserver;
-use crate::downstream::idempotency_table::IdempotencyTable;
 use crate::downstream::request_validation::RequestValidator;
 use crate::support::metrics::Counters;
 use crate::upstream::calls::CallDispatcher;
@@ -33,8 +32,8 @@
     pub(super) downstream: DownstreamAnswers,
     /// Knows the handlers' names as the engine has them.
     pub(super) validator: RequestValidator,
-    /// The idempotency keys of this incarnation.
-    pub(super) idempotency: IdempotencyTable,
+    /// The runs of requests with an idempotency key.
+    pub(super) idempotent_runs: IdempotentRuns,
     /// The commands of runs, on their way to the engine.
     pub(super) engine_commands: EngineCommands,
     /// The upstream calls that are out.
@@ -43,8 +42,6 @@
     pub(super) limits: RequestLimits,
     /// The choice among backends.
     pub(super) backends: BackendRouting,
-    /// Results that outlast this incarnation, if the operator wants them.
-    pub(super) durability: Option<DurabilityQueue>,
     /// What the decision module is told after it has acted.
     pub(super) deferred_events: DeferredEvents,
     /// What is due and when, with the decision module's timer.
@@ -65,12 +62,11 @@
             requests: InFlightRequests::default(),
             downstream: DownstreamAnswers::default(),
             validator: RequestValidator::new(settings),
-            idempotency: IdempotencyTable::new(settings, max_cached_bytes),
+            idempotent_runs: IdempotentRuns::new(settings, max_cached_bytes),
             engine_commands: EngineCommands::default(),
             calls: CallDispatcher::default(),
             limits: RequestLimits::default(),
             backends: BackendRouting::new(settings),
-            durability: None,
             deferred_events: DeferredEvents::default(),
             deadlines: Deadlines::new(now),
             counters: Counters::new(&settings.handler_names),
--- a/crates/server/src/core/mod.rs
+++ b/crates/server/src/core/mod.rs
@@ -26,6 +26,7 @@
 pub mod event_loop;
 mod executor;
 pub mod handler_names;
+mod idempotent_runs;
 mod in_flight;
 pub mod quota_gate;
 mod request_limits;
--- a/crates/server/src/core/turns.rs
+++ b/crates/server/src/core/turns.rs
@@ -26,9 +26,7 @@
         self.tick_if_due(now);
         self.update_limits(now);
         self.decide_within_turn(now, |d, executor| d.settle(now, executor));
-        if let Some(durability) = &mut self.executor.durability {
-            durability.flush();
-        }
+        self.executor.idempotent_runs.flush();
     }
 
     /// Handles a deadline that has been reached.
@@ -69,11 +67,8 @@
     /// Removes what has expired and closes what is idle or stalled.
     fn maintain(&mut self, now: Timestamp) {
         let executor = &mut self.executor;
-        if let Some(durability) = &mut executor.durability {
-            durability.expire(now);
-        }
         executor.calls.close_idle(now);
-        executor.idempotency.expire(now);
+        executor.idempotent_runs.expire(now);
         executor.downstream.connections_mut().cut_stalled(now);
         executor
             .deadlines
--- a/crates/server/src/core/upstream_events.rs
+++ b/crates/server/src/core/upstream_events.rs
@@ -127,13 +127,9 @@
     /// A run ended that is not in flight. It may be one of a former incarnation, which proves its outcome.
     fn unknown_run_ended(&mut self, name: &AttemptName, outcome: Outcome, result: &str) {
         let executor = &mut self.executor;
-        let result = (outcome == Outcome::Completed).then_some(result.as_bytes());
-        let took_place = matches!(
-            outcome,
-            Outcome::Completed | Outcome::Failed | Outcome::Cancelled
-        );
-        let durability = executor.durability.as_mut().filter(|_| took_place);
-        if durability.is_some_and(|d| d.complete_recovered_run(name, result)) {
+        let result = (outcome == Outcome::Completed).then_some(result);
+        let runs = &mut executor.idempotent_runs;
+        if runs.complete_recovered_run(name, outcome, result) {
             self.work_pending.notify_one();
         } else {
             executor.counters.unmatched_end();
@@ -249,7 +245,7 @@
         self.executor.reject(id, Duration::ZERO, false);
         self.executor.answer_once_durable(id, outcome, None);
         self.remove_ended_run(now, id, outcome, Duration::ZERO, None);
-        self.executor.idempotency.remove_held_by(id);
+        self.executor.idempotent_runs.remove_held_by(id);
     }
 }
 
