--- a/crates/server/src/core/actions.rs
+++ b/crates/server/src/core/actions.rs
@@ -41,9 +41,8 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        request.started = true;
+        let body = request.start();
         self.counters.run_started();
-        let body = std::mem::take(&mut request.body);
         let handler = request.handler;
         if let Some(key) = request.key {
             let runs = &mut self.idempotent_runs;
@@ -97,7 +96,7 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        request.partial = true;
+        request.call_skipped();
         let serial = request.call.serial();
         self.counters.call_skipped();
         self.observe(id, |o, now| o.call_skipped(now, id));
--- a/crates/server/src/core/answers.rs
+++ b/crates/server/src/core/answers.rs
@@ -7,6 +7,7 @@
 use super::deadlines::Deadline;
 use super::downstream_answers::Answer;
 use super::executor::ActionExecutor;
+use super::in_flight::InFlightRequest;
 use crate::downstream::idempotency_table::IdempotencyKey;
 use madderbay::interface::Outcome;
 use madderbay::time::Duration;
@@ -14,10 +15,13 @@
 impl ActionExecutor {
     /// Gives a request its final answer, unless it has one.
     fn answer(&mut self, id: u64, answer: Answer) {
-        let Some(request) = self.requests.get_mut(id).filter(|r| !r.answered) else {
+        let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        request.answered = true;
+        let has_answer = request.settle();
+        if has_answer {
+            return;
+        }
         let recipient = request.recipient;
         let counters = &mut self.counters;
         self.downstream
@@ -27,7 +31,10 @@
 
     /// Answers a request with the result of a run, or with an error without one.
     pub(super) fn answer_run(&mut self, id: u64, result: Option<&str>) {
-        let is_partial = self.requests.get(id).is_some_and(|r| r.partial);
+        let is_partial = self
+            .requests
+            .get(id)
+            .is_some_and(InFlightRequest::is_partial);
         self.answer(id, Answer::of_run(result, is_partial));
     }
 
@@ -131,9 +138,9 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        request.answered = true;
+        request.settle();
         self.downstream.request_settled(request.recipient);
-        if request.started {
+        if request.is_started() {
             self.cancel_call(id);
             self.observe(id, |o, now| o.request_answered(now, id));
         } else {
--- a/crates/server/src/core/arrivals.rs
+++ b/crates/server/src/core/arrivals.rs
@@ -222,7 +222,7 @@
         };
         log::debug!(
             "request: client gone, request={id}, started={}",
-            request.started
+            request.is_started()
         );
         self.executor.counters.client_gone();
         self.decide(now, |d, executor| d.on_client_gone(now, id, executor));
--- a/crates/server/src/core/in_flight.rs
+++ b/crates/server/src/core/in_flight.rs
@@ -14,7 +14,12 @@
 use madderbay::time::{Duration, Timestamp};
 use std::collections::HashMap;
 
-/// The timeout of a client that gave none.
+/// How long a client that gave no timeout waits for its answer.
+///
+/// It binds only the answer that waits for its result to be durable, and so `answer_deadline`. The decision module does
+/// not know it: where requests carry no timeout, its deadline of a request is the handler's timeout after the request
+/// reached the machine. A handler with a shorter timeout than this so has a durable answer that may leave later than
+/// the module's deadline, one with a longer timeout an answer that is given up earlier.
 const DEFAULT_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// A request that was read.
@@ -30,13 +35,13 @@
     /// Hash of handler and body, the same for all attempts of a key.
     pub(super) fingerprint: u64,
     /// The body as it was read, until the run has it.
-    pub(super) body: Box<str>,
+    body: Box<str>,
     /// The decision module has started its run.
-    pub(super) started: bool,
+    is_started: bool,
     /// It was answered, or its client is gone.
-    pub(super) answered: bool,
+    is_settled: bool,
     /// Its run went on without an optional call.
-    pub(super) partial: bool,
+    is_partial: bool,
     /// When its answer leaves at the latest.
     pub(super) answer_deadline: Timestamp,
     /// The call that its run waits at.
@@ -64,14 +69,40 @@
             key: request.key,
             fingerprint: request.fingerprint,
             body: request.body.into(),
-            started: false,
-            answered: false,
-            partial: false,
+            is_started: false,
+            is_settled: false,
+            is_partial: false,
             answer_deadline: (now + timeout).saturating_sub(ANSWER_MARGIN),
             call: UpstreamCall::default(),
             commands: RunCommands::default(),
         }
     }
+
+    /// The decision module starts the run of the request. Gives the body, which the run has from now on.
+    pub(super) fn start(&mut self) -> Box<str> {
+        self.is_started = true;
+        std::mem::take(&mut self.body)
+    }
+
+    /// Whether the decision module has started its run.
+    pub(super) fn is_started(&self) -> bool {
+        self.is_started
+    }
+
+    /// The request is answered, or its client gone. Returns whether it was so already.
+    pub(super) fn settle(&mut self) -> bool {
+        std::mem::replace(&mut self.is_settled, true)
+    }
+
+    /// Its run goes on without an optional call.
+    pub(super) fn call_skipped(&mut self) {
+        self.is_partial = true;
+    }
+
+    /// Whether its run went on without an optional call.
+    pub(super) fn is_partial(&self) -> bool {
+        self.is_partial
+    }
 }
 
 /// The table of requests whose answer or run is open.
@@ -107,7 +138,7 @@
 
     /// The request with this id, unless it was answered or its client is gone.
     pub(super) fn unanswered(&self, id: u64) -> Option<&InFlightRequest> {
-        self.by_id.get(&id).filter(|request| !request.answered)
+        self.by_id.get(&id).filter(|request| !request.is_settled)
     }
 
     /// The id of the request by the name of its attempt.
@@ -122,12 +153,15 @@
 
     /// The number of requests that are owed an answer.
     pub(super) fn unanswered_count(&self) -> usize {
-        self.by_id.values().filter(|r| !r.answered).count()
+        self.by_id
+            .values()
+            .filter(|request| !request.is_settled)
+            .count()
     }
 
     /// Ids and names of the requests whose runs were started, in the order of their ids.
     pub(super) fn started(&self) -> Vec<(u64, AttemptName)> {
-        let started = self.by_id.iter().filter(|(_, request)| request.started);
+        let started = self.by_id.iter().filter(|(_, request)| request.is_started);
         let mut started: Vec<_> = started.map(|(id, request)| (*id, request.name)).collect();
         started.sort_unstable();
         started
