--- a/crates/server/src/core/arrivals.rs
+++ b/crates/server/src/core/arrivals.rs
@@ -161,7 +161,7 @@
             return Ok(());
         }
         self.enter_request(now, recipient, &request);
-        if self.decider.is_none() {
+        if !self.is_deciding() {
             // Nothing can run before the engine is up.
             self.executor.reject(arrival.id, Duration::ZERO, false);
         } else if self.is_over_limit(connection) && arrival.retry_of == 0 {
--- a/crates/server/src/core/event_loop.rs
+++ b/crates/server/src/core/event_loop.rs
@@ -34,21 +34,21 @@
 /// The core, sans I/O.
 pub struct EventLoop {
     /// Created when the engine is up; nothing is decided before.
-    pub(super) decider: Option<Decider>,
+    decider: Option<Decider>,
     /// The platform's settings.
-    pub(super) settings: Settings,
+    settings: Settings,
     /// Seeds the decision module and the concurrency limiter.
-    pub(super) seed: u64,
+    seed: u64,
     /// The index of the gauge that gives the engine's run queue.
-    pub(super) run_queue_gauge: Option<usize>,
+    run_queue_gauge: Option<usize>,
     /// The engine's gauges, as they were read last.
-    pub(super) gauges: Gauges,
+    gauges: Gauges,
     /// Descriptors that downstream connections and upstream calls may take together.
-    pub(super) max_descriptors: usize,
+    max_descriptors: usize,
     /// Carries out what the decision module decides.
     pub(super) executor: ActionExecutor,
     /// Notified when an event has to be settled by a turn.
-    pub(super) work_pending: Rc<Notify>,
+    work_pending: Rc<Notify>,
 }
 
 /// Set-up.
@@ -142,6 +142,11 @@
         self.executor.downstream.connections_mut()
     }
 
+    /// Asks for a turn.
+    pub(super) fn request_turn(&self) {
+        self.work_pending.notify_one();
+    }
+
     /// Notified when the core has work that a turn settles.
     pub fn work_pending(&self) -> Rc<Notify> {
         self.work_pending.clone()
@@ -169,6 +174,28 @@
         self.executor.downstream.connections().is_empty()
     }
 
+    /// Whether a request of this handler can be answered without its call.
+    pub(super) fn has_partial_answer(&self, handler: HandlerId) -> bool {
+        self.settings.handlers[handler.index()].has_partial_answer()
+    }
+
+    /// Descriptors that the downstream connections leave for upstream calls.
+    pub(super) fn descriptors_for_calls(&self) -> usize {
+        let downstream = self.executor.downstream.connections().len();
+        self.max_descriptors.saturating_sub(downstream)
+    }
+
+    /// The engine's gauges, as they were read last.
+    pub(super) fn gauges(&self) -> Gauges {
+        self.gauges
+    }
+
+    /// The engine's gauges were read, in the order of the settings.
+    pub(super) fn record_gauges(&mut self, values: &[f64]) {
+        let run_queue = self.run_queue_gauge.and_then(|index| values.get(index));
+        self.gauges.run_queue = run_queue.copied();
+    }
+
     /// The handler of a method.
     pub fn handler(&self, method: &str) -> Option<HandlerId> {
         self.executor.validator.handler(method)
@@ -208,6 +235,32 @@
 
 /// Decisions.
 impl EventLoop {
+    /// Whether there is a decision module: nothing runs before.
+    pub(super) fn is_deciding(&self) -> bool {
+        self.decider.is_some()
+    }
+
+    /// Creates the decision module. `engine_is_new`: the engine came up with this server, with cold caches.
+    ///
+    /// The module begins now and not when the engine did, which may be an hour ago: its timer would count as that
+    /// late, and a stop requested before the first tick would never come due. An engine that came up cold a while
+    /// ago so counts as colder than it is.
+    pub(super) fn begin_deciding(&mut self, now: Timestamp, engine_is_new: bool) {
+        self.settings.machine.starts_cold |= engine_is_new;
+        let mut decider = self.settings.decider(now, self.seed);
+        self.executor.now = now;
+        self.executor.deadlines.tick_timer().restart(now);
+        decider.on_start(&mut self.executor);
+        self.decider = Some(decider);
+    }
+
+    /// Hands the operator's limits to the decision module before it settles.
+    pub(super) fn update_limits(&mut self, now: Timestamp) {
+        if let Some(decider) = &mut self.decider {
+            self.executor.limits.update_decider(now, decider);
+        }
+    }
+
     /// Lets the decision module handle an event, and asks for a turn.
     pub(super) fn decide(
         &mut self,
@@ -215,7 +268,7 @@
         handle: impl FnOnce(&mut Decider, &mut ActionExecutor),
     ) {
         self.decide_within_turn(now, handle);
-        self.work_pending.notify_one();
+        self.request_turn();
     }
 
     /// Lets the decision module handle an event, then those that its actions gave rise to. Nothing happens before
--- a/crates/server/src/core/turns.rs
+++ b/crates/server/src/core/turns.rs
@@ -81,15 +81,8 @@
             return;
         };
         self.executor.counters.ticked(now - deadline);
-        let gauges = self.gauges;
+        let gauges = self.gauges();
         self.decide_within_turn(now, |d, executor| d.on_tick(now, &gauges, executor));
         self.executor.engine_commands.link_mut().on_tick();
     }
-
-    /// Hands the operator's limits to the decision module before it settles.
-    fn update_limits(&mut self, now: Timestamp) {
-        if let Some(decider) = &mut self.decider {
-            self.executor.limits.update_decider(now, decider);
-        }
-    }
 }
--- a/crates/server/src/core/upstream_events.rs
+++ b/crates/server/src/core/upstream_events.rs
@@ -117,7 +117,7 @@
         let Some(request) = self.executor.requests.get(id) else {
             return;
         };
-        if self.settings.handlers[request.handler.index()].has_partial_answer() {
+        if self.has_partial_answer(request.handler) {
             self.executor.skip_call(id);
         } else {
             self.fail_request(now, id);
@@ -130,25 +130,11 @@
         let result = (outcome == Outcome::Completed).then_some(result);
         let runs = &mut executor.idempotent_runs;
         if runs.complete_recovered_run(name, outcome, result) {
-            self.work_pending.notify_one();
+            self.request_turn();
         } else {
             executor.counters.unmatched_end();
         }
     }
-
-    /// Creates the decision module. `engine_is_new`: the engine came up with this server, with cold caches.
-    ///
-    /// The module begins now and not when the engine did, which may be an hour ago: its timer would count as that
-    /// late, and a stop requested before the first tick would never come due. An engine that came up cold a while
-    /// ago so counts as colder than it is.
-    fn begin_deciding(&mut self, now: Timestamp, engine_is_new: bool) {
-        self.settings.machine.starts_cold |= engine_is_new;
-        let mut decider = self.settings.decider(now, self.seed);
-        self.executor.now = now;
-        self.executor.deadlines.tick_timer().restart(now);
-        decider.on_start(&mut self.executor);
-        self.decider = Some(decider);
-    }
 }
 
 impl EngineObserver for EventLoop {
@@ -171,17 +157,17 @@
     fn engine_up(&mut self, now: Timestamp, start: EngineStart) {
         let age_ms = start.age().as_micros() / 1000;
         log::info!("engine: up, how={start}, age_ms={age_ms}");
-        if self.decider.is_none() && !self.executor.downstream.status().is_draining() {
+        if !self.is_deciding() && !self.executor.downstream.status().is_draining() {
             self.begin_deciding(now, start.is_new());
         }
         let link = self.executor.engine_commands.link_mut();
         link.query_gauges(true);
-        self.work_pending.notify_one();
+        self.request_turn();
     }
 
     /// The gauges. After a lost link they arrive behind all notices that were missed.
     fn gauges_read(&mut self, now: Timestamp, values: &[f64], notices_lost: bool) {
-        self.gauges.run_queue = self.run_queue_gauge.and_then(|at| values.get(at)).copied();
+        self.record_gauges(values);
         let link_restored = self.executor.engine_commands.link_mut().restored();
         if notices_lost {
             self.fail_started_runs(now);
@@ -255,8 +241,7 @@
     }
 
     fn may_connect(&self, open: usize) -> bool {
-        let downstream = self.executor.downstream.connections().len();
-        open < self.max_descriptors.saturating_sub(downstream)
+        open < self.descriptors_for_calls()
     }
 
     fn reply_unreadable(&mut self) {
