--- a/crates/server/src/core/actions.rs
+++ b/crates/server/src/core/actions.rs
@@ -99,7 +99,7 @@
         request.call_skipped();
         let serial = request.call.serial();
         self.counters.call_skipped();
-        self.observe(id, |o, now| o.call_skipped(now, id));
+        self.observe(id, |observer, now| observer.call_skipped(now, id));
         self.send_command(id, EngineCommand::SkipCall { serial });
     }
 
@@ -123,7 +123,7 @@
 
     fn join_attempt(&mut self, id: u64) {
         // It waits for the run of another attempt and needs none of its own.
-        self.observe(id, |o, now| o.request_finished(now, id));
+        self.observe(id, |observer, now| observer.request_finished(now, id));
         let Some(request) = self.requests.get(id) else {
             return;
         };
--- a/crates/server/src/core/answers.rs
+++ b/crates/server/src/core/answers.rs
@@ -96,7 +96,7 @@
             .insert(request.answer_deadline, Deadline::DurableAnswer(id));
         self.counters.run_ended(request.handler, outcome);
         self.cancel_call(id);
-        self.observe(id, |o, now| o.request_finished(now, id));
+        self.observe(id, |observer, now| observer.request_finished(now, id));
         true
     }
 
@@ -142,7 +142,7 @@
         self.downstream.request_settled(request.recipient);
         if request.is_started() {
             self.cancel_call(id);
-            self.observe(id, |o, now| o.request_answered(now, id));
+            self.observe(id, |observer, now| observer.request_answered(now, id));
         } else {
             self.remove(id);
         }
@@ -151,7 +151,7 @@
     /// Removes a request that is over, with the call that is out for it.
     pub(super) fn remove(&mut self, id: u64) {
         self.cancel_call(id);
-        self.observe(id, |o, now| o.request_finished(now, id));
+        self.observe(id, |observer, now| observer.request_finished(now, id));
         if let Some(request) = self.requests.remove(id) {
             self.calls.forget(&request.name);
         }
--- a/crates/server/src/core/arrivals.rs
+++ b/crates/server/src/core/arrivals.rs
@@ -170,7 +170,9 @@
             self.executor.reject(arrival.id, retry_after, false);
             return Ok(());
         }
-        self.decide(now, |d, executor| d.on_arrival(now, arrival, executor));
+        self.decide(now, |decider, executor| {
+            decider.on_arrival(now, arrival, executor);
+        });
         Ok(())
     }
 
@@ -225,7 +227,9 @@
             request.is_started()
         );
         self.executor.counters.client_gone();
-        self.decide(now, |d, executor| d.on_client_gone(now, id, executor));
+        self.decide(now, |decider, executor| {
+            decider.on_client_gone(now, id, executor);
+        });
         self.executor.request_settled(id);
     }
 
@@ -233,6 +237,8 @@
     pub(super) fn fail_request(&mut self, now: Timestamp, id: u64) {
         self.executor.now = now;
         self.executor.fail(id);
-        self.decide(now, |d, executor| d.on_client_gone(now, id, executor));
+        self.decide(now, |decider, executor| {
+            decider.on_client_gone(now, id, executor);
+        });
     }
 }
--- a/crates/server/src/core/deadlines.rs
+++ b/crates/server/src/core/deadlines.rs
@@ -3,6 +3,7 @@
 //! Owns: what is due and when. Is given: instants, and the time. Never reads a clock and never acts on a
 //! deadline: the event loop does.
 
+use crate::downstream::connections::IdleDeadline;
 use madderbay::time::{Duration, Timestamp};
 use std::collections::BTreeSet;
 
@@ -71,12 +72,12 @@
         [self.tick.deadline, first].into_iter().flatten().min()
     }
 
-    /// Sets the deadlines of idle connections anew, given as instants and numbers of connections.
-    pub(super) fn replace_idle(&mut self, idle: impl Iterator<Item = (Timestamp, u64)>) {
+    /// Sets the deadlines of idle connections anew.
+    pub(super) fn replace_idle(&mut self, idle_deadlines: impl Iterator<Item = IdleDeadline>) {
         self.scheduled
             .retain(|scheduled| !matches!(scheduled.deadline, Deadline::ConnectionIdle(_)));
-        for (at, connection) in idle {
-            self.insert(at, Deadline::ConnectionIdle(connection));
+        for idle in idle_deadlines {
+            self.insert(idle.at, Deadline::ConnectionIdle(idle.connection));
         }
     }
 
--- a/crates/server/src/core/downstream_answers.rs
+++ b/crates/server/src/core/downstream_answers.rs
@@ -63,6 +63,7 @@
         }
     }
 
+    /// Counts the answer as what it is.
     fn count(self, counters: &mut Counters) {
         match self {
             Answer::Completed { is_partial, .. } => counters.request_completed(is_partial),
--- a/crates/server/src/core/durability.rs
+++ b/crates/server/src/core/durability.rs
@@ -117,6 +117,7 @@
     Ok((DurabilityQueue::new(results, batch_sender), event_receiver))
 }
 
+/// The operator's limit on the store's segments.
 fn disk_limit_bytes(settings: &IdempotencyStoreConfig) -> u64 {
     (settings.disk_mb as u64) << 20
 }
@@ -176,7 +177,7 @@
         let sequence = self
             .results
             .record_intent(key, window.fingerprint, attempt_id, window.end);
-        self.push(sequence, PendingWork::Run { request });
+        self.wait_for(sequence, PendingWork::Run { request });
         Ok(())
     }
 
@@ -193,16 +194,17 @@
             .results
             .record_result(key, result.map(str::as_bytes), expires_at);
         let result = result.map(Into::into);
-        self.push(sequence, PendingWork::Response { request, result });
+        self.wait_for(sequence, PendingWork::Response { request, result });
     }
 
     /// Records that the run of an intent was never sent or never started; nothing waits for that.
     pub fn record_not_run(&mut self, key: u128, expires_at: Timestamp) {
         let sequence = self.results.record_not_run(key, expires_at);
-        self.push(sequence, PendingWork::Nothing);
+        self.wait_for(sequence, PendingWork::Nothing);
     }
 
-    fn push(&mut self, sequence: SequenceNumber, work: PendingWork) {
+    /// Keeps work until the record with this sequence number is on disk.
+    fn wait_for(&mut self, sequence: SequenceNumber, work: PendingWork) {
         self.waiting.push_back(Waiting { sequence, work });
     }
 
@@ -234,14 +236,18 @@
 
     /// The work that waits for records up to a sequence number, in order.
     fn take_work(&mut self, up_to: SequenceNumber) -> Vec<PendingWork> {
-        let count = self.waiting.partition_point(|w| w.sequence <= up_to);
-        self.waiting.drain(..count).map(|w| w.work).collect()
+        let count = self
+            .waiting
+            .partition_point(|waiting| waiting.sequence <= up_to);
+        let released = self.waiting.drain(..count);
+        released.map(|waiting| waiting.work).collect()
     }
 
     /// The counters, one line each.
     pub fn counters(&self) -> String {
         let mut lines = Lines::of("kept");
-        let (usage, counters) = (self.results.usage(), self.results.counters());
+        let usage = self.results.usage();
+        let counters = self.results.counters();
         for (name, value) in [
             ("known", usage.recovered_runs as u64),
             ("disk_bytes", usage.disk_bytes),
--- a/crates/server/src/core/event_loop.rs
+++ b/crates/server/src/core/event_loop.rs
@@ -313,7 +313,7 @@
     /// are to end, and the decision module ends its work within `remaining`.
     pub fn drain(&mut self, now: Timestamp, remaining: Duration) {
         self.executor.downstream.begin_draining();
-        self.decide(now, |d, _| d.drain(now, remaining));
+        self.decide(now, |decider, _| decider.drain(now, remaining));
     }
 
     /// Ends every connection once its open requests are answered.
--- a/crates/server/src/core/executor.rs
+++ b/crates/server/src/core/executor.rs
@@ -88,7 +88,8 @@
     /// Notifies the limits that a request is new or has reached another stage.
     pub(super) fn set_stage(&mut self, id: u64, stage: RequestStage) {
         if let Some(request) = self.requests.get(id) {
-            let (now, handler) = (self.now, request.handler);
+            let now = self.now;
+            let handler = request.handler;
             self.limits
                 .observe(|observer| observer.set_stage(now, id, handler, stage));
         }
--- a/crates/server/src/core/in_flight.rs
+++ b/crates/server/src/core/in_flight.rs
@@ -105,6 +105,15 @@
     }
 }
 
+/// A run that was started.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct StartedRun {
+    /// The id of its request.
+    pub(super) request: u64,
+    /// The name of the attempt, by which the engine knows the run.
+    pub(super) attempt: AttemptName,
+}
+
 /// The table of requests whose answer or run is open.
 #[derive(Default)]
 pub(super) struct InFlightRequests {
@@ -159,12 +168,17 @@
             .count()
     }
 
-    /// Ids and names of the requests whose runs were started, in the order of their ids.
-    pub(super) fn started(&self) -> Vec<(u64, AttemptName)> {
+    /// The runs that were started, in the order of the requests' ids.
+    pub(super) fn started(&self) -> Vec<StartedRun> {
         let started = self.by_id.iter().filter(|(_, request)| request.is_started);
-        let mut started: Vec<_> = started.map(|(id, request)| (*id, request.name)).collect();
-        started.sort_unstable();
-        started
+        let mut runs: Vec<StartedRun> = started
+            .map(|(id, request)| StartedRun {
+                request: *id,
+                attempt: request.name,
+            })
+            .collect();
+        runs.sort_unstable_by_key(|run| run.request);
+        runs
     }
 
     /// All requests, in no order.
--- a/crates/server/src/core/request_limits.rs
+++ b/crates/server/src/core/request_limits.rs
@@ -71,7 +71,8 @@
     /// Hands quotas, tenants' rates and ceilings to the decision module, those that may have changed.
     pub(super) fn update_decider(&mut self, now: Timestamp, decider: &mut Decider) {
         let quota_changed = self.update_quotas(now, decider);
-        let limiter_stale = self.concurrency.as_ref().is_some_and(|l| l.is_stale(now));
+        let limiter = self.concurrency.as_ref();
+        let limiter_stale = limiter.is_some_and(|limiter| limiter.is_stale(now));
         if quota_changed || limiter_stale {
             self.update_ceilings(now, decider);
         }
--- a/crates/server/src/core/turns.rs
+++ b/crates/server/src/core/turns.rs
@@ -25,7 +25,7 @@
         }
         self.tick_if_due(now);
         self.update_limits(now);
-        self.decide_within_turn(now, |d, executor| d.settle(now, executor));
+        self.decide_within_turn(now, |decider, executor| decider.settle(now, executor));
         self.executor.idempotent_runs.flush();
     }
 
@@ -82,7 +82,9 @@
         };
         self.executor.counters.ticked(now - deadline);
         let gauges = self.gauges();
-        self.decide_within_turn(now, |d, executor| d.on_tick(now, &gauges, executor));
+        self.decide_within_turn(now, |decider, executor| {
+            decider.on_tick(now, &gauges, executor);
+        });
         self.executor.engine_commands.link_mut().on_tick();
     }
 }
--- a/crates/server/src/core/upstream_events.rs
+++ b/crates/server/src/core/upstream_events.rs
@@ -37,11 +37,13 @@
         let Some(request) = executor.requests.get(id) else {
             return;
         };
-        let (key, handler) = (request.key, request.handler);
-        executor.counters.run_ended(handler, outcome);
+        let key = request.key;
+        executor.counters.run_ended(request.handler, outcome);
         executor.answer_all_joined(key, result);
         executor.remove(id);
-        self.decide(now, |d, _| d.on_run_ended(now, id, outcome, run_time));
+        self.decide(now, |decider, _| {
+            decider.on_run_ended(now, id, outcome, run_time);
+        });
     }
 
     /// A call is over with all its attempts.
@@ -49,7 +51,7 @@
         let executor = &mut self.executor;
         executor.counters.call_ended(outcome);
         let request = executor.requests.get_mut(id);
-        if let Some(deadline) = request.and_then(|r| r.call.take_deadline()) {
+        if let Some(deadline) = request.and_then(|request| request.call.take_deadline()) {
             executor
                 .deadlines
                 .remove(deadline, Deadline::CallTimeout(id));
@@ -63,8 +65,8 @@
             }
             observer.call_finished(now, id, concurrency_limits::completion(outcome));
         });
-        self.decide(now, |d, executor| {
-            d.on_call_finished(now, id, outcome, elapsed, executor);
+        self.decide(now, |decider, executor| {
+            decider.on_call_finished(now, id, outcome, elapsed, executor);
         });
     }
 
@@ -94,9 +96,9 @@
     fn fail_started_runs(&mut self, now: Timestamp) {
         let started = self.executor.requests.started();
         log::warn!("engine: notices lost, runs_failed={}", started.len());
-        for (id, name) in started {
-            self.executor.cancel(id);
-            self.run_ended(now, &name, Outcome::Failed, Duration::ZERO, "");
+        for run in started {
+            self.executor.cancel(run.request);
+            self.run_ended(now, &run.attempt, Outcome::Failed, Duration::ZERO, "");
         }
     }
 
@@ -194,7 +196,9 @@
         }
         executor.now = now;
         executor.set_stage(id, RequestStage::AwaitingCall);
-        self.decide(now, |d, executor| d.on_call_needed(now, id, executor));
+        self.decide(now, |decider, executor| {
+            decider.on_call_needed(now, id, executor);
+        });
     }
 
     /// A run is over. A request that still waits for it is answered with its outcome.
@@ -212,7 +216,9 @@
         self.executor.now = now;
         let result = (outcome == Outcome::Completed).then_some(result);
         if self.executor.answer_once_durable(id, outcome, result) {
-            return self.decide(now, |d, _| d.on_run_ended(now, id, outcome, run_time));
+            return self.decide(now, |decider, _| {
+                decider.on_run_ended(now, id, outcome, run_time);
+            });
         }
         self.executor.answer_run(id, result);
         self.remove_ended_run(now, id, outcome, run_time, result);
--- a/crates/server/src/downstream/connection.rs
+++ b/crates/server/src/downstream/connection.rs
@@ -61,6 +61,7 @@
 }
 
 impl Connection {
+    /// A connection within the limit that nothing has happened on.
     fn new(now: Timestamp, outbox: Outbox) -> Connection {
         Connection {
             outbox,
@@ -78,32 +79,36 @@
         }
     }
 
-    /// An accepted connection, with the deadline of its first request. While draining, it is notified at once
-    /// that it is to end.
-    pub(super) fn accepted(
-        now: Timestamp,
-        outbox: Outbox,
-        draining: bool,
-    ) -> (Connection, Timestamp) {
+    /// A connection that was accepted now. While draining, it is notified at once that it is to end.
+    pub(super) fn accepted(now: Timestamp, outbox: Outbox, draining: bool) -> Connection {
         if draining {
             outbox.put(response::connection_ending);
         }
         let mut connection = Connection::new(now, outbox);
         connection.notified_of_end = draining;
-        (connection, now + FIRST_REQUEST_TIMEOUT)
+        connection
     }
 
-    /// A connection that was accepted beyond the limit, with the deadline of its first request: it lives as long
-    /// as a new one is protected.
+    /// A connection that was accepted now, beyond the limit.
     pub(super) fn accepted_over_limit(
         now: Timestamp,
         outbox: Outbox,
         draining: bool,
-    ) -> (Connection, Timestamp) {
+    ) -> Connection {
         let mut connection = Connection::new(now, outbox);
         connection.notified_of_end = draining;
         connection.over_limit = true;
-        (connection, now + NEW_CONNECTION_PROTECTION)
+        connection
+    }
+
+    /// When a connection that is accepted now must have carried its first request; one beyond the limit lives as long as
+    /// a new one is protected.
+    pub(super) fn first_request_deadline(&self, now: Timestamp) -> Timestamp {
+        if self.over_limit {
+            now + NEW_CONNECTION_PROTECTION
+        } else {
+            now + FIRST_REQUEST_TIMEOUT
+        }
     }
 
     /// Where its answers leave by.
--- a/crates/server/src/downstream/connections.rs
+++ b/crates/server/src/downstream/connections.rs
@@ -33,6 +33,15 @@
     pub first_request_deadline: Timestamp,
 }
 
+/// When a connection reaches the limit on idling, if it is not used before.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct IdleDeadline {
+    /// The number of the connection.
+    pub connection: u64,
+    /// The instant.
+    pub at: Timestamp,
+}
+
 /// What a read changed in the lines of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LineProgress {
@@ -54,21 +63,19 @@
 impl Connections {
     /// Enters an accepted connection. While draining, it is notified at once that it is to end.
     pub fn open(&mut self, now: Timestamp, outbox: Outbox) -> OpenedConnection {
-        let (connection, deadline) = Connection::accepted(now, outbox, self.draining);
-        self.insert(connection, deadline)
+        let connection = Connection::accepted(now, outbox, self.draining);
+        self.insert(now, connection)
     }
 
     /// Enters a connection that exceeds the limit on connections. Its requests are rejected, then it ends.
     pub fn open_over_limit(&mut self, now: Timestamp, outbox: Outbox) -> OpenedConnection {
-        let (connection, deadline) = Connection::accepted_over_limit(now, outbox, self.draining);
-        self.insert(connection, deadline)
+        let connection = Connection::accepted_over_limit(now, outbox, self.draining);
+        self.insert(now, connection)
     }
 
-    fn insert(
-        &mut self,
-        connection: Connection,
-        first_request_deadline: Timestamp,
-    ) -> OpenedConnection {
+    /// Numbers a connection that was accepted now and enters it.
+    fn insert(&mut self, now: Timestamp, connection: Connection) -> OpenedConnection {
+        let first_request_deadline = connection.first_request_deadline(now);
         self.last_id += 1;
         self.table.insert(self.last_id, connection);
         OpenedConnection {
@@ -94,7 +101,10 @@
 
     /// The number of open connections that were accepted beyond the limit.
     pub fn over_limit_count(&self) -> usize {
-        self.table.values().filter(|c| c.is_over_limit()).count()
+        self.table
+            .values()
+            .filter(|connection| connection.is_over_limit())
+            .count()
     }
 
     /// The outbox of a connection, while that is open.
@@ -107,12 +117,13 @@
         self.idle_limit
     }
 
-    /// Sets the limit on idling. Gives the instant at which each connection reaches it, with its number.
-    pub fn set_idle_limit(&mut self, limit: Duration) -> impl Iterator<Item = (Timestamp, u64)> {
+    /// Sets the limit on idling. Gives the instant at which each connection reaches it.
+    pub fn set_idle_limit(&mut self, limit: Duration) -> impl Iterator<Item = IdleDeadline> {
         self.idle_limit = Some(limit);
-        self.table
-            .iter()
-            .map(move |(id, connection)| (connection.idle_deadline(limit), *id))
+        self.table.iter().map(move |(id, connection)| IdleDeadline {
+            connection: *id,
+            at: connection.idle_deadline(limit),
+        })
     }
 
     /// Evicts a connection without open requests in favour of a new one; false if there is none. None is evicted
@@ -143,7 +154,8 @@
 
     /// Removes a connection that is gone; gives the ids of its open requests in the order of their arrival.
     pub fn remove(&mut self, id: u64) -> Option<Vec<u64>> {
-        self.table.remove(&id).map(|c| c.requests_in_order())
+        let removed = self.table.remove(&id)?;
+        Some(removed.requests_in_order())
     }
 
     /// The ids of the requests open on a connection, in the order of their arrival.
@@ -157,7 +169,10 @@
     /// # Errors
     /// The id is in use, or the connection has [`MAX_OPEN_REQUESTS`] open.
     pub fn check_open(&self, id: u64, rpc_id: u64) -> Result<(), OpenRequestError> {
-        self.table.get(&id).map_or(Ok(()), |c| c.check_open(rpc_id))
+        match self.table.get(&id) {
+            Some(connection) => connection.check_open(rpc_id),
+            None => Ok(()),
+        }
     }
 
     /// A request was read on a connection; false if that is gone. A connection that was closing goes on until
@@ -210,7 +225,9 @@
 
     /// Cuts the connections whose peers have not read for too long.
     pub fn cut_stalled(&mut self, now: Timestamp) {
-        self.table.values_mut().for_each(|c| c.cut_if_stalled(now));
+        for connection in self.table.values_mut() {
+            connection.cut_if_stalled(now);
+        }
     }
 
     /// Whether no request is open and nothing waits to be written on any connection.
--- a/crates/server/src/downstream/idempotency_table.rs
+++ b/crates/server/src/downstream/idempotency_table.rs
@@ -70,13 +70,20 @@
     pub end: Timestamp,
 }
 
+/// When the entry of a key expires, ordered by the instant first.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct KeyExpiry {
+    at: Timestamp,
+    key: IdempotencyKey,
+}
+
 /// The keys of this incarnation.
 pub struct IdempotencyTable {
     /// The timeout of each handler: an attempt read later than that is not started any more.
     read_delay_allowances: Vec<Duration>,
     entries: HashMap<IdempotencyKey, Entry>,
     keys_by_holder: HashMap<u64, IdempotencyKey>,
-    expiries: BTreeSet<(Timestamp, IdempotencyKey)>,
+    expiries: BTreeSet<KeyExpiry>,
     cached_bytes: usize,
     max_cached_bytes: usize,
 }
@@ -85,7 +92,11 @@
     /// An empty table that caches results of up to `max_cached_bytes` in all.
     pub fn new(settings: &Settings, max_cached_bytes: usize) -> IdempotencyTable {
         IdempotencyTable {
-            read_delay_allowances: settings.handlers.iter().map(|h| h.timeout).collect(),
+            read_delay_allowances: settings
+                .handlers
+                .iter()
+                .map(|handler| handler.timeout)
+                .collect(),
             entries: HashMap::new(),
             keys_by_holder: HashMap::new(),
             expiries: BTreeSet::new(),
@@ -128,7 +139,7 @@
     ) -> Result<Option<u64>, FingerprintMismatch> {
         match self.entries.get(&key) {
             Some(entry) if entry.fingerprint != fingerprint => Err(FingerprintMismatch),
-            entry => Ok(entry.map(|e| e.holder)),
+            entry => Ok(entry.map(|entry| entry.holder)),
         }
     }
 
@@ -142,12 +153,18 @@
             run: RunState::NotStarted,
             joined: vec![],
         });
-        self.expiries.remove(&(entry.expiry(), key));
+        self.expiries.remove(&KeyExpiry {
+            at: entry.expiry(),
+            key,
+        });
         self.keys_by_holder.remove(&entry.holder);
         entry.holder = id;
         entry.window_end = window.end;
         self.keys_by_holder.insert(id, key);
-        self.expiries.insert((entry.expiry(), key));
+        self.expiries.insert(KeyExpiry {
+            at: entry.expiry(),
+            key,
+        });
     }
 
     /// Removes the key whose newest attempt has this id.
@@ -155,8 +172,8 @@
         let Some(key) = self.keys_by_holder.get(&id).copied() else {
             return;
         };
-        if let Some(expiry) = self.remove(key) {
-            self.expiries.remove(&(expiry, key));
+        if let Some(at) = self.remove(key) {
+            self.expiries.remove(&KeyExpiry { at, key });
         }
     }
 
@@ -183,16 +200,21 @@
         let Some(entry) = self.entries.get_mut(&key) else {
             return vec![];
         };
-        let cached = result.filter(|r| self.cached_bytes + r.len() <= self.max_cached_bytes);
-        self.cached_bytes += cached.map_or(0, str::len);
-        entry.run = cached.map_or(RunState::Failed, |r| RunState::Completed(r.into()));
+        let has_room = |result: &&str| self.cached_bytes + result.len() <= self.max_cached_bytes;
+        entry.run = match result.filter(has_room) {
+            Some(result) => {
+                self.cached_bytes += result.len();
+                RunState::Completed(result.into())
+            }
+            None => RunState::Failed,
+        };
         std::mem::take(&mut entry.joined)
     }
 
     /// Joins an attempt to the run of its key: gives the result if that has ended. An attempt without a key, or
     /// of an unknown one, fails.
     pub fn join(&mut self, id: u64, key: Option<IdempotencyKey>) -> JoinedAttempt {
-        let Some(entry) = key.and_then(|k| self.entries.get_mut(&k)) else {
+        let Some(entry) = key.and_then(|key| self.entries.get_mut(&key)) else {
             return JoinedAttempt::Failed;
         };
         match &entry.run {
@@ -205,16 +227,26 @@
         }
     }
 
+    /// The first entry that has expired.
+    fn first_expired(&self, now: Timestamp) -> Option<KeyExpiry> {
+        let first = self.expiries.first().copied()?;
+        (first.at <= now).then_some(first)
+    }
+
     /// Removes the entries that have expired. One whose run goes on is renewed.
     pub fn expire(&mut self, now: Timestamp) {
-        while let Some(&(expiry, key)) = self.expiries.first().filter(|e| e.0 <= now) {
-            self.expiries.remove(&(expiry, key));
+        while let Some(expiry) = self.first_expired(now) {
+            self.expiries.remove(&expiry);
+            let key = expiry.key;
             let Some(entry) = self.entries.get_mut(&key) else {
                 continue;
             };
             if matches!(entry.run, RunState::Running) {
                 entry.window_end = now;
-                self.expiries.insert((entry.expiry(), key));
+                self.expiries.insert(KeyExpiry {
+                    at: entry.expiry(),
+                    key,
+                });
             } else {
                 self.remove(key);
             }
--- a/crates/server/src/downstream/request_validation.rs
+++ b/crates/server/src/downstream/request_validation.rs
@@ -120,6 +120,7 @@
         self.optional(member, parse, error)?.ok_or(error)
     }
 
+    /// The name of the attempt.
     fn attempt_name(&self) -> Result<AttemptName, InvalidRequest> {
         let error = InvalidRequest::AttemptName;
         self.required(param::ATTEMPT_NAME, attempt_name, error)
@@ -147,17 +148,20 @@
         Ok(millis.map(|ms| Duration::from_secs_f64(ms / 1e3)))
     }
 
+    /// The memory that the run takes, in KB.
     fn memory_kb(&self) -> Result<f64, InvalidRequest> {
         let in_range = |raw| number(raw).filter(|kb| *kb > 0.0 && *kb < MEMORY_LIMIT_KB);
         self.required(param::MEMORY_KB, in_range, InvalidRequest::Memory)
     }
 
+    /// The rank within the handler.
     fn rank(&self) -> Result<f64, InvalidRequest> {
         let in_range = |raw| number(raw).filter(|r| (0.0..1.0).contains(r));
         let rank = self.optional(param::RANK, in_range, InvalidRequest::Rank)?;
         Ok(rank.unwrap_or(0.0))
     }
 
+    /// Whether the attempt says that it is a retry.
     fn is_retry(&self) -> bool {
         self.params
             .raw(param::IS_RETRY)
@@ -193,10 +197,12 @@
         .collect()
 }
 
+/// A raw value that is the name of an attempt.
 fn attempt_name(raw: &str) -> Option<AttemptName> {
     attempt_name::parse(&text(raw)?)
 }
 
+/// A raw value that is an idempotency key.
 fn idempotency_key(raw: &str) -> Option<IdempotencyKey> {
     let digits = text(raw)?;
     let is_key =
@@ -207,6 +213,7 @@
     IdempotencyKey::from_str_radix(&digits, 16).ok()
 }
 
+/// A raw value that is the key of an upstream call: 16 hex digits, as a name has.
 fn subject(raw: &str) -> Option<u64> {
     u64::from_str_radix(attempt_name::as_text(&attempt_name(raw)?), 16).ok()
 }
--- a/crates/server/src/downstream/response.rs
+++ b/crates/server/src/downstream/response.rs
@@ -13,6 +13,7 @@
     ($out:expr, $($arg:tt)*) => { let _ = write!($out, $($arg)*); };
 }
 
+/// The load report, if there is one, after a comma if others stand before it.
 fn load_report(out: &mut Vec<u8>, value: Option<f64>, comma: &str) {
     if let Some(value) = value {
         put!(out, "{comma}\"{}\":{value}", answer::LOAD_REPORT);
--- a/crates/server/src/support/metrics.rs
+++ b/crates/server/src/support/metrics.rs
@@ -73,6 +73,7 @@
         self.longest = self.longest.max(delay);
     }
 
+    /// The longest delay, in whole milliseconds.
     fn longest_millis(&self) -> u64 {
         self.longest.as_micros() / 1000
     }
@@ -163,6 +164,7 @@
     value: fn(&Counters, &LoadGauges) -> u64,
 }
 
+/// A line with this name, whose value `value` finds.
 const fn metric(name: &'static str, value: fn(&Counters, &LoadGauges) -> u64) -> Metric {
     Metric { name, value }
 }
--- a/crates/server/src/upstream/calls/reply_reader.rs
+++ b/crates/server/src/upstream/calls/reply_reader.rs
@@ -7,6 +7,8 @@
 use crate::support::attempt_name::AttemptName;
 use madderbay::interface::Outcome;
 
+/// Length of a name, in bytes.
+const NAME_BYTES: usize = 16;
 /// Longer than the first line of any legal reply, in bytes.
 const MAX_LINE_BYTES: usize = 64;
 /// Longer than any legal body, in bytes.
@@ -136,7 +138,7 @@
 
 /// Whether bytes without an end of line may be the beginning of a reply's line.
 fn may_become_line(bytes: &[u8]) -> bool {
-    let begins_with_name = bytes.iter().take(16).all(u8::is_ascii_hexdigit);
-    let space_after_name = bytes.get(16).is_none_or(|b| *b == b' ');
+    let begins_with_name = bytes.iter().take(NAME_BYTES).all(u8::is_ascii_hexdigit);
+    let space_after_name = bytes.get(NAME_BYTES).is_none_or(|byte| *byte == b' ');
     begins_with_name && space_after_name && bytes.len() < MAX_LINE_BYTES
 }
--- a/crates/server/src/upstream/engine/link.rs
+++ b/crates/server/src/upstream/engine/link.rs
@@ -32,9 +32,10 @@
 impl EngineLink {
     /// Begins a fresh connection: the engine is notified of the last notice that was read.
     pub fn attach(&mut self, outbox: Outbox, serial: u64) {
-        outbox.put(|b| {
+        outbox.put(|bytes| {
+            // Writing to a vector can't fail.
             let _ = writeln!(
-                b,
+                bytes,
                 "{{\"{}\":\"{}\",\"{}\":{serial}}}",
                 member::KIND,
                 command::ATTACH,
@@ -78,7 +79,7 @@
     /// Sends a line while the link is up, else nothing.
     pub fn send(&self, line: &[u8]) {
         if self.is_up {
-            self.outbox.put(|b| b.extend_from_slice(line));
+            self.outbox.put(|bytes| bytes.extend_from_slice(line));
         }
     }
 
@@ -102,9 +103,9 @@
         if self.last_answer == self.last_query || even_if_open {
             self.last_query += 1;
             let query = self.last_query;
-            self.outbox.put(|b| {
+            self.outbox.put(|bytes| {
                 let _ = writeln!(
-                    b,
+                    bytes,
                     "{{\"{}\":\"{}\",\"{}\":\"{query}\"}}",
                     member::KIND,
                     command::QUERY_GAUGES,
--- a/crates/server/src/upstream/engine/notice.rs
+++ b/crates/server/src/upstream/engine/notice.rs
@@ -89,6 +89,7 @@
         Ok(Notice { members })
     }
 
+    /// The text of a member that must be there.
     fn text(&self, member: &'static str) -> Result<Cow<'a, str>, NoticeError> {
         self.members.text(member).ok_or(NoticeError::Member(member))
     }
