--- a/crates/server/src/core/durability.rs
+++ b/crates/server/src/core/durability.rs
@@ -248,7 +248,7 @@
         let mut lines = Lines::of("kept");
         let usage = self.results.usage();
         let counters = self.results.counters();
-        for (name, value) in [
+        lines.add_all([
             ("known", usage.recovered_runs as u64),
             ("disk_bytes", usage.disk_bytes),
             ("waiting", self.waiting.len() as u64),
@@ -258,9 +258,7 @@
             ("answered", counters.results_returned),
             ("errored", counters.results_unavailable),
             ("failures", counters.commit_failures),
-        ] {
-            lines.add(name, value);
-        }
+        ]);
         lines.text
     }
 }
