--- a/crates/server/src/core/deadlines.rs
+++ b/crates/server/src/core/deadlines.rs
@@ -133,3 +133,6 @@
             .is_some_and(|deadline| now - deadline > tolerance)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/server/src/core/deferred_events.rs
+++ b/crates/server/src/core/deferred_events.rs
@@ -12,45 +12,46 @@
     /// A request was answered and removed without a run of its own.
     Ended { request: u64, outcome: Outcome },
     /// The upstream call of a request was not made: a quota or the retry budget is used up.
-    CallNotMade(u64),
+    CallNotMade { request: u64 },
     /// The run of a request was not sent: no write-ahead record can be made of it.
-    RunNotSent(u64),
+    RunNotSent { request: u64 },
 }
 
 /// The events that wait; of each kind in the order in which they arose.
 #[derive(Debug, Default)]
 pub(super) struct DeferredEvents {
-    ended: VecDeque<(u64, Outcome)>,
-    calls_not_made: VecDeque<u64>,
-    runs_not_sent: VecDeque<u64>,
+    ended: VecDeque<DeferredEvent>,
+    calls_not_made: VecDeque<DeferredEvent>,
+    runs_not_sent: VecDeque<DeferredEvent>,
 }
 
 impl DeferredEvents {
     /// A request was answered and removed without a run of its own.
     pub(super) fn ended(&mut self, request: u64, outcome: Outcome) {
-        self.ended.push_back((request, outcome));
+        self.ended
+            .push_back(DeferredEvent::Ended { request, outcome });
     }
 
     /// The upstream call of a request was not made.
     pub(super) fn call_not_made(&mut self, request: u64) {
-        self.calls_not_made.push_back(request);
+        self.calls_not_made
+            .push_back(DeferredEvent::CallNotMade { request });
     }
 
     /// The run of a request was not sent.
     pub(super) fn run_not_sent(&mut self, request: u64) {
-        self.runs_not_sent.push_back(request);
+        self.runs_not_sent
+            .push_back(DeferredEvent::RunNotSent { request });
     }
 
     /// The next event: ended requests first, then calls, then runs.
     pub(super) fn pop(&mut self) -> Option<DeferredEvent> {
-        if let Some((request, outcome)) = self.ended.pop_front() {
-            return Some(DeferredEvent::Ended { request, outcome });
-        }
-        if let Some(request) = self.calls_not_made.pop_front() {
-            return Some(DeferredEvent::CallNotMade(request));
-        }
-        self.runs_not_sent
-            .pop_front()
-            .map(DeferredEvent::RunNotSent)
+        let ended = self.ended.pop_front();
+        ended
+            .or_else(|| self.calls_not_made.pop_front())
+            .or_else(|| self.runs_not_sent.pop_front())
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/server/src/core/event_loop.rs
+++ b/crates/server/src/core/event_loop.rs
@@ -290,11 +290,11 @@
                 DeferredEvent::Ended { request, outcome } => {
                     decider.on_run_ended(now, request, outcome, Duration::ZERO);
                 }
-                DeferredEvent::CallNotMade(request) => {
+                DeferredEvent::CallNotMade { request } => {
                     let outcome = Outcome::Unreachable;
                     decider.on_call_finished(now, request, outcome, Duration::ZERO, executor);
                 }
-                DeferredEvent::RunNotSent(request) => {
+                DeferredEvent::RunNotSent { request } => {
                     executor.reject_run_not_sent(request, retry_after);
                 }
             }
--- a/crates/server/src/core/executor.rs
+++ b/crates/server/src/core/executor.rs
@@ -1,10 +1,11 @@
 //! The executor of the decision module's actions.
 //!
-//! Owns: the table of requests in flight and all that their runs, calls and answers go through. Is given: the
-//! actions of the decision module, and what the event loop reports. Decides nothing; knows no socket and no
-//! clock. [`actions`](super::actions) has an action each, [`answers`](super::answers) the ways to an answer,
-//! [`engine_commands`](super::engine_commands) those to the engine, [`dispatch`](super::dispatch) those to
-//! backends and catalogue.
+//! Owns: the table of requests in flight, and a context for each that their runs, calls and answers go through. A
+//! context has its state to itself and is changed by its methods alone. Is given: the actions of the decision module,
+//! and what the event loop reports. Decides nothing; knows no socket and no clock.
+//!
+//! The steps are in files of their own: [`actions`](super::actions) has the actions, [`answers`](super::answers) the
+//! ways to an answer, [`dispatch`](super::dispatch) those to backends and catalogue.
 
 use super::backend_selector::BackendRouting;
 use super::deadlines::Deadlines;
--- a/crates/server/src/core/run_commands.rs
+++ b/crates/server/src/core/run_commands.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ResendOutcome {
     /// There are none, or they were sent again.
-    Settled,
+    Resent,
     /// They end with the reply to a call, which can't be sent again: the run may have read it or still wait for
     /// it. A reply does not say which call it is for, so a second copy could meet the run's next call.
     ReplyInDoubt,
@@ -19,7 +19,7 @@
 #[derive(Default)]
 pub(super) struct RunCommands {
     /// Commands that are held back; set while the run waits for its write-ahead record.
-    queued: Option<Vec<Vec<u8>>>,
+    held_back: Option<Vec<Vec<u8>>>,
     /// Commands that the engine may not have read.
     unproven: Vec<u8>,
     /// The number of the gauges that prove, when they arrive, that the engine has read the commands.
@@ -31,20 +31,20 @@
 impl RunCommands {
     /// Holds the commands of this run back until they are released.
     pub(super) fn hold_back(&mut self) {
-        self.queued = Some(vec![]);
+        self.held_back = Some(vec![]);
     }
 
     /// Sends a command, or holds it back.
     pub(super) fn submit(&mut self, line: Vec<u8>, link: &EngineLink) {
-        match &mut self.queued {
-            Some(queued) => queued.push(line),
+        match &mut self.held_back {
+            Some(held_back) => held_back.push(line),
             None => self.send(&line, link),
         }
     }
 
     /// Sends what was held back; commands are held back no more.
     pub(super) fn release(&mut self, link: &EngineLink) {
-        for line in self.queued.take().into_iter().flatten() {
+        for line in self.held_back.take().into_iter().flatten() {
             self.send(&line, link);
         }
     }
@@ -89,6 +89,6 @@
         }
         self.proving_gauges = link.proof();
         link.send(&self.unproven);
-        ResendOutcome::Settled
+        ResendOutcome::Resent
     }
 }
--- a/crates/server/src/downstream/listener.rs
+++ b/crates/server/src/downstream/listener.rs
@@ -85,7 +85,8 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                let within_limit = evict_over_limit(max_connections, &clock, &event_loop).await;
+                let within_limit =
+                    evict_until_within_limit(max_connections, &clock, &event_loop).await;
                 start(stream, within_limit, &clock, &event_loop);
             }
             Err(e) => {
@@ -141,7 +142,7 @@
 
 /// Evicts idle connections until one more is within the limit. False where none can be evicted: the next is
 /// rejected, once few enough others are being rejected.
-async fn evict_over_limit(
+async fn evict_until_within_limit(
     max_connections: usize,
     clock: &Clock,
     event_loop: &SharedEventLoop,
