--- a/crates/server/src/core/durability.rs
+++ b/crates/server/src/core/durability.rs
@@ -1,8 +1,8 @@
 //! Durable results on the running server: the table of them, and the work that waits for the disk.
 //!
-//! [`DurabilityQueue`] owns the table and the list of pending work. It is driven by the core and never waits for
-//! the disk: it hands batches to the writer's thread, which reports by [`StorageEvent`]s how far they are durable.
-//! [`open`] and [`start`] are what a start of the server takes to get there.
+//! `DurabilityQueue` owns the table and the list of pending work. It is driven by the core and never waits for
+//! the disk: it hands batches to the writer's thread, which reports by `StorageEvent`s how far they are durable.
+//! `open` and `start` are what a start of the server takes to get there.
 
 mod writer;
 
--- a/crates/server/src/core/handler_names.rs
+++ b/crates/server/src/core/handler_names.rs
@@ -1,6 +1,6 @@
 //! Names of handlers in the operator file, resolved to indices into the platform's settings.
 //!
-//! [`HandlerResolver`] owns what was not found while one section is planned, so that all of it is reported together.
+//! `HandlerResolver` owns what was not found while one section is planned, so that all of it is reported together.
 
 use madderbay::interface::HandlerId;
 use madderbay_operator_config::{Names, OperatorFileError};
--- a/crates/server/src/core/mod.rs
+++ b/crates/server/src/core/mod.rs
@@ -13,12 +13,12 @@
 //! `request_limits` the operator's limits, which follow each request as a `request_observer`; [`backend_selector`] the
 //! choice among backends.
 
+// A module whose own page links to its items has no line here: with one, those links would be resolved from here.
 mod actions;
 mod answers;
 mod arrivals;
 /// The choice among backends, as the core asks for it.
 pub mod backend_selector;
-/// Concurrency limits by pool: their plan and their counters.
 pub mod concurrency_limits;
 mod deadlines;
 mod deferred_events;
@@ -34,7 +34,6 @@
 pub mod handler_names;
 mod idempotent_runs;
 mod in_flight;
-/// The fleet's quotas, as they bind this server's requests.
 pub mod quota_gate;
 mod request_limits;
 mod request_observer;
--- a/crates/server/src/support/metrics.rs
+++ b/crates/server/src/support/metrics.rs
@@ -1,6 +1,6 @@
 //! Counts of what the server reads, sends and answers, printed one line each in a fixed order.
 //!
-//! [`Counters`] owns the counts. It is told of each event by a method named for that, in `events`; nobody else changes a
+//! `Counters` owns the counts. It is told of each event by a method named for that, in `events`; nobody else changes a
 //! count. `table` declares each printed line once, with its name and where its value is. The names and their order are
 //! an interface: operators' pages and programs depend on them. Nothing here is given back to decisions.
 
--- a/crates/server/src/upstream/engine.rs
+++ b/crates/server/src/upstream/engine.rs
@@ -1,8 +1,8 @@
 //! The link to the engine, which runs requests: commands as lines out, notices as lines in, both in order.
 //!
-//! [`EngineLink`] owns the sending side and knows which commands the engine has surely read; [`NoticeReader`] owns the
-//! reading side and how far it came, over all links; [`run`] makes the link and makes it again where it was lost.
-//! What a notice means for a request is decided by the [`EngineObserver`]. The words of the wire stand in `wire_names`
+//! `EngineLink` owns the sending side and knows which commands the engine has surely read; `NoticeReader` owns the
+//! reading side and how far it came, over all links; `run` makes the link and makes it again where it was lost.
+//! What a notice means for a request is decided by the `EngineObserver`. The words of the wire stand in `wire_names`
 //! alone.
 
 mod command;
