--- a/crates/server/src/downstream/registration.rs
+++ b/crates/server/src/downstream/registration.rs
@@ -4,8 +4,10 @@
 //! server's name, and from the core whether this server takes work. Sends one report at a time. Never decides
 //! whether the server is ready, and never ends the program: a report that fails is made again.
 
+mod http;
 mod wire_names;
 
+use self::http::NO_CONTENT;
 use crate::core::event_loop::SharedEventLoop;
 use crate::support::io::{Outbox, drive_link};
 use crate::support::metrics::Counters;
@@ -16,7 +18,8 @@
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, watch};
 use tokio::time::timeout;
-use wire_names::{INSTANCES_PATH, METHOD, STATE, STATE_DRAINING, STATE_READY};
+
+pub use http::{ResponseReader, encode_report};
 
 /// Interval between two reports: an entry lapses 3 s after the last, so two reports may get lost.
 const REPORT_INTERVAL: Duration = Duration::from_millis(800);
@@ -24,16 +27,6 @@
 const REPORT_TIMEOUT: Duration = Duration::from_millis(700);
 /// Pause after a report that failed.
 const RETRY_BACKOFF: Duration = Duration::from_millis(200);
-/// Longer than the head or the body of any answer of a registry.
-const MAX_HEAD_BYTES: usize = 16 << 10;
-/// What ends the head of an answer.
-const HEAD_END: &[u8] = b"\r\n\r\n";
-/// The status of an answer that accepts a report.
-const NO_CONTENT: u16 = 204;
-/// The status of an answer without a body, beside [`NO_CONTENT`].
-const NOT_MODIFIED: u16 = 304;
-/// Statuses from here on are final; those before are of interim answers.
-const FIRST_FINAL_STATUS: u16 = 200;
 
 /// Why a connection to the registry can't be used any longer.
 #[derive(Debug, thiserror::Error)]
@@ -47,83 +40,7 @@
     #[error("a report was not answered in time")]
     AnswerTimeout,
     #[error("a report was answered {0}")]
-    Refused(u16),
-}
-
-/// Encodes one report, an HTTP request.
-pub fn encode_report(host: &str, name: &str, ready: bool) -> Vec<u8> {
-    let state = if ready { STATE_READY } else { STATE_DRAINING };
-    let body = format!("{{\"{STATE}\":\"{state}\"}}");
-    let length = body.len();
-    let request_line = format!("{METHOD} {INSTANCES_PATH}{name} HTTP/1.1");
-    let head = format!("{request_line}\r\nHost: {host}\r\nContent-Length: {length}\r\n\r\n");
-    format!("{head}{body}").into_bytes()
-}
-
-/// Reads the HTTP answers of one connection.
-#[derive(Default)]
-pub struct ResponseReader {
-    buffer: Vec<u8>,
-}
-
-/// What the head of an answer says.
-struct Head {
-    status: u16,
-    body_len: usize,
-}
-
-impl ResponseReader {
-    /// Passes the status of each final answer that was completed to `each`; false when the stream can't be read
-    /// on.
-    pub fn feed(&mut self, bytes: &[u8], mut each: impl FnMut(u16)) -> bool {
-        self.buffer.extend_from_slice(bytes);
-        loop {
-            let mut windows = self.buffer.windows(HEAD_END.len());
-            let Some(head_len) = windows.position(|window| window == HEAD_END) else {
-                return self.buffer.len() < MAX_HEAD_BYTES;
-            };
-            let text = std::str::from_utf8(&self.buffer[..head_len]).ok();
-            let Some(head) = text.and_then(Head::parse) else {
-                return false;
-            };
-            if head.body_len > MAX_HEAD_BYTES {
-                return false;
-            }
-            let answer_len = head_len + HEAD_END.len() + head.body_len;
-            if self.buffer.len() < answer_len {
-                return true;
-            }
-            self.buffer.drain(..answer_len);
-            if head.status >= FIRST_FINAL_STATUS {
-                each(head.status);
-            }
-        }
-    }
-}
-
-impl Head {
-    /// Nothing if the head can't be read or does not say the length of the body.
-    fn parse(text: &str) -> Option<Head> {
-        let mut lines = text.split("\r\n");
-        let mut status_line = lines.next()?.split(' ');
-        status_line
-            .next()
-            .filter(|version| version.starts_with("HTTP/1."))?;
-        let status = status_line.next()?.parse().ok()?;
-        let mut content_length = None;
-        for line in lines {
-            let (name, value) = line.split_once(':')?;
-            if name.eq_ignore_ascii_case("content-length") {
-                content_length = Some(value.trim().parse().ok()?);
-            } else if name.eq_ignore_ascii_case("transfer-encoding") {
-                return None;
-            }
-        }
-        let has_no_body =
-            status < FIRST_FINAL_STATUS || status == NO_CONTENT || status == NOT_MODIFIED;
-        let body_len = if has_no_body { 0 } else { content_length? };
-        Some(Head { status, body_len })
-    }
+    NotAccepted(u16),
 }
 
 /// Reports at an interval, and at once when what is reported, or to whom, changes. Runs until it is dropped.
@@ -164,9 +81,9 @@
         state_changed: event_loop.borrow().report_changed(),
         event_loop,
     };
-    let mut answers = ResponseReader::default();
+    let mut responses = ResponseReader::default();
     let link = drive_link(&stream, &reporter.outbox, |bytes| {
-        answers.feed(bytes, |status| {
+        responses.feed(bytes, |status| {
             reporter.status.set(status);
             reporter.answered.notify_one();
         })
@@ -209,7 +126,7 @@
                 return ReportError::AnswerTimeout;
             }
             if self.status.get() != NO_CONTENT {
-                return ReportError::Refused(self.status.get());
+                return ReportError::NotAccepted(self.status.get());
             }
             count(self.event_loop, Counters::report_accepted);
             let _ = timeout(REPORT_INTERVAL, self.state_changed.notified()).await;
