--- /dev/null
+++ b/crates/server/src/downstream/request_validation/param_reader.rs
@@ -0,0 +1,179 @@
+//! Reads the params of one request, a member each.
+//!
+//! Owns: the bounds on what one member may say. Is given: the members as they were written. Never knows a handler, and
+//! never looks at two members together.
+
+use super::InvalidRequest;
+use crate::downstream::idempotency_table::IdempotencyKey;
+use crate::downstream::wire_names::param;
+use crate::support::attempt_name::{self, AttemptName};
+use crate::support::json::{JsonObject, number, text, unsigned};
+use madderbay::interface::TenantId;
+use madderbay::time::{Duration, Timestamp};
+
+/// A request may claim to have been sent this far ahead of this server's clock: no two clocks differ by more.
+const MAX_CLOCK_LEAD: Duration = Duration::from_millis(1_000);
+/// A request may claim to have been sent this long ago: no process pauses for longer.
+const MAX_READ_DELAY: Duration = Duration::from_millis(600_000);
+/// Memory that no run takes, in KB.
+const MEMORY_LIMIT_KB: f64 = 2_000.0;
+/// Length of a body of 2 KiB in base64.
+const MAX_BODY_BYTES: usize = 2_732;
+/// Digits of an idempotency key.
+const IDEMPOTENCY_KEY_DIGITS: usize = 32;
+
+/// Reads the params of one request member by member. Each failure is the error given with the member.
+pub(super) struct ParamReader<'p, 'a> {
+    params: &'p JsonObject<'a>,
+}
+
+impl<'p, 'a> ParamReader<'p, 'a> {
+    /// Reads these params.
+    pub(super) fn new(params: &'p JsonObject<'a>) -> ParamReader<'p, 'a> {
+        ParamReader { params }
+    }
+
+    /// The value of a member that may be missing.
+    fn optional<T>(
+        &self,
+        member: &str,
+        parse: impl FnOnce(&'a str) -> Option<T>,
+        error: InvalidRequest,
+    ) -> Result<Option<T>, InvalidRequest> {
+        self.params
+            .raw(member)
+            .map(|raw| parse(raw).ok_or(error))
+            .transpose()
+    }
+
+    /// The value of a member that must be there.
+    fn required<T>(
+        &self,
+        member: &str,
+        parse: impl FnOnce(&'a str) -> Option<T>,
+        error: InvalidRequest,
+    ) -> Result<T, InvalidRequest> {
+        self.optional(member, parse, error)?.ok_or(error)
+    }
+
+    /// The name of the attempt.
+    pub(super) fn attempt_name(&self) -> Result<AttemptName, InvalidRequest> {
+        let error = InvalidRequest::AttemptName;
+        self.required(param::ATTEMPT_NAME, attempt_name, error)
+    }
+
+    /// The instant at which the request was sent, which is not far from now.
+    pub(super) fn sent_at(&self, now: Timestamp) -> Result<Timestamp, InvalidRequest> {
+        let millis = self.required(param::SENT_AT, unsigned, InvalidRequest::SentAt)?;
+        let sent_at = Timestamp::from_micros(millis.saturating_mul(1000));
+        if sent_at > now + MAX_CLOCK_LEAD || sent_at + MAX_READ_DELAY < now {
+            return Err(InvalidRequest::SentAtRange);
+        }
+        Ok(sent_at)
+    }
+
+    /// The body, a JSON string with its quotes.
+    pub(super) fn body(&self) -> Result<&'a str, InvalidRequest> {
+        self.required(param::BODY, base64_body, InvalidRequest::Body)
+    }
+
+    /// How long the client waits, at most `max_ms`, if it says so.
+    pub(super) fn timeout(&self, max_ms: f64) -> Result<Option<Duration>, InvalidRequest> {
+        self.millis(param::TIMEOUT_MS, max_ms, InvalidRequest::Timeout)
+    }
+
+    /// The expected work, at most `max_ms`, if the client says so.
+    pub(super) fn work_hint(&self, max_ms: f64) -> Result<Option<Duration>, InvalidRequest> {
+        self.millis(param::WORK_MS, max_ms, InvalidRequest::Work)
+    }
+
+    /// The tenant, whose name `id` knows.
+    pub(super) fn tenant(
+        &self,
+        id: impl FnOnce(&str) -> Option<TenantId>,
+    ) -> Result<TenantId, InvalidRequest> {
+        let known = |raw| id(&text(raw)?);
+        self.required(param::TENANT, known, InvalidRequest::Tenant)
+    }
+
+    /// The idempotency key.
+    pub(super) fn idempotency_key(&self) -> Result<IdempotencyKey, InvalidRequest> {
+        let error = InvalidRequest::IdempotencyKey;
+        self.required(param::IDEMPOTENCY_KEY, idempotency_key, error)
+    }
+
+    /// The number of the client, if it gives one.
+    pub(super) fn client(&self) -> Result<Option<u64>, InvalidRequest> {
+        self.optional(param::CLIENT, unsigned, InvalidRequest::Client)
+    }
+
+    /// The key of the upstream call, if there is one.
+    pub(super) fn subject(&self) -> Result<Option<u64>, InvalidRequest> {
+        self.optional(param::SUBJECT, subject, InvalidRequest::Subject)
+    }
+
+    /// An optional positive number of milliseconds up to `max_ms`.
+    fn millis(
+        &self,
+        member: &str,
+        max_ms: f64,
+        error: InvalidRequest,
+    ) -> Result<Option<Duration>, InvalidRequest> {
+        let in_range = |raw| number(raw).filter(|ms| *ms > 0.0 && *ms <= max_ms);
+        let millis = self.optional(member, in_range, error)?;
+        Ok(millis.map(|ms| Duration::from_secs_f64(ms / 1e3)))
+    }
+
+    /// The memory that the run takes, in KB.
+    pub(super) fn memory_kb(&self) -> Result<f64, InvalidRequest> {
+        let in_range = |raw| number(raw).filter(|kb| *kb > 0.0 && *kb < MEMORY_LIMIT_KB);
+        self.required(param::MEMORY_KB, in_range, InvalidRequest::Memory)
+    }
+
+    /// The rank within the handler.
+    pub(super) fn rank(&self) -> Result<f64, InvalidRequest> {
+        let in_range = |raw| number(raw).filter(|rank| (0.0..1.0).contains(rank));
+        let rank = self.optional(param::RANK, in_range, InvalidRequest::Rank)?;
+        Ok(rank.unwrap_or(0.0))
+    }
+
+    /// Whether the attempt says that it is a retry.
+    pub(super) fn is_retry(&self) -> bool {
+        self.params
+            .raw(param::IS_RETRY)
+            .is_some_and(|raw| raw == "true" || raw == "1")
+    }
+}
+
+/// A raw value that is the name of an attempt.
+fn attempt_name(raw: &str) -> Option<AttemptName> {
+    attempt_name::parse(&text(raw)?)
+}
+
+/// A raw value that is an idempotency key.
+fn idempotency_key(raw: &str) -> Option<IdempotencyKey> {
+    let digits = text(raw)?;
+    let is_key = digits.len() == IDEMPOTENCY_KEY_DIGITS
+        && digits.bytes().all(|digit| digit.is_ascii_hexdigit());
+    if !is_key {
+        return None;
+    }
+    IdempotencyKey::from_str_radix(&digits, 16).ok()
+}
+
+/// A raw value that is the key of an upstream call: 16 hex digits, as a name has.
+fn subject(raw: &str) -> Option<u64> {
+    u64::from_str_radix(attempt_name::as_text(&attempt_name(raw)?), 16).ok()
+}
+
+/// A raw value that is a string of base64, no longer than a body: the engine takes nothing else.
+fn base64_body(raw: &str) -> Option<&str> {
+    let text = text(raw)?;
+    let digits = text.trim_end_matches('=');
+    let is_digit = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'+' || byte == b'/';
+    let is_body = text.len() <= MAX_BODY_BYTES
+        && text.len().is_multiple_of(4)
+        && text.len() - digits.len() <= 2
+        && digits.bytes().all(is_digit);
+    is_body.then_some(raw)
+}
