--- a/crates/server/src/core/idempotent_runs.rs
+++ b/crates/server/src/core/idempotent_runs.rs
@@ -248,3 +248,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/server/src/core/idempotent_runs/tests.rs
@@ -0,0 +1,116 @@
+//! When a run and its answer wait for the disk.
+
+use super::*;
+use madderbay::time::Duration;
+use madderbay_idempotency_store::{Batch, DurableResults};
+use std::sync::mpsc::{Receiver, channel};
+
+/// Settings of one handler whose requests have an idempotency key.
+const SETTINGS: &str = r#"{"classes": [
+ {"name": "book", "aim_us": 3000000, "hard_limit_us": 8000000, "importance": 3.0, "effect": "idempotency_key",
+  "repeat_window_us": 10000000}], "tenants": [],
+ "family_info": {"n_cores": 4, "memory_kb": 4000.0, "blowup": 4.0, "key_kb": 2.0, "preemption": "freeze",
+  "below": "one_for_all", "dep_share": 8.0, "share_span_us": 5000000, "linger_us": 200000,
+  "class_calls": [true], "class_skip_worth": [0.0], "passes_deadline": true, "readiness": true, "say": "allowance",
+  "upstreams": 2, "keepalive_max_us": 30000000, "meters": ["core_use", "on_cores", "heap_share", "links"]},
+ "permissions": {"retry_after": true, "max_retry_after_us": 1000000},
+ "rules": {"tip_multiple": 5.0, "drain_grace_us": 2000000}, "servers": 3}"#;
+const KEY: IdempotencyKey = 7;
+const FINGERPRINT: u64 = 11;
+const ATTEMPT: AttemptName = *b"00000000000000af";
+
+fn now() -> Timestamp {
+    Timestamp::from_micros(1_000_000)
+}
+
+/// Runs with results in memory only, and one request that holds [`KEY`].
+fn runs_in_memory() -> IdempotentRuns {
+    let settings = madderbay_settings::read(SETTINGS.as_bytes()).expect("settings");
+    let mut runs = IdempotentRuns::new(&settings, 1_000);
+    let window = KeyWindow {
+        fingerprint: FINGERPRINT,
+        end: now() + Duration::from_millis(5_000),
+    };
+    runs.insert_key(1, KEY, HandlerId::new(0), window);
+    runs
+}
+
+/// The same with durable results, and what goes to the writer's thread.
+fn durable_runs() -> (IdempotentRuns, Receiver<Batch>) {
+    let mut runs = runs_in_memory();
+    let (sender, batches) = channel();
+    let results = DurableResults::new(1 << 20, 1 << 20);
+    runs.set_durability(DurabilityQueue::new(results, sender));
+    (runs, batches)
+}
+
+/// Starts the run of [`KEY`].
+fn start(runs: &mut IdempotentRuns) -> RunRelease {
+    runs.run_started(now(), 1, KEY, ATTEMPT)
+        .expect("an intent can be recorded")
+}
+
+#[test]
+fn waits_for_no_disk_where_results_are_in_memory() {
+    let mut runs = runs_in_memory();
+    assert_eq!(start(&mut runs), RunRelease::Now);
+    assert!(!runs.record_result(now(), 1, KEY, Some("\"YQ==\"")));
+    assert!(matches!(
+        runs.stored_outcome(KEY + 1, FINGERPRINT),
+        Ok(StoredOutcome::NotStored)
+    ));
+}
+
+#[test]
+fn releases_run_once_its_intent_is_durable() {
+    let (mut runs, batches) = durable_runs();
+    assert_eq!(start(&mut runs), RunRelease::OnceDurable);
+    assert!(batches.try_recv().is_err(), "nothing leaves before a flush");
+    runs.flush();
+    let batch = batches.try_recv().expect("a batch with the intent");
+    let written = StorageEvent::Written {
+        sequence: batch.last,
+        disk_bytes: 100,
+    };
+    let Some(ReleasedWork::Durable(work)) = runs.storage_event(written) else {
+        panic!("the intent is durable");
+    };
+    assert!(matches!(work[..], [PendingWork::Run { request: 1 }]));
+}
+
+#[test]
+fn releases_nothing_as_durable_where_the_commit_failed() {
+    let (mut runs, batches) = durable_runs();
+    start(&mut runs);
+    assert!(runs.record_result(now(), 1, KEY, Some("\"YQ==\"")));
+    runs.flush();
+    let batch = batches.try_recv().expect("a batch with both records");
+    let failed = StorageEvent::Failed {
+        sequence: batch.last,
+        error: std::io::ErrorKind::StorageFull.into(),
+    };
+    let Some(ReleasedWork::NotDurable(work)) = runs.storage_event(failed) else {
+        panic!("neither record is durable");
+    };
+    assert!(matches!(
+        work[..],
+        [
+            PendingWork::Run { request: 1 },
+            PendingWork::Response { request: 1, .. }
+        ]
+    ));
+}
+
+#[test]
+fn asks_the_store_only_for_keys_of_earlier_incarnations() {
+    let (mut runs, _batches) = durable_runs();
+    // The table has the key: its fingerprint is checked there, not in the store.
+    assert!(matches!(
+        runs.stored_outcome(KEY, FINGERPRINT + 1),
+        Ok(StoredOutcome::NotStored)
+    ));
+    assert!(matches!(
+        runs.stored_outcome(KEY + 1, FINGERPRINT),
+        Ok(StoredOutcome::NotStored)
+    ));
+}
