--- a/crates/server/src/core/run_commands.rs
+++ b/crates/server/src/core/run_commands.rs
@@ -92,3 +92,6 @@
         ResendOutcome::Resent
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/server/src/core/run_commands/tests.rs
@@ -0,0 +1,96 @@
+//! Which commands go out, which go out again on the next link, and which are in doubt.
+
+use super::*;
+use crate::support::io::Outbox;
+
+const RUN: &[u8] = b"run\n";
+const REPLY: &[u8] = b"reply\n";
+
+/// A link that is up, and what it sends.
+fn link_up() -> (EngineLink, Outbox) {
+    let mut link = EngineLink::default();
+    let outbox = restore(&mut link);
+    (link, outbox)
+}
+
+/// Links again, up to where what was missed has been read; gives what the new link sends.
+fn restore(link: &mut EngineLink) -> Outbox {
+    let outbox = Outbox::default();
+    link.attach(outbox.clone(), 0);
+    outbox.take();
+    assert!(link.restored());
+    outbox
+}
+
+/// The link is lost, as the commands of one run are told.
+fn lose(link: &mut EngineLink, commands: &mut RunCommands) {
+    commands.link_lost(link.written_bytes());
+    link.lost();
+}
+
+/// Sends a reply as the engine commands do.
+fn send_reply(commands: &mut RunCommands, link: &EngineLink) {
+    let position = link.queued_bytes();
+    commands.submit(REPLY.into(), link);
+    commands.reply_sent_at(position);
+}
+
+#[test]
+fn holds_commands_back_until_release() {
+    let (link, outbox) = link_up();
+    let mut commands = RunCommands::default();
+    commands.hold_back();
+    commands.submit(RUN.into(), &link);
+    assert_eq!(outbox.take(), b"");
+    commands.release(&link);
+    assert_eq!(outbox.take(), RUN);
+    commands.submit(REPLY.into(), &link);
+    assert_eq!(outbox.take(), REPLY);
+}
+
+#[test]
+fn resends_command_that_no_gauges_proved() {
+    let (mut link, _) = link_up();
+    let mut commands = RunCommands::default();
+    commands.submit(RUN.into(), &link);
+    lose(&mut link, &mut commands);
+    let outbox = restore(&mut link);
+    assert!(commands.is_unproven(link.proven_before()));
+    assert_eq!(commands.resend(&link), ResendOutcome::Resent);
+    assert_eq!(outbox.take(), RUN);
+}
+
+#[test]
+fn resends_nothing_that_the_engine_has_read() {
+    let (mut link, _) = link_up();
+    let mut commands = RunCommands::default();
+    commands.submit(RUN.into(), &link);
+    commands.all_read();
+    lose(&mut link, &mut commands);
+    restore(&mut link);
+    assert!(!commands.is_unproven(link.proven_before()));
+}
+
+#[test]
+fn resends_reply_of_which_nothing_was_written() {
+    let (mut link, _) = link_up();
+    let mut commands = RunCommands::default();
+    send_reply(&mut commands, &link);
+    lose(&mut link, &mut commands);
+    let outbox = restore(&mut link);
+    assert_eq!(commands.resend(&link), ResendOutcome::Resent);
+    assert_eq!(outbox.take(), REPLY);
+}
+
+#[test]
+fn never_resends_reply_that_may_have_been_read() {
+    let (mut link, outbox) = link_up();
+    let mut commands = RunCommands::default();
+    send_reply(&mut commands, &link);
+    outbox.take();
+    lose(&mut link, &mut commands);
+    let outbox = restore(&mut link);
+    assert_eq!(commands.resend(&link), ResendOutcome::ReplyInDoubt);
+    assert_eq!(outbox.take(), b"");
+    assert!(!commands.is_unproven(link.proven_before()));
+}
