--- a/crates/server/src/core/answers.rs
+++ b/crates/server/src/core/answers.rs
@@ -153,7 +153,7 @@
         self.cancel_call(id);
         self.observe(id, |observer, now| observer.request_finished(now, id));
         if let Some(request) = self.requests.remove(id) {
-            self.calls.forget(&request.name);
+            self.calls.request_finished(&request.name);
         }
     }
 }
--- a/crates/server/src/upstream/calls/dispatcher.rs
+++ b/crates/server/src/upstream/calls/dispatcher.rs
@@ -37,7 +37,7 @@
     call: Option<CallInFlight>,
     /// Requests in flight that have called here: a second copy of a reply may still come, so their next calls are
     /// made elsewhere.
-    callers: HashSet<AttemptName>,
+    served_attempts: HashSet<AttemptName>,
     last_used: Timestamp,
     /// It leads to an address that the catalogue has left.
     is_outdated: bool,
@@ -54,14 +54,14 @@
         self.backend == backend
             && self.call.is_none()
             && self.is_reusable(now)
-            && !self.callers.contains(name)
+            && !self.served_attempts.contains(name)
     }
 
     /// Puts a call on the connection.
     fn send(&mut self, call: CallInFlight, timeout: Duration, body: &[u8]) {
         let name = call.name;
         self.call = Some(call);
-        self.callers.insert(name);
+        self.served_attempts.insert(name);
         self.outbox.put(|out| {
             let millis = (timeout.as_micros() / 1000).max(1);
             let attempt = attempt_name::as_text(&name);
@@ -169,7 +169,7 @@
             backend,
             outbox,
             call: None,
-            callers: HashSet::new(),
+            served_attempts: HashSet::new(),
             last_used: now,
             is_outdated: false,
         });
@@ -256,9 +256,9 @@
     }
 
     /// The request of this attempt is over: it makes no more calls, so that no late reply can be mistaken.
-    pub fn forget(&mut self, name: &AttemptName) {
+    pub fn request_finished(&mut self, name: &AttemptName) {
         for connection in &mut self.connections {
-            connection.callers.remove(name);
+            connection.served_attempts.remove(name);
         }
     }
 
