--- a/crates/server/src/core/run_commands/tests.rs
+++ b/crates/server/src/core/run_commands/tests.rs
@@ -4,6 +4,7 @@
 use crate::support::io::Outbox;
 
 const RUN: &[u8] = b"run\n";
+const CANCEL: &[u8] = b"cancel\n";
 const REPLY: &[u8] = b"reply\n";
 
 /// A link that is up, and what it sends.
@@ -94,3 +95,20 @@
     assert_eq!(outbox.take(), b"");
     assert!(!commands.is_unproven(link.proven_before()));
 }
+
+/// The lost link had a query for the gauges open, which nobody answered: it proves nothing about the run.
+#[test]
+fn resends_run_with_cancel_sent_between_links() {
+    let (mut link, _) = link_up();
+    let mut commands = RunCommands::default();
+    commands.submit(RUN.into(), &link);
+    link.query_gauges(true);
+    lose(&mut link, &mut commands);
+    let outbox = Outbox::default();
+    link.attach(outbox.clone(), 0);
+    commands.submit(CANCEL.into(), &link);
+    outbox.take();
+    assert!(link.restored());
+    assert_eq!(commands.resend(&link), ResendOutcome::Resent);
+    assert_eq!(outbox.take(), [RUN, CANCEL].concat());
+}
