--- a/crates/server/src/core/actions.rs
+++ b/crates/server/src/core/actions.rs
@@ -5,27 +5,34 @@
 
 use super::deadlines::Deadline;
 use super::executor::ActionExecutor;
-use crate::downstream::idempotency_table::{IdempotencyKey, JoinedAttempt, KeyWindow};
+use super::idempotent_runs::RunRelease;
+use crate::downstream::idempotency_table::{JoinedAttempt, KeyWindow};
+use crate::upstream::engine::EngineCommand;
 use madderbay::interface::Actions;
 use madderbay::time::Duration;
 use madderbay_concurrency::RequestStage;
-use madderbay_idempotency_store::IntentError;
 
+/// Commands to the engine.
 impl ActionExecutor {
-    /// Where results are durable, holds the run of a request back until its write-ahead record is on disk.
-    fn record_intent(&mut self, id: u64, key: IdempotencyKey) -> Result<(), IntentError> {
-        let (Some(durability), Some(request)) = (&mut self.durability, self.requests.get_mut(id))
-        else {
-            return Ok(());
-        };
-        let window = self.idempotency.window(key);
-        let window = window.unwrap_or(KeyWindow {
-            fingerprint: 0,
-            end: self.now,
-        });
-        durability.record_intent(id, key, window, request.name)?;
-        request.commands.hold_back();
-        Ok(())
+    /// Sends a command about the run of a request.
+    fn send_command(&mut self, id: u64, command: EngineCommand) {
+        if let Some(request) = self.requests.get_mut(id) {
+            self.engine_commands.send(request, command);
+        }
+    }
+
+    /// Sends the reply to the call that the run of a request waits at.
+    pub(super) fn send_reply(&mut self, id: u64, body: &[u8]) {
+        if let Some(request) = self.requests.get_mut(id) {
+            self.engine_commands.send_reply(request, body);
+        }
+    }
+
+    /// The write-ahead record of a run is durable: the run is sent.
+    pub(super) fn release_run(&mut self, id: u64) {
+        if let Some(request) = self.requests.get_mut(id) {
+            self.engine_commands.release(request);
+        }
     }
 }
 
@@ -34,24 +41,25 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        request.started = true;
-        self.counters.runs += 1;
-        let body = std::mem::take(&mut request.body);
-        let (key, handler) = (request.key, request.handler);
-        if let Some(key) = key {
-            self.idempotency.run_started(key);
-            if self.record_intent(id, key).is_err() {
-                return self.deferred_events.run_not_sent(id);
+        let body = request.start();
+        self.counters.run_started();
+        let handler = request.handler;
+        if let Some(key) = request.key {
+            let runs = &mut self.idempotent_runs;
+            match runs.run_started(self.now, id, key, request.name) {
+                Ok(RunRelease::Now) => {}
+                Ok(RunRelease::OnceDurable) => request.commands.hold_back(),
+                Err(_) => return self.deferred_events.run_not_sent(id),
             }
         }
         self.set_stage(id, RequestStage::Running);
-        let service = self.validator.quoted_name(handler);
-        let members = format_args!(",\"service\":{service},\"blob\":{body}");
-        self.send_command(id, "RUN", members);
+        let handler = &self.validator.quoted_name(handler);
+        let body = &body;
+        self.send_command(id, EngineCommand::Run { handler, body });
     }
 
     fn cancel(&mut self, id: u64) {
-        self.send_command(id, "HALT", format_args!(""));
+        self.send_command(id, EngineCommand::Cancel);
     }
 
     fn reject(&mut self, id: u64, retry_after: Duration, is_final: bool) {
@@ -79,7 +87,7 @@
         let deadline = self.now + timeout;
         request.call.set_deadline(deadline);
         self.deadlines.insert(deadline, Deadline::CallTimeout(id));
-        self.counters.calls += 1;
+        self.counters.call_sent();
         self.send_call(id, timeout, target);
         self.set_stage(id, RequestStage::Calling);
     }
@@ -88,11 +96,11 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        request.partial = true;
+        request.call_skipped();
         let serial = request.call.serial();
-        self.counters.skipped += 1;
-        self.observe(id, |o, now| o.call_skipped(now, id));
-        self.send_command(id, "SKIP", format_args!(",\"serial\":{serial}"));
+        self.counters.call_skipped();
+        self.observe(id, |observer, now| observer.call_skipped(now, id));
+        self.send_command(id, EngineCommand::SkipCall { serial });
     }
 
     fn store_key(&mut self, id: u64, lifetime: Duration) {
@@ -104,21 +112,22 @@
                 fingerprint: request.fingerprint,
                 end: self.now + lifetime,
             };
-            self.idempotency.insert(id, key, request.handler, window);
+            self.idempotent_runs
+                .insert_key(id, key, request.handler, window);
         }
     }
 
     fn remove_key(&mut self, id: u64) {
-        self.idempotency.remove_held_by(id);
+        self.idempotent_runs.remove_held_by(id);
     }
 
     fn join_attempt(&mut self, id: u64) {
         // It waits for the run of another attempt and needs none of its own.
-        self.observe(id, |o, now| o.request_finished(now, id));
+        self.observe(id, |observer, now| observer.request_finished(now, id));
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        match self.idempotency.join(id, request.key) {
+        match self.idempotent_runs.join(id, request.key) {
             JoinedAttempt::Waits => {}
             JoinedAttempt::Completed(result) => self.answer_joined(id, Some(&result)),
             JoinedAttempt::Failed => self.answer_joined(id, None),
@@ -126,19 +135,20 @@
     }
 
     fn set_health(&mut self, healthy: bool) {
-        self.status.set_health(healthy);
+        self.downstream.status_mut().set_health(healthy);
     }
 
     fn set_load_report(&mut self, value: f64) {
-        self.status.set_load_report(value);
+        self.downstream.status_mut().set_load_report(value);
     }
 
     fn set_idle_limit(&mut self, limit: Duration) {
-        let idle_deadlines = self.connections.set_idle_limit(limit);
+        let connections = self.downstream.connections_mut();
+        let idle_deadlines = connections.set_idle_limit(limit);
         self.deadlines.replace_idle(idle_deadlines);
     }
 
     fn set_timer(&mut self, after: Duration) {
-        self.tick_timer.set(self.now, after);
+        self.deadlines.tick_timer().set(self.now, after);
     }
 }
--- a/crates/server/src/core/answers.rs
+++ b/crates/server/src/core/answers.rs
@@ -5,47 +5,46 @@
 //! on disk. Never decides which answer a request gets.
 
 use super::deadlines::Deadline;
+use super::downstream_answers::Answer;
 use super::executor::ActionExecutor;
+use super::in_flight::InFlightRequest;
 use crate::downstream::idempotency_table::IdempotencyKey;
-use crate::downstream::response;
 use madderbay::interface::Outcome;
-use madderbay::time::{Duration, Timestamp};
+use madderbay::time::Duration;
 
 impl ActionExecutor {
-    /// Writes the final answer of a request, with its JSON-RPC id and the load report; false if it has one.
-    fn answer(&mut self, id: u64, write: impl FnOnce(&mut Vec<u8>, u64, Option<f64>)) -> bool {
-        let Some(request) = self.requests.get_mut(id).filter(|r| !r.answered) else {
-            return false;
+    /// Gives a request its final answer, unless it has one.
+    fn answer(&mut self, id: u64, answer: Answer) {
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
         };
-        request.answered = true;
-        let (connection, rpc_id) = (request.connection, request.rpc_id);
-        let report = self.status.load_report();
-        self.connections
-            .answer(self.now, connection, |out| write(out, rpc_id, report));
-        self.connections.request_settled(connection, rpc_id);
-        true
+        let has_answer = request.settle();
+        if has_answer {
+            return;
+        }
+        let recipient = request.recipient;
+        let counters = &mut self.counters;
+        self.downstream
+            .answer(self.now, recipient, answer, counters);
+        self.downstream.request_settled(recipient);
     }
 
     /// Answers a request with the result of a run, or with an error without one.
     pub(super) fn answer_run(&mut self, id: u64, result: Option<&str>) {
-        let partial = self.requests.get(id).is_some_and(|r| r.partial);
-        let answered = self.answer(id, |out, rpc_id, report| match result {
-            Some(result) => response::done(out, rpc_id, result, report),
-            None => response::errored(out, rpc_id, report),
-        });
-        if answered {
-            self.counters.answered(result.is_some(), partial);
-        }
+        let is_partial = self
+            .requests
+            .get(id)
+            .is_some_and(InFlightRequest::is_partial);
+        self.answer(id, Answer::of_run(result, is_partial));
     }
 
     /// Answers that a request was rejected and never ran.
     pub(super) fn answer_rejected(&mut self, id: u64, retry_after: Duration, is_final: bool) {
-        let answered = self.answer(id, |out, rpc_id, report| {
-            response::shed(out, rpc_id, retry_after, is_final, report);
-        });
-        if answered {
-            self.counters.shed += 1;
-        }
+        let answer = Answer::Rejected {
+            retry_after,
+            is_final,
+        };
+        self.answer(id, answer);
     }
 
     /// Answers a request that joined a run with the result of that, and removes it.
@@ -54,7 +53,7 @@
             return;
         }
         self.answer_run(id, result);
-        self.counters.joined += 1;
+        self.counters.request_joined();
         self.remove(id);
         let outcome = match result {
             Some(_) => Outcome::Completed,
@@ -65,7 +64,7 @@
 
     /// The one run of a key ended: answers the attempts that joined it.
     pub(super) fn answer_all_joined(&mut self, key: Option<IdempotencyKey>, result: Option<&str>) {
-        let joined = key.map_or(vec![], |key| self.idempotency.run_ended(key, result));
+        let joined = key.map_or(vec![], |key| self.idempotent_runs.run_ended(key, result));
         for id in joined {
             self.answer_joined(id, result);
         }
@@ -79,25 +78,25 @@
         outcome: Outcome,
         result: Option<&str>,
     ) -> bool {
-        let Some(key) = self.requests.get(id).and_then(|r| r.key) else {
+        let Some(request) = self.requests.get(id) else {
             return false;
         };
+        let Some(key) = request.key else {
+            return false;
+        };
+        let runs = &mut self.idempotent_runs;
         if outcome == Outcome::AlreadyEnded {
-            self.record_not_run(key);
+            runs.record_not_run(self.now, key);
             return false;
         }
-        let expiry = self.key_expiry(key);
-        let (Some(durability), Some(request)) = (&mut self.durability, self.requests.get(id))
-        else {
+        if !runs.record_result(self.now, id, key, result) {
             return false;
-        };
-        durability.record_result(id, key, result, expiry);
+        }
         self.deadlines
             .insert(request.answer_deadline, Deadline::DurableAnswer(id));
-        self.counters.run_over(outcome);
-        self.counters.ran[request.handler.index()] += 1;
+        self.counters.run_ended(request.handler, outcome);
         self.cancel_call(id);
-        self.observe(id, |o, now| o.request_finished(now, id));
+        self.observe(id, |observer, now| observer.request_finished(now, id));
         true
     }
 
@@ -106,9 +105,9 @@
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        let (key, answer_deadline) = (request.key, request.answer_deadline);
+        let key = request.key;
         self.deadlines
-            .remove(answer_deadline, Deadline::DurableAnswer(id));
+            .remove(request.answer_deadline, Deadline::DurableAnswer(id));
         self.answer_run(id, result);
         self.answer_all_joined(key, result);
         self.remove(id);
@@ -121,43 +120,29 @@
             return;
         };
         let key = request.key;
-        self.counters.run_over(Outcome::AlreadyEnded);
-        let joined = key.map_or(vec![], |key| self.idempotency.run_ended(key, None));
+        self.counters.run_not_sent();
+        let joined = key.map_or(vec![], |key| self.idempotent_runs.run_ended(key, None));
         for id in std::iter::once(id).chain(joined) {
             self.answer_rejected(id, retry_after, false);
             self.remove(id);
             self.deferred_events.ended(id, Outcome::AlreadyEnded);
         }
         if let Some(key) = key {
-            self.record_not_run(key);
-            self.idempotency.remove_held_by(id);
+            self.idempotent_runs.record_not_run(self.now, key);
+            self.idempotent_runs.remove_held_by(id);
         }
     }
 
-    /// Records that the run of a key, recorded as intended, never took place.
-    fn record_not_run(&mut self, key: IdempotencyKey) {
-        let expiry = self.key_expiry(key);
-        if let Some(durability) = &mut self.durability {
-            durability.record_not_run(key, expiry);
-        }
-    }
-
-    /// When the window of a key ends.
-    fn key_expiry(&self, key: IdempotencyKey) -> Timestamp {
-        self.idempotency.window(key).map_or(self.now, |w| w.end)
-    }
-
     /// A request is answered or its client gone: a call for it is given up, and unless it runs it is over.
     pub(super) fn request_settled(&mut self, id: u64) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        request.answered = true;
-        self.connections
-            .request_settled(request.connection, request.rpc_id);
-        if request.started {
+        request.settle();
+        self.downstream.request_settled(request.recipient);
+        if request.is_started() {
             self.cancel_call(id);
-            self.observe(id, |o, now| o.request_answered(now, id));
+            self.observe(id, |observer, now| observer.request_answered(now, id));
         } else {
             self.remove(id);
         }
@@ -166,9 +151,9 @@
     /// Removes a request that is over, with the call that is out for it.
     pub(super) fn remove(&mut self, id: u64) {
         self.cancel_call(id);
-        self.observe(id, |o, now| o.request_finished(now, id));
+        self.observe(id, |observer, now| observer.request_finished(now, id));
         if let Some(request) = self.requests.remove(id) {
-            self.calls.forget(&request.name);
+            self.calls.request_finished(&request.name);
         }
     }
 }
--- a/crates/server/src/core/event_loop.rs
+++ b/crates/server/src/core/event_loop.rs
@@ -15,7 +15,7 @@
 use crate::support::json::JsonObject;
 use crate::support::metrics::{Counters, LoadGauges};
 use crate::upstream::calls::CallDispatcher;
-use crate::upstream::engine::EngineLink;
+use crate::upstream::engine::{EngineLink, RUN_QUEUE_GAUGE};
 use madderbay::decide::Decider;
 use madderbay::interface::{Gauges, HandlerId, Outcome};
 use madderbay::time::{Duration, Timestamp};
@@ -34,21 +34,21 @@
 /// The core, sans I/O.
 pub struct EventLoop {
     /// Created when the engine is up; nothing is decided before.
-    pub(super) decider: Option<Decider>,
+    decider: Option<Decider>,
     /// The platform's settings.
-    pub(super) settings: Settings,
+    settings: Settings,
     /// Seeds the decision module and the concurrency limiter.
-    pub(super) seed: u64,
+    seed: u64,
     /// The index of the gauge that gives the engine's run queue.
-    pub(super) run_queue_gauge: Option<usize>,
+    run_queue_gauge: Option<usize>,
     /// The engine's gauges, as they were read last.
-    pub(super) gauges: Gauges,
+    gauges: Gauges,
     /// Descriptors that downstream connections and upstream calls may take together.
-    pub(super) max_descriptors: usize,
+    max_descriptors: usize,
     /// Carries out what the decision module decides.
     pub(super) executor: ActionExecutor,
     /// Notified when an event has to be settled by a turn.
-    pub(super) work_pending: Rc<Notify>,
+    work_pending: Rc<Notify>,
 }
 
 /// Set-up.
@@ -62,7 +62,7 @@
         max_cached_bytes: usize,
     ) -> EventLoop {
         let executor = ActionExecutor::new(now, &settings, max_cached_bytes);
-        let run_queue_gauge = settings.gauge_index("on_cores");
+        let run_queue_gauge = settings.gauge_index(RUN_QUEUE_GAUGE);
         EventLoop {
             decider: None,
             settings,
@@ -101,7 +101,7 @@
 
     /// Makes results of requests with an idempotency key durable through `queue`.
     pub fn set_durability(&mut self, queue: DurabilityQueue) {
-        self.executor.durability = Some(queue);
+        self.executor.idempotent_runs.set_durability(queue);
     }
 }
 
@@ -134,12 +134,17 @@
 
     /// The link to the engine, for the driver that keeps it.
     pub fn engine_link_mut(&mut self) -> &mut EngineLink {
-        &mut self.executor.engine_link
+        self.executor.engine_commands.link_mut()
     }
 
     /// The load balancers' connections.
     pub fn connections_mut(&mut self) -> &mut Connections {
-        &mut self.executor.connections
+        self.executor.downstream.connections_mut()
+    }
+
+    /// Asks for a turn.
+    pub(super) fn request_turn(&self) {
+        self.work_pending.notify_one();
     }
 
     /// Notified when the core has work that a turn settles.
@@ -149,24 +154,46 @@
 
     /// Notified when what the registry is told has changed.
     pub fn report_changed(&self) -> Rc<Notify> {
-        self.executor.status.changed()
+        self.executor.downstream.status().changed()
     }
 
     /// Whether the registry is told that this server takes work.
     pub fn is_ready(&self) -> bool {
-        let status = &self.executor.status;
+        let status = self.executor.downstream.status();
         !status.is_draining()
             && (status.is_healthy() || !self.settings.endpoint_lists_follow_health)
     }
 
     /// Whether no request is open and nothing waits to be written on any connection.
     pub fn is_quiescent(&self) -> bool {
-        self.executor.connections.is_quiescent()
+        self.executor.downstream.connections().is_quiescent()
     }
 
     /// Whether no connection is open.
     pub fn has_no_connections(&self) -> bool {
-        self.executor.connections.is_empty()
+        self.executor.downstream.connections().is_empty()
+    }
+
+    /// Whether a request of this handler can be answered without its call.
+    pub(super) fn has_partial_answer(&self, handler: HandlerId) -> bool {
+        self.settings.handlers[handler.index()].has_partial_answer()
+    }
+
+    /// Descriptors that the downstream connections leave for upstream calls.
+    pub(super) fn descriptors_for_calls(&self) -> usize {
+        let downstream = self.executor.downstream.connections().len();
+        self.max_descriptors.saturating_sub(downstream)
+    }
+
+    /// The engine's gauges, as they were read last.
+    pub(super) fn gauges(&self) -> Gauges {
+        self.gauges
+    }
+
+    /// The engine's gauges were read, in the order of the settings.
+    pub(super) fn record_gauges(&mut self, values: &[f64]) {
+        let run_queue = self.run_queue_gauge.and_then(|index| values.get(index));
+        self.gauges.run_queue = run_queue.copied();
     }
 
     /// The handler of a method.
@@ -185,9 +212,8 @@
         params: &JsonObject<'a>,
     ) -> Result<ValidatedRequest<'a>, InvalidRequest> {
         let executor = &mut self.executor;
-        executor
-            .validator
-            .validate(now, handler, params, &executor.idempotency)
+        let keys = executor.idempotent_runs.table();
+        executor.validator.validate(now, handler, params, keys)
     }
 
     /// All counters, one line each.
@@ -196,21 +222,45 @@
         let mut lines = executor.counters.lines(&LoadGauges {
             open_requests: executor.requests.unanswered_count(),
             requests_in_flight: executor.requests.len(),
-            connections: executor.connections.len(),
+            connections: executor.downstream.connections().len(),
             calls_in_flight: executor.calls.calls_in_flight(),
-            keys: executor.idempotency.len(),
+            keys: executor.idempotent_runs.table().len(),
         });
         lines += &executor.limits.counters();
         lines += &executor.backends.counters();
-        if let Some(durability) = &executor.durability {
-            lines += &durability.counters();
-        }
+        lines += &executor.idempotent_runs.counters();
         lines
     }
 }
 
 /// Decisions.
 impl EventLoop {
+    /// Whether there is a decision module: nothing runs before.
+    pub(super) fn is_deciding(&self) -> bool {
+        self.decider.is_some()
+    }
+
+    /// Creates the decision module. `engine_is_new`: the engine came up with this server, with cold caches.
+    ///
+    /// The module begins now and not when the engine did, which may be an hour ago: its timer would count as that
+    /// late, and a stop requested before the first tick would never come due. An engine that came up cold a while
+    /// ago so counts as colder than it is.
+    pub(super) fn begin_deciding(&mut self, now: Timestamp, engine_is_new: bool) {
+        self.settings.machine.starts_cold |= engine_is_new;
+        let mut decider = self.settings.decider(now, self.seed);
+        self.executor.now = now;
+        self.executor.deadlines.tick_timer().restart(now);
+        decider.on_start(&mut self.executor);
+        self.decider = Some(decider);
+    }
+
+    /// Hands the operator's limits to the decision module before it settles.
+    pub(super) fn update_limits(&mut self, now: Timestamp) {
+        if let Some(decider) = &mut self.decider {
+            self.executor.limits.update_decider(now, decider);
+        }
+    }
+
     /// Lets the decision module handle an event, and asks for a turn.
     pub(super) fn decide(
         &mut self,
@@ -218,7 +268,7 @@
         handle: impl FnOnce(&mut Decider, &mut ActionExecutor),
     ) {
         self.decide_within_turn(now, handle);
-        self.work_pending.notify_one();
+        self.request_turn();
     }
 
     /// Lets the decision module handle an event, then those that its actions gave rise to. Nothing happens before
@@ -240,11 +290,11 @@
                 DeferredEvent::Ended { request, outcome } => {
                     decider.on_run_ended(now, request, outcome, Duration::ZERO);
                 }
-                DeferredEvent::CallNotMade(request) => {
+                DeferredEvent::CallNotMade { request } => {
                     let outcome = Outcome::Unreachable;
                     decider.on_call_finished(now, request, outcome, Duration::ZERO, executor);
                 }
-                DeferredEvent::RunNotSent(request) => {
+                DeferredEvent::RunNotSent { request } => {
                     executor.reject_run_not_sent(request, retry_after);
                 }
             }
@@ -262,13 +312,12 @@
     /// Begins draining: health checks and the registry are told so, clients are notified that their connections
     /// are to end, and the decision module ends its work within `remaining`.
     pub fn drain(&mut self, now: Timestamp, remaining: Duration) {
-        self.executor.status.begin_draining();
-        self.executor.connections.drain();
-        self.decide(now, |d, _| d.drain(now, remaining));
+        self.executor.downstream.begin_draining();
+        self.decide(now, |decider, _| decider.drain(now, remaining));
     }
 
     /// Ends every connection once its open requests are answered.
     pub fn close_connections(&mut self) {
-        self.executor.connections.close_all();
+        self.executor.downstream.connections_mut().close_all();
     }
 }
--- a/crates/server/src/core/executor.rs
+++ b/crates/server/src/core/executor.rs
@@ -1,25 +1,24 @@
 //! The executor of the decision module's actions.
 //!
-//! Owns: the table of requests in flight and all that their runs, calls and answers go through. Is given: the
-//! actions of the decision module, and what the event loop reports. Decides nothing; knows no socket and no
-//! clock. [`actions`](super::actions) has an action each, [`answers`](super::answers) the ways to an answer,
-//! [`engine_commands`](super::engine_commands) those to the engine, [`dispatch`](super::dispatch) those to
-//! backends and catalogue.
+//! Owns: the table of requests in flight, and a context for each that their runs, calls and answers go through. A
+//! context has its state to itself and is changed by its methods alone. Is given: the actions of the decision module,
+//! and what the event loop reports. Decides nothing; knows no socket and no clock.
+//!
+//! The steps are in files of their own: [`actions`](super::actions) has the actions, [`answers`](super::answers) the
+//! ways to an answer, [`dispatch`](super::dispatch) those to backends and catalogue.
 
 use super::backend_selector::BackendRouting;
-use super::deadlines::{Deadline, Deadlines, TickTimer};
+use super::deadlines::Deadlines;
 use super::deferred_events::DeferredEvents;
-use super::durability::DurabilityQueue;
+use super::downstream_answers::DownstreamAnswers;
+use super::engine_commands::EngineCommands;
+use super::idempotent_runs::IdempotentRuns;
 use super::in_flight::InFlightRequests;
 use super::request_limits::RequestLimits;
 use super::request_observer::RequestObserver;
-use super::server_status::ServerStatus;
-use crate::downstream::connections::Connections;
-use crate::downstream::idempotency_table::IdempotencyTable;
 use crate::downstream::request_validation::RequestValidator;
 use crate::support::metrics::Counters;
 use crate::upstream::calls::CallDispatcher;
-use crate::upstream::engine::EngineLink;
 use madderbay::time::Timestamp;
 use madderbay_concurrency::RequestStage;
 use madderbay_settings::Settings;
@@ -30,30 +29,24 @@
     pub(super) now: Timestamp,
     /// The requests whose answer or run is open.
     pub(super) requests: InFlightRequests,
-    /// The downstream connections, with the outboxes that answers leave by.
-    pub(super) connections: Connections,
+    /// The downstream connections and the answers that leave by them.
+    pub(super) downstream: DownstreamAnswers,
     /// Knows the handlers' names as the engine has them.
     pub(super) validator: RequestValidator,
-    /// The idempotency keys of this incarnation.
-    pub(super) idempotency: IdempotencyTable,
-    /// The sending side of the link to the engine.
-    pub(super) engine_link: EngineLink,
+    /// The runs of requests with an idempotency key.
+    pub(super) idempotent_runs: IdempotentRuns,
+    /// The commands of runs, on their way to the engine.
+    pub(super) engine_commands: EngineCommands,
     /// The upstream calls that are out.
     pub(super) calls: CallDispatcher,
     /// The operator's limits, which follow each request.
     pub(super) limits: RequestLimits,
     /// The choice among backends.
     pub(super) backends: BackendRouting,
-    /// Results that outlast this incarnation, if the operator wants them.
-    pub(super) durability: Option<DurabilityQueue>,
     /// What the decision module is told after it has acted.
     pub(super) deferred_events: DeferredEvents,
-    /// What is due and when, except the tick.
+    /// What is due and when, with the decision module's timer.
     pub(super) deadlines: Deadlines,
-    /// The decision module's timer.
-    pub(super) tick_timer: TickTimer,
-    /// Health, load report and draining.
-    pub(super) status: ServerStatus,
     /// What is counted since the start.
     pub(super) counters: Counters,
 }
@@ -65,23 +58,18 @@
         settings: &Settings,
         max_cached_bytes: usize,
     ) -> ActionExecutor {
-        let mut deadlines = Deadlines::default();
-        deadlines.insert(now, Deadline::Maintenance);
         ActionExecutor {
             now,
             requests: InFlightRequests::default(),
-            connections: Connections::default(),
+            downstream: DownstreamAnswers::default(),
             validator: RequestValidator::new(settings),
-            idempotency: IdempotencyTable::new(settings, max_cached_bytes),
-            engine_link: EngineLink::default(),
+            idempotent_runs: IdempotentRuns::new(settings, max_cached_bytes),
+            engine_commands: EngineCommands::default(),
             calls: CallDispatcher::default(),
             limits: RequestLimits::default(),
             backends: BackendRouting::new(settings),
-            durability: None,
             deferred_events: DeferredEvents::default(),
-            deadlines,
-            tick_timer: TickTimer::new(now),
-            status: ServerStatus::default(),
+            deadlines: Deadlines::new(now),
             counters: Counters::new(&settings.handler_names),
         }
     }
@@ -101,7 +89,8 @@
     /// Notifies the limits that a request is new or has reached another stage.
     pub(super) fn set_stage(&mut self, id: u64, stage: RequestStage) {
         if let Some(request) = self.requests.get(id) {
-            let (now, handler) = (self.now, request.handler);
+            let now = self.now;
+            let handler = request.handler;
             self.limits
                 .observe(|observer| observer.set_stage(now, id, handler, stage));
         }
--- a/crates/server/src/core/in_flight.rs
+++ b/crates/server/src/core/in_flight.rs
@@ -3,6 +3,7 @@
 //! Owns: the table of these requests, by id and by the name of the attempt. Is given: requests that were read,
 //! until they are answered and their runs are over. Does no I/O and decides nothing.
 
+use super::downstream_answers::Recipient;
 use super::run_commands::RunCommands;
 use super::upstream_call::UpstreamCall;
 use crate::downstream::idempotency_table::IdempotencyKey;
@@ -13,17 +14,20 @@
 use madderbay::time::{Duration, Timestamp};
 use std::collections::HashMap;
 
-/// The timeout of a client that gave none.
+/// How long a client that gave no timeout waits for its answer.
+///
+/// It binds only the answer that waits for its result to be durable, and so `answer_deadline`. The decision module does
+/// not know it: where requests carry no timeout, its deadline of a request is the handler's timeout after the request
+/// reached the machine. A handler with a shorter timeout than this so has a durable answer that may leave later than
+/// the module's deadline, one with a longer timeout an answer that is given up earlier.
 const DEFAULT_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// A request that was read.
 pub(super) struct InFlightRequest {
     /// The name of the attempt, which the engine and the upstream servers know it by.
     pub(super) name: AttemptName,
-    /// The downstream connection that it came on.
-    pub(super) connection: u64,
-    /// Its JSON-RPC id on that connection.
-    pub(super) rpc_id: u64,
+    /// The downstream connection that it came on, and its JSON-RPC id there.
+    pub(super) recipient: Recipient,
     /// The index of its handler.
     pub(super) handler: HandlerId,
     /// Its idempotency key, if it has one.
@@ -31,13 +35,13 @@
     /// Hash of handler and body, the same for all attempts of a key.
     pub(super) fingerprint: u64,
     /// The body as it was read, until the run has it.
-    pub(super) body: Box<str>,
+    body: Box<str>,
     /// The decision module has started its run.
-    pub(super) started: bool,
+    is_started: bool,
     /// It was answered, or its client is gone.
-    pub(super) answered: bool,
+    is_settled: bool,
     /// Its run went on without an optional call.
-    pub(super) partial: bool,
+    is_partial: bool,
     /// When its answer leaves at the latest.
     pub(super) answer_deadline: Timestamp,
     /// The call that its run waits at.
@@ -50,8 +54,7 @@
     /// A request that has just been read on a connection and is not started.
     pub(super) fn new(
         now: Timestamp,
-        connection: u64,
-        rpc_id: u64,
+        recipient: Recipient,
         request: &ValidatedRequest<'_>,
     ) -> InFlightRequest {
         let timeout = if request.arrival.timeout > Duration::ZERO {
@@ -61,20 +64,54 @@
         };
         InFlightRequest {
             name: request.name,
-            connection,
-            rpc_id,
+            recipient,
             handler: request.arrival.handler,
             key: request.key,
             fingerprint: request.fingerprint,
             body: request.body.into(),
-            started: false,
-            answered: false,
-            partial: false,
+            is_started: false,
+            is_settled: false,
+            is_partial: false,
             answer_deadline: (now + timeout).saturating_sub(ANSWER_MARGIN),
             call: UpstreamCall::default(),
             commands: RunCommands::default(),
         }
     }
+
+    /// The decision module starts the run of the request. Gives the body, which the run has from now on.
+    pub(super) fn start(&mut self) -> Box<str> {
+        self.is_started = true;
+        std::mem::take(&mut self.body)
+    }
+
+    /// Whether the decision module has started its run.
+    pub(super) fn is_started(&self) -> bool {
+        self.is_started
+    }
+
+    /// The request is answered, or its client gone. Returns whether it was so already.
+    pub(super) fn settle(&mut self) -> bool {
+        std::mem::replace(&mut self.is_settled, true)
+    }
+
+    /// Its run goes on without an optional call.
+    pub(super) fn call_skipped(&mut self) {
+        self.is_partial = true;
+    }
+
+    /// Whether its run went on without an optional call.
+    pub(super) fn is_partial(&self) -> bool {
+        self.is_partial
+    }
+}
+
+/// A run that was started.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct StartedRun {
+    /// The id of its request.
+    pub(super) request: u64,
+    /// The name of the attempt, by which the engine knows the run.
+    pub(super) attempt: AttemptName,
 }
 
 /// The table of requests whose answer or run is open.
@@ -110,7 +147,7 @@
 
     /// The request with this id, unless it was answered or its client is gone.
     pub(super) fn unanswered(&self, id: u64) -> Option<&InFlightRequest> {
-        self.by_id.get(&id).filter(|request| !request.answered)
+        self.by_id.get(&id).filter(|request| !request.is_settled)
     }
 
     /// The id of the request by the name of its attempt.
@@ -125,15 +162,23 @@
 
     /// The number of requests that are owed an answer.
     pub(super) fn unanswered_count(&self) -> usize {
-        self.by_id.values().filter(|r| !r.answered).count()
+        self.by_id
+            .values()
+            .filter(|request| !request.is_settled)
+            .count()
     }
 
-    /// Ids and names of the requests whose runs were started, in the order of their ids.
-    pub(super) fn started(&self) -> Vec<(u64, AttemptName)> {
-        let started = self.by_id.iter().filter(|(_, request)| request.started);
-        let mut started: Vec<_> = started.map(|(id, request)| (*id, request.name)).collect();
-        started.sort_unstable();
-        started
+    /// The runs that were started, in the order of the requests' ids.
+    pub(super) fn started(&self) -> Vec<StartedRun> {
+        let started = self.by_id.iter().filter(|(_, request)| request.is_started);
+        let mut runs: Vec<StartedRun> = started
+            .map(|(id, request)| StartedRun {
+                request: *id,
+                attempt: request.name,
+            })
+            .collect();
+        runs.sort_unstable_by_key(|run| run.request);
+        runs
     }
 
     /// All requests, in no order.
--- a/crates/server/src/core/stored_results.rs
+++ b/crates/server/src/core/stored_results.rs
@@ -1,109 +1,65 @@
 //! Durable results in the core: attempts of requests that an earlier incarnation ran are answered from its store,
 //! and reports of the writer's thread release the runs and answers that wait for them.
 //!
-//! It owns no state; the table and the pending work are in the [`DurabilityQueue`](super::durability).
+//! It owns no state; that is in [`idempotent_runs`](super::idempotent_runs).
 
+use super::downstream_answers::{Answer, Recipient};
 use super::durability::{PendingWork, StorageEvent};
 use super::event_loop::EventLoop;
+use super::idempotent_runs::{ReleasedWork, StoredOutcome};
 use crate::downstream::idempotency_table::FingerprintMismatch;
 use crate::downstream::request_validation::ValidatedRequest;
-use crate::downstream::response;
 use madderbay::time::Timestamp;
-use madderbay_idempotency_store::Lookup;
 
 impl EventLoop {
     /// Answers an attempt of a request whose intent an earlier incarnation recorded; it never runs again. An attempt
     /// of a new request is rejected here where no intent can be recorded. Returns whether the attempt was answered.
     ///
-    /// `connection` and `rpc_id` say where the answer goes.
-    ///
     /// # Errors
     /// Where the key was used with another handler or body.
     pub(super) fn answer_from_store(
         &mut self,
         now: Timestamp,
-        connection: u64,
-        rpc_id: u64,
+        recipient: Recipient,
         request: &ValidatedRequest,
     ) -> Result<bool, FingerprintMismatch> {
         let Some(key) = request.key else {
             return Ok(false);
         };
-        let executor = &mut self.executor;
-        let Some(durability) = executor
-            .durability
-            .as_mut()
-            .filter(|_| !executor.idempotency.knows(key))
-        else {
-            return Ok(false);
+        let runs = &mut self.executor.idempotent_runs;
+        let stored = runs.stored_outcome(key, request.fingerprint)?;
+        let answer = match &stored {
+            StoredOutcome::NotStored => return Ok(false),
+            StoredOutcome::IntentNotAdmitted => Answer::Rejected {
+                retry_after: self.unavailable_retry_after(),
+                is_final: false,
+            },
+            StoredOutcome::Completed(result) => Answer::of_run(Some(result), false),
+            StoredOutcome::NoResult => Answer::Failed,
         };
-        match durability.lookup(key, request.fingerprint) {
-            Lookup::Mismatch => return Err(FingerprintMismatch),
-            Lookup::NotFound if durability.admit_intent().is_ok() => return Ok(false),
-            Lookup::NotFound => self.reject_without_intent(now, connection, rpc_id),
-            Lookup::Completed(result) => {
-                let result = String::from_utf8_lossy(&result);
-                self.answer_stored(now, connection, rpc_id, Some(&result));
-            }
-            Lookup::NoResult => self.answer_stored(now, connection, rpc_id, None),
-        }
-        self.executor.counters.read[request.arrival.handler.index()] += 1;
-        Ok(true)
-    }
-
-    /// No intent can be recorded now: the attempt is rejected with a Retry-After.
-    fn reject_without_intent(&mut self, now: Timestamp, connection: u64, rpc_id: u64) {
-        let retry_after = self.unavailable_retry_after();
         let executor = &mut self.executor;
-        let report = executor.status.load_report();
-        executor.connections.answer(now, connection, |out| {
-            response::shed(out, rpc_id, retry_after, false, report);
-        });
-        executor.counters.shed += 1;
-    }
-
-    /// Answers with the result of the earlier run; without one, the attempt fails.
-    fn answer_stored(
-        &mut self,
-        now: Timestamp,
-        connection: u64,
-        rpc_id: u64,
-        result: Option<&str>,
-    ) {
-        let executor = &mut self.executor;
-        let report = executor.status.load_report();
-        executor
-            .connections
-            .answer(now, connection, |out| match result {
-                Some(result) => response::done(out, rpc_id, result, report),
-                None => response::errored(out, rpc_id, report),
-            });
-        executor.counters.answered(result.is_some(), false);
+        let counters = &mut executor.counters;
+        counters.request_read(request.arrival.handler);
+        executor.downstream.answer(now, recipient, answer, counters);
+        Ok(true)
     }
 
     /// The writer's thread has reported how far records are durable.
     pub fn storage_event(&mut self, now: Timestamp, event: StorageEvent) {
         self.executor.now = now;
-        let Some(durability) = &mut self.executor.durability else {
+        let Some(released) = self.executor.idempotent_runs.storage_event(event) else {
             return;
         };
-        match event {
-            StorageEvent::Recovered { disk_bytes } => {
-                log::info!("idempotency-store: write recovered");
-                durability.on_storage_recovered(disk_bytes);
-                return;
-            }
-            StorageEvent::Written {
-                sequence,
-                disk_bytes,
-            } => {
-                let released = durability.on_committed(sequence, disk_bytes);
-                released.into_iter().for_each(|work| self.carry_out(work));
+        match released {
+            ReleasedWork::Durable(work) => {
+                for work in work {
+                    self.carry_out(work);
+                }
             }
-            StorageEvent::Failed { sequence, error } => {
-                log::error!("idempotency-store: write failed, error={error}");
-                let released = durability.on_commit_failed(sequence);
-                released.into_iter().for_each(|work| self.give_up(work));
+            ReleasedWork::NotDurable(work) => {
+                for work in work {
+                    self.give_up(work);
+                }
             }
         }
         self.decide(now, |_, _| ());
@@ -112,7 +68,7 @@
     /// The record of some work is durable.
     fn carry_out(&mut self, work: PendingWork) {
         match work {
-            PendingWork::Run { request } => self.executor.release(request),
+            PendingWork::Run { request } => self.executor.release_run(request),
             PendingWork::Response { request, result } => {
                 self.executor
                     .durable_answer_ready(request, result.as_deref());
--- a/crates/server/src/core/turns.rs
+++ b/crates/server/src/core/turns.rs
@@ -13,11 +13,7 @@
 impl EventLoop {
     /// When the next turn is due at the latest.
     pub fn next_deadline(&self) -> Option<Timestamp> {
-        let executor = &self.executor;
-        [executor.tick_timer.deadline(), executor.deadlines.next()]
-            .into_iter()
-            .flatten()
-            .min()
+        self.executor.deadlines.next()
     }
 
     /// One turn, after all that was ready has been taken in: the deadlines that have been reached, the decision
@@ -29,10 +25,8 @@
         }
         self.tick_if_due(now);
         self.update_limits(now);
-        self.decide_within_turn(now, |d, executor| d.settle(now, executor));
-        if let Some(durability) = &mut self.executor.durability {
-            durability.flush();
-        }
+        self.decide_within_turn(now, |decider, executor| decider.settle(now, executor));
+        self.executor.idempotent_runs.flush();
     }
 
     /// Handles a deadline that has been reached.
@@ -52,34 +46,31 @@
 
     /// Checks a connection at its limit on idling, and sets the next check.
     fn idle_deadline_reached(&mut self, now: Timestamp, connection: u64) {
-        let executor = &mut self.executor;
-        if let Some(at) = executor.connections.idle_deadline_reached(now, connection) {
-            let deadline = Deadline::ConnectionIdle(connection);
-            executor.deadlines.insert(at, deadline);
-        }
+        let connections = self.executor.downstream.connections_mut();
+        let next_check = connections.idle_deadline_reached(now, connection);
+        self.check_again(next_check, Deadline::ConnectionIdle(connection));
     }
 
     /// Checks a new connection that should have carried a request, and sets the next check.
     fn first_request_deadline_reached(&mut self, now: Timestamp, connection: u64) {
-        let executor = &mut self.executor;
-        let next_check = executor
-            .connections
-            .first_request_deadline_reached(now, connection);
-        if let Some(at) = next_check {
-            let deadline = Deadline::FirstRequest(connection);
-            executor.deadlines.insert(at, deadline);
+        let connections = self.executor.downstream.connections_mut();
+        let next_check = connections.first_request_deadline_reached(now, connection);
+        self.check_again(next_check, Deadline::FirstRequest(connection));
+    }
+
+    /// Sets the next check of a connection, if there is to be one.
+    fn check_again(&mut self, at: Option<Timestamp>, deadline: Deadline) {
+        if let Some(at) = at {
+            self.executor.deadlines.insert(at, deadline);
         }
     }
 
     /// Removes what has expired and closes what is idle or stalled.
     fn maintain(&mut self, now: Timestamp) {
         let executor = &mut self.executor;
-        if let Some(durability) = &mut executor.durability {
-            durability.expire(now);
-        }
         executor.calls.close_idle(now);
-        executor.idempotency.expire(now);
-        executor.connections.cut_stalled(now);
+        executor.idempotent_runs.expire(now);
+        executor.downstream.connections_mut().cut_stalled(now);
         executor
             .deadlines
             .insert(now + MAINTENANCE_INTERVAL, Deadline::Maintenance);
@@ -87,19 +78,14 @@
 
     /// The decision module's tick, if its timer has reached the deadline.
     fn tick_if_due(&mut self, now: Timestamp) {
-        let Some(deadline) = self.executor.tick_timer.take_due(now) else {
+        let Some(deadline) = self.executor.deadlines.tick_timer().take_due(now) else {
             return;
         };
-        self.executor.counters.tick(now - deadline);
-        let gauges = self.gauges;
-        self.decide_within_turn(now, |d, executor| d.on_tick(now, &gauges, executor));
-        self.executor.engine_link.on_tick();
-    }
-
-    /// Hands the operator's limits to the decision module before it settles.
-    fn update_limits(&mut self, now: Timestamp) {
-        if let Some(decider) = &mut self.decider {
-            self.executor.limits.update_decider(now, decider);
-        }
+        self.executor.counters.ticked(now - deadline);
+        let gauges = self.gauges();
+        self.decide_within_turn(now, |decider, executor| {
+            decider.on_tick(now, &gauges, executor);
+        });
+        self.executor.engine_commands.link_mut().on_tick();
     }
 }
--- a/crates/server/src/core/upstream_events.rs
+++ b/crates/server/src/core/upstream_events.rs
@@ -9,8 +9,8 @@
 use super::dispatch::{AttemptEnd, CallProgress};
 use super::event_loop::EventLoop;
 use crate::support::attempt_name::AttemptName;
-use crate::upstream::calls::{CallDispatcher, CallObserver};
-use crate::upstream::engine::{EngineLink, EngineObserver};
+use crate::upstream::calls::{CallDispatcher, CallObserver, Reply};
+use crate::upstream::engine::{DeclinedCommand, EngineLink, EngineObserver, EngineStart};
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD as BASE64;
 use madderbay::interface::{Actions, Outcome};
@@ -37,35 +37,36 @@
         let Some(request) = executor.requests.get(id) else {
             return;
         };
-        let (key, handler) = (request.key, request.handler);
-        executor.counters.run_over(outcome);
+        let key = request.key;
+        executor.counters.run_ended(request.handler, outcome);
         executor.answer_all_joined(key, result);
-        executor.counters.ran[handler.index()] += 1;
         executor.remove(id);
-        self.decide(now, |d, _| d.on_run_ended(now, id, outcome, run_time));
+        self.decide(now, |decider, _| {
+            decider.on_run_ended(now, id, outcome, run_time);
+        });
     }
 
     /// A call is over with all its attempts.
     fn call_ended(&mut self, now: Timestamp, id: u64, outcome: Outcome, elapsed: Duration) {
         let executor = &mut self.executor;
-        executor.counters.call_over(outcome);
+        executor.counters.call_ended(outcome);
         let request = executor.requests.get_mut(id);
-        if let Some(deadline) = request.and_then(|r| r.call.take_deadline()) {
+        if let Some(deadline) = request.and_then(|request| request.call.take_deadline()) {
             executor
                 .deadlines
                 .remove(deadline, Deadline::CallTimeout(id));
         }
         executor.now = now;
         executor.end_attempts(id, AttemptOutcome::Cancelled);
-        let stalled = executor.tick_timer.is_overdue(now, STALL_THRESHOLD);
+        let stalled = executor.deadlines.is_tick_overdue(now, STALL_THRESHOLD);
         executor.observe(id, |observer, now| {
             if stalled {
                 observer.process_stalled(now);
             }
             observer.call_finished(now, id, concurrency_limits::completion(outcome));
         });
-        self.decide(now, |d, executor| {
-            d.on_call_finished(now, id, outcome, elapsed, executor);
+        self.decide(now, |decider, executor| {
+            decider.on_call_finished(now, id, outcome, elapsed, executor);
         });
     }
 
@@ -95,17 +96,19 @@
     fn fail_started_runs(&mut self, now: Timestamp) {
         let started = self.executor.requests.started();
         log::warn!("engine: notices lost, runs_failed={}", started.len());
-        for (id, name) in started {
-            self.executor.cancel(id);
-            self.run_over(now, &name, Outcome::Failed, Duration::ZERO, "");
+        for run in started {
+            self.executor.cancel(run.request);
+            self.run_ended(now, &run.attempt, Outcome::Failed, Duration::ZERO, "");
         }
     }
 
     /// All notices that were missed have been read: sends again what may not have reached the engine. That starts
     /// nothing twice, since all runs that ended meanwhile are known.
     fn resend_commands(&mut self, now: Timestamp) {
-        self.executor.now = now;
-        for id in self.executor.resend_commands() {
+        let executor = &mut self.executor;
+        executor.now = now;
+        let in_doubt = executor.engine_commands.resend(&mut executor.requests);
+        for id in in_doubt {
             self.reply_in_doubt(now, id);
         }
     }
@@ -116,7 +119,7 @@
         let Some(request) = self.executor.requests.get(id) else {
             return;
         };
-        if self.settings.handlers[request.handler.index()].has_partial_answer() {
+        if self.has_partial_answer(request.handler) {
             self.executor.skip_call(id);
         } else {
             self.fail_request(now, id);
@@ -124,66 +127,51 @@
     }
 
     /// A run ended that is not in flight. It may be one of a former incarnation, which proves its outcome.
-    fn unknown_run_ended(&mut self, name: &AttemptName, outcome: Outcome, blob: &str) {
+    fn unknown_run_ended(&mut self, name: &AttemptName, outcome: Outcome, result: &str) {
         let executor = &mut self.executor;
-        let result = (outcome == Outcome::Completed).then_some(blob.as_bytes());
-        let took_place = matches!(
-            outcome,
-            Outcome::Completed | Outcome::Failed | Outcome::Cancelled
-        );
-        let durability = executor.durability.as_mut().filter(|_| took_place);
-        if durability.is_some_and(|d| d.complete_recovered_run(name, result)) {
-            self.work_pending.notify_one();
+        let result = (outcome == Outcome::Completed).then_some(result);
+        let runs = &mut executor.idempotent_runs;
+        if runs.complete_recovered_run(name, outcome, result) {
+            self.request_turn();
         } else {
-            executor.counters.strays += 1;
+            executor.counters.unmatched_end();
         }
     }
-
-    /// Creates the decision module. `engine_is_new`: the engine came up with this server, with cold caches.
-    ///
-    /// The module begins now and not when the engine did, which may be an hour ago: its timer would count as that
-    /// late, and a stop requested before the first tick would never come due. An engine that came up cold a while
-    /// ago so counts as colder than it is.
-    fn begin_deciding(&mut self, now: Timestamp, engine_is_new: bool) {
-        self.settings.machine.starts_cold |= engine_is_new;
-        let mut decider = self.settings.decider(now, self.seed);
-        self.executor.now = now;
-        self.executor.tick_timer.restart(now);
-        decider.on_start(&mut self.executor);
-        self.decider = Some(decider);
-    }
 }
 
 impl EngineObserver for EventLoop {
     fn link(&mut self) -> &mut EngineLink {
-        &mut self.executor.engine_link
+        self.executor.engine_commands.link_mut()
     }
 
-    fn unread(&mut self) {
-        self.executor.counters.bad_notices += 1;
+    fn notice_unreadable(&mut self) {
+        self.executor.counters.notice_unreadable();
     }
 
-    fn unlinked(&mut self) {
-        self.executor.engine_link_lost();
-        self.executor.counters.relinks += 1;
+    fn link_lost(&mut self) {
+        let executor = &mut self.executor;
+        executor.engine_commands.link_lost(&mut executor.requests);
+        self.executor.counters.engine_link_lost();
     }
 
     /// The engine is up. The first time, the decision module begins; not while draining, when no work is taken
     /// on any more.
-    fn hello(&mut self, now: Timestamp, how: &str, age: Duration) {
-        log::info!("engine: up, how={how}, age_ms={}", age.as_micros() / 1000);
-        if self.decider.is_none() && !self.executor.status.is_draining() {
-            self.begin_deciding(now, how == "new");
+    fn engine_up(&mut self, now: Timestamp, start: EngineStart) {
+        let age_ms = start.age().as_micros() / 1000;
+        log::info!("engine: up, how={start}, age_ms={age_ms}");
+        if !self.is_deciding() && !self.executor.downstream.status().is_draining() {
+            self.begin_deciding(now, start.is_new());
         }
-        self.executor.engine_link.query_gauges(true);
-        self.work_pending.notify_one();
+        let link = self.executor.engine_commands.link_mut();
+        link.query_gauges(true);
+        self.request_turn();
     }
 
     /// The gauges. After a lost link they arrive behind all notices that were missed.
-    fn gauges(&mut self, now: Timestamp, values: &[f64], gap: bool) {
-        self.gauges.run_queue = self.run_queue_gauge.and_then(|at| values.get(at)).copied();
-        let link_restored = !std::mem::replace(&mut self.executor.engine_link.up, true);
-        if gap {
+    fn gauges_read(&mut self, now: Timestamp, values: &[f64], notices_lost: bool) {
+        self.record_gauges(values);
+        let link_restored = self.executor.engine_commands.link_mut().restored();
+        if notices_lost {
             self.fail_started_runs(now);
         }
         if link_restored {
@@ -192,7 +180,7 @@
     }
 
     /// A run waits at a call.
-    fn at_call(&mut self, now: Timestamp, name: &AttemptName, serial: u64, blob: &str) {
+    fn call_needed(&mut self, now: Timestamp, name: &AttemptName, serial: u64, body: &str) {
         let executor = &mut self.executor;
         let Some(id) = executor.requests.id(name) else {
             return;
@@ -202,31 +190,35 @@
         };
         request.commands.all_read();
         request.call.requested(serial);
-        match BASE64.decode(blob) {
+        match BASE64.decode(body) {
             Ok(body) => request.call.set_body(body),
             Err(_) => log::warn!("engine: call body is not base64, serial={serial}"),
         }
         executor.now = now;
         executor.set_stage(id, RequestStage::AwaitingCall);
-        self.decide(now, |d, executor| d.on_call_needed(now, id, executor));
+        self.decide(now, |decider, executor| {
+            decider.on_call_needed(now, id, executor);
+        });
     }
 
     /// A run is over. A request that still waits for it is answered with its outcome.
-    fn run_over(
+    fn run_ended(
         &mut self,
         now: Timestamp,
         name: &AttemptName,
         outcome: Outcome,
         run_time: Duration,
-        blob: &str,
+        result: &str,
     ) {
         let Some(id) = self.executor.requests.id(name) else {
-            return self.unknown_run_ended(name, outcome, blob);
+            return self.unknown_run_ended(name, outcome, result);
         };
         self.executor.now = now;
-        let result = (outcome == Outcome::Completed).then_some(blob);
+        let result = (outcome == Outcome::Completed).then_some(result);
         if self.executor.answer_once_durable(id, outcome, result) {
-            return self.decide(now, |d, _| d.on_run_ended(now, id, outcome, run_time));
+            return self.decide(now, |decider, _| {
+                decider.on_run_ended(now, id, outcome, run_time);
+            });
         }
         self.executor.answer_run(id, result);
         self.remove_ended_run(now, id, outcome, run_time, result);
@@ -234,10 +226,10 @@
 
     /// The engine did not carry a command out. If that is a run, the engine knows no such request: nothing ran or
     /// will, and a further attempt of its key is a new one.
-    fn declined(&mut self, now: Timestamp, command: &str, name: &AttemptName) {
-        self.executor.counters.declined += 1;
+    fn command_declined(&mut self, now: Timestamp, command: DeclinedCommand, name: &AttemptName) {
+        self.executor.counters.command_declined();
         log::debug!("engine: command declined, command={command}");
-        let Some(id) = self.executor.requests.id(name).filter(|_| command == "RUN") else {
+        let Some(id) = self.executor.requests.id(name).filter(|_| command.is_run()) else {
             return;
         };
         let outcome = Outcome::AlreadyEnded;
@@ -245,7 +237,7 @@
         self.executor.reject(id, Duration::ZERO, false);
         self.executor.answer_once_durable(id, outcome, None);
         self.remove_ended_run(now, id, outcome, Duration::ZERO, None);
-        self.executor.idempotency.remove_held_by(id);
+        self.executor.idempotent_runs.remove_held_by(id);
     }
 }
 
@@ -254,29 +246,23 @@
         &mut self.executor.calls
     }
 
-    fn may_dial(&self, open: usize) -> bool {
-        let downstream = self.executor.connections.len();
-        open < self.max_descriptors.saturating_sub(downstream)
+    fn may_connect(&self, open: usize) -> bool {
+        open < self.descriptors_for_calls()
     }
 
-    fn unread(&mut self) {
-        self.executor.counters.bad_replies += 1;
+    fn reply_unreadable(&mut self) {
+        self.executor.counters.reply_unreadable();
     }
 
     /// The reply to a call was read.
-    fn call_over(
-        &mut self,
-        now: Timestamp,
-        upstream_connection: u64,
-        name: &AttemptName,
-        outcome: Outcome,
-        body: &[u8],
-    ) {
-        let Some((id, elapsed)) = self.executor.calls.replied(now, upstream_connection, name)
-        else {
-            self.executor.counters.strays += 1;
+    fn reply_read(&mut self, now: Timestamp, upstream_connection: u64, reply: &Reply) {
+        let outcome = reply.outcome;
+        let calls = &mut self.executor.calls;
+        let Some(call) = calls.replied(now, upstream_connection, &reply.name) else {
+            self.executor.counters.unmatched_end();
             return;
         };
+        let id = call.request;
         let end = AttemptEnd {
             upstream_connection,
             outcome,
@@ -284,15 +270,15 @@
         };
         let progress = self.executor.attempt_ended(now, id, end);
         if outcome == Outcome::Completed && self.executor.requests.unanswered(id).is_some() {
-            self.executor.send_reply(id, body);
+            self.executor.send_reply(id, reply.body);
         } else if progress == CallProgress::Continues {
             return;
         }
-        self.call_ended(now, id, outcome, elapsed);
+        self.call_ended(now, id, outcome, call.elapsed);
     }
 
     /// An upstream connection is over, and with it the call on it.
-    fn call_lost(&mut self, now: Timestamp, upstream_connection: u64) {
+    fn call_connection_ended(&mut self, now: Timestamp, upstream_connection: u64) {
         let calls = &mut self.executor.calls;
         let Some(call) = calls.connection_ended(now, upstream_connection) else {
             return;
--- a/crates/server/src/support/metrics.rs
+++ b/crates/server/src/support/metrics.rs
@@ -1,18 +1,16 @@
 //! Counts of what the server reads, sends and answers, printed one line each in a fixed order.
 //!
-//! [`Counters`] owns the counts; the core's modules add to them. A table declares each printed line once, with
-//! its name and where its value is. The names and their order are an interface: operators' pages and programs depend
-//! on them. Nothing here is given back to decisions.
+//! `Counters` owns the counts. It is told of each event by a method named for that, in `events`; nobody else changes a
+//! count. `table` declares each printed line once, with its name and where its value is. The names and their order are
+//! an interface: operators' pages and programs depend on them. Nothing here is given back to decisions.
+
+mod events;
+mod table;
 
 use madderbay::interface::Outcome;
 use madderbay::time::Duration;
 use std::fmt::Write;
 
-/// A tick later than this is counted: the decision module takes it for a pause of the process.
-const LATE_TICK: Duration = Duration::from_millis(30);
-/// A request that was read later than this after it came to the machine is counted.
-const LATE_READ: Duration = Duration::from_millis(20);
-
 /// How often runs ended in each way.
 #[derive(Default)]
 struct RunOutcomes {
@@ -73,64 +71,71 @@
         self.longest = self.longest.max(delay);
     }
 
+    /// The longest delay, in whole milliseconds.
     fn longest_millis(&self) -> u64 {
         self.longest.as_micros() / 1000
     }
 }
 
+/// How often requests were answered in each way.
+#[derive(Default)]
+struct Answers {
+    /// With a complete result.
+    completed: u64,
+    /// With a result, but without the optional calls.
+    partial: u64,
+    rejected: u64,
+    /// With an error after a possible effect.
+    failed: u64,
+}
+
+/// What became of the connections of load balancers.
+#[derive(Default)]
+struct ConnectionCounts {
+    accepted: u64,
+    evicted: u64,
+    over_limit: u64,
+}
+
+/// What peers sent that could not be read.
+#[derive(Default)]
+struct UnreadableInput {
+    lines: u64,
+    notices: u64,
+    replies: u64,
+}
+
+/// What became of the reports to the registry.
+#[derive(Default)]
+struct ReportCounts {
+    accepted: u64,
+    failed: u64,
+}
+
 /// The counts of one server since its start.
 #[derive(Default)]
 pub struct Counters {
     /// Names of the handlers, by index.
     handlers: Vec<String>,
     /// Requests that were read, by handler.
-    pub read: Vec<u64>,
+    requests_read: Vec<u64>,
     /// Runs that ended, by handler.
-    pub ran: Vec<u64>,
-    /// Requests answered with a complete result.
-    completed: u64,
-    /// Requests answered without their optional calls.
-    partial: u64,
-    /// Requests that were rejected.
-    pub shed: u64,
-    /// Requests answered with an error after a possible effect.
-    failed: u64,
-    /// Requests answered by the run of another attempt.
-    pub joined: u64,
-    /// Requests that nobody waits for any more.
-    pub gone: u64,
-    /// Requests whose connection ended before their answer.
-    pub cut: u64,
-    /// Runs that were started.
-    pub runs: u64,
+    runs_ended: Vec<u64>,
+    answers: Answers,
+    requests_joined: u64,
+    clients_gone: u64,
+    requests_disconnected: u64,
+    runs_started: u64,
     run_outcomes: RunOutcomes,
-    /// Calls that were sent.
-    pub calls: u64,
+    calls_sent: u64,
     call_outcomes: CallOutcomes,
-    /// Optional calls that were skipped.
-    pub skipped: u64,
-    /// Connections of load balancers that were accepted.
-    pub connections: u64,
-    /// Connections that were closed to make room for others.
-    pub connections_cut: u64,
-    /// Connections that were refused for want of room.
-    pub connections_refused: u64,
-    /// Lines of load balancers that could not be served.
-    pub bad_lines: u64,
-    /// Notices of the engine that could not be read.
-    pub bad_notices: u64,
-    /// Replies to calls that could not be read.
-    pub bad_replies: u64,
-    /// Ends of runs and replies to calls that are not in flight any more.
-    pub strays: u64,
-    /// Commands that the engine did not carry out.
-    pub declined: u64,
-    /// Links to the engine that were lost.
-    pub relinks: u64,
-    /// Reports that the registry took.
-    pub reports: u64,
-    /// Reports that did not reach the registry.
-    pub reports_lost: u64,
+    calls_skipped: u64,
+    connections: ConnectionCounts,
+    unreadable: UnreadableInput,
+    unmatched_ends: u64,
+    commands_declined: u64,
+    engine_links_lost: u64,
+    reports: ReportCounts,
     ticks: u64,
     late_ticks: Lateness,
     late_reads: Lateness,
@@ -151,135 +156,16 @@
     pub keys: usize,
 }
 
-/// One printed line: its name, and where its value is.
-struct Metric {
-    name: &'static str,
-    value: fn(&Counters, &LoadGauges) -> u64,
-}
-
-const fn metric(name: &'static str, value: fn(&Counters, &LoadGauges) -> u64) -> Metric {
-    Metric { name, value }
-}
-
-/// A line of each handler: `NAME.HANDLER`, and where the values of all handlers are.
-struct HandlerMetric {
-    name: &'static str,
-    values: fn(&Counters) -> &[u64],
-}
-
-/// The lines of each handler, in their order.
-const HANDLER_METRICS: [HandlerMetric; 2] = [
-    HandlerMetric {
-        name: "read",
-        values: |c| &c.read,
-    },
-    HandlerMetric {
-        name: "ran",
-        values: |c| &c.ran,
-    },
-];
-
-/// All other lines, in their order.
-const METRICS: [Metric; 41] = [
-    metric("answered.done", |c, _| c.completed),
-    metric("answered.partial", |c, _| c.partial),
-    metric("answered.shed", |c, _| c.shed),
-    metric("answered.errored", |c, _| c.failed),
-    metric("gone", |c, _| c.gone),
-    metric("open", |_, g| g.open_requests as u64),
-    metric("in_hand", |_, g| g.requests_in_flight as u64),
-    metric("joined", |c, _| c.joined),
-    metric("cut", |c, _| c.cut),
-    metric("runs.started", |c, _| c.runs),
-    metric("runs.done", |c, _| c.run_outcomes.completed),
-    metric("runs.errored", |c, _| c.run_outcomes.failed),
-    metric("runs.stopped", |c, _| c.run_outcomes.cancelled),
-    metric("runs.moot", |c, _| c.run_outcomes.already_ended),
-    metric("calls.made", |c, _| c.calls),
-    metric("calls.done", |c, _| c.call_outcomes.completed),
-    metric("calls.shed", |c, _| c.call_outcomes.rejected),
-    metric("calls.errored", |c, _| c.call_outcomes.failed),
-    metric("calls.timed_out", |c, _| c.call_outcomes.timed_out),
-    metric("calls.unreached", |c, _| c.call_outcomes.unreachable),
-    metric("calls.cut_off", |c, _| c.call_outcomes.disconnected),
-    metric("calls.out", |_, g| g.calls_in_flight as u64),
-    metric("calls.skipped", |c, _| c.skipped),
-    metric("connections.accepted", |c, _| c.connections),
-    metric("connections.open", |_, g| g.connections as u64),
-    metric("connections.cut", |c, _| c.connections_cut),
-    metric("connections.refused", |c, _| c.connections_refused),
-    metric("keys.kept", |_, g| g.keys as u64),
-    metric("bad.lines", |c, _| c.bad_lines),
-    metric("bad.notices", |c, _| c.bad_notices),
-    metric("bad.replies", |c, _| c.bad_replies),
-    metric("strays", |c, _| c.strays),
-    metric("engine.declined", |c, _| c.declined),
-    metric("engine.links_lost", |c, _| c.relinks),
-    metric("registry.reports", |c, _| c.reports),
-    metric("registry.reports_lost", |c, _| c.reports_lost),
-    metric("ticks", |c, _| c.ticks),
-    metric("ticks.late", |c, _| c.late_ticks.late),
-    metric("ticks.latest_ms", |c, _| c.late_ticks.longest_millis()),
-    metric("reads.late", |c, _| c.late_reads.late),
-    metric("reads.latest_ms", |c, _| c.late_reads.longest_millis()),
-];
-
 impl Counters {
     /// Counters of a server with handlers of these names, all at 0.
     pub fn new(handlers: &[String]) -> Counters {
-        let none = vec![0; handlers.len()];
         Counters {
             handlers: handlers.to_vec(),
-            read: none.clone(),
-            ran: none,
+            requests_read: vec![0; handlers.len()],
+            runs_ended: vec![0; handlers.len()],
             ..Counters::default()
         }
     }
-
-    /// Counts an answer that is no rejection: `done` with a result, which may be `partial`, else with an error.
-    pub fn answered(&mut self, done: bool, partial: bool) {
-        match (done, partial) {
-            (true, true) => self.partial += 1,
-            (true, false) => self.completed += 1,
-            _ => self.failed += 1,
-        }
-    }
-
-    /// Counts the end of a run.
-    pub fn run_over(&mut self, outcome: Outcome) {
-        self.run_outcomes.count(outcome);
-    }
-
-    /// Counts the end of a call.
-    pub fn call_over(&mut self, outcome: Outcome) {
-        self.call_outcomes.count(outcome);
-    }
-
-    /// Counts a tick of the timer that came so late.
-    pub fn tick(&mut self, late: Duration) {
-        self.ticks += 1;
-        self.late_ticks.observe(late, LATE_TICK);
-    }
-
-    /// Counts a request that was unread for so long.
-    pub fn read_late(&mut self, unread: Duration) {
-        self.late_reads.observe(unread, LATE_READ);
-    }
-
-    /// All counters and gauges as lines, in their fixed order.
-    pub fn lines(&self, gauges: &LoadGauges) -> String {
-        let mut lines = Lines::of("");
-        for (index, handler) in self.handlers.iter().enumerate() {
-            for metric in &HANDLER_METRICS {
-                let name = format!("{}.{handler}", metric.name);
-                lines.add(&name, (metric.values)(self)[index]);
-            }
-        }
-        for metric in &METRICS {
-            lines.add(metric.name, (metric.value)(self, gauges));
-        }
-        lines.text
-    }
 }
 
 /// Lines of the form `counter NAME VALUE`; the names of one part begin with the part's and a point.
@@ -298,6 +184,13 @@
         }
     }
 
+    /// Appends a line for each name with its value.
+    pub fn add_all<'a>(&mut self, values: impl IntoIterator<Item = (&'a str, u64)>) {
+        for (name, value) in values {
+            self.add(name, value);
+        }
+    }
+
     /// Appends a line.
     pub fn add(&mut self, name: &str, value: u64) {
         let point = if self.part.is_empty() { "" } else { "." };
--- a/crates/server/src/support/mod.rs
+++ b/crates/server/src/support/mod.rs
@@ -7,4 +7,5 @@
 pub mod io;
 pub mod json;
 pub mod logging;
+/// What is counted, and how it is printed.
 pub mod metrics;
--- a/crates/server/src/upstream/calls/dispatcher.rs
+++ b/crates/server/src/upstream/calls/dispatcher.rs
@@ -4,6 +4,7 @@
 //! calls to send, replies and ends of connections. It opens no connection itself: it lists those that it wants, and
 //! hands each one's bytes to an outbox.
 
+use super::wire_names::{CALL, END};
 use crate::support::attempt_name::{self, AttemptName};
 use crate::support::io::Outbox;
 use madderbay::interface::Outcome;
@@ -36,7 +37,7 @@
     call: Option<CallInFlight>,
     /// Requests in flight that have called here: a second copy of a reply may still come, so their next calls are
     /// made elsewhere.
-    callers: HashSet<AttemptName>,
+    served_attempts: HashSet<AttemptName>,
     last_used: Timestamp,
     /// It leads to an address that the catalogue has left.
     is_outdated: bool,
@@ -53,24 +54,22 @@
         self.backend == backend
             && self.call.is_none()
             && self.is_reusable(now)
-            && !self.callers.contains(name)
+            && !self.served_attempts.contains(name)
     }
 
     /// Puts a call on the connection.
     fn send(&mut self, call: CallInFlight, timeout: Duration, body: &[u8]) {
         let name = call.name;
         self.call = Some(call);
-        self.callers.insert(name);
+        self.served_attempts.insert(name);
         self.outbox.put(|out| {
             let millis = (timeout.as_micros() / 1000).max(1);
-            let _ = write!(
-                out,
-                "FETCH {} {millis} {}\r\n",
-                attempt_name::as_text(&name),
-                body.len()
-            );
+            let attempt = attempt_name::as_text(&name);
+            // Writing to a vector can't fail.
+            let _ = write!(out, "{CALL} {attempt} {millis} {}", body.len());
+            out.extend_from_slice(END);
             out.extend_from_slice(body);
-            out.extend_from_slice(b"\r\n");
+            out.extend_from_slice(END);
         });
     }
 }
@@ -96,6 +95,15 @@
     pub elapsed: Duration,
 }
 
+/// A call that ended with its reply.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RepliedCall {
+    /// The request that called.
+    pub request: u64,
+    /// The time since it was sent.
+    pub elapsed: Duration,
+}
+
 /// All calls in flight and the connections that they are on; no more than the runs in flight.
 #[derive(Default)]
 pub struct CallDispatcher {
@@ -161,7 +169,7 @@
             backend,
             outbox,
             call: None,
-            callers: HashSet::new(),
+            served_attempts: HashSet::new(),
             last_used: now,
             is_outdated: false,
         });
@@ -193,14 +201,14 @@
         })
     }
 
-    /// Takes a reply on a connection. Returns the request that called and the time since; nothing if the reply is not
-    /// that of the call in flight there.
+    /// Takes a reply on a connection. Returns the call that it ends; nothing if the reply is not that of the call in
+    /// flight there.
     pub fn replied(
         &mut self,
         now: Timestamp,
         connection_id: u64,
         name: &AttemptName,
-    ) -> Option<(u64, Duration)> {
+    ) -> Option<RepliedCall> {
         let connection = self
             .connections
             .iter_mut()
@@ -210,7 +218,10 @@
         if connection.is_outdated {
             connection.outbox.cut();
         }
-        Some((call.request, now - call.sent_at))
+        Some(RepliedCall {
+            request: call.request,
+            elapsed: now - call.sent_at,
+        })
     }
 
     /// A connection is over, and with it the call on it, if there is one.
@@ -245,9 +256,9 @@
     }
 
     /// The request of this attempt is over: it makes no more calls, so that no late reply can be mistaken.
-    pub fn forget(&mut self, name: &AttemptName) {
+    pub fn request_finished(&mut self, name: &AttemptName) {
         for connection in &mut self.connections {
-            connection.callers.remove(name);
+            connection.served_attempts.remove(name);
         }
     }
 
--- a/crates/server/src/upstream/engine/link.rs
+++ b/crates/server/src/upstream/engine/link.rs
@@ -4,7 +4,7 @@
 //! read all that was sent before their query on the same link. Commands that were not proven are the core's to send
 //! again.
 
-use crate::support::attempt_name::{self, AttemptName};
+use super::wire_names::{command, member};
 use crate::support::io::Outbox;
 use std::io::Write;
 
@@ -12,24 +12,13 @@
 /// anew: two seconds. Counted, not timed, since a pause of this process is no silence.
 const MAX_SILENT_TICKS: u32 = 200;
 
-/// One command as a line. `rest` holds further members, each with a comma before it, as they stand on the wire.
-pub fn command(msg: &str, call: &AttemptName, rest: std::fmt::Arguments) -> Vec<u8> {
-    let mut line = Vec::with_capacity(64);
-    let _ = writeln!(
-        line,
-        "{{\"msg\":\"{msg}\",\"call\":\"{}\"{rest}}}",
-        attempt_name::as_text(call)
-    );
-    line
-}
-
 /// The sending side: what was queried on the link, and what is proven by the answers.
 #[derive(Default)]
 pub struct EngineLink {
     /// What is to be sent on the link of the moment.
-    pub out: Outbox,
+    outbox: Outbox,
     /// Linked, and all notices that were missed have been read.
-    pub up: bool,
+    is_up: bool,
     /// The number of the last query for the gauges.
     last_query: u64,
     /// The last query that was answered.
@@ -42,11 +31,18 @@
 
 impl EngineLink {
     /// Begins a fresh connection: the engine is notified of the last notice that was read.
-    pub fn attach(&mut self, out: Outbox, serial: u64) {
-        out.put(|b| {
-            let _ = writeln!(b, "{{\"msg\":\"ATTACH\",\"serial\":{serial}}}");
+    pub fn attach(&mut self, outbox: Outbox, serial: u64) {
+        outbox.put(|bytes| {
+            // Writing to a vector can't fail.
+            let _ = writeln!(
+                bytes,
+                "{{\"{}\":\"{}\",\"{}\":{serial}}}",
+                member::KIND,
+                command::ATTACH,
+                member::SERIAL
+            );
         });
-        self.out = out;
+        self.outbox = outbox;
         self.last_answer = self.last_query;
         self.silent_ticks = 0;
     }
@@ -54,15 +50,36 @@
     /// The connection is gone: what is sent now waits for the next one. What was proven stays as it was when a link is
     /// lost before it was up, however often: else commands lost with the first would count as read.
     pub fn lost(&mut self) {
-        if std::mem::replace(&mut self.up, false) {
+        if std::mem::replace(&mut self.is_up, false) {
             self.answered_before = self.last_answer;
         }
     }
 
+    /// All notices that were missed have been read: what is sent goes out from now on. Returns whether it did not
+    /// before.
+    pub fn restored(&mut self) -> bool {
+        !std::mem::replace(&mut self.is_up, true)
+    }
+
+    /// Whether what is sent goes out.
+    pub fn is_up(&self) -> bool {
+        self.is_up
+    }
+
+    /// All bytes that were sent on the link of the moment, written or not.
+    pub fn queued_bytes(&self) -> u64 {
+        self.outbox.queued()
+    }
+
+    /// The bytes that were written to the link of the moment.
+    pub fn written_bytes(&self) -> u64 {
+        self.outbox.written()
+    }
+
     /// Sends a line while the link is up, else nothing.
     pub fn send(&self, line: &[u8]) {
-        if self.up {
-            self.out.put(|b| b.extend_from_slice(line));
+        if self.is_up {
+            self.outbox.put(|bytes| bytes.extend_from_slice(line));
         }
     }
 
@@ -74,9 +91,9 @@
             0
         };
         if self.silent_ticks == MAX_SILENT_TICKS {
-            self.out.cut();
+            self.outbox.cut();
         }
-        if self.up {
+        if self.is_up {
             self.query_gauges(false);
         }
     }
@@ -85,9 +102,15 @@
     pub fn query_gauges(&mut self, even_if_open: bool) {
         if self.last_answer == self.last_query || even_if_open {
             self.last_query += 1;
-            let cookie = self.last_query;
-            self.out.put(|b| {
-                let _ = writeln!(b, "{{\"msg\":\"STAT\",\"cookie\":\"{cookie}\"}}");
+            let query = self.last_query;
+            self.outbox.put(|bytes| {
+                let _ = writeln!(
+                    bytes,
+                    "{{\"{}\":\"{}\",\"{}\":\"{query}\"}}",
+                    member::KIND,
+                    command::QUERY_GAUGES,
+                    member::QUERY
+                );
             });
         }
     }
@@ -108,7 +131,7 @@
     }
 
     /// The gauges came that this query asked for.
-    pub(super) fn answered(&mut self, cookie: u64) {
-        self.last_answer = self.last_answer.max(cookie.min(self.last_query));
+    pub(super) fn gauges_answered(&mut self, query: u64) {
+        self.last_answer = self.last_answer.max(query.min(self.last_query));
     }
 }
--- a/crates/server/tests/scenarios/player.rs
+++ b/crates/server/tests/scenarios/player.rs
@@ -119,7 +119,7 @@
     /// Makes a new link to the engine.
     pub(crate) fn link_engine(&mut self) {
         let outbox = Outbox::default();
-        self.notices.relinked();
+        self.notices.link_opened();
         self.core
             .engine_link_mut()
             .attach(outbox.clone(), self.notices.serial());
@@ -154,7 +154,7 @@
 
     fn feed_engine(&mut self, piece: &[u8]) {
         assert!(
-            self.notices.fed(self.now, piece, &mut self.core),
+            self.notices.feed(self.now, piece, &mut self.core),
             "the engine's link is read on"
         );
     }
@@ -165,7 +165,7 @@
         let call = &mut self.calls[index];
         let id = call.id;
         let is_read = call.replies.feed(piece, |reply| {
-            core.call_over(now, id, &reply.name, reply.outcome, reply.body);
+            core.reply_read(now, id, &reply);
         });
         if !is_read {
             call.outbox.close();
@@ -293,7 +293,7 @@
         } else if let Some(index) = call_index(peer) {
             self.open_wanted_calls();
             let id = self.calls[index].id;
-            self.core.call_lost(self.now, id);
+            self.core.call_connection_ended(self.now, id);
         } else {
             let id = self.client(peer).id;
             self.core.connection_closed(self.now, id);
