--- a/crates/concurrency/src/handlers.rs
+++ b/crates/concurrency/src/handlers.rs
@@ -3,7 +3,7 @@
 //! Owns the counters per handler and the mean duration of its runs. Given each change of a request
 //! by [`requests`](crate::requests), which keeps the counters consistent with the requests.
 
-use crate::requests::RequestStage;
+use crate::request_stage::RequestStage;
 use madderbay::interface::{CallRequirement, HandlerId};
 use madderbay::time::Timestamp;
 
--- a/crates/concurrency/src/lib.rs
+++ b/crates/concurrency/src/lib.rs
@@ -39,6 +39,7 @@
 pub mod limit;
 mod limiter;
 mod pool;
+mod request_stage;
 mod requests;
 mod reserve;
 mod upstream;
@@ -47,7 +48,7 @@
 pub use config::{ConcurrencyConfig, PoolConfig, Reserve, UpstreamGroup};
 pub use limit::{AdjustmentCause, Completion, LimitChange, LimitChanges};
 pub use limiter::ConcurrencyLimiter;
-pub use requests::RequestStage;
+pub use request_stage::RequestStage;
 pub use usage::{CallUsage, PoolUsage, UpstreamUsage};
 
 /// A ceiling that does not bind.
--- /dev/null
+++ b/crates/concurrency/src/request_stage.rs
@@ -0,0 +1,14 @@
+//! The stages that a request passes through, as the limiter counts them.
+
+/// Progress of a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RequestStage {
+    /// Admitted, not started.
+    Queued,
+    /// Its run executes.
+    Running,
+    /// Its run waits for a call that is not made yet.
+    AwaitingCall,
+    /// Its run waits for the reply to a call.
+    Calling,
+}
--- a/crates/concurrency/src/requests.rs
+++ b/crates/concurrency/src/requests.rs
@@ -5,6 +5,7 @@
 
 use crate::handlers::HandlerTable;
 use crate::limit::Permit;
+use crate::request_stage::RequestStage;
 use madderbay::interface::{CallRequirement, HandlerId};
 use madderbay::time::{Duration, Timestamp};
 use std::collections::{HashMap, VecDeque};
@@ -13,19 +14,6 @@
 /// such a run at once, if ever.
 const ANSWERED_RUN_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Progress of a request.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RequestStage {
-    /// Admitted, not started.
-    Queued,
-    /// Its run executes.
-    Running,
-    /// Its run waits for a call that is not made yet.
-    AwaitingCall,
-    /// Its run waits for the reply to a call.
-    Calling,
-}
-
 pub(crate) struct Request {
     handler: HandlerId,
     stage: RequestStage,
