--- a/crates/membership/src/datagram.rs
+++ b/crates/membership/src/datagram.rs
@@ -21,21 +21,16 @@
     Notice, RosterPage, RosterRequest, SubsystemMessage, decode_body, encode_body,
 };
 
+use crate::datagram_size::{HEADER_BYTES, MAX_DATAGRAM_BYTES};
 use crate::error::DatagramError;
 use crate::identity::MemberIdentity;
-use crate::swim::SwimPacket;
+use crate::swim_packet::SwimPacket;
 use std::ops::Range;
 
-/// Longest datagram, in bytes: passes common networks without fragmentation.
-pub const MAX_DATAGRAM_BYTES: usize = 1_400;
-/// Longest body, in bytes.
-pub(crate) const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES;
-
 const MAGIC: [u8; 2] = *b"MB";
 const VERSION: u8 = 3;
 const MAX_HEALTH_SCORE: u8 = 8;
 
-const HEADER_BYTES: usize = 25;
 const MAGIC_BYTES: Range<usize> = 0..2;
 const VERSION_BYTE: usize = 2;
 const KIND_BYTE: usize = 3;
--- a/crates/membership/src/datagram/body.rs
+++ b/crates/membership/src/datagram/body.rs
@@ -1,7 +1,7 @@
 //! Bodies of all kinds but SWIM. Postcard encodes fields in the order of their declaration and enum
 //! variants by their index, so neither may be reordered.
 
-use super::MAX_BODY_BYTES;
+use crate::datagram_size::MAX_BODY_BYTES;
 use crate::error::{DatagramError, EncodeError};
 use crate::identity::MemberIdentity;
 use compact_str::CompactString;
--- a/crates/membership/src/datagram/tests.rs
+++ b/crates/membership/src/datagram/tests.rs
@@ -2,6 +2,7 @@
 //! decode to the same content, and that content encodes to the same bytes.
 
 use super::*;
+use crate::datagram_size::MAX_BODY_BYTES;
 use crate::identity::Phase;
 use foca::{Member, Message, State as SwimState};
 use std::path::PathBuf;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -16,8 +16,6 @@
 mod timers;
 mod updates;
 
-pub use send::MAX_SUBSYSTEM_PAYLOAD_BYTES;
-
 use crate::anti_entropy::RosterSync;
 use crate::connectivity::{Connectivity, ConnectivityEvidence, ConnectivityStatus};
 use crate::counters::Counters;
--- a/crates/membership/src/membership/roster.rs
+++ b/crates/membership/src/membership/roster.rs
@@ -1,7 +1,8 @@
 //! Rosters: pages of the view that members send to those whose digest differs.
 
 use super::Membership;
-use crate::datagram::{DatagramKind, MAX_BODY_BYTES, RosterPage, RosterRequest, encode_body};
+use crate::datagram::{DatagramKind, RosterPage, RosterRequest, encode_body};
+use crate::datagram_size::MAX_BODY_BYTES;
 use crate::digest::{DIGEST_BUCKETS, ViewDigest};
 use crate::error::DatagramError;
 use crate::identity::{MemberIdentity, Phase};
--- a/crates/membership/src/membership/send.rs
+++ b/crates/membership/src/membership/send.rs
@@ -2,11 +2,10 @@
 
 use super::{Membership, ReceivedMessage};
 use crate::datagram::{self, DatagramKind, Header, Subsystem, SubsystemMessage, encode_body};
+use crate::datagram_size::MAX_SUBSYSTEM_PAYLOAD_BYTES;
 use crate::event::MembershipEvent;
 use std::net::SocketAddr;
 
-/// Longest payload of a subsystem message, in bytes: it and its sender's identity fit a datagram.
-pub const MAX_SUBSYSTEM_PAYLOAD_BYTES: usize = 1_150;
 /// Upper bound on the number of events that wait to be taken; further ones are counted.
 const MAX_PENDING_EVENTS: usize = 64;
 
--- a/crates/membership/src/membership/suspicion.rs
+++ b/crates/membership/src/membership/suspicion.rs
@@ -4,7 +4,7 @@
 use crate::datagram::DatagramKind;
 use crate::event::ChangeReason;
 use crate::identity::MemberIdentity;
-use crate::swim::encode_ping;
+use crate::swim_packet::encode_ping;
 use crate::view::MemberState;
 use compact_str::CompactString;
 use madderbay::time::{Duration, Timestamp};
--- a/crates/membership/src/membership/swim_receive.rs
+++ b/crates/membership/src/membership/swim_receive.rs
@@ -5,7 +5,7 @@
 use crate::datagram::Header;
 use crate::error::DatagramError;
 use crate::identity::{MemberIdentity, Phase};
-use crate::swim::SwimPacket;
+use crate::swim_packet::SwimPacket;
 use foca::{Member, Message, State as SwimState};
 use madderbay::time::Timestamp;
 
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -3,11 +3,7 @@
 //!
 //! Nothing is decided here, and nothing is sent.
 
-mod packet;
-
-pub(crate) use packet::{SwimPacket, decode_header, encode_ping};
-
-use crate::datagram::MAX_BODY_BYTES;
+use crate::datagram_size::MAX_BODY_BYTES;
 use crate::identity::MemberIdentity;
 use crate::settings::Settings;
 use foca::{
