--- a/crates/quota/src/counter.rs
+++ b/crates/quota/src/counter.rs
@@ -15,7 +15,10 @@
 mod local;
 mod remote;
 mod remote_snapshot;
+mod resolution;
+mod settings;
 mod snapshot;
+mod snapshot_source;
 mod time_slot;
 
 use crate::message::{CounterSnapshot, name_hash};
@@ -24,52 +27,9 @@
 use local::LocalCounts;
 use madderbay::time::{Duration, Timestamp};
 use remote::RemoteCounts;
-pub use remote::SnapshotSource;
-
-/// Time slots of a window.
-const WINDOW_SLOTS: u64 = 10;
-/// Time slots between the end of a window and its estimate: time for snapshots to arrive.
-const LAG_SLOTS: u64 = 3;
-/// Time slots that are remembered and sent.
-const RETAINED_SLOTS: u64 = WINDOW_SLOTS + LAG_SLOTS;
-/// Shortest time slot.
-const MIN_SLOT_LENGTH: Duration = Duration::from_millis(10);
-
-/// A counter as the operator configures it.
-#[derive(Clone, Debug, PartialEq)]
-pub struct CounterSettings {
-    /// Name of the counter, the same on all servers.
-    pub name: CompactString,
-    /// Length of the window that an estimate covers.
-    pub window: Duration,
-    /// Upper bound on what one server counts of one key a second. It bounds what servers may have
-    /// counted whose snapshots are missing.
-    pub max_per_second: f64,
-}
-
-/// Windows and slots of a counter, and the bound on a server's counts.
-#[derive(Clone, Copy, Debug)]
-struct Resolution {
-    window: Duration,
-    slot_length: Duration,
-    max_per_second: f64,
-}
-
-impl Resolution {
-    fn new(settings: &CounterSettings) -> Resolution {
-        let slot_length = settings.window.mul_f64(1.0 / WINDOW_SLOTS as f64);
-        Resolution {
-            window: settings.window,
-            slot_length: slot_length.max(MIN_SLOT_LENGTH),
-            max_per_second: settings.max_per_second,
-        }
-    }
-
-    /// Age from which on no window holds a snapshot's counts any more.
-    fn max_snapshot_age(&self) -> Duration {
-        self.slot_length.mul_f64((2 * RETAINED_SLOTS) as f64)
-    }
-}
+use resolution::Resolution;
+pub use settings::CounterSettings;
+pub use snapshot_source::SnapshotSource;
 
 /// Counts by key over the whole fleet.
 pub struct ReplicatedCounter {
--- a/crates/quota/src/counter/local.rs
+++ b/crates/quota/src/counter/local.rs
@@ -1,8 +1,8 @@
 //! What this server counts itself.
 
 use super::estimate::CountEstimate;
+use super::resolution::{LAG_SLOTS, RETAINED_SLOTS, WINDOW_SLOTS};
 use super::time_slot::{CountBounds, TimeSlot};
-use super::{LAG_SLOTS, RETAINED_SLOTS, WINDOW_SLOTS};
 use crate::message::CounterSnapshot;
 use madderbay::time::{Duration, Timestamp};
 use std::collections::{HashMap, VecDeque};
--- a/crates/quota/src/counter/remote.rs
+++ b/crates/quota/src/counter/remote.rs
@@ -2,8 +2,9 @@
 
 use super::estimate::CountEstimate;
 use super::remote_snapshot::RemoteSnapshot;
+use super::resolution::{RETAINED_SLOTS, Resolution};
 use super::snapshot::{MAX_SNAPSHOT_KEYS, SNAPSHOT_SKETCH_CELLS};
-use super::{RETAINED_SLOTS, Resolution};
+use super::snapshot_source::SnapshotSource;
 use crate::message::CounterSnapshot;
 use compact_str::CompactString;
 use madderbay::time::{Duration, Timestamp};
@@ -12,14 +13,6 @@
 
 /// Upper bound on the incarnations of other servers that are remembered.
 const MAX_INCARNATIONS: usize = 4_096;
-/// The server, in one incarnation, that a snapshot is about.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SnapshotSource<'a> {
-    /// Name of the server.
-    pub server: &'a CompactString,
-    /// Its incarnation.
-    pub incarnation: u64,
-}
 
 /// Why a snapshot is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
--- a/crates/quota/src/counter/remote_snapshot.rs
+++ b/crates/quota/src/counter/remote_snapshot.rs
@@ -1,9 +1,9 @@
 //! The latest snapshot of one incarnation of another server, and what follows from it.
 
 use super::estimate::CountEstimate;
+use super::resolution::{LAG_SLOTS, RETAINED_SLOTS, Resolution, WINDOW_SLOTS};
 use super::snapshot::SNAPSHOT_SKETCH_CELLS;
 use super::time_slot::sketch_cell;
-use super::{LAG_SLOTS, RETAINED_SLOTS, Resolution, WINDOW_SLOTS};
 use crate::clock_drift::MAX_CLOCK_DRIFT;
 use crate::message::CounterSnapshot;
 use madderbay::time::{Duration, Timestamp};
--- a/crates/quota/src/counter/snapshot.rs
+++ b/crates/quota/src/counter/snapshot.rs
@@ -1,8 +1,8 @@
 //! Snapshots of what this server counted, for other servers.
 
-use super::RETAINED_SLOTS;
 use super::local::{KeySum, LocalCounts, heaviest_first};
-use super::remote::SnapshotSource;
+use super::resolution::RETAINED_SLOTS;
+use super::snapshot_source::SnapshotSource;
 use super::time_slot::{SLOT_SKETCH_CELLS, TimeSlot, sketch_cell};
 use crate::message::{CounterSnapshot, KeyCounts};
 use madderbay::time::Timestamp;
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -8,20 +8,18 @@
 //! demand. `docs/notes/shared.md` states the invariant and its proof.
 
 mod grants;
+mod incarnation_id;
 mod leases;
 mod terms;
 
 use grants::GrantHistory;
+pub use incarnation_id::IncarnationId;
 use leases::LeaseRecord;
 pub use leases::{LeaseReturn, OpenLease, RejectedGrant};
 use madderbay::time::Timestamp;
 use std::collections::BTreeMap;
 pub use terms::LeaseTerms;
 
-/// One incarnation of another server, as a small number that is valid in this process only.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct IncarnationId(pub u32);
-
 /// Grants, leases and calls in flight of one budget on one server.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Ledger {
--- a/crates/quota/src/ledger/leases.rs
+++ b/crates/quota/src/ledger/leases.rs
@@ -1,6 +1,6 @@
 //! What a lessee has leased from one lessor.
 
-use super::IncarnationId;
+use super::incarnation_id::IncarnationId;
 use madderbay::time::{Duration, Timestamp};
 
 /// Times that each return is sent, because a datagram may be lost. A doubled return changes
