--- a/crates/simulation/src/cli.rs
+++ b/crates/simulation/src/cli.rs
@@ -6,9 +6,11 @@
 mod error;
 mod figures;
 mod files;
+mod outcome;
 mod plot;
 mod report_folder;
 mod search;
 
 pub(crate) use arguments::Arguments;
-pub(crate) use commands::{CommandOutcome, execute};
+pub(crate) use commands::execute;
+pub(crate) use outcome::CommandOutcome;
--- a/crates/simulation/src/cli/commands.rs
+++ b/crates/simulation/src/cli/commands.rs
@@ -2,6 +2,7 @@
 
 use super::arguments::{Command, DrawArguments};
 use super::error::CommandError;
+use super::outcome::CommandOutcome;
 use super::{compare, figures, files, report_folder, search};
 use madderbay_simulation::{Features, History, fault_mix_table, shrink, simulate};
 use std::path::Path;
@@ -13,26 +14,6 @@
 /// Servers that the mixes of faults need.
 const MIN_SERVERS_OF_TABLE: usize = 4;
 
-/// How a command that ran to its end came out.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum CommandOutcome {
-    /// No invariant was violated, or the command looks for none.
-    Passed,
-    /// An invariant was violated.
-    Violated,
-}
-
-impl CommandOutcome {
-    /// The outcome of a command that found so many violations.
-    pub(crate) fn of_violations(violations: usize) -> CommandOutcome {
-        if violations == 0 {
-            CommandOutcome::Passed
-        } else {
-            CommandOutcome::Violated
-        }
-    }
-}
-
 /// Runs a command to its end.
 pub(crate) fn execute(command: Command) -> Result<CommandOutcome, CommandError> {
     match command {
--- a/crates/simulation/src/cli/compare.rs
+++ b/crates/simulation/src/cli/compare.rs
@@ -1,8 +1,8 @@
 //! Puts the figures of two runs beside each other.
 
-use super::commands::CommandOutcome;
 use super::error::CommandError;
 use super::files;
+use super::outcome::CommandOutcome;
 use madderbay_simulation::Handler;
 use serde_json::Value;
 use std::path::Path;
--- a/crates/simulation/src/cli/search.rs
+++ b/crates/simulation/src/cli/search.rs
@@ -1,9 +1,9 @@
 //! Looks for drawn histories that violate an invariant.
 
 use super::arguments::SearchArguments;
-use super::commands::CommandOutcome;
 use super::error::CommandError;
 use super::files;
+use super::outcome::CommandOutcome;
 use madderbay_simulation::{SimulationReport, simulate};
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/simulation/src/event_queue.rs
+++ b/crates/simulation/src/event_queue.rs
@@ -1,20 +1,13 @@
 //! What happens when: the events of the whole fleet in one queue, in the order of their times. Events of one time
 //! happen in the order in which they were scheduled, so that the same seed gives the same simulation.
 
-use crate::fault::{BackendId, ServerId};
+use crate::ids::{BackendId, ServerId, ServerIncarnation};
 use crate::upstream::UpstreamCall;
 use madderbay::time::Timestamp;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
 
-/// One start of a server. Events for an earlier incarnation come to nothing.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct ServerIncarnation {
-    pub(crate) server: ServerId,
-    pub(crate) incarnation: u32,
-}
-
 /// Something that happens at one time.
 #[derive(Clone)]
 pub(crate) enum Event {
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -1,26 +1,6 @@
 //! The faults that a history injects, and the known defects that show that the invariants can fail.
 
-use std::fmt;
-
-/// A server of the fleet, counted from 0. It is written `n1`, `n2` and so on.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ServerId(pub usize);
-
-impl fmt::Display for ServerId {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "n{}", self.0 + 1)
-    }
-}
-
-/// A backend, counted from 0 and written so.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct BackendId(pub usize);
-
-impl fmt::Display for BackendId {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        self.0.fmt(f)
-    }
-}
+use crate::ids::{BackendId, ServerId};
 
 /// What is wrong with a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/simulation/src/history/generator.rs
+++ b/crates/simulation/src/history/generator.rs
@@ -1,7 +1,8 @@
 //! Draws the faults of a history from a seed. The same seed and history give the same faults.
 
 use super::History;
-use crate::fault::{BackendFault, BackendId, DatagramFaults, Fault, ServerId};
+use crate::fault::{BackendFault, DatagramFaults, Fault};
+use crate::ids::{BackendId, ServerId};
 use oorandom::Rand64;
 
 /// No fault is drawn before this time.
--- a/crates/simulation/src/history/parser.rs
+++ b/crates/simulation/src/history/parser.rs
@@ -1,10 +1,9 @@
 //! Reads a history. Whatever follows `#` in a line is a comment; words beyond those that a line needs are ignored.
 
 use super::{History, HistoryError, LineError};
-use crate::fault::{
-    BackendFault, BackendId, DatagramFaults, Defect, Fault, ScheduledFault, ServerId,
-};
+use crate::fault::{BackendFault, DatagramFaults, Defect, Fault, ScheduledFault};
 use crate::features::Features;
+use crate::ids::{BackendId, ServerId};
 use std::str::FromStr;
 
 impl History {
--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -1,7 +1,7 @@
 //! What must hold in every simulation, whatever is injected, and the checks of it.
 
 use crate::clock;
-use crate::fault::ServerId;
+use crate::ids::ServerId;
 use crate::workload::Handler;
 use madderbay::time::{Duration, Timestamp};
 use serde::{Serialize, Serializer};
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! | part | files |
 //! | --- | --- |
-//! | what is simulated | `history`, `fault`, `features`, `mixes` |
+//! | what is simulated | `history`, `fault`, `ids`, `features`, `mixes` |
 //! | the fleet | `simulation`, `node`, `network`, `upstream`, `workload` |
 //! | time and order | `clock`, `event_queue` |
 //! | what is found | `invariants`, `report`, `shrink`, `table` |
@@ -25,6 +25,7 @@
 mod fault;
 mod features;
 mod history;
+mod ids;
 mod invariants;
 mod mixes;
 mod network;
@@ -36,9 +37,10 @@
 mod upstream;
 mod workload;
 
-pub use fault::{BackendFault, BackendId, DatagramFaults, Defect, Fault, ScheduledFault, ServerId};
+pub use fault::{BackendFault, DatagramFaults, Defect, Fault, ScheduledFault};
 pub use features::Features;
 pub use history::{History, HistoryError, LineError};
+pub use ids::{BackendId, ServerId};
 pub use invariants::{Invariant, Violation};
 pub use mixes::{FaultMix, FleetSize};
 pub use report::{BackendTransition, SecondRow, SimulationReport};
--- a/crates/simulation/src/mixes.rs
+++ b/crates/simulation/src/mixes.rs
@@ -1,8 +1,9 @@
 //! Named mixes of faults that come together, and the histories that are made of them.
 
-use crate::fault::{BackendFault, BackendId, DatagramFaults, Fault, ScheduledFault, ServerId};
+use crate::fault::{BackendFault, DatagramFaults, Fault, ScheduledFault};
 use crate::features::Features;
 use crate::history::History;
+use crate::ids::{BackendId, ServerId};
 
 /// When the first faults are injected.
 pub(crate) const FIRST_FAULT_MS: u64 = 5_000;
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,6 +1,7 @@
 //! The network between the servers: their addresses, and the faults that a history injects into it.
 
-use crate::fault::{BackendId, DatagramFaults, Fault, ServerId};
+use crate::fault::{DatagramFaults, Fault};
+use crate::ids::{BackendId, ServerId};
 use madderbay::time::Duration;
 use madderbay_testkit::fleet::network::SimulatedNetwork;
 use madderbay_testkit::fleet::script::Action;
--- a/crates/simulation/src/node.rs
+++ b/crates/simulation/src/node.rs
@@ -11,9 +11,9 @@
 pub(crate) use process::Process;
 
 use crate::clock::NodeClock;
-use crate::event_queue::{Event, ServerIncarnation};
-use crate::fault::ServerId;
+use crate::event_queue::Event;
 use crate::history::History;
+use crate::ids::{ServerId, ServerIncarnation};
 use assembly::Assembly;
 use madderbay::time::{Duration, Timestamp};
 use madderbay_settings::Settings;
--- a/crates/simulation/src/node/assembly.rs
+++ b/crates/simulation/src/node/assembly.rs
@@ -3,8 +3,9 @@
 use super::client::ClientRequests;
 use super::process::{ClientConnection, EngineConnection, Process};
 use crate::clock::{self, NodeClock};
-use crate::fault::{BackendId, Defect, ServerId};
+use crate::fault::Defect;
 use crate::history::History;
+use crate::ids::{BackendId, ServerId};
 use crate::network::{backend_address, server_address};
 use crate::upstream::Engine;
 use crate::workload::{ENGINE_CORES, Handler, MAX_CALL_TIME, RESULT_CACHE_BYTES};
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -14,8 +14,8 @@
 
 use crate::clock::{self, NodeClock};
 use crate::event_queue::{Event, EventQueue};
-use crate::fault::ServerId;
 use crate::history::History;
+use crate::ids::ServerId;
 use crate::invariants::InvariantChecker;
 use crate::network::FleetNetwork;
 use crate::node::Node;
--- a/crates/simulation/src/simulation/engine_commands.rs
+++ b/crates/simulation/src/simulation/engine_commands.rs
@@ -1,8 +1,8 @@
 //! The engines do what their servers command.
 
 use super::Simulation;
-use crate::event_queue::ServerIncarnation;
-use crate::fault::{Defect, ServerId};
+use crate::fault::Defect;
+use crate::ids::{ServerId, ServerIncarnation};
 use crate::upstream::{EngineCommand, EngineNotice};
 use crate::workload::{ENGINE_CORES, Handler};
 
--- a/crates/simulation/src/simulation/faults.rs
+++ b/crates/simulation/src/simulation/faults.rs
@@ -3,7 +3,8 @@
 use super::Simulation;
 use crate::clock;
 use crate::event_queue::Event;
-use crate::fault::{BackendFault, BackendId, Fault, ServerId};
+use crate::fault::{BackendFault, Fault};
+use crate::ids::{BackendId, ServerId};
 use crate::network::UPSTREAM_DELAY;
 
 /// The least factor by which an engine is slowed down.
--- a/crates/simulation/src/simulation/requests.rs
+++ b/crates/simulation/src/simulation/requests.rs
@@ -2,8 +2,9 @@
 
 use super::Simulation;
 use crate::clock;
-use crate::event_queue::{Event, ServerIncarnation};
-use crate::fault::{Defect, Fault, ScheduledFault, ServerId};
+use crate::event_queue::Event;
+use crate::fault::{Defect, Fault, ScheduledFault};
+use crate::ids::{ServerId, ServerIncarnation};
 use crate::node::{Answer, ExpectedAnswer, PendingRequest};
 use crate::workload::{CLIENT_TIMEOUT, ClientRequest, Handler};
 use madderbay::time::{Duration, Timestamp};
--- a/crates/simulation/src/simulation/sampling.rs
+++ b/crates/simulation/src/simulation/sampling.rs
@@ -2,7 +2,7 @@
 
 use super::{ROW_INTERVAL, Simulation};
 use crate::event_queue::Event;
-use crate::fault::ServerId;
+use crate::ids::ServerId;
 use crate::node::Process;
 use madderbay_membership::MemberState;
 use madderbay_upstream::State;
--- a/crates/simulation/src/simulation/turn.rs
+++ b/crates/simulation/src/simulation/turn.rs
@@ -1,8 +1,8 @@
 //! One turn of a server: what arrived is handed to it, it settles that, and what it sends is carried on.
 
 use super::Simulation;
-use crate::event_queue::{Event, ServerIncarnation};
-use crate::fault::ServerId;
+use crate::event_queue::Event;
+use crate::ids::{ServerId, ServerIncarnation};
 use crate::network::{self, LOCAL_DELAY};
 use crate::report::BackendTransition;
 use madderbay_upstream::{BackendEvent, State};
--- a/crates/simulation/src/simulation/upstream_calls.rs
+++ b/crates/simulation/src/simulation/upstream_calls.rs
@@ -1,8 +1,8 @@
 //! Calls from the servers to the backends, and the answers to them.
 
 use super::Simulation;
-use crate::event_queue::{Event, ServerIncarnation};
-use crate::fault::{BackendId, ServerId};
+use crate::event_queue::Event;
+use crate::ids::{BackendId, ServerId, ServerIncarnation};
 use crate::network::{self, UPSTREAM_DELAY};
 use crate::upstream::{AcceptedCall, CallDisposition, UpstreamCall};
 
--- a/crates/simulation/src/upstream/backend.rs
+++ b/crates/simulation/src/upstream/backend.rs
@@ -1,7 +1,7 @@
 //! One simulated backend: it works on a fixed number of calls at a time, and other calls wait in a queue.
 
-use crate::event_queue::ServerIncarnation;
 use crate::fault::BackendFault;
+use crate::ids::ServerIncarnation;
 use madderbay::time::Duration;
 use oorandom::Rand64;
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/simulation/src/upstream/backend_set.rs
+++ b/crates/simulation/src/upstream/backend_set.rs
@@ -1,8 +1,8 @@
 //! The backends of the fleet, and the calls that the fleet has in flight at them.
 
 use super::{Backend, CallDisposition, StartedCall, UpstreamCall};
-use crate::event_queue::ServerIncarnation;
-use crate::fault::{BackendFault, BackendId};
+use crate::fault::BackendFault;
+use crate::ids::{BackendId, ServerIncarnation};
 use madderbay::time::Duration;
 use oorandom::Rand64;
 use std::collections::BTreeMap;
