--- a/crates/server/src/commands.rs
+++ b/crates/server/src/commands.rs
@@ -2,7 +2,8 @@
 
 use crate::cli::{Arguments, Command, INVALID_INPUT, QueryArguments, StoreCommand};
 use crate::operator_plan::{self, OperatorError, OperatorPlan};
-use crate::startup::{self, StartError};
+use crate::start_error::StartError;
+use crate::startup;
 use crate::store_inspection::{self, InspectionError};
 use madderbay_server::fleet::control_client::{self, Format, QueryError, Subject};
 use madderbay_server::support::config::{self, ConfigError};
--- a/crates/server/src/fleet_endpoint.rs
+++ b/crates/server/src/fleet_endpoint.rs
@@ -2,7 +2,7 @@
 //!
 //! It owns the socket together with that task. Without `[members]` there is no endpoint.
 
-use crate::startup::StartError;
+use crate::start_error::StartError;
 use crate::tasks;
 use madderbay_membership::is_valid_name;
 use madderbay_operator_config::membership::MembershipConfig;
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -3,18 +3,26 @@
 //! - [`cli`] parses the command line, [`commands`] runs what it names and says with which status the program exits;
 //!   [`store_inspection`] forms what `kept` prints.
 //! - [`operator_plan`] reads the operator file and plans its parts over the platform's settings.
-//! - [`startup`] reads and checks all input and holds the server's life; [`server`] opens its sockets in a fixed order,
-//!   [`fleet_endpoint`] the one between servers, and [`tasks`] lists and starts the tasks that it consists of.
-//! - [`signals`] reacts to signals: counters on SIGUSR1, [`reload`] on SIGHUP, [`shutdown`] on SIGTERM and SIGINT.
+//! - [`startup`] is the server's life, one step after the other. [`setup`] reads and checks all input; [`server`] opens
+//!   the sockets in a fixed order, [`fleet_endpoint`] the one between servers, and [`tasks`] lists and starts the tasks
+//!   that it consists of. What can go wrong up to here is in [`start_error`].
+//! - [`signals`] reacts to signals: counters on SIGUSR1, [`reload`] of the [`reloadable_values`] on SIGHUP, and
+//!   [`shutdown`] on SIGTERM and SIGINT.
+//!
+//! Each of these files uses those below it only: `commands`, `startup`, `shutdown`, `signals`, `reload`, `server`, then
+//! `fleet_endpoint`, `setup` and `tasks`, then `operator_plan`, `reloadable_values` and `start_error`.
 
 mod cli;
 mod commands;
 mod fleet_endpoint;
 mod operator_plan;
 mod reload;
+mod reloadable_values;
 mod server;
+mod setup;
 mod shutdown;
 mod signals;
+mod start_error;
 mod startup;
 mod store_inspection;
 mod tasks;
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -5,8 +5,9 @@
 //! the backends and the fleet are shared with the tasks on this thread; they are never borrowed across an await.
 
 use crate::fleet_endpoint::{FleetEndpoint, FleetSetup};
-use crate::reload::ReloadableValues;
-use crate::startup::{Setup, StartError};
+use crate::reloadable_values::ReloadableValues;
+use crate::setup::Setup;
+use crate::start_error::StartError;
 use crate::tasks;
 use madderbay_operator_config::control::ControlSocket;
 use madderbay_operator_config::idempotency_store::IdempotencyStoreConfig;
--- /dev/null
+++ b/crates/server/src/setup.rs
@@ -0,0 +1,80 @@
+//! What a start is given: configuration, operator file and store, read and checked in this order. It opens no socket
+//! and starts no task, so that a start that fails here has changed nothing.
+
+use crate::operator_plan::{self, OperatorPlan};
+use crate::start_error::StartError;
+use madderbay_operator_config::OperatorConfig;
+use madderbay_operator_config::idempotency_store::IdempotencyStoreConfig;
+use madderbay_server::core::durability;
+use madderbay_server::support::config::{self, Config, ConfigError};
+use std::path::{Path, PathBuf};
+use std::time::{Duration as StdDuration, Instant};
+
+/// How long a configuration that is missing or incomplete is waited for.
+const CONFIG_WAIT: StdDuration = StdDuration::from_secs(5);
+/// How often it is read meanwhile.
+const CONFIG_POLL_INTERVAL: StdDuration = StdDuration::from_millis(50);
+
+/// Everything that a start is given, read and checked.
+pub(crate) struct Setup {
+    /// The configuration.
+    pub(crate) config: Config,
+    /// Where the operator file is, for a reload.
+    pub(crate) operator_file: Option<PathBuf>,
+    /// The operator file as it was read.
+    pub(crate) operator: OperatorConfig,
+    /// Its parts, planned over the settings.
+    pub(crate) plan: OperatorPlan,
+    /// The store of durable results, where `[kept-results]` is on.
+    pub(crate) store: Option<durability::OpenedStore>,
+    /// Added to the clock that distinguishes incarnations, in milliseconds.
+    pub(crate) unix_ahead_ms: i64,
+}
+
+impl Setup {
+    /// Reads and checks everything; the first fault ends it. A configuration that is still being written is waited
+    /// for. `unix_ahead_ms` is added to the clock that distinguishes incarnations.
+    pub(crate) fn read(
+        operator_file: Option<&Path>,
+        unix_ahead_ms: i64,
+    ) -> Result<Setup, StartError> {
+        let operator = operator_plan::read(operator_file)?;
+        let config = wait_for_config()?;
+        let plan = OperatorPlan::new(&operator, &config)?;
+        let store = open_store(operator.idempotency_store.as_ref(), &config)?;
+        Ok(Setup {
+            config,
+            operator_file: operator_file.map(Path::to_path_buf),
+            operator,
+            plan,
+            store,
+            unix_ahead_ms,
+        })
+    }
+}
+
+/// Reads the configuration. One that is missing or incomplete may still be being written, and is waited for.
+fn wait_for_config() -> Result<Config, ConfigError> {
+    let start = Instant::now();
+    loop {
+        match config::load() {
+            Err(error) if error.is_incomplete_file() && start.elapsed() < CONFIG_WAIT => {
+                log::debug!("server: waiting for the configuration, error={error}");
+                std::thread::sleep(CONFIG_POLL_INTERVAL);
+            }
+            result => return result,
+        }
+    }
+}
+
+/// Opens the store of durable results and reads what earlier incarnations left in it.
+fn open_store(
+    settings: Option<&IdempotencyStoreConfig>,
+    config: &Config,
+) -> Result<Option<durability::OpenedStore>, StartError> {
+    let handlers = config.settings.handlers.iter();
+    let longest_window = handlers.map(|h| h.idempotency_window).max();
+    let window_micros = longest_window.unwrap_or_default().as_micros();
+    let store = settings.map(|settings| durability::open(settings, window_micros));
+    store.transpose().map_err(StartError::Store)
+}
--- a/crates/server/src/signals.rs
+++ b/crates/server/src/signals.rs
@@ -3,7 +3,7 @@
 
 use crate::reload;
 use crate::server::Server;
-use crate::startup::StartError;
+use crate::start_error::StartError;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
 /// Every signal's stream, installed before anything else is started.
@@ -30,14 +30,10 @@
     /// Takes the signals over from the system's defaults.
     pub(crate) fn install() -> Result<Signals, StartError> {
         let install = |kind| signal(kind).map_err(StartError::Signals);
-        let (hangup, terminate) = (
-            install(SignalKind::hangup())?,
-            install(SignalKind::terminate())?,
-        );
-        let (interrupt, user_defined1) = (
-            install(SignalKind::interrupt())?,
-            install(SignalKind::user_defined1())?,
-        );
+        let hangup = install(SignalKind::hangup())?;
+        let terminate = install(SignalKind::terminate())?;
+        let interrupt = install(SignalKind::interrupt())?;
+        let user_defined1 = install(SignalKind::user_defined1())?;
         Ok(Signals {
             operator: OperatorSignals {
                 hangup,
--- a/crates/server/src/tasks.rs
+++ b/crates/server/src/tasks.rs
@@ -23,7 +23,7 @@
 //! durable results is started with the store and ends when the core drops its side of the channel, or with the
 //! process; nobody joins it, since a result counts as durable only once the thread has reported it.
 
-use crate::reload::ReloadableValues;
+use crate::reloadable_values::ReloadableValues;
 use madderbay_server::core::durability::StorageEvent;
 use madderbay_server::core::event_loop::SharedEventLoop;
 use madderbay_server::downstream::{listener, registration};
