--- a/crates/simulator-adapter/src/codec/event.rs
+++ b/crates/simulator-adapter/src/codec/event.rs
@@ -1,8 +1,8 @@
 //! The records of events. The name that the wire's description gives to each stands beside it.
 
-use super::InstanceId;
 use super::field_reader::FieldReader;
 use crate::error::AdapterError;
+use crate::instance_id::InstanceId;
 use madderbay::interface::{HandlerId, Outcome, TenantId};
 use madderbay::time::Duration;
 
--- a/crates/simulator-adapter/src/codec/reply.rs
+++ b/crates/simulator-adapter/src/codec/reply.rs
@@ -1,8 +1,8 @@
 //! The reply to a batch: the records of actions, framed.
 
-use super::InstanceId;
 use super::action::Action;
 use super::frame::RECORD_COUNT_BYTES;
+use crate::instance_id::InstanceId;
 use madderbay::interface::Actions;
 use madderbay::time::Duration;
 
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,6 +1,6 @@
 //! Errors of this crate.
 
-use crate::codec::InstanceId;
+use crate::instance_id::InstanceId;
 use madderbay::interface::{HandlerId, TenantId};
 use std::io;
 use thiserror::Error;
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -6,9 +6,10 @@
 mod instance;
 
 use crate::codec::{
-    Action, Batch, Event, EventCode, FieldReader, InstanceActions, InstanceId, RecordHeader, Reply,
+    Action, Batch, Event, EventCode, FieldReader, InstanceActions, RecordHeader, Reply,
 };
 use crate::error::AdapterError;
+use crate::instance_id::InstanceId;
 use instance::Instance;
 use madderbay::time::Timestamp;
 use std::any::Any;
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -10,12 +10,14 @@
 mod codec;
 mod error;
 mod host;
+mod instance_id;
 mod stdio;
 
 pub use codec::{
-    Action, Batch, BatchHeader, Event, EventCode, FieldReader, InstanceActions, InstanceId,
-    RecordHeader, Reply, RequestRecord, ResultRecord,
+    Action, Batch, BatchHeader, Event, EventCode, FieldReader, InstanceActions, RecordHeader,
+    Reply, RequestRecord, ResultRecord,
 };
 pub use error::AdapterError;
 pub use host::Host;
+pub use instance_id::InstanceId;
 pub use stdio::{read_batch, serve};
