--- a/crates/quota/src/fleet_quotas.rs
+++ b/crates/quota/src/fleet_quotas.rs
@@ -14,6 +14,7 @@
 
 use crate::budget::{Budget, BudgetSettings, Outbox};
 use crate::counter::{CountEstimate, CounterSettings, ReplicatedCounter};
+use crate::ids::{BudgetId, CounterId};
 use crate::message::Message;
 use compact_str::CompactString;
 use counter_polls::CounterPolls;
@@ -114,6 +115,21 @@
         &mut self.budgets
     }
 
+    /// One budget.
+    pub fn budget(&self, budget: BudgetId) -> &Budget {
+        &self.budgets[budget.index()]
+    }
+
+    /// One budget, to count the starts and ends of its calls.
+    pub fn budget_mut(&mut self, budget: BudgetId) -> &mut Budget {
+        &mut self.budgets[budget.index()]
+    }
+
+    /// One counter.
+    pub fn counter(&self, counter: CounterId) -> &ReplicatedCounter {
+        &self.counters[counter.index()]
+    }
+
     /// The counters, in the order of the settings.
     pub fn counters(&self) -> &[ReplicatedCounter] {
         &self.counters
@@ -287,16 +303,16 @@
     /// The rate a second that this server may take of a rate of `per_second` for the whole fleet.
     /// While the fleet stays within that rate, it is all that the others leave; otherwise it is a
     /// fraction of the rate by what this server counts. `servers` is the number of servers that
-    /// share the rate; `counter` is the counter's position in the settings.
+    /// share the rate.
     pub fn allowance(
         &self,
         now: Timestamp,
-        counter: usize,
+        counter: CounterId,
         key: u32,
         per_second: f64,
         servers: u32,
     ) -> f64 {
-        let counter = &self.counters[counter];
+        let counter = self.counter(counter);
         let window = counter.settings().window.as_secs_f64();
         let fair_rate = per_second / f64::from(servers.max(1));
         let own = counter.local_estimate(now, key).value / window;
@@ -310,15 +326,14 @@
         (per_second - others).max(fraction).max(0.0)
     }
 
-    /// What the fleet counted of a key: see [`ReplicatedCounter::estimate`]. `counter` is the
-    /// counter's position in the settings.
+    /// What the fleet counted of a key: see [`ReplicatedCounter::estimate`].
     pub fn estimate(
         &self,
         now: Timestamp,
-        counter: usize,
+        counter: CounterId,
         key: u32,
         fair_rate: f64,
     ) -> CountEstimate {
-        self.counters[counter].estimate(now, key, fair_rate)
+        self.counter(counter).estimate(now, key, fair_rate)
     }
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -57,6 +57,7 @@
 /// Replicated counters.
 pub mod counter;
 mod fleet_quotas;
+mod ids;
 /// Ledgers: the invariant behind the budgets.
 pub mod ledger;
 mod message;
@@ -65,5 +66,6 @@
 pub use budget::{BudgetSettings, ChangeCause};
 pub use counter::{CountEstimate, CounterSettings};
 pub use fleet_quotas::{BudgetEvent, BudgetView, FleetQuotas, Peer, Settings, Totals};
+pub use ids::{BudgetId, CounterId};
 pub use ledger::LeaseTerms;
 pub use message::{CounterSnapshot, KeyCounts, name_hash};
--- a/crates/quota/tests/recorded_histories.rs
+++ b/crates/quota/tests/recorded_histories.rs
@@ -3,8 +3,8 @@
 
 use madderbay::time::{Duration, Timestamp};
 use madderbay_quota::{
-    BudgetEvent, BudgetSettings, BudgetView, ChangeCause, CounterSettings, FleetQuotas, LeaseTerms,
-    Peer, Settings, name_hash,
+    BudgetEvent, BudgetId, BudgetSettings, BudgetView, ChangeCause, CounterId, CounterSettings,
+    FleetQuotas, LeaseTerms, Peer, Settings, name_hash,
 };
 
 const SERVERS: usize = 3;
@@ -61,7 +61,7 @@
 struct Call {
     ends_at: u64,
     server: usize,
-    budget: usize,
+    budget: BudgetId,
     /// The caller's incarnation, as the view numbers it.
     incarnation: u64,
 }
@@ -187,7 +187,9 @@
         let now = self.now;
         for call in self.calls.extract_if(.., |call| call.ends_at <= now) {
             if call.incarnation == self.incarnations[call.server] {
-                self.servers[call.server].budgets_mut()[call.budget].call_ended(at(now));
+                self.servers[call.server]
+                    .budget_mut(call.budget)
+                    .call_ended(at(now));
             }
         }
     }
@@ -205,15 +207,16 @@
 
     fn start_calls(&mut self, server: usize) {
         let now = at(self.now);
-        for (at, demand) in DEMAND[(self.now / PHASE_MS) as usize].iter().enumerate() {
+        let demands = &DEMAND[(self.now / PHASE_MS) as usize];
+        for (id, demand) in BudgetId::first(demands.len()).zip(demands) {
             let demand = demand[server];
-            let budget = &mut self.servers[server].budgets_mut()[at];
+            let budget = self.servers[server].budget_mut(id);
             while budget.in_use() < demand && budget.may_start(now) {
                 budget.call_started(now);
                 self.calls.push(Call {
                     ends_at: self.now + 20 + self.random.rand_range(0..200),
                     server,
-                    budget: at,
+                    budget: id,
                     incarnation: self.incarnations[server],
                 });
             }
@@ -273,8 +276,8 @@
 
     fn record_state(&mut self, server: usize) {
         let (now, quotas) = (at(self.now), &self.servers[server]);
-        let estimate = quotas.estimate(now, 0, name_hash(KEY), 2.0);
-        let allowance = quotas.allowance(now, 0, name_hash(KEY), 50.0, 3);
+        let estimate = quotas.estimate(now, CounterId::default(), name_hash(KEY), 2.0);
+        let allowance = quotas.allowance(now, CounterId::default(), name_hash(KEY), 50.0, 3);
         let views = quotas.budget_views(now);
         let line = format!(
             "{KEY} {} of {} to {}, {} stale, allowance {allowance}",
--- a/crates/server/src/core/quota_gate.rs
+++ b/crates/server/src/core/quota_gate.rs
@@ -9,11 +9,13 @@
 
 use crate::core::request_observer::RequestObserver;
 use demand::Demand;
+use madderbay::abandoned_calls::AbandonedCalls;
 use madderbay::interface::{CallRequirement, Ceiling, HandlerId, TenantId, Upstream};
 use madderbay::time::{Duration, Timestamp};
 use madderbay_concurrency::RequestStage;
 use madderbay_concurrency::limit::Completion;
-use std::collections::{HashMap, VecDeque};
+use madderbay_quota::BudgetId;
+use std::collections::HashMap;
 use std::rc::Rc;
 
 /// Runs above the usable calls, where all runs call: those that are on their way to a call.
@@ -26,15 +28,15 @@
 /// Knows what this server may use of the fleet's quotas, and takes its demand. It has a clock of its own.
 pub trait QuotaSource {
     /// The calls under a budget that may be in flight now.
-    fn usable_calls(&self, budget: usize) -> usize;
+    fn usable_calls(&self, budget: BudgetId) -> usize;
     /// Starts one more call under a budget; returns whether it may be made.
-    fn try_start_call(&self, budget: usize) -> bool;
+    fn try_start_call(&self, budget: BudgetId) -> bool;
     /// A call under a budget has ended.
-    fn call_ended(&self, budget: usize);
+    fn call_ended(&self, budget: BudgetId);
     /// The calls under a budget that wait for capacity or will need it.
-    fn set_waiting_calls(&self, budget: usize, calls: usize);
+    fn set_waiting_calls(&self, budget: BudgetId, calls: usize);
     /// How long a budget that has no capacity may be without it.
-    fn time_until_capacity(&self, budget: usize) -> Duration;
+    fn time_until_capacity(&self, budget: BudgetId) -> Duration;
     /// A request of a tenant has been read.
     fn count_request(&self, handler: HandlerId, tenant: TenantId);
     /// The rates that this server may take of its tenants' allowances, of those that are counted.
@@ -63,7 +65,7 @@
 #[derive(Clone, Copy)]
 struct HandlerQuota {
     /// The budget that its calls are under, if any.
-    budget: Option<usize>,
+    budget: Option<BudgetId>,
     /// Whether each of its runs makes a call.
     always_calls: bool,
 }
@@ -71,32 +73,30 @@
 /// A request whose handler is under a budget.
 #[derive(Clone, Copy)]
 struct TrackedRequest {
-    budget: usize,
+    budget: BudgetId,
     always_calls: bool,
     stage: RequestStage,
     /// When it came to this stage.
     since: Timestamp,
 }
 
-/// A call that nobody waits for and that may still be running upstream.
-struct AbandonedCall {
-    ends_at: Timestamp,
-    budget: usize,
+/// One budget, with what this server's requests want and may use of it.
+struct BudgetUse {
+    group: QuotaGroup,
+    demand: Demand,
+    /// Its usable calls, as of the last update.
+    usable_calls: usize,
 }
 
 /// Keeps the calls of requests within the quotas of the fleet.
 pub struct QuotaGate {
     source: Rc<dyn QuotaSource>,
-    groups: Vec<QuotaGroup>,
     handlers: Vec<HandlerQuota>,
-    demands: Vec<Demand>,
+    /// In the order of [`BudgetId`]s.
+    budgets: Vec<BudgetUse>,
     requests: HashMap<u64, TrackedRequest>,
-    /// How long an abandoned call may go on upstream.
-    abandoned_call_lifetime: Duration,
-    /// In the order of their ends.
-    abandoned_calls: VecDeque<AbandonedCall>,
-    /// The usable calls of each budget, as of the last update.
-    usable: Vec<usize>,
+    /// Each with the budget that it is under.
+    abandoned_calls: AbandonedCalls<BudgetId>,
     rates_taken_at: Timestamp,
     /// The quota of calls that are under no budget: what the settings give this server, if there are such calls.
     other_quota: f64,
@@ -110,13 +110,14 @@
         call_requirements: &[CallRequirement],
         upstream: &Upstream,
     ) -> QuotaGate {
-        let quota = |(handler, calls): (usize, &CallRequirement)| HandlerQuota {
-            budget: groups
-                .iter()
-                .position(|g| g.handlers.contains(&HandlerId::new(handler))),
+        let handler_quota = |(handler, calls): (HandlerId, &CallRequirement)| HandlerQuota {
+            budget: budget_of(handler, &groups),
             always_calls: *calls == CallRequirement::Required,
         };
-        let handlers: Vec<_> = call_requirements.iter().enumerate().map(quota).collect();
+        let handlers: Vec<_> = HandlerId::first(call_requirements.len())
+            .zip(call_requirements)
+            .map(handler_quota)
+            .collect();
         let all_calls_covered = call_requirements
             .iter()
             .zip(&handlers)
@@ -124,12 +125,9 @@
         QuotaGate {
             source,
             handlers,
-            demands: groups.iter().map(|_| Demand::default()).collect(),
-            usable: vec![usize::MAX; groups.len()],
-            groups,
+            budgets: groups.into_iter().map(BudgetUse::new).collect(),
             requests: HashMap::new(),
-            abandoned_call_lifetime: upstream.abandoned_call_lifetime,
-            abandoned_calls: VecDeque::new(),
+            abandoned_calls: AbandonedCalls::new(upstream.abandoned_call_lifetime),
             rates_taken_at: Timestamp::default(),
             other_quota: if all_calls_covered {
                 0.0
@@ -142,13 +140,15 @@
     /// The longest that a call of a handler may be waited for, at most `patience`.
     pub fn max_call_wait(&self, handler: HandlerId, patience: Duration) -> Duration {
         let budget = self.handlers[handler.index()].budget;
-        budget.map_or(patience, |b| patience.min(self.groups[b].max_call_wait))
+        budget.map_or(patience, |budget| {
+            patience.min(self.budgets[budget.index()].group.max_call_wait)
+        })
     }
 
     /// Starts one more call of a handler, where its budget has capacity. The call must not be made on `false`.
     pub fn try_start_call(&mut self, handler: HandlerId) -> bool {
         let budget = self.handlers[handler.index()].budget;
-        budget.is_none_or(|b| self.source.try_start_call(b))
+        budget.is_none_or(|budget| self.source.try_start_call(budget))
     }
 
     /// A request of a tenant has been read.
@@ -161,56 +161,63 @@
     pub fn update(&mut self, now: Timestamp) -> bool {
         self.end_abandoned_calls(now);
         let mut has_changed = false;
-        for (budget, demand) in self.demands.iter_mut().enumerate() {
-            if let Some(waiting_calls) = demand.update(now) {
-                self.source.set_waiting_calls(budget, waiting_calls);
+        for (id, budget) in BudgetId::first(self.budgets.len()).zip(&mut self.budgets) {
+            if let Some(waiting_calls) = budget.demand.update(now) {
+                self.source.set_waiting_calls(id, waiting_calls);
             }
-            let usable = self.source.usable_calls(budget);
-            has_changed |= std::mem::replace(&mut self.usable[budget], usable) != usable;
+            let usable_calls = self.source.usable_calls(id);
+            let before = std::mem::replace(&mut budget.usable_calls, usable_calls);
+            has_changed |= before != usable_calls;
         }
         has_changed
     }
 
     /// Reports the end of those that can't be running upstream any more.
     fn end_abandoned_calls(&mut self, now: Timestamp) {
-        while let Some(call) = self.abandoned_calls.pop_front_if(|c| c.ends_at <= now) {
-            self.source.call_ended(call.budget);
+        while let Some(budget) = self.abandoned_calls.pop_ended(now) {
+            self.source.call_ended(budget);
         }
     }
 
     /// All calls that this server may have in flight.
     pub fn total_quota(&self) -> f64 {
-        self.usable.iter().sum::<usize>() as f64 + self.other_quota
+        let usable_calls: usize = self.budgets.iter().map(|b| b.usable_calls).sum();
+        usable_calls as f64 + self.other_quota
     }
 
     /// One ceiling for each budget.
     pub fn ceilings(&self) -> impl Iterator<Item = Ceiling> {
-        (0..self.groups.len()).map(|budget| self.ceiling(budget))
+        BudgetId::first(self.budgets.len()).map(|budget| self.ceiling(budget))
     }
 
-    /// Runs, calls and the pace of starts under one budget.
-    fn ceiling(&self, budget: usize) -> Ceiling {
-        let handlers = &self.groups[budget].handlers;
-        let (usable, demand) = (self.usable[budget], &self.demands[budget]);
+    /// Runs, calls and the interval between starts under one budget.
+    fn ceiling(&self, id: BudgetId) -> Ceiling {
+        let BudgetUse {
+            group,
+            demand,
+            usable_calls,
+        } = &self.budgets[id.index()];
+        let usable_calls = *usable_calls;
+        let handlers = &group.handlers;
         let all_runs_call = handlers
             .iter()
-            .all(|h| self.handlers[h.index()].always_calls);
+            .all(|handler| self.handlers[handler.index()].always_calls);
         let runs = if all_runs_call {
-            usable.saturating_add(EXTRA_RUNS)
+            usable_calls.saturating_add(EXTRA_RUNS)
         } else {
             usize::MAX
         };
-        let start_interval = if usable == 0 {
-            self.source.time_until_capacity(budget)
+        let start_interval = if usable_calls == 0 {
+            self.source.time_until_capacity(id)
         } else if demand.fills(runs) {
-            Duration::from_secs_f64(demand.mean_call_secs() / usable as f64)
+            Duration::from_secs_f64(demand.mean_call_secs() / usable_calls as f64)
         } else {
             Duration::ZERO
         };
         Ceiling {
             handlers: handlers.clone(),
             runs,
-            calls: usable,
+            calls: usable_calls,
             start_interval: start_interval.min(MAX_START_INTERVAL),
         }
     }
@@ -233,25 +240,46 @@
             ..
         } = request;
         if let Some(former) = self.requests.insert(id, request) {
-            self.demands[budget].leave(former.stage, always_calls);
+            self.demand_mut(budget).leave(former.stage, always_calls);
             if former.stage == RequestStage::Calling {
                 self.end_call(now, budget, true);
             }
         }
-        self.demands[budget].enter(request.stage, always_calls);
+        self.demand_mut(budget).enter(request.stage, always_calls);
     }
 
     /// The end of a call is reported to the source: now, or, where it may go on upstream, when that is over.
-    fn end_call(&mut self, now: Timestamp, budget: usize, may_go_on: bool) {
-        if may_go_on && self.abandoned_call_lifetime > Duration::ZERO {
-            self.abandoned_calls.push_back(AbandonedCall {
-                ends_at: now + self.abandoned_call_lifetime,
-                budget,
-            });
+    fn end_call(&mut self, now: Timestamp, budget: BudgetId, may_go_on: bool) {
+        let ended = if may_go_on {
+            self.abandoned_calls.abandon(now, budget)
         } else {
+            Some(budget)
+        };
+        if let Some(budget) = ended {
             self.source.call_ended(budget);
         }
     }
+
+    fn demand_mut(&mut self, budget: BudgetId) -> &mut Demand {
+        &mut self.budgets[budget.index()].demand
+    }
+}
+
+impl BudgetUse {
+    /// A budget without demand, and without a bound until the first update.
+    fn new(group: QuotaGroup) -> BudgetUse {
+        BudgetUse {
+            group,
+            demand: Demand::default(),
+            usable_calls: usize::MAX,
+        }
+    }
+}
+
+/// The first budget that the calls of a handler are under.
+fn budget_of(handler: HandlerId, groups: &[QuotaGroup]) -> Option<BudgetId> {
+    let is_of_handler = |group: &QuotaGroup| group.handlers.contains(&handler);
+    groups.iter().position(is_of_handler).map(BudgetId::new)
 }
 
 impl RequestObserver for QuotaGate {
@@ -273,7 +301,7 @@
     }
 
     fn call_finished(&mut self, now: Timestamp, id: u64, end: Completion) {
-        let is_calling = |r: &&mut TrackedRequest| r.stage == RequestStage::Calling;
+        let is_calling = |request: &&mut TrackedRequest| request.stage == RequestStage::Calling;
         let Some(request) = self.requests.get_mut(&id).filter(is_calling) else {
             return;
         };
@@ -283,7 +311,7 @@
             RequestStage::AwaitingCall
         };
         let request = *request;
-        let demand = &mut self.demands[request.budget];
+        let demand = self.demand_mut(request.budget);
         demand.leave(RequestStage::Calling, request.always_calls);
         demand.enter(request.stage, request.always_calls);
         if end == Completion::Success {
@@ -297,7 +325,7 @@
         let Some(request) = self.requests.get(&id).copied() else {
             return;
         };
-        self.demands[request.budget].record_skip();
+        self.demand_mut(request.budget).record_skip();
         let running = TrackedRequest {
             stage: RequestStage::Running,
             since: now,
@@ -314,7 +342,8 @@
     fn request_finished(&mut self, now: Timestamp, id: u64) {
         self.call_finished(now, id, Completion::Cancelled);
         if let Some(request) = self.requests.remove(&id) {
-            self.demands[request.budget].leave(request.stage, request.always_calls);
+            self.demand_mut(request.budget)
+                .leave(request.stage, request.always_calls);
         }
     }
 }
--- a/crates/server/src/fleet/control_socket.rs
+++ b/crates/server/src/fleet/control_socket.rs
@@ -12,8 +12,8 @@
 use super::quota_leases::{CounterKey, CounterNames};
 use madderbay::time::{Duration, Timestamp};
 use madderbay_membership::MemberView;
-use madderbay_quota::BudgetView;
 use madderbay_quota::counter::ReplicatedCounter;
+use madderbay_quota::{BudgetView, CounterId};
 use madderbay_upstream::BackendStatus;
 use serde::Serialize;
 use serde_json::json;
@@ -283,8 +283,10 @@
     let name = &stack.membership().local_identity().name;
     let budgets = quotas.budget_views(now).into_iter().map(quota_record);
     let names = fleet.quota_source().counter_names();
-    let counts = quotas.counters().iter().enumerate();
-    let counts = counts.flat_map(|(index, counter)| count_records(now, counter, index, names));
+    let counters = quotas.counters();
+    let counts = CounterId::first(counters.len())
+        .zip(counters)
+        .flat_map(|(id, counter)| count_records(now, id, counter, names));
     Some(compose(
         &json!({ "name": name.to_string() }),
         budgets.chain(counts),
@@ -310,12 +312,12 @@
 /// The keys of one counter that are most counted on this server.
 fn count_records(
     now: Timestamp,
+    id: CounterId,
     counter: &ReplicatedCounter,
-    index: usize,
     names: &CounterNames,
 ) -> Vec<SharedRecord> {
     let heaviest = counter.heaviest_keys(MAX_REPORTED_KEYS);
-    let keys = names.keys(index).filter(|k| heaviest.contains(&k.hash));
+    let keys = names.keys(id).filter(|k| heaviest.contains(&k.hash));
     let record = |key: CounterKey<'_>| {
         let estimate = counter.estimate(now, key.hash, key.fair_rate);
         SharedRecord::Count(CountRecord {
--- a/crates/server/src/fleet/counter_names.rs
+++ b/crates/server/src/fleet/counter_names.rs
@@ -2,7 +2,7 @@
 //! hash of its name.
 
 use madderbay::interface::{HandlerId, TenantId};
-use madderbay_quota::name_hash;
+use madderbay_quota::{CounterId, name_hash};
 
 /// The names of handlers and tenants, and which counters go by which.
 #[derive(Clone, Debug, Default)]
@@ -24,11 +24,20 @@
     hash: u32,
 }
 
+/// What the keys of a counter stand for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CountedSubject {
+    /// Requests of a handler.
+    Handler(HandlerId),
+    /// Requests of a tenant.
+    Tenant(TenantId),
+}
+
 /// One key of a counter.
 #[derive(Clone, Copy, Debug)]
 pub struct CounterKey<'a> {
-    /// The handler's or tenant's index in the settings.
-    pub index: usize,
+    /// What it stands for.
+    pub subject: CountedSubject,
     /// Its name.
     pub name: &'a str,
     /// The hash of its name.
@@ -57,26 +66,33 @@
     }
 
     /// All keys of a counter, in the order of their indices.
-    pub fn keys(&self, counter: usize) -> impl Iterator<Item = CounterKey<'_>> {
-        let by_tenant = self.by_tenant[counter];
+    pub fn keys(&self, counter: CounterId) -> impl Iterator<Item = CounterKey<'_>> {
+        let by_tenant = self.by_tenant[counter.index()];
         let names = if by_tenant {
             &self.tenants
         } else {
             &self.handlers
         };
-        names
-            .iter()
-            .enumerate()
-            .map(move |(index, key)| CounterKey {
-                index,
-                name: &key.name,
-                hash: key.hash,
-                fair_rate: if by_tenant {
-                    self.fair_rate(TenantId::new(index))
-                } else {
-                    0.0
-                },
-            })
+        names.iter().enumerate().map(move |(index, key)| {
+            let subject = if by_tenant {
+                CountedSubject::Tenant(TenantId::new(index))
+            } else {
+                CountedSubject::Handler(HandlerId::new(index))
+            };
+            self.key(subject, key)
+        })
+    }
+
+    fn key<'a>(&self, subject: CountedSubject, key: &'a KeyName) -> CounterKey<'a> {
+        CounterKey {
+            subject,
+            name: &key.name,
+            hash: key.hash,
+            fair_rate: match subject {
+                CountedSubject::Tenant(tenant) => self.fair_rate(tenant),
+                CountedSubject::Handler(_) => 0.0,
+            },
+        }
     }
 
     /// For each counter, the hash of the key under which it counts a request.
@@ -96,8 +112,9 @@
     }
 
     /// The first counter whose keys are tenants.
-    pub(super) fn tenant_counter(&self) -> Option<usize> {
-        self.by_tenant.iter().position(|by_tenant| *by_tenant)
+    pub(super) fn tenant_counter(&self) -> Option<CounterId> {
+        let index = self.by_tenant.iter().position(|by_tenant| *by_tenant);
+        index.map(CounterId::new)
     }
 
     /// The allowance of a tenant over the fleet, in requests a second.
--- a/crates/server/src/fleet/quota_leases.rs
+++ b/crates/server/src/fleet/quota_leases.rs
@@ -7,12 +7,12 @@
 use crate::support::clock::MonotonicClock;
 use madderbay::interface::{HandlerId, TenantId};
 use madderbay::time::Duration;
-use madderbay_quota::FleetQuotas;
+use madderbay_quota::{BudgetId, FleetQuotas};
 use madderbay_upstream::FleetStack;
 use std::cell::{Ref, RefCell, RefMut};
 use std::rc::Rc;
 
-pub use super::counter_names::{CounterKey, CounterNames};
+pub use super::counter_names::{CountedSubject, CounterKey, CounterNames};
 
 /// Upper bound on the tenants whose rates are reported at a time: those with the most requests.
 const MAX_RATED_TENANTS: usize = 256;
@@ -66,18 +66,18 @@
 }
 
 impl QuotaSource for FleetQuotaSource {
-    fn usable_calls(&self, budget: usize) -> usize {
+    fn usable_calls(&self, budget: BudgetId) -> usize {
         let now = (self.clock)();
         let quotas = self.quotas();
-        quotas.map_or(0, |q| q.budgets()[budget].usable(now) as usize)
+        quotas.map_or(0, |q| q.budget(budget).usable(now) as usize)
     }
 
-    fn try_start_call(&self, budget: usize) -> bool {
+    fn try_start_call(&self, budget: BudgetId) -> bool {
         let now = (self.clock)();
         let Some(mut quotas) = self.quotas_mut() else {
             return false;
         };
-        let budget = &mut quotas.budgets_mut()[budget];
+        let budget = quotas.budget_mut(budget);
         let may_start = budget.may_start(now);
         if may_start {
             budget.call_started(now);
@@ -85,27 +85,27 @@
         may_start
     }
 
-    fn call_ended(&self, budget: usize) {
+    fn call_ended(&self, budget: BudgetId) {
         let now = (self.clock)();
         if let Some(mut quotas) = self.quotas_mut() {
-            quotas.budgets_mut()[budget].call_ended(now);
+            quotas.budget_mut(budget).call_ended(now);
             self.notify_if_urgent(&quotas);
         }
     }
 
-    fn set_waiting_calls(&self, budget: usize, calls: usize) {
+    fn set_waiting_calls(&self, budget: BudgetId, calls: usize) {
         let now = (self.clock)();
         let calls = u32::try_from(calls).unwrap_or(u32::MAX);
         if let Some(mut quotas) = self.quotas_mut() {
-            quotas.budgets_mut()[budget].set_waiting(now, calls);
+            quotas.budget_mut(budget).set_waiting(now, calls);
             self.notify_if_urgent(&quotas);
         }
     }
 
-    fn time_until_capacity(&self, budget: usize) -> Duration {
+    fn time_until_capacity(&self, budget: BudgetId) -> Duration {
         let now = (self.clock)();
         let quotas = self.quotas();
-        quotas.map_or(Duration::ZERO, |q| q.budgets()[budget].until_capacity(now))
+        quotas.map_or(Duration::ZERO, |q| q.budget(budget).until_capacity(now))
     }
 
     fn count_request(&self, handler: HandlerId, tenant: TenantId) {
@@ -122,20 +122,23 @@
     }
 
     fn tenant_rates(&self) -> Vec<TenantRate> {
-        let (now, names) = ((self.clock)(), &self.counter_names);
+        let now = (self.clock)();
+        let names = &self.counter_names;
         let (Some(quotas), Some(counter)) = (self.quotas(), names.tenant_counter()) else {
             return vec![];
         };
-        let active = quotas.counters()[counter].heaviest_keys(MAX_RATED_TENANTS);
+        let active = quotas.counter(counter).heaviest_keys(MAX_RATED_TENANTS);
         let keys = names.keys(counter).filter(|k| active.contains(&k.hash));
         let rate = |key: CounterKey<'_>| {
-            let tenant = TenantId::new(key.index);
+            let CountedSubject::Tenant(tenant) = key.subject else {
+                return None;
+            };
             let allowance = names.tenant_allowance(tenant);
-            TenantRate {
+            Some(TenantRate {
                 tenant,
                 per_second: quotas.allowance(now, counter, key.hash, allowance, names.servers()),
-            }
+            })
         };
-        keys.map(rate).collect()
+        keys.filter_map(rate).collect()
     }
 }
--- a/crates/testkit/src/fleet/simulated/counts.rs
+++ b/crates/testkit/src/fleet/simulated/counts.rs
@@ -3,7 +3,7 @@
 use super::node::KeyRate;
 use super::{Event, SimulatedFleet, name};
 use madderbay::time::{Duration, Timestamp};
-use madderbay_quota::CountEstimate;
+use madderbay_quota::{CountEstimate, CounterId};
 use std::collections::HashMap;
 
 /// The time between two arrivals of counted requests, at all servers at once.
@@ -118,7 +118,9 @@
     /// counter.
     pub fn told(&mut self, who: usize, key: u32, fair: f64) -> Option<CountEstimate> {
         let now = self.nodes[who].clock(self.now);
-        let estimate = self.shared(who)?.estimate(now, 0, key, fair);
+        let estimate = self
+            .shared(who)?
+            .estimate(now, CounterId::default(), key, fair);
         let truth = f64::from(self.truth(key));
         let known_truth = f64::from(self.known_truth(who, key)?);
         self.out_of_bounds.1 += 1;
