--- a/crates/concurrency/src/limit/in_flight.rs
+++ b/crates/concurrency/src/limit/in_flight.rs
@@ -5,8 +5,8 @@
 //! never decides the limit, except for a few extra permits while every call in flight hangs.
 
 use super::Completion;
+use madderbay::abandoned_calls::AbandonedCalls;
 use madderbay::time::{Duration, Timestamp};
-use std::collections::VecDeque;
 
 /// Time without a start or an end after which calls at the limit count as hanging, and one extra
 /// call is allowed.
@@ -35,9 +35,8 @@
 
 pub(super) struct InFlightCalls {
     count: usize,
-    /// When each abandoned call stops occupying the upstream.
-    abandoned_until: VecDeque<Timestamp>,
-    abandoned_call_lifetime: Duration,
+    /// Those that still occupy the upstream.
+    abandoned_calls: AbandonedCalls<()>,
     last_activity: Timestamp,
     extra_permits: usize,
 }
@@ -46,8 +45,7 @@
     pub(super) fn new(now: Timestamp, abandoned_call_lifetime: Duration) -> InFlightCalls {
         InFlightCalls {
             count: 0,
-            abandoned_until: VecDeque::new(),
-            abandoned_call_lifetime,
+            abandoned_calls: AbandonedCalls::new(abandoned_call_lifetime),
             last_activity: now,
             extra_permits: 0,
         }
@@ -58,7 +56,7 @@
     }
 
     pub(super) fn abandoned(&self) -> usize {
-        self.abandoned_until.len()
+        self.abandoned_calls.len()
     }
 
     pub(super) fn extra_permits(&self) -> usize {
@@ -77,10 +75,8 @@
     pub(super) fn finish(&mut self, now: Timestamp, completion: Completion) {
         self.count = self.count.saturating_sub(1);
         self.last_activity = now;
-        let abandoned = matches!(completion, Completion::TimedOut | Completion::Cancelled);
-        if abandoned && self.abandoned_call_lifetime > Duration::ZERO {
-            self.abandoned_until
-                .push_back(now + self.abandoned_call_lifetime);
+        if matches!(completion, Completion::TimedOut | Completion::Cancelled) {
+            self.abandoned_calls.abandon(now, ());
         }
         if completion == Completion::Success {
             self.extra_permits = 0;
@@ -88,13 +84,7 @@
     }
 
     pub(super) fn expire_abandoned(&mut self, now: Timestamp) {
-        while self
-            .abandoned_until
-            .front()
-            .is_some_and(|until| *until <= now)
-        {
-            self.abandoned_until.pop_front();
-        }
+        self.abandoned_calls.remove_ended(now);
     }
 
     pub(super) fn reset_last_activity(&mut self, now: Timestamp) {
