--- a/crates/server/src/fleet/gossip.rs
+++ b/crates/server/src/fleet/gossip.rs
@@ -76,12 +76,13 @@
             clock.clone(),
             Box::new(move || notify.notify_one()),
         );
+        let now = clock();
         Fleet {
             stack,
             quota_source: Rc::new(quota_source),
             backends,
             clock,
-            event_log: RefCell::new(EventLog::new()),
+            event_log: RefCell::new(EventLog::new(now)),
             dropped_datagrams: Cell::new(0),
             unsent_datagrams: Cell::new(0),
             send_pending,
@@ -131,7 +132,7 @@
         if let Some(backends) = &self.backends {
             backends.log_events();
         }
-        self.event_log.borrow_mut().write(&lines);
+        self.event_log.borrow_mut().write(self.now(), &lines);
     }
 
     /// Hands the socket what is to be sent. What it can't take at once is lost, as any datagram may be.
@@ -160,9 +161,10 @@
             let Ok((length, from)) = socket.try_recv_from(buffer) else {
                 return;
             };
-            if limit.try_take() {
+            let now = self.now();
+            if limit.try_take(now) {
                 let mut stack = self.stack.borrow_mut();
-                stack.handle_datagram(self.now(), from, &buffer[..length]);
+                stack.handle_datagram(now, from, &buffer[..length]);
             } else {
                 increment(&self.dropped_datagrams);
             }
@@ -197,7 +199,7 @@
 
 /// Receives, drives the timers and sends, until the process ends.
 pub async fn run(socket: Rc<UdpSocket>, fleet: Rc<Fleet>) {
-    let mut limit = DatagramLimit::new();
+    let mut limit = DatagramLimit::new(fleet.now());
     let mut buffer = [0; RECEIVE_BUFFER_BYTES];
     loop {
         let wait = fleet.time_to_next_timeout();
--- a/crates/server/src/fleet/gossip/datagram_limit.rs
+++ b/crates/server/src/fleet/gossip/datagram_limit.rs
@@ -1,42 +1,31 @@
 //! Limits the received datagrams that are looked at, so that a flood takes no more than a bounded part of the core.
 
-use std::time::Instant;
+use crate::support::rate_limiter::{RateLimiter, Refill};
+use madderbay::time::Timestamp;
 
 /// Datagrams a second. A fleet of a thousand servers that forms anew sends a tenth of it to each.
 const DATAGRAMS_PER_SECOND: f64 = 5_000.0;
 /// Datagrams at once.
-const MAX_BURST: f64 = 1_000.0;
+const MAX_BURST: u32 = 1_000;
 
-/// A token bucket that is refilled when it is empty.
+/// The limit on the datagrams of one socket.
 pub(super) struct DatagramLimit {
-    available: f64,
-    refilled_at: Instant,
+    limiter: RateLimiter,
 }
 
 impl DatagramLimit {
-    /// Creates a full bucket.
-    pub(super) fn new() -> DatagramLimit {
+    /// A limit that a burst has not touched yet.
+    pub(super) fn new(now: Timestamp) -> DatagramLimit {
+        let refill = Refill::PerSecond(DATAGRAMS_PER_SECOND);
         DatagramLimit {
-            available: MAX_BURST,
-            refilled_at: Instant::now(),
+            limiter: RateLimiter::new(now, MAX_BURST, refill),
         }
     }
 
-    /// Takes a token for one datagram; returns whether the datagram may be looked at.
-    pub(super) fn try_take(&mut self) -> bool {
-        if self.available < 1.0 {
-            self.refill();
-        }
-        if self.available >= 1.0 {
-            self.available -= 1.0;
-        }
-        self.available >= 1.0
-    }
-
-    /// Adds the tokens of the time since the last refill.
-    fn refill(&mut self) {
-        let elapsed = std::mem::replace(&mut self.refilled_at, Instant::now()).elapsed();
-        let refilled = self.available + elapsed.as_secs_f64() * DATAGRAMS_PER_SECOND;
-        self.available = refilled.min(MAX_BURST);
+    /// Takes a permit for one datagram; returns whether the datagram may be looked at. The one that takes the last
+    /// permit may not: between two refills one datagram fewer is looked at than there were permits.
+    pub(super) fn try_take(&mut self, now: Timestamp) -> bool {
+        self.limiter.try_take(now);
+        self.limiter.has_permit()
     }
 }
--- a/crates/server/src/fleet/gossip/event_log.rs
+++ b/crates/server/src/fleet/gossip/event_log.rs
@@ -1,53 +1,49 @@
-//! Writes the fleet's events to the log, a bounded number of lines in a span; those beyond it are counted.
+//! Writes the fleet's events to the log, a bounded number of lines in an interval; those beyond it are counted.
 
 use crate::support::logging;
-use std::time::{Duration as StdDuration, Instant};
+use crate::support::rate_limiter::{RateLimiter, Refill};
+use madderbay::time::{Duration, Timestamp};
 
-/// Lines in one span.
-const MAX_LINES: usize = 200;
-/// Length of a span.
-const SPAN: StdDuration = StdDuration::from_secs(10);
+/// Lines in one interval.
+const MAX_LINES: u32 = 200;
+/// Length of an interval.
+const INTERVAL: Duration = Duration::from_millis(10_000);
 
-/// The lines of the present span.
+/// The limit on the lines of the present interval.
 pub(super) struct EventLog {
-    span_start: Instant,
-    written: usize,
-    unwritten: usize,
+    limiter: RateLimiter,
 }
 
 impl EventLog {
-    /// Begins the first span.
-    pub(super) fn new() -> EventLog {
+    /// Begins the first interval.
+    pub(super) fn new(now: Timestamp) -> EventLog {
         EventLog {
-            span_start: Instant::now(),
-            written: 0,
-            unwritten: 0,
+            limiter: RateLimiter::new(now, MAX_LINES, Refill::EachInterval(INTERVAL)),
         }
     }
 
     /// Events that were counted in place of being written, and are not yet reported in the log.
     pub(super) fn unwritten(&self) -> u64 {
-        self.unwritten as u64
+        self.limiter.refused()
     }
 
-    /// Writes one line for each event, as far as the span has room.
-    pub(super) fn write(&mut self, events: &[String]) {
-        if self.span_start.elapsed() >= SPAN {
-            self.begin_span();
+    /// Writes one line for each event, as far as the limit allows. The first call in an interval reports how many
+    /// events were omitted before.
+    pub(super) fn write(&mut self, now: Timestamp, events: &[String]) {
+        if self.limiter.refill(now) {
+            self.report_omitted();
         }
-        let (writable, rest) = events.split_at(events.len().min(MAX_LINES - self.written));
-        for event in writable {
-            logging::plain(format!("INFO {event}\n"));
+        for event in events {
+            if self.limiter.try_take(now) {
+                logging::plain(format!("INFO {event}\n"));
+            }
         }
-        self.written += writable.len();
-        self.unwritten += rest.len();
     }
 
-    /// Reports how many events were omitted, and begins to count anew.
-    fn begin_span(&mut self) {
-        if self.unwritten > 0 {
-            log::info!("membership: changes not logged, count={}", self.unwritten);
+    fn report_omitted(&mut self) {
+        let count = self.limiter.take_refused();
+        if count > 0 {
+            log::info!("membership: changes not logged, count={count}");
         }
-        *self = EventLog::new();
     }
 }
--- a/crates/server/src/support/logging/place_limit/tests.rs
+++ b/crates/server/src/support/logging/place_limit/tests.rs
@@ -2,6 +2,8 @@
 
 use super::*;
 
+const START: Timestamp = Timestamp::from_micros(0);
+
 fn place(line: u32) -> Place {
     Place {
         module: "madderbay_server::upstream",
@@ -10,24 +12,29 @@
 }
 
 #[test]
-fn admits_five_lines_of_each_place_in_a_window() {
-    let mut limit = PlaceLimit::default();
-    let mut admitted = |line| (0..8).filter(|_| limit.admit(place(line))).count();
+fn admits_five_lines_of_each_place_in_an_interval() {
+    let mut limit = PlaceLimit::new(START);
+    let mut admitted = |line| (0..8).filter(|_| limit.admit(START, place(line))).count();
     assert_eq!((admitted(1), admitted(2)), (5, 5));
 }
 
 #[test]
-fn end_of_window_reports_suppressed_lines_in_order_and_starts_anew() {
-    let mut limit = PlaceLimit::default();
+fn end_of_interval_reports_suppressed_lines_in_order_and_starts_anew() {
+    let mut limit = PlaceLimit::new(START);
     for (line, times) in [(9, 7), (3, 6), (5, 5)] {
         (0..times).for_each(|_| {
-            limit.admit(place(line));
+            limit.admit(START, place(line));
         });
     }
     let suppressed = |line, count| SuppressedLines {
         place: place(line),
         count,
     };
-    assert_eq!(limit.end_window(), [suppressed(3, 1), suppressed(9, 2)]);
-    assert!(limit.admit(place(9)) && limit.end_window().is_empty());
+    let before_end = START + INTERVAL.saturating_sub(Duration::from_micros(1));
+    assert_eq!(limit.end_interval(before_end), None);
+    let end = START + INTERVAL;
+    let expected = vec![suppressed(3, 1), suppressed(9, 2)];
+    assert_eq!(limit.end_interval(end), Some(expected));
+    assert!(limit.admit(end, place(9)));
+    assert_eq!(limit.end_interval(end + INTERVAL), Some(vec![]));
 }
--- a/crates/server/src/support/logging/writer.rs
+++ b/crates/server/src/support/logging/writer.rs
@@ -1,10 +1,12 @@
 //! The queue of lines and the thread that writes them to standard error.
 //!
-//! The queue owns the count of entries that did not fit it. The thread owns the limit of each place. Whoever sends
-//! never waits for standard error; only a flush waits, and for a bounded time.
+//! The queue owns the count of entries that did not fit it. The thread owns the limit of each place and its clock.
+//! Whoever sends never waits for standard error; only a flush waits, and for a bounded time.
 
-use super::place_limit::{Place, PlaceLimit};
+use super::place_limit::{INTERVAL, Place, PlaceLimit};
+use crate::support::clock::{self, MonotonicClock};
 use log::Level;
+use madderbay::time::Timestamp;
 use std::fmt::Write as _;
 use std::io::Write as _;
 use std::sync::OnceLock;
@@ -14,8 +16,8 @@
 
 /// Entries that may wait for standard error.
 const MAX_QUEUED_ENTRIES: usize = 1_024;
-/// The time over which the lines of one place are counted, and after which dropped entries are reported.
-const WINDOW: Duration = Duration::from_secs(10);
+/// Longest time without an entry after which the thread looks whether an interval is over.
+const MAX_IDLE: Duration = Duration::from_micros(INTERVAL.as_micros());
 /// Stack of the thread, in bytes.
 const STACK_BYTES: usize = 64 << 10;
 
@@ -56,7 +58,10 @@
         let _ = std::thread::Builder::new()
             .name("log".into())
             .stack_size(STACK_BYTES)
-            .spawn(move || Writer::new(&self.dropped).run(&entries));
+            .spawn(move || {
+                let clock = clock::monotonic_since(Instant::now());
+                Writer::new(&self.dropped, clock).run(&entries);
+            });
     }
 
     /// Queues an entry; one that does not fit is counted and dropped.
@@ -81,28 +86,29 @@
 struct Writer {
     dropped: &'static AtomicU64,
     limit: PlaceLimit,
-    window_start: Instant,
+    clock: MonotonicClock,
 }
 
 impl Writer {
-    fn new(dropped: &'static AtomicU64) -> Writer {
+    fn new(dropped: &'static AtomicU64, clock: MonotonicClock) -> Writer {
         Writer {
             dropped,
-            limit: PlaceLimit::default(),
-            window_start: Instant::now(),
+            limit: PlaceLimit::new(clock()),
+            clock,
         }
     }
 
     /// Writes what is received until the queue is gone.
     fn run(mut self, entries: &Receiver<Entry>) {
         loop {
-            let entry = match entries.recv_timeout(WINDOW) {
+            let entry = match entries.recv_timeout(MAX_IDLE) {
                 Ok(entry) => Some(entry),
                 Err(RecvTimeoutError::Timeout) => None,
                 Err(RecvTimeoutError::Disconnected) => return,
             };
-            let mut text = self.report_of_ended_window();
-            let written = entry.and_then(|entry| self.append(entry, &mut text));
+            let now = (self.clock)();
+            let mut text = self.report_of_ended_interval(now);
+            let written = entry.and_then(|entry| self.append(now, entry, &mut text));
             let _ = std::io::stderr().write_all(text.as_bytes());
             if let Some(written) = written {
                 let _ = written.send(());
@@ -110,13 +116,13 @@
         }
     }
 
-    /// What was not written in a window that is over; nothing while it lasts.
-    fn report_of_ended_window(&mut self) -> String {
+    /// What was not written in an interval that is over; nothing while it lasts.
+    fn report_of_ended_interval(&mut self, now: Timestamp) -> String {
         let mut text = String::new();
-        if self.window_start.elapsed() < WINDOW {
+        let Some(suppressed_lines) = self.limit.end_interval(now) else {
             return text;
-        }
-        for suppressed in self.limit.end_window() {
+        };
+        for suppressed in suppressed_lines {
             let Place { module, line } = suppressed.place;
             let count = suppressed.count;
             let _ = writeln!(
@@ -128,12 +134,16 @@
         if dropped > 0 {
             let _ = writeln!(text, "INFO log: lines dropped, count={dropped}");
         }
-        self.window_start = Instant::now();
         text
     }
 
     /// Appends an entry to what is written next. Returns whom to notify after that, where the entry asks for it.
-    fn append(&mut self, entry: Entry, text: &mut String) -> Option<SyncSender<()>> {
+    fn append(
+        &mut self,
+        now: Timestamp,
+        entry: Entry,
+        text: &mut String,
+    ) -> Option<SyncSender<()>> {
         match entry {
             Entry::Line {
                 level,
@@ -141,7 +151,7 @@
                 message,
             } => {
                 // Lines below `info` were asked for, and are counted but not limited.
-                if self.limit.admit(place) || level > Level::Info {
+                if self.limit.admit(now, place) || level > Level::Info {
                     let _ = writeln!(text, "{level} {message}");
                 }
             }
--- a/crates/server/src/support/logging/writer/tests.rs
+++ b/crates/server/src/support/logging/writer/tests.rs
@@ -1,8 +1,14 @@
 //! The numbers here are those of the on-call page.
 
 use super::*;
+use std::rc::Rc;
 
 static DROPPED: AtomicU64 = AtomicU64::new(0);
+const START: Timestamp = Timestamp::from_micros(0);
+
+fn writer(dropped: &'static AtomicU64) -> Writer {
+    Writer::new(dropped, Rc::new(|| START))
+}
 
 fn line(level: Level, line: u32) -> Entry {
     let module = "madderbay_server::upstream";
@@ -16,14 +22,14 @@
 fn written(writer: &mut Writer, entries: impl IntoIterator<Item = Entry>) -> String {
     let mut text = String::new();
     for entry in entries {
-        assert!(writer.append(entry, &mut text).is_none());
+        assert!(writer.append(START, entry, &mut text).is_none());
     }
     text
 }
 
 #[test]
 fn lines_begin_with_their_level_and_text_stays_as_it_is() {
-    let mut writer = Writer::new(&DROPPED);
+    let mut writer = writer(&DROPPED);
     let entries = [line(Level::Warn, 1), Entry::Text("counter open 0\n".into())];
     let text = written(&mut writer, entries);
     assert_eq!(text, "WARN engine: unreachable\ncounter open 0\n");
@@ -31,7 +37,7 @@
 
 #[test]
 fn lines_below_info_are_not_limited() {
-    let mut writer = Writer::new(&DROPPED);
+    let mut writer = writer(&DROPPED);
     for (level, count) in [(Level::Error, 5), (Level::Info, 5), (Level::Debug, 9)] {
         let lines = (0..9).map(|_| line(level, level as u32));
         assert_eq!(written(&mut writer, lines).lines().count(), count);
@@ -39,16 +45,17 @@
 }
 
 #[test]
-fn ended_window_reports_what_was_not_written() {
+fn ended_interval_reports_what_was_not_written() {
     static DROPPED_HERE: AtomicU64 = AtomicU64::new(3);
-    let mut writer = Writer::new(&DROPPED_HERE);
+    let mut writer = writer(&DROPPED_HERE);
     written(&mut writer, (0..7).map(|_| line(Level::Warn, 12)));
-    assert_eq!(writer.report_of_ended_window(), "");
-    writer.window_start -= WINDOW;
+    let before_end = Timestamp::from_micros(9_999_999);
+    assert_eq!(writer.report_of_ended_interval(before_end), "");
+    let end = Timestamp::from_micros(10_000_000);
     let report = "INFO log: lines suppressed, place=madderbay_server::upstream:12, count=2\n\
                   INFO log: lines dropped, count=3\n";
-    assert_eq!(writer.report_of_ended_window(), report);
-    assert_eq!(writer.report_of_ended_window(), "");
+    assert_eq!(writer.report_of_ended_interval(end), report);
+    assert_eq!(writer.report_of_ended_interval(end), "");
 }
 
 #[test]
