--- a/crates/concurrency/examples/ways/policies.rs
+++ b/crates/concurrency/examples/ways/policies.rs
@@ -1,14 +1,20 @@
 //! The policies that are compared.
 
-use crate::simulation::{FixedLimit, LimitPolicy, at};
+use crate::simulation::{EndedCall, FixedLimit, LimitPolicy, at};
 use madderbay::time::{Duration, Timestamp};
 use madderbay_concurrency::limit::{AdaptiveLimit, Completion, Permit};
 
 /// Shortest latency that the policies measure, in seconds.
 const MIN_LATENCY_SECS: f64 = 1e-3;
 
-fn latency_secs(latency: Duration) -> f64 {
-    latency.as_secs_f64().max(MIN_LATENCY_SECS)
+impl EndedCall {
+    fn latency(&self) -> Duration {
+        Duration::from_millis(self.latency_ms)
+    }
+
+    fn latency_secs(&self) -> f64 {
+        self.latency().as_secs_f64().max(MIN_LATENCY_SECS)
+    }
 }
 
 /// Additive increase, multiplicative decrease: grows by one over the limit for each call within
@@ -36,23 +42,16 @@
     fn limit(&self) -> f64 {
         self.limit
     }
-    fn completed(
-        &mut self,
-        now: Timestamp,
-        _: Option<Permit>,
-        completion: Completion,
-        latency: Duration,
-        _: usize,
-    ) {
-        let secs = latency_secs(latency);
-        if completion == Completion::Success {
+    fn completed(&mut self, now: Timestamp, call: &EndedCall, _: usize) {
+        let secs = call.latency_secs();
+        if call.completion == Completion::Success {
             self.best_secs = self.best_secs.min(secs);
         }
-        if completion == Completion::Success && secs < 2.0 * self.best_secs {
+        if call.completion == Completion::Success && secs < 2.0 * self.best_secs {
             self.limit = (self.limit + 1.0 / self.limit).min(self.max);
         } else if now >= self.no_decrease_until {
             self.limit = (self.limit * 0.9).max(1.0);
-            self.no_decrease_until = now + latency;
+            self.no_decrease_until = now + call.latency();
         }
     }
 }
@@ -81,18 +80,11 @@
     fn limit(&self) -> f64 {
         self.limit
     }
-    fn completed(
-        &mut self,
-        _: Timestamp,
-        _: Option<Permit>,
-        completion: Completion,
-        latency: Duration,
-        in_flight: usize,
-    ) {
-        if completion == Completion::Failure {
+    fn completed(&mut self, _: Timestamp, call: &EndedCall, in_flight: usize) {
+        if call.completion == Completion::Failure {
             return;
         }
-        let secs = latency_secs(latency);
+        let secs = call.latency_secs();
         self.short_secs += 0.1 * (secs - self.short_secs);
         self.long_secs += 0.003 * (secs - self.long_secs);
         self.long_secs = self.long_secs.min(self.short_secs * 2.0);
@@ -130,18 +122,11 @@
     fn limit(&self) -> f64 {
         self.limit
     }
-    fn completed(
-        &mut self,
-        _: Timestamp,
-        _: Option<Permit>,
-        completion: Completion,
-        latency: Duration,
-        _: usize,
-    ) {
-        if completion == Completion::Failure {
+    fn completed(&mut self, _: Timestamp, call: &EndedCall, _: usize) {
+        if call.completion == Completion::Failure {
             return;
         }
-        self.latency_sum_secs += latency_secs(latency);
+        self.latency_sum_secs += call.latency_secs();
         self.samples += 1;
         if f64::from(self.samples) < self.limit {
             return;
@@ -207,18 +192,11 @@
         self.in_flight += 1;
         None
     }
-    fn completed(
-        &mut self,
-        now: Timestamp,
-        _: Option<Permit>,
-        completion: Completion,
-        latency: Duration,
-        _: usize,
-    ) {
+    fn completed(&mut self, now: Timestamp, call: &EndedCall, _: usize) {
         self.accrue(now);
         self.in_flight -= 1;
-        if completion != Completion::Failure {
-            self.mean_secs += 0.1 * (latency_secs(latency) - self.mean_secs);
+        if call.completion != Completion::Failure {
+            self.mean_secs += 0.1 * (call.latency_secs() - self.mean_secs);
             self.best_secs = (self.best_secs * 1.0005).min(self.mean_secs);
         }
     }
--- a/crates/concurrency/tests/concurrency/simulation/mod.rs
+++ b/crates/concurrency/tests/concurrency/simulation/mod.rs
@@ -6,12 +6,12 @@
 mod scenario;
 mod trace;
 
-use madderbay::time::{Duration, Timestamp};
+use madderbay::time::Timestamp;
 use madderbay_concurrency::limit::{Completion, Permit};
 use std::collections::VecDeque;
 use trace::SAMPLE_INTERVAL_MS;
 
-pub(crate) use policy::{FixedLimit, LimitPolicy};
+pub(crate) use policy::{EndedCall, FixedLimit, LimitPolicy};
 pub(crate) use scenario::{Behavior, FAULT_MS, RECOVERY_MS, Scenario, WARM_MS};
 pub(crate) use trace::{Sample, Trace};
 
@@ -41,13 +41,6 @@
     }
 }
 
-/// A call whose caller learns of its end in this step.
-struct EndedCall {
-    permit: Option<Permit>,
-    completion: Completion,
-    latency_ms: u64,
-}
-
 /// The time on the simulation's clock.
 pub(crate) fn at(ms: u64) -> Timestamp {
     Timestamp::from_micros(1_000_000_000 + ms * 1_000)
@@ -175,22 +168,15 @@
         ended
     }
 
-    fn report_end(&mut self, ms: u64, ended: EndedCall) {
-        let EndedCall {
-            permit,
-            completion,
-            latency_ms,
-        } = ended;
-        self.in_flight -= 1;
-        if completion != Completion::Failure {
-            self.mean_latency_ms += LATENCY_WEIGHT * (latency_ms as f64 - self.mean_latency_ms);
+    fn report_end(&mut self, ms: u64, call: EndedCall) {
+        if call.completion != Completion::Failure {
+            let deviation_ms = call.latency_ms as f64 - self.mean_latency_ms;
+            self.mean_latency_ms += LATENCY_WEIGHT * deviation_ms;
         }
-        self.succeeded += u32::from(completion == Completion::Success);
-        self.failed += u32::from(completion != Completion::Success);
-        let latency = Duration::from_millis(latency_ms);
-        let in_flight = self.in_flight + 1;
-        self.policy
-            .completed(at(ms), permit, completion, latency, in_flight);
+        self.succeeded += u32::from(call.completion == Completion::Success);
+        self.failed += u32::from(call.completion != Completion::Success);
+        self.policy.completed(at(ms), &call, self.in_flight);
+        self.in_flight -= 1;
     }
 
     fn add_wanted_calls(&mut self, ms: u64) {
--- a/crates/concurrency/tests/concurrency/simulation/policy.rs
+++ b/crates/concurrency/tests/concurrency/simulation/policy.rs
@@ -1,8 +1,17 @@
 //! Policies: rules for the number of calls in flight.
 
-use madderbay::time::{Duration, Timestamp};
+use madderbay::time::Timestamp;
 use madderbay_concurrency::limit::{AdaptiveLimit, Completion, Permit};
 
+/// A call whose caller learns of its end in this step.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct EndedCall {
+    /// What the policy returned at its start.
+    pub(crate) permit: Option<Permit>,
+    pub(crate) completion: Completion,
+    pub(crate) latency_ms: u64,
+}
+
 /// A rule for the number of calls in flight.
 pub(crate) trait LimitPolicy {
     fn limit(&self) -> f64;
@@ -14,15 +23,7 @@
     }
     fn saturated(&mut self) {}
     /// A call ended; `in_flight` counts it still.
-    fn completed(
-        &mut self,
-        _now: Timestamp,
-        _permit: Option<Permit>,
-        _completion: Completion,
-        _latency: Duration,
-        _in_flight: usize,
-    ) {
-    }
+    fn completed(&mut self, _now: Timestamp, _call: &EndedCall, _in_flight: usize) {}
     fn tick(&mut self, _now: Timestamp) {}
 }
 
@@ -48,16 +49,9 @@
     fn saturated(&mut self) {
         self.record_saturation();
     }
-    fn completed(
-        &mut self,
-        now: Timestamp,
-        permit: Option<Permit>,
-        completion: Completion,
-        _latency: Duration,
-        _in_flight: usize,
-    ) {
-        let permit = permit.expect("every call has a permit");
-        self.release(now, permit, completion, false);
+    fn completed(&mut self, now: Timestamp, call: &EndedCall, _in_flight: usize) {
+        let permit = call.permit.expect("every call has a permit");
+        self.release(now, permit, call.completion, false);
     }
     fn tick(&mut self, now: Timestamp) {
         AdaptiveLimit::tick(self, now);
