--- a/crates/simulator-adapter/src/codec.rs
+++ b/crates/simulator-adapter/src/codec.rs
@@ -14,7 +14,7 @@
 mod reply;
 
 pub use action::Action;
-pub use event::{Event, EventCode, RecordHeader, RequestRecord, ResultRecord};
+pub use event::{Event, EventCode, RecordHeader, ResultRecord};
 pub use field_reader::FieldReader;
 pub use frame::{Batch, BatchHeader};
 pub use reply::{InstanceActions, Reply};
--- a/crates/simulator-adapter/src/codec/event.rs
+++ b/crates/simulator-adapter/src/codec/event.rs
@@ -3,7 +3,7 @@
 use super::field_reader::FieldReader;
 use crate::error::AdapterError;
 use crate::instance_id::InstanceId;
-use madderbay::interface::{HandlerId, Outcome, TenantId};
+use madderbay::interface::{Arrival, HandlerId, Outcome, TenantId};
 use madderbay::time::Duration;
 
 /// Bit of a request's flags: the estimate of its work is valid.
@@ -79,7 +79,7 @@
 }
 
 /// One event of an instance.
-#[derive(Clone, Debug, PartialEq)]
+#[derive(Clone, Debug)]
 pub enum Event<'a> {
     /// The instance starts; a former one of its number is replaced.
     Start {
@@ -89,7 +89,7 @@
         settings: &'a [u8],
     },
     /// A request was read.
-    Arrival(RequestRecord),
+    Arrival(Arrival),
     /// A run ended.
     RunEnded(ResultRecord),
     /// A run waits for a decision on its upstream call.
@@ -131,7 +131,7 @@
     ) -> Result<Event<'a>, AdapterError> {
         Ok(match code {
             EventCode::Start => Event::decode_start(fields)?,
-            EventCode::Arrival => Event::Arrival(RequestRecord::decode(fields)?),
+            EventCode::Arrival => Event::decode_arrival(fields)?,
             EventCode::RunEnded => Event::RunEnded(ResultRecord::decode(fields)?),
             EventCode::CallNeeded => Event::CallNeeded {
                 request_id: fields.read_u64()?,
@@ -164,40 +164,10 @@
             .collect::<Result<_, _>>()?;
         Ok(Event::Tick { gauges })
     }
-}
 
-/// A request as it was read. Whether handler and tenant exist is not checked yet.
-#[derive(Clone, Debug, PartialEq)]
-pub struct RequestRecord {
-    /// Identifier of the request.
-    pub request_id: u64,
-    /// Index of the handler.
-    pub handler: HandlerId,
-    /// Index of the tenant.
-    pub tenant: TenantId,
-    /// What the request is about; 0 for nothing.
-    pub subject: u64,
-    /// Time that the client still waits.
-    pub timeout: Duration,
-    /// Estimate of the work, where there is one.
-    pub work_hint: Option<Duration>,
-    /// Memory while queued, in kB.
-    pub memory_kb: f64,
-    /// Rank among all requests, 0 to 1.
-    pub rank: f64,
-    /// Whether the client marked it as a retry or hedge.
-    pub is_retry: bool,
-    /// Number of the client.
-    pub client: u16,
-    /// Time from the arrival at the machine until the request was read.
-    pub read_delay: Duration,
-    /// Identifier of the attempt that it retries; 0 for none.
-    pub retry_of: u64,
-}
-
-impl RequestRecord {
-    fn decode(fields: &mut FieldReader) -> Result<RequestRecord, AdapterError> {
-        let request_id = fields.read_u64()?;
+    /// A request as it was read. Whether handler and tenant exist is not checked yet.
+    fn decode_arrival(fields: &mut FieldReader<'a>) -> Result<Event<'a>, AdapterError> {
+        let id = fields.read_u64()?;
         let handler = HandlerId::new(fields.read_u16()?.into());
         let tenant = TenantId::new(fields.read_u32()? as usize);
         let subject = fields.read_u64()?;
@@ -209,8 +179,8 @@
         let client = fields.read_u16()?;
         let read_delay = fields.read_duration()?;
         let retry_of = fields.read_u64()?;
-        Ok(RequestRecord {
-            request_id,
+        Ok(Event::Arrival(Arrival {
+            id,
             handler,
             tenant,
             subject,
@@ -222,7 +192,7 @@
             client,
             read_delay,
             retry_of,
-        })
+        }))
     }
 }
 
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -86,8 +86,8 @@
     ) -> Result<(), AdapterError> {
         match event {
             Event::Start { seed, settings } => self.start(now, instance, seed, settings),
-            Event::Arrival(record) => {
-                let arrival = self.instance(instance)?.validate(&record)?;
+            Event::Arrival(arrival) => {
+                let arrival = self.instance(instance)?.validate(arrival)?;
                 self.decide(instance, |state, actions| {
                     state.decider.on_arrival(now, &arrival, actions);
                 })
--- a/crates/simulator-adapter/src/host/instance.rs
+++ b/crates/simulator-adapter/src/host/instance.rs
@@ -1,6 +1,5 @@
 //! One simulated server: its decision module, and what of its settings the adapter needs.
 
-use crate::codec::RequestRecord;
 use crate::error::AdapterError;
 use madderbay::decide::Decider;
 use madderbay::interface::{Arrival, Gauges};
@@ -30,49 +29,37 @@
         }
     }
 
-    /// The request as the decision module takes it.
-    pub(super) fn validate(&self, record: &RequestRecord) -> Result<Arrival, AdapterError> {
-        self.check_indices(record)?;
-        let request_id = record.request_id;
-        if record.memory_kb < 0.0 {
+    /// Checks a request. Its timeout counts only where the settings say that requests carry one.
+    pub(super) fn validate(&self, arrival: Arrival) -> Result<Arrival, AdapterError> {
+        self.check_indices(&arrival)?;
+        let request_id = arrival.id;
+        if arrival.memory_kb < 0.0 {
             return Err(AdapterError::NegativeMemory { request_id });
         }
         if self.decider.contains(request_id) {
             return Err(AdapterError::DuplicateRequest { request_id });
         }
-        Ok(Arrival {
-            id: request_id,
-            client: record.client,
-            handler: record.handler,
-            tenant: record.tenant,
-            subject: record.subject,
-            timeout: if self.requests_carry_timeout {
-                record.timeout
-            } else {
-                Duration::ZERO
-            },
-            work_hint: record.work_hint,
-            memory_kb: record.memory_kb,
-            rank: record.rank,
-            is_retry: record.is_retry,
-            read_delay: record.read_delay,
-            retry_of: record.retry_of,
-        })
+        let timeout = if self.requests_carry_timeout {
+            arrival.timeout
+        } else {
+            Duration::ZERO
+        };
+        Ok(Arrival { timeout, ..arrival })
     }
 
-    fn check_indices(&self, record: &RequestRecord) -> Result<(), AdapterError> {
-        if record.handler.index() >= self.handlers {
+    fn check_indices(&self, arrival: &Arrival) -> Result<(), AdapterError> {
+        if arrival.handler.index() >= self.handlers {
             return Err(AdapterError::UnknownHandler {
-                request_id: record.request_id,
-                handler: record.handler,
+                request_id: arrival.id,
+                handler: arrival.handler,
                 handlers: self.handlers,
             });
         }
         // Where the settings define no tenants, all requests carry tenant 0.
-        if record.tenant.index() >= self.tenants.max(1) {
+        if arrival.tenant.index() >= self.tenants.max(1) {
             return Err(AdapterError::UnknownTenant {
-                request_id: record.request_id,
-                tenant: record.tenant,
+                request_id: arrival.id,
+                tenant: arrival.tenant,
                 tenants: self.tenants,
             });
         }
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -15,7 +15,7 @@
 
 pub use codec::{
     Action, Batch, BatchHeader, Event, EventCode, FieldReader, InstanceActions, RecordHeader,
-    Reply, RequestRecord, ResultRecord,
+    Reply, ResultRecord,
 };
 pub use error::AdapterError;
 pub use host::Host;
