--- a/crates/idempotency-store/src/recovery.rs
+++ b/crates/idempotency-store/src/recovery.rs
@@ -5,7 +5,7 @@
 use crate::error::StoreError;
 use crate::record::{AttemptId, IdempotencyKey, Record};
 use crate::segment::{self, Header, Records};
-use crate::storage::Storage;
+use crate::storage::{self, Storage};
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
 
@@ -78,15 +78,7 @@
 
 impl Recovery {
     fn read_segment(&mut self, storage: &impl Storage, name: String) -> Result<(), StoreError> {
-        let bytes = match storage.read(&name) {
-            Ok(bytes) => bytes,
-            Err(source) => {
-                return Err(StoreError::ReadSegment {
-                    segment: name,
-                    source,
-                });
-            }
-        };
+        let bytes = storage::read_segment(storage, &name)?;
         let torn_bytes = match Header::read(&bytes) {
             Header::Valid => self.replay_segment(&bytes),
             Header::Torn => bytes.len(),
--- a/crates/idempotency-store/src/storage.rs
+++ b/crates/idempotency-store/src/storage.rs
@@ -9,6 +9,7 @@
 pub use directory::DirectoryStorage;
 pub use memory::{CrashEffect, MemoryStorage};
 
+use crate::error::StoreError;
 use std::io;
 
 /// A flat set of files with explicit durability.
@@ -59,3 +60,13 @@
     /// The I/O error of the storage; [`io::ErrorKind::NotFound`] if there is no such file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
+
+/// Returns all bytes of a segment; an error names it.
+pub(crate) fn read_segment(storage: &impl Storage, name: &str) -> Result<Vec<u8>, StoreError> {
+    storage
+        .read(name)
+        .map_err(|source| StoreError::ReadSegment {
+            segment: name.into(),
+            source,
+        })
+}
--- a/crates/idempotency-store/src/verify.rs
+++ b/crates/idempotency-store/src/verify.rs
@@ -4,7 +4,7 @@
 
 use crate::error::StoreError;
 use crate::segment::{self, HEADER_BYTES, Header, Records};
-use crate::storage::Storage;
+use crate::storage::{self, Storage};
 
 /// A defect of one file. It displays as the one line that an operator is shown.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -61,15 +61,8 @@
             defects.push(Defect::UnknownFile { file: name });
             continue;
         }
-        match storage.read(&name) {
-            Ok(bytes) => defects.extend(segment_defect(name, &bytes)),
-            Err(source) => {
-                return Err(StoreError::ReadSegment {
-                    segment: name,
-                    source,
-                });
-            }
-        }
+        let bytes = storage::read_segment(storage, &name)?;
+        defects.extend(segment_defect(name, &bytes));
     }
     Ok(defects)
 }
