--- a/crates/membership/src/anti_entropy/tests.rs
+++ b/crates/membership/src/anti_entropy/tests.rs
@@ -1,20 +1,5 @@
 use super::*;
-use crate::identity::Phase;
-
-fn at(ms: u64) -> Timestamp {
-    Timestamp::from_micros(ms * 1_000)
-}
-
-fn identity(name: &str) -> MemberIdentity {
-    MemberIdentity {
-        name: name.into(),
-        address: ([127, 0, 0, 1], 1).into(),
-        zone: "".into(),
-        incarnation: 1,
-        revision: 0,
-        phase: Phase::Joined,
-    }
-}
+use crate::tests::{at, identity};
 
 /// The name after which member `name` is asked for its roster now, if it is asked.
 fn request(sync: &mut RosterSync, name: &str, now_ms: u64) -> Option<CompactString> {
--- a/crates/membership/src/connectivity/tests.rs
+++ b/crates/membership/src/connectivity/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::tests::at;
 
 const EVIDENCE: ConnectivityEvidence = ConnectivityEvidence {
     active: 9,
@@ -8,10 +9,6 @@
     name_conflict: false,
 };
 
-fn at(ms: u64) -> Timestamp {
-    Timestamp::from_micros(ms * 1_000)
-}
-
 /// A status that became complete at 200 ms.
 fn complete() -> ConnectivityStatus {
     let mut status = ConnectivityStatus::new(at(0));
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -62,6 +62,8 @@
 mod settings;
 mod swim;
 mod swim_packet;
+#[cfg(test)]
+mod tests;
 mod timer_queue;
 mod view;
 
--- a/crates/membership/src/probe_retry/tests.rs
+++ b/crates/membership/src/probe_retry/tests.rs
@@ -1,20 +1,11 @@
 use super::*;
-use crate::identity::Phase;
-
-fn at(ms: u64) -> Timestamp {
-    Timestamp::from_micros(ms * 1_000)
-}
+use crate::tests::{at, identity};
 
 fn probe(name: &str, number: u8) -> Probe {
-    let target = MemberIdentity {
-        name: name.into(),
-        address: ([127, 0, 0, 1], 1).into(),
-        zone: "".into(),
-        incarnation: 1,
-        revision: 0,
-        phase: Phase::Joined,
-    };
-    Probe { target, number }
+    Probe {
+        target: identity(name),
+        number,
+    }
 }
 
 /// Repeats a probe from 1,000 ms; a ping is due every 22.5 ms.
--- a/crates/membership/src/reconnect/tests.rs
+++ b/crates/membership/src/reconnect/tests.rs
@@ -1,13 +1,10 @@
 use super::*;
+use crate::tests::at;
 
 fn address(port: u16) -> SocketAddr {
     ([127, 0, 0, 1], port).into()
 }
 
-fn at(ms: u64) -> Timestamp {
-    Timestamp::from_micros(ms * 1_000)
-}
-
 #[test]
 fn contacts_only_servers_that_are_not_active() {
     let mut reconnector =
