--- a/crates/operator-config/src/concurrency.rs
+++ b/crates/operator-config/src/concurrency.rs
@@ -109,11 +109,7 @@
     if head.is_none() {
         file.require_section(sections.iter().chain(&reserve), "pools");
     }
-    let mut pools: Vec<Pool> = vec![];
-    for section in &sections {
-        let pool = read_pool(file, section, &pools);
-        pools.push(pool);
-    }
+    let pools = handler_groups::read_each(file, &sections, read_pool);
     let reserve = reserve.map(|section| Reserve {
         handlers: file.names(&section, HANDLERS),
         fraction: file.number(&section, PART),
@@ -131,9 +127,8 @@
     } else if section.name == REST {
         file.section_error(section, Problem::ReservedPoolName);
     }
-    let handlers = handler_groups::read(file, section, "pool");
     let earlier = earlier.iter().map(|pool| (&pool.name, &pool.handlers));
-    handler_groups::check_disjoint(file, section, "pool", &handlers, earlier);
+    let handlers = handler_groups::read_disjoint(file, section, "pool", earlier);
     let weight = file.number(section, WEIGHT);
     Pool {
         name: section.name.clone(),
--- a/crates/operator-config/src/handler_groups.rs
+++ b/crates/operator-config/src/handler_groups.rs
@@ -1,4 +1,5 @@
-//! Sections that group handlers: pools, budgets and backends.
+//! Sections that group handlers: pools, budgets and backends. Each is read together with those of its kind before it,
+//! because no two may name the same handlers, or only some of the same.
 
 use crate::error::Problem;
 use crate::file::File;
@@ -8,6 +9,33 @@
 /// The key with the names of a group's handlers.
 pub(crate) const HANDLERS: &str = "handlers";
 
+/// Reads sections in their order. `read_one` is also given what was read of those before.
+pub(crate) fn read_each<T>(
+    file: &mut File,
+    sections: &[Section],
+    read_one: impl Fn(&mut File, &Section, &[T]) -> T,
+) -> Vec<T> {
+    let mut groups = vec![];
+    for section in sections {
+        let group = read_one(file, section, &groups);
+        groups.push(group);
+    }
+    groups
+}
+
+/// Reads the handlers of a group that shares none with the `earlier` groups of its kind, which are
+/// given by their names and handlers.
+pub(crate) fn read_disjoint<'a>(
+    file: &mut File,
+    section: &Section,
+    kind: &'static str,
+    earlier: impl Iterator<Item = (&'a String, &'a Names)> + Clone,
+) -> Names {
+    let handlers = read(file, section, kind);
+    check_disjoint(file, section, kind, &handlers, earlier);
+    handlers
+}
+
 /// Reads the handlers of a group, which has at least one.
 pub(crate) fn read(file: &mut File, section: &Section, kind: &'static str) -> Names {
     let handlers = file.names(section, HANDLERS);
@@ -17,9 +45,8 @@
     handlers
 }
 
-/// Reports the first handler that belongs to an earlier group of the same kind. `earlier` holds the
-/// names of these groups with their handlers.
-pub(crate) fn check_disjoint<'a>(
+/// Reports the first handler that belongs to an earlier group of the same kind.
+fn check_disjoint<'a>(
     file: &mut File,
     section: &Section,
     kind: &'static str,
--- a/crates/operator-config/src/quota.rs
+++ b/crates/operator-config/src/quota.rs
@@ -143,22 +143,17 @@
         file.key_error(&head, ENABLED.name, Problem::QuotasWithoutMembership);
     }
     let slot = file.optional_number(&head, SLOT);
-    let mut budgets: Vec<Budget> = vec![];
-    for section in &budget_sections {
-        let budget = read_budget(file, section, &budgets);
+    let budgets = handler_groups::read_each(file, &budget_sections, |file, section, earlier| {
+        let budget = read_budget(file, section, earlier);
         check_base_quota(file, section, &budget, slot);
-        budgets.push(budget);
-    }
-    let counters = count_sections
-        .iter()
-        .map(|section| read_count(file, section));
-    let counters: Vec<Counter> = counters.collect();
-    if counters
+        budget
+    });
+    let counters: Vec<Counter> = count_sections
         .iter()
-        .filter(|count| count.by == CounterKind::Tenant)
-        .count()
-        > 1
-    {
+        .map(|section| read_count(file, section))
+        .collect();
+    let by_tenant = counters.iter().filter(|c| c.by == CounterKind::Tenant);
+    if by_tenant.count() > 1 {
         file.section_error(&head, Problem::SeveralTenantCounters);
     }
     let shared = QuotaConfig {
@@ -174,11 +169,10 @@
     file.require_section_name(section);
     file.require_key(section, CALLS.name);
     file.require_key(section, SERVERS.name);
-    let handlers = handler_groups::read(file, section, "budget");
     let earlier = earlier
         .iter()
         .map(|budget| (&budget.name, &budget.handlers));
-    handler_groups::check_disjoint(file, section, "budget", &handlers, earlier);
+    let handlers = handler_groups::read_disjoint(file, section, "budget", earlier);
     Budget {
         name: section.name.clone(),
         handlers,
--- a/crates/operator-config/src/upstream.rs
+++ b/crates/operator-config/src/upstream.rs
@@ -100,12 +100,11 @@
         return None;
     };
     let enabled = file.word(&head, &ENABLED);
-    let mut backends: Vec<Backend> = vec![];
-    for section in &sections {
+    let backends = handler_groups::read_each(file, &sections, |file, section, earlier| {
         let backend = read_backend(file, section);
-        check_against_earlier(file, section, &backend, &backends);
-        backends.push(backend);
-    }
+        check_against_earlier(file, section, &backend, earlier);
+        backend
+    });
     if enabled && backends.is_empty() {
         file.key_error(&head, ENABLED.name, Problem::NoBackends);
     }
