--- a/crates/simulation/src/cli/compare.rs
+++ b/crates/simulation/src/cli/compare.rs
@@ -3,8 +3,7 @@
 use super::error::CommandError;
 use super::files;
 use super::outcome::CommandOutcome;
-use madderbay_simulation::Handler;
-use serde_json::Value;
+use madderbay_simulation::{Handler, SecondRow};
 use std::path::Path;
 
 /// What the JSON lines of a run add up to.
@@ -26,14 +25,14 @@
         totals
     }
 
-    fn add(&mut self, row: &Value) {
-        let number = |value: &Value| value.as_f64().unwrap_or(0.0);
+    fn add(&mut self, row: &SecondRow) {
         for handler in Handler::ALL.map(Handler::index) {
-            self.answered_in_time[handler] += number(&row["kept"][handler]);
-            self.requests[handler] += number(&row["asked"][handler]);
+            self.answered_in_time[handler] += f64::from(row.answered_in_time[handler]);
+            self.requests[handler] += f64::from(row.requests[handler]);
         }
-        self.peak_calls_in_flight = self.peak_calls_in_flight.max(number(&row["peak"]));
-        self.datagram_bytes += number(&row["bytes"]);
+        let peak = f64::from(row.peak_calls_in_flight);
+        self.peak_calls_in_flight = self.peak_calls_in_flight.max(peak);
+        self.datagram_bytes += row.datagram_bytes as f64;
     }
 
     fn fraction_in_time(&self, handler: Handler) -> f64 {
@@ -44,8 +43,10 @@
 
 /// Prints the figures of two outputs of `run`, and whether they are the same.
 pub(crate) fn compare(first: &Path, second: &Path) -> Result<CommandOutcome, CommandError> {
-    let (first_lines, second_lines) = (files::read_text(first)?, files::read_text(second)?);
-    let (one, other) = (Totals::of(&first_lines), Totals::of(&second_lines));
+    let first_lines = files::read_text(first)?;
+    let second_lines = files::read_text(second)?;
+    let one = Totals::of(&first_lines);
+    let other = Totals::of(&second_lines);
     println!(
         "{:<24} {:>12} {:>12}",
         "",
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -20,6 +20,7 @@
 mod format;
 mod generator;
 mod parser;
+mod words;
 
 pub use error::{HistoryError, LineError};
 
--- a/crates/simulation/src/history/format.rs
+++ b/crates/simulation/src/history/format.rs
@@ -1,16 +1,16 @@
 //! Histories and faults as text. [`History::parse`] reads what is written here.
 
-use super::History;
+use super::{History, words};
 use crate::fault::{BackendFault, DatagramFaults, Fault, ScheduledFault};
 use std::fmt;
 
 impl fmt::Display for BackendFault {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            BackendFault::Silent => f.write_str("silent"),
-            BackendFault::Failing => f.write_str("fails"),
-            BackendFault::Down => f.write_str("down"),
-            BackendFault::Slow { factor } => write!(f, "slow {factor}"),
+            BackendFault::Silent => f.write_str(words::SILENT_BACKEND),
+            BackendFault::Failing => f.write_str(words::FAILING_BACKEND),
+            BackendFault::Down => f.write_str(words::BACKEND_DOWN),
+            BackendFault::Slow { factor } => write!(f, "{} {factor}", words::SLOW_BACKEND),
         }
     }
 }
@@ -30,26 +30,28 @@
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Fault::Kill(server) => write!(f, "kill {server}"),
-            Fault::Start(server) => write!(f, "start {server}"),
-            Fault::Stop(server) => write!(f, "stop {server}"),
-            Fault::Continue(server) => write!(f, "continue {server}"),
-            Fault::SlowEngine { server, factor } => write!(f, "slow {server} {factor}"),
-            Fault::Halves => f.write_str("halves"),
-            Fault::Isolate(server) => write!(f, "alone {server}"),
-            Fault::OneWay(server) => write!(f, "oneway {server}"),
-            Fault::Heal => f.write_str("heal"),
-            Fault::Datagrams(faults) => write!(f, "net {faults}"),
-            Fault::Calm => f.write_str("calm"),
+            Fault::Kill(server) => write!(f, "{} {server}", words::KILL),
+            Fault::Start(server) => write!(f, "{} {server}", words::START),
+            Fault::Stop(server) => write!(f, "{} {server}", words::STOP),
+            Fault::Continue(server) => write!(f, "{} {server}", words::CONTINUE),
+            Fault::SlowEngine { server, factor } => {
+                write!(f, "{} {server} {factor}", words::SLOW_ENGINE)
+            }
+            Fault::Halves => f.write_str(words::HALVES),
+            Fault::Isolate(server) => write!(f, "{} {server}", words::ISOLATE),
+            Fault::OneWay(server) => write!(f, "{} {server}", words::ONE_WAY),
+            Fault::Heal => f.write_str(words::HEAL),
+            Fault::Datagrams(faults) => write!(f, "{} {faults}", words::DATAGRAMS),
+            Fault::Calm => f.write_str(words::CALM),
             Fault::Backend {
                 backend,
                 fault: Some(fault),
-            } => write!(f, "backend {backend} {fault}"),
+            } => write!(f, "{} {backend} {fault}", words::BACKEND),
             Fault::Backend {
                 backend,
                 fault: None,
-            } => write!(f, "backend {backend} well"),
-            Fault::Load { server, factor } => write!(f, "load {server} {factor}"),
+            } => write!(f, "{} {backend} {}", words::BACKEND, words::HEALTHY_BACKEND),
+            Fault::Load { server, factor } => write!(f, "{} {server} {factor}", words::LOAD),
         }
     }
 }
@@ -62,15 +64,15 @@
 
 impl fmt::Display for History {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        writeln!(f, "servers {}", self.servers)?;
-        writeln!(f, "backends {}", self.backends)?;
-        writeln!(f, "zones {}", self.zones)?;
-        writeln!(f, "seconds {}", self.seconds)?;
-        writeln!(f, "rate {}", self.requests_per_second)?;
-        writeln!(f, "whole {}", self.quota)?;
-        writeln!(f, "parts {}", self.features)?;
+        writeln!(f, "{} {}", words::SERVERS, self.servers)?;
+        writeln!(f, "{} {}", words::BACKENDS, self.backends)?;
+        writeln!(f, "{} {}", words::ZONES, self.zones)?;
+        writeln!(f, "{} {}", words::SECONDS, self.seconds)?;
+        writeln!(f, "{} {}", words::REQUEST_RATE, self.requests_per_second)?;
+        writeln!(f, "{} {}", words::QUOTA, self.quota)?;
+        writeln!(f, "{} {}", words::FEATURES, self.features)?;
         if let Some(defect) = self.defect {
-            writeln!(f, "plant {}", defect.name())?;
+            writeln!(f, "{} {}", words::DEFECT, defect.name())?;
         }
         self.faults
             .iter()
--- a/crates/simulation/src/history/parser.rs
+++ b/crates/simulation/src/history/parser.rs
@@ -1,6 +1,6 @@
 //! Reads a history. Whatever follows `#` in a line is a comment; words beyond those that a line needs are ignored.
 
-use super::{History, HistoryError, LineError};
+use super::{History, HistoryError, LineError, words};
 use crate::fault::{BackendFault, DatagramFaults, Defect, Fault, ScheduledFault};
 use crate::features::Features;
 use crate::ids::{BackendId, ServerId};
@@ -57,17 +57,19 @@
 
     fn parse_line(&mut self, line: &str) -> Result<(), LineError> {
         let content = line.split('#').next().unwrap_or_default();
-        let words: Vec<&str> = content.split_whitespace().collect();
-        match words.as_slice() {
+        let line_words: Vec<&str> = content.split_whitespace().collect();
+        match line_words.as_slice() {
             [] => {}
-            ["servers", values @ ..] => self.servers = parse_number(values, 0)?,
-            ["backends", values @ ..] => self.backends = parse_number(values, 0)?,
-            ["zones", values @ ..] => self.zones = parse_number::<usize>(values, 0)?.max(1),
-            ["seconds", values @ ..] => self.seconds = parse_number(values, 0)?,
-            ["rate", values @ ..] => self.requests_per_second = parse_number(values, 0)?,
-            ["whole", values @ ..] => self.quota = parse_number(values, 0)?,
-            ["plant", name] => self.defect = Some(parse_defect(name)?),
-            ["parts", names @ ..] => {
+            [words::SERVERS, values @ ..] => self.servers = parse_number(values, 0)?,
+            [words::BACKENDS, values @ ..] => self.backends = parse_number(values, 0)?,
+            [words::ZONES, values @ ..] => self.zones = parse_number::<usize>(values, 0)?.max(1),
+            [words::SECONDS, values @ ..] => self.seconds = parse_number(values, 0)?,
+            [words::REQUEST_RATE, values @ ..] => {
+                self.requests_per_second = parse_number(values, 0)?;
+            }
+            [words::QUOTA, values @ ..] => self.quota = parse_number(values, 0)?,
+            [words::DEFECT, name] => self.defect = Some(parse_defect(name)?),
+            [words::FEATURES, names @ ..] => {
                 self.features = Features::from_words(names)
                     .map_err(|name| LineError::UnknownFeature(name.into()))?;
             }
@@ -81,8 +83,8 @@
     }
 }
 
-fn parse_number<T: FromStr>(words: &[&str], index: usize) -> Result<T, LineError> {
-    let word = words.get(index).ok_or(LineError::MissingNumber)?;
+fn parse_number<T: FromStr>(values: &[&str], index: usize) -> Result<T, LineError> {
+    let word = values.get(index).ok_or(LineError::MissingNumber)?;
     word.parse()
         .map_err(|_| LineError::InvalidNumber((*word).into()))
 }
@@ -92,8 +94,8 @@
 }
 
 /// Reads the first word as the name of a server.
-fn parse_server(words: &[&str]) -> Result<ServerId, LineError> {
-    let name = words.first().ok_or(LineError::MissingServer)?;
+fn parse_server(values: &[&str]) -> Result<ServerId, LineError> {
+    let name = values.first().ok_or(LineError::MissingServer)?;
     let number = name
         .strip_prefix('n')
         .and_then(|digits| digits.parse::<usize>().ok());
@@ -103,25 +105,25 @@
     }
 }
 
-fn parse_fault(words: &[&str]) -> Result<Fault, LineError> {
-    let (word, values) = words.split_first().unwrap_or((&"", &[]));
+fn parse_fault(fault_words: &[&str]) -> Result<Fault, LineError> {
+    let (word, values) = fault_words.split_first().unwrap_or((&"", &[]));
     Ok(match *word {
-        "kill" => Fault::Kill(parse_server(values)?),
-        "start" => Fault::Start(parse_server(values)?),
-        "stop" => Fault::Stop(parse_server(values)?),
-        "continue" => Fault::Continue(parse_server(values)?),
-        "slow" => Fault::SlowEngine {
+        words::KILL => Fault::Kill(parse_server(values)?),
+        words::START => Fault::Start(parse_server(values)?),
+        words::STOP => Fault::Stop(parse_server(values)?),
+        words::CONTINUE => Fault::Continue(parse_server(values)?),
+        words::SLOW_ENGINE => Fault::SlowEngine {
             server: parse_server(values)?,
             factor: parse_number(values, 1)?,
         },
-        "halves" => Fault::Halves,
-        "alone" => Fault::Isolate(parse_server(values)?),
-        "oneway" => Fault::OneWay(parse_server(values)?),
-        "heal" => Fault::Heal,
-        "net" => Fault::Datagrams(parse_datagram_faults(values)?),
-        "calm" => Fault::Calm,
-        "backend" => parse_backend_fault(values)?,
-        "load" => Fault::Load {
+        words::HALVES => Fault::Halves,
+        words::ISOLATE => Fault::Isolate(parse_server(values)?),
+        words::ONE_WAY => Fault::OneWay(parse_server(values)?),
+        words::HEAL => Fault::Heal,
+        words::DATAGRAMS => Fault::Datagrams(parse_datagram_faults(values)?),
+        words::CALM => Fault::Calm,
+        words::BACKEND => parse_backend_fault(values)?,
+        words::LOAD => Fault::Load {
             server: parse_server(values)?,
             factor: parse_number(values, 1)?,
         },
@@ -141,11 +143,11 @@
 /// Reads the number of a backend and its state. A wrong state is found before a wrong number.
 fn parse_backend_fault(values: &[&str]) -> Result<Fault, LineError> {
     let fault = match values.get(1).copied().unwrap_or_default() {
-        "well" => None,
-        "silent" => Some(BackendFault::Silent),
-        "fails" => Some(BackendFault::Failing),
-        "down" => Some(BackendFault::Down),
-        "slow" => Some(BackendFault::Slow {
+        words::HEALTHY_BACKEND => None,
+        words::SILENT_BACKEND => Some(BackendFault::Silent),
+        words::FAILING_BACKEND => Some(BackendFault::Failing),
+        words::BACKEND_DOWN => Some(BackendFault::Down),
+        words::SLOW_BACKEND => Some(BackendFault::Slow {
             factor: parse_number(values, 2)?,
         }),
         unknown => return Err(LineError::UnknownBackendFault(unknown.into())),
--- a/crates/simulation/src/node/assembly.rs
+++ b/crates/simulation/src/node/assembly.rs
@@ -124,7 +124,7 @@
         };
         ConcurrencyConfig {
             pools: vec![
-                pool("books", Handler::Book, 1.0),
+                pool("books", Handler::Booking, 1.0),
                 pool("searches", Handler::Search, 0.0),
             ],
             reserve: Some(Reserve {
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -4,11 +4,12 @@
 
 use crate::invariants::Violation;
 use crate::workload::Handler;
-use serde::{Serialize, Serializer};
+use serde::{Deserialize, Serialize, Serializer};
 use std::collections::BTreeMap;
 
 /// One second of a simulation. Counts by handler are in the order of [`Handler::ALL`].
-#[derive(Clone, Debug, Default, Serialize, PartialEq)]
+#[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
+#[serde(default)]
 pub struct SecondRow {
     /// The second, counted from 1.
     pub second: u64,
--- a/crates/simulation/src/table.rs
+++ b/crates/simulation/src/table.rs
@@ -111,14 +111,14 @@
     fn row(&self, report: &SimulationReport, elapsed: Duration) -> String {
         let servers = self.history.servers;
         let server_seconds = servers as f64 * SECONDS as f64;
-        let [search, quote, book] = fractions_during_faults(report);
+        let [search, quote, booking] = fractions_during_faults(report);
         let peak_of_quota =
             f64::from(report.peak_calls_in_flight()) / f64::from(self.history.quota);
         let settling = self.settling(report);
         let bytes: u64 = report.rows.iter().map(|row| row.datagram_bytes).sum();
         let transitions = report.simultaneous_transitions.values();
         format!(
-            "| {servers}, {} | {} | {search:.3}, {quote:.3}, {book:.3} | {peak_of_quota:.2} | {settling} | {:.0} | {} | {} | {:.2} |",
+            "| {servers}, {} | {} | {search:.3}, {quote:.3}, {booking:.3} | {peak_of_quota:.2} | {settling} | {:.0} | {} | {} | {:.2} |",
             self.mix,
             self.feature_set,
             bytes as f64 / server_seconds,
--- a/crates/simulation/src/workload.rs
+++ b/crates/simulation/src/workload.rs
@@ -43,7 +43,7 @@
     /// Calls nothing.
     Quote,
     /// Carries an idempotency key, and must run and call only once.
-    Book,
+    Booking,
 }
 
 impl Handler {
@@ -51,10 +51,10 @@
     pub const COUNT: usize = 3;
 
     /// All of them, in the order of the settings.
-    pub const ALL: [Handler; Handler::COUNT] = [Handler::Search, Handler::Quote, Handler::Book];
+    pub const ALL: [Handler; Handler::COUNT] = [Handler::Search, Handler::Quote, Handler::Booking];
 
     /// Those that call upstream.
-    pub(crate) const CALLING: [HandlerId; 2] = [Handler::Search.id(), Handler::Book.id()];
+    pub(crate) const CALLING: [HandlerId; 2] = [Handler::Search.id(), Handler::Booking.id()];
 
     /// Its index in the settings and in the counts of a [`SecondRow`](crate::SecondRow).
     pub const fn index(self) -> usize {
@@ -71,7 +71,7 @@
         match self {
             Handler::Search => "search",
             Handler::Quote => "quote",
-            Handler::Book => "book",
+            Handler::Booking => "book",
         }
     }
 
@@ -86,7 +86,7 @@
     }
 
     pub(crate) fn has_idempotency_key(self) -> bool {
-        self == Handler::Book
+        self == Handler::Booking
     }
 
     /// The fraction of all requests that are for it.
@@ -94,13 +94,13 @@
         match self {
             Handler::Search => 0.35,
             Handler::Quote => 0.4,
-            Handler::Book => 0.25,
+            Handler::Booking => 0.25,
         }
     }
 
     fn mean_work_ms(self) -> f64 {
         match self {
-            Handler::Search | Handler::Book => 12.0,
+            Handler::Search | Handler::Booking => 12.0,
             Handler::Quote => 6.0,
         }
     }
@@ -113,7 +113,7 @@
             pick < 0.0
         };
         let picked = Handler::ALL.into_iter().find(is_picked);
-        picked.unwrap_or(Handler::Book)
+        picked.unwrap_or(Handler::Booking)
     }
 
     /// Draws the work of a run, in core seconds.
