--- a/crates/simulator-adapter/src/codec/event.rs
+++ b/crates/simulator-adapter/src/codec/event.rs
@@ -34,22 +34,29 @@
     Kill = 9,
 }
 
+impl EventCode {
+    /// Every kind.
+    const ALL: [EventCode; 9] = [
+        EventCode::Start,
+        EventCode::Arrival,
+        EventCode::RunEnded,
+        EventCode::CallNeeded,
+        EventCode::CallFinished,
+        EventCode::Drain,
+        EventCode::ClientGone,
+        EventCode::Tick,
+        EventCode::Kill,
+    ];
+}
+
 impl TryFrom<u8> for EventCode {
     type Error = AdapterError;
 
     fn try_from(code: u8) -> Result<EventCode, AdapterError> {
-        Ok(match code {
-            1 => EventCode::Start,
-            2 => EventCode::Arrival,
-            3 => EventCode::RunEnded,
-            4 => EventCode::CallNeeded,
-            5 => EventCode::CallFinished,
-            6 => EventCode::Drain,
-            7 => EventCode::ClientGone,
-            8 => EventCode::Tick,
-            9 => EventCode::Kill,
-            _ => return Err(AdapterError::UnknownEventCode { code }),
-        })
+        EventCode::ALL
+            .into_iter()
+            .find(|event| *event as u8 == code)
+            .ok_or(AdapterError::UnknownEventCode { code })
     }
 }
 
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,9 +1,11 @@
 //! The adapter against the byte examples in the wire's description, and against malformed input.
 
-use madderbay::interface::Actions;
+use madderbay::interface::{Actions, Outcome};
 use madderbay::time::Duration;
 use madderbay_settings as settings;
-use madderbay_simulator_adapter::{Action, AdapterError, Host, InstanceId, Reply, read_batch};
+use madderbay_simulator_adapter::{
+    Action, AdapterError, Event, EventCode, FieldReader, Host, InstanceId, Reply, read_batch,
+};
 use std::io::Write;
 use std::process::{Command, Stdio};
 
@@ -332,3 +334,52 @@
         assert_eq!(stderr.lines().count(), 1, "{stderr}");
     }
 }
+
+#[test]
+fn events_have_the_codes_of_the_wire() {
+    let codes = [
+        ("BEGIN", 1, EventCode::Start),
+        ("QUERY", 2, EventCode::Arrival),
+        ("ENDED", 3, EventCode::RunEnded),
+        ("AWAITING", 4, EventCode::CallNeeded),
+        ("DEP_REPLY", 5, EventCode::CallFinished),
+        ("WIND_DOWN", 6, EventCode::Drain),
+        ("ABANDONED", 7, EventCode::ClientGone),
+        ("BELL", 8, EventCode::Tick),
+        ("KILL", 9, EventCode::Kill),
+    ];
+    for (name, code, event) in codes {
+        assert_eq!(EventCode::try_from(code).ok(), Some(event), "{name}");
+    }
+    let known: Vec<u8> = codes.map(|(_, code, _)| code).to_vec();
+    for code in (0..=u8::MAX).filter(|code| !known.contains(code)) {
+        let rejected = EventCode::try_from(code);
+        assert!(matches!(rejected, Err(AdapterError::UnknownEventCode { code: c }) if c == code));
+    }
+}
+
+#[test]
+fn outcomes_have_the_codes_of_the_wire() {
+    let outcomes = [
+        Outcome::Completed,
+        Outcome::Failed,
+        Outcome::Rejected,
+        Outcome::TimedOut,
+        Outcome::Unreachable,
+        Outcome::Disconnected,
+        Outcome::Cancelled,
+        Outcome::AlreadyEnded,
+    ];
+    let decode = |code: u8| {
+        let fields = [&[0; 8][..], &[code], &[0; 4]].concat();
+        let mut reader = FieldReader::new(&fields);
+        match Event::decode(EventCode::RunEnded, &mut reader) {
+            Ok(Event::RunEnded(result)) => Some(result.outcome),
+            _ => None,
+        }
+    };
+    for (code, outcome) in (1..).zip(outcomes) {
+        assert_eq!(decode(code), Some(outcome));
+    }
+    assert_eq!([0, 9, 255].map(decode), [None; 3]);
+}
