--- a/crates/server/src/fleet/control_protocol.rs
+++ b/crates/server/src/fleet/control_protocol.rs
@@ -199,3 +199,6 @@
     #[serde(rename = "pace_ms")]
     pub(super) typical_latency_ms: Option<f64>,
 }
+
+#[cfg(test)]
+mod tests;
