--- a/crates/server/src/fleet/control_client.rs
+++ b/crates/server/src/fleet/control_client.rs
@@ -114,7 +114,8 @@
 }
 
 fn render_members(lines: &[String], format: Format) -> serde_json::Result<String> {
-    let (head, records) = (&lines[0], &lines[1..]);
+    let head = &lines[0];
+    let records = &lines[1..];
     if format == Format::Json {
         let mut answer: Value = serde_json::from_str(head)?;
         answer["members"] = Value::Array(parse_all(records)?);
@@ -136,12 +137,16 @@
     Ok(text.trim_end().into())
 }
 
-fn member_line(m: &MemberRecord) -> String {
-    let received = age(m.last_received_ms, "-");
-    let paused = if m.health_score > 0 { ", held up" } else { "" };
+fn member_line(member: &MemberRecord) -> String {
+    let received = age(member.last_received_ms, "-");
+    let paused = if member.health_score > 0 {
+        ", held up"
+    } else {
+        ""
+    };
     format!(
         "{:<20} {:<9} {:<10} {:<22} {received}{paused}\n",
-        m.name, m.state, m.zone, m.address
+        member.name, member.state, member.zone, member.address
     )
 }
 
@@ -157,41 +162,42 @@
     Ok(text.trim_end().into())
 }
 
-fn backend_line(b: &BackendRecord) -> String {
-    let latency = b
+fn backend_line(backend: &BackendRecord) -> String {
+    let latency = backend
         .typical_latency_ms
         .map_or("-".into(), |ms| format!("{ms:.0} ms"));
     format!(
         "{:<20} {:<8} weight {:.2} {:<10} {:<22} {latency:>7}, {} in hand, {} seen, {} bad; \
          heard {:.1} from {}\n",
-        b.name,
-        b.state,
-        b.weight,
-        b.zone,
-        b.address,
-        b.in_flight,
-        b.observed,
-        b.failures,
-        b.gossip_failures,
-        b.witnesses
+        backend.name,
+        backend.state,
+        backend.weight,
+        backend.zone,
+        backend.address,
+        backend.in_flight,
+        backend.observed,
+        backend.failures,
+        backend.gossip_failures,
+        backend.witnesses
     )
 }
 
 fn render_quotas(lines: &[String], format: Format) -> serde_json::Result<String> {
-    let (mut budgets, mut counts, mut text) = (vec![], vec![], String::new());
+    let mut budgets: Vec<Value> = vec![];
+    let mut counts: Vec<Value> = vec![];
+    let mut text = String::new();
     for line in &lines[1..] {
-        let value: Value = serde_json::from_str(line)?;
+        let value = serde_json::from_str(line)?;
         match serde_json::from_str(line)? {
-            SharedRecord::Quota(record) => text += &quota_line(&record),
-            SharedRecord::Count(record) => text += &count_line(&record),
+            SharedRecord::Quota(record) => {
+                text += &quota_line(&record);
+                budgets.push(value);
+            }
+            SharedRecord::Count(record) => {
+                text += &count_line(&record);
+                counts.push(value);
+            }
         }
-        // Only a count has a key that it is of.
-        let list = if value["of"].is_null() {
-            &mut budgets
-        } else {
-            &mut counts
-        };
-        list.push(value);
     }
     Ok(match format {
         Format::Json => json!({ "budgets": budgets, "counts": counts }).to_string(),
@@ -200,35 +206,35 @@
     })
 }
 
-fn quota_line(q: &QuotaRecord) -> String {
-    let until_usable = if q.until_usable_ms > 0 {
-        format!("; its own in {:.1} s", q.until_usable_ms as f64 / 1e3)
+fn quota_line(quota: &QuotaRecord) -> String {
+    let until_usable = if quota.until_usable_ms > 0 {
+        format!("; its own in {:.1} s", quota.until_usable_ms as f64 / 1e3)
     } else {
         String::new()
     };
     format!(
         "budget {}: {} of {} calls in hand ({} in all; {} own, {} lent, {} borrowed), work for {}; \
          heard {}{until_usable}\n",
-        q.name,
-        q.in_flight,
-        q.usable,
-        q.capacity,
-        q.base_quota,
-        q.granted,
-        q.leased,
-        q.demand,
-        age(q.since_contact_ms, "never")
+        quota.name,
+        quota.in_flight,
+        quota.usable,
+        quota.capacity,
+        quota.base_quota,
+        quota.granted,
+        quota.leased,
+        quota.demand,
+        age(quota.since_contact_ms, "never")
     )
 }
 
-fn count_line(c: &CountRecord) -> String {
-    let stale = if c.stale_servers > 0 {
-        format!(", {} not heard", c.stale_servers)
+fn count_line(count: &CountRecord) -> String {
+    let stale = if count.stale_servers > 0 {
+        format!(", {} not heard", count.stale_servers)
     } else {
         String::new()
     };
     format!(
         "count {}: {} {:.0}, at most {:.0} off{stale}\n",
-        c.name, c.key, c.estimate, c.max_error
+        count.name, count.key, count.estimate, count.max_error
     )
 }
