--- a/crates/idempotency-store/src/write_ahead_log.rs
+++ b/crates/idempotency-store/src/write_ahead_log.rs
@@ -169,8 +169,8 @@
 
     /// A segment is also closed if the clock has stepped back to before its beginning.
     fn close_full_or_old_segment(&mut self, now_micros: u64) {
-        let (size_limit, age_limit) =
-            (self.segment_size_limit_bytes, self.segment_age_limit_micros);
+        let size_limit = self.segment_size_limit_bytes;
+        let age_limit = self.segment_age_limit_micros;
         let closes = |active: &mut ActiveSegment| {
             active.segment.size_bytes >= size_limit
                 || now_micros >= active.close_at_micros
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -173,7 +173,8 @@
         Connectivity::Partial => "partial",
         Connectivity::Isolated => "isolated",
     };
-    let (active, missing) = (evidence.active, evidence.missing);
+    let active = evidence.active;
+    let missing = evidence.missing;
     write!(
         f,
         "connectivity {level}, active={active}, missing={missing}"
--- a/crates/membership/src/membership/lifecycle.rs
+++ b/crates/membership/src/membership/lifecycle.rs
@@ -77,7 +77,8 @@
         }
         let impaired = self.connectivity.level != Connectivity::Complete;
         let down = self.members.down_addresses();
-        let (members, rng) = (&self.members, &mut self.rng);
+        let members = &self.members;
+        let rng = &mut self.rng;
         let is_active = |address| members.has_active_address(address);
         if let Some(to) = self
             .reconnector
--- a/crates/membership/src/membership/suspicion.rs
+++ b/crates/membership/src/membership/suspicion.rs
@@ -66,7 +66,8 @@
             return;
         };
         if record.is_suspect() || record.is_missing() {
-            let (to, member) = (record.identity().address, record.to_swim_member());
+            let to = record.identity().address;
+            let member = record.to_swim_member();
             self.send_notice(to, member);
         }
     }
--- a/crates/membership/src/membership/swim_driver.rs
+++ b/crates/membership/src/membership/swim_driver.rs
@@ -115,7 +115,8 @@
         let Some(record) = self.members.get(&identity.name) else {
             return;
         };
-        let (former, since_received) = (record.state(), record.since_received(now));
+        let former = record.state();
+        let since_received = record.since_received(now);
         self.members.set_down(now, identity);
         let state = self.recorded_state(identity);
         if state == MemberState::Left {
@@ -137,7 +138,8 @@
         let Some(record) = self.members.get(&former.name) else {
             return;
         };
-        let (former_state, was_active) = (record.state(), record.is_active());
+        let former_state = record.state();
+        let was_active = record.is_active();
         self.members.replace_identity(now, identity);
         let state = self.recorded_state(identity);
         if identity.incarnation != former.incarnation {
--- a/crates/membership/src/membership/swim_receive.rs
+++ b/crates/membership/src/membership/swim_receive.rs
@@ -33,7 +33,8 @@
     /// only the answer of a member that accepted its announcement, which ends the conflict.
     fn check_destination(&mut self, packet: &SwimPacket) -> Result<(), DatagramError> {
         let own = self.local_identity();
-        let (from, to) = (&packet.header.src, &packet.header.dst);
+        let from = &packet.header.src;
+        let to = &packet.header.dst;
         let is_announcement = packet.header.message == Message::Announce;
         if to.name != own.name && !(to.name.is_empty() && is_announcement) {
             return Err(DatagramError::Misdirected);
--- a/crates/membership/src/membership/updates.rs
+++ b/crates/membership/src/membership/updates.rs
@@ -167,7 +167,8 @@
     record: &MemberRecord,
     update: Member<MemberIdentity>,
 ) -> Option<Member<MemberIdentity>> {
-    let (known, received) = (record.swim_incarnation(), update.incarnation());
+    let known = record.swim_incarnation();
+    let received = update.incarnation();
     match update.state() {
         SwimState::Alive => (received > known).then_some(update),
         SwimState::Suspect if record.is_suspect() => (received > known).then_some(update),
--- a/crates/quota/src/budget.rs
+++ b/crates/quota/src/budget.rs
@@ -225,7 +225,8 @@
         let lease = self.settings.terms.lease;
         self.lessees
             .retain(|_, lessee| now - lessee.requested_at < lease);
-        let (demand, usable) = (self.demand(), self.ledger.usable(now));
+        let demand = self.demand();
+        let usable = self.ledger.usable(now);
         self.return_excess(now, demand, usable);
         self.renew_leases(now, out);
         if demand > usable {
--- a/crates/quota/src/budget/lessee.rs
+++ b/crates/quota/src/budget/lessee.rs
@@ -180,7 +180,8 @@
         out: &mut Outbox,
     ) {
         let max_requests = self.lessors.parallel_requests.ceil() as usize;
-        let (mut missing, mut requests) = (missing, 0);
+        let mut missing = missing;
+        let mut requests = 0;
         for Offer {
             units: available,
             lessor,
--- a/crates/quota/src/counter/local.rs
+++ b/crates/quota/src/counter/local.rs
@@ -68,7 +68,8 @@
 
     pub(super) fn estimate(&self, now: Timestamp, key: u32) -> CountEstimate {
         let current = self.slot_number(now);
-        let (mut low, mut high) = (0u32, 0u32);
+        let mut low: u32 = 0;
+        let mut high: u32 = 0;
         // The slot before the current one is complete; the window ended LAG_SLOTS before its end.
         for back in LAG_SLOTS + 1..=LAG_SLOTS + WINDOW_SLOTS {
             let number = current.checked_sub(back);
@@ -79,7 +80,8 @@
             low = low.saturating_add(min);
             high = high.saturating_add(max);
         }
-        let (low, high) = (f64::from(low), f64::from(high));
+        let low = f64::from(low);
+        let high = f64::from(high);
         CountEstimate {
             value: (low + high) / 2.0,
             low,
--- a/crates/quota/src/counter/remote.rs
+++ b/crates/quota/src/counter/remote.rs
@@ -175,7 +175,8 @@
         for snapshot in self.snapshots.values() {
             total.add(&snapshot.estimate(now, key, fair_rate, resolution));
         }
-        let (window, max_rate) = (resolution.window.as_secs_f64(), resolution.max_per_second);
+        let window = resolution.window.as_secs_f64();
+        let max_rate = resolution.max_per_second;
         let unreported = CountEstimate {
             value: window * fair_rate.min(max_rate),
             low: 0.0,
--- a/crates/quota/src/counter/remote_snapshot.rs
+++ b/crates/quota/src/counter/remote_snapshot.rs
@@ -195,9 +195,11 @@
 
 /// Whether the time slot that is `back` slots before a snapshot's latest one lies in the window.
 fn slot_overlap(age: &AgeBounds, back: u64, resolution: &Resolution) -> Overlap {
-    let (end, start) = (window_end(resolution), window_start(resolution));
+    let end = window_end(resolution);
+    let start = window_start(resolution);
     let before_latest = resolution.slot_length.mul_f64(back as f64);
-    let (min, max) = (age.min + before_latest, age.max + before_latest);
+    let min = age.min + before_latest;
+    let max = age.max + before_latest;
     if min >= end && max < start {
         Overlap::Certain
     } else if max >= end && min < start {
--- a/crates/quota/src/fleet_quotas/peers.rs
+++ b/crates/quota/src/fleet_quotas/peers.rs
@@ -44,7 +44,8 @@
 
     /// Adds or replaces a peer. Draws one random number for each that becomes active.
     pub(super) fn update(&mut self, peer: Peer, random: &mut oorandom::Rand64) {
-        let (name, is_active) = (peer.name.clone(), peer.active);
+        let name = peer.name.clone();
+        let is_active = peer.active;
         let before = self.peers.insert(name.clone(), peer);
         let was_active = before.is_some_and(|before| before.active);
         if is_active && !was_active {
--- a/crates/quota/src/fleet_quotas/status.rs
+++ b/crates/quota/src/fleet_quotas/status.rs
@@ -80,7 +80,8 @@
 
 impl BudgetView {
     pub(super) fn new(now: Timestamp, budget: &Budget) -> BudgetView {
-        let (settings, ledger) = (budget.settings(), budget.ledger());
+        let settings = budget.settings();
+        let ledger = budget.ledger();
         BudgetView {
             name: settings.name.clone(),
             capacity: settings.capacity,
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -134,7 +134,8 @@
 
     /// Upper bound on a grant to a lessee in total units, including what it has already.
     pub fn max_grant(&self, now: Timestamp, lessee: IncarnationId) -> u32 {
-        let (base, granted) = (self.base_quota(now), self.granted(now));
+        let base = self.base_quota(now);
+        let granted = self.granted(now);
         let has = self.granted_to(now, lessee);
         match base.checked_sub(granted) {
             // Only idle units may be granted beyond what the lessee has.
--- a/crates/server/src/fleet/control_socket.rs
+++ b/crates/server/src/fleet/control_socket.rs
@@ -188,7 +188,8 @@
     let Some(subject) = Subject::from_word(&query.word) else {
         return error_answer("members, shared and routes can be asked for");
     };
-    let (fleet, backends) = (sources.fleet.as_deref(), sources.backends.as_deref());
+    let fleet = sources.fleet.as_deref();
+    let backends = sources.backends.as_deref();
     let (found, section) = match subject {
         Subject::Members => (fleet.map(members_answer), "[members]"),
         Subject::Quotas => (fleet.and_then(quotas_answer), "[shared]"),
@@ -278,7 +279,8 @@
 
 /// Quotas and counters; nothing where the fleet shares none.
 fn quotas_answer(fleet: &Fleet) -> Option<String> {
-    let (now, stack) = (fleet.now(), fleet.stack().borrow());
+    let now = fleet.now();
+    let stack = fleet.stack().borrow();
     let quotas = stack.quotas()?;
     let name = &stack.membership().local_identity().name;
     let budgets = quotas.budget_views(now).into_iter().map(quota_record);
--- a/crates/server/src/fleet/gossip.rs
+++ b/crates/server/src/fleet/gossip.rs
@@ -62,7 +62,9 @@
 impl Fleet {
     /// Creates the state machines. `clock` starts at 0 and never steps.
     pub fn new(config: FleetConfig, clock: MonotonicClock) -> Fleet {
-        let (start, seed, backends) = (Timestamp::default(), config.seed, config.backends);
+        let start = Timestamp::default();
+        let seed = config.seed;
+        let backends = config.backends;
         let membership = Membership::new(start, config.incarnation, seed, config.membership);
         let quotas = config.quotas.map(|q| FleetQuotas::new(start, seed, q));
         let mut stack = FleetStack::new(membership, quotas);
--- a/crates/server/src/operator_plan.rs
+++ b/crates/server/src/operator_plan.rs
@@ -74,12 +74,18 @@
         config: &Config,
     ) -> Result<OperatorPlan, OperatorError> {
         let settings = &config.settings;
-        let (pools, shared, routes) = (&operator.concurrency, &operator.quota, &operator.upstream);
-        let concurrency = pools
+        let concurrency = operator
+            .concurrency
             .as_ref()
-            .map(|p| concurrency_limits::plan(p, settings));
-        let sharing = shared.as_ref().map(|s| quota_plan::plan(s, config));
-        let routing = routes.as_ref().map(|r| routing_plan::plan(r, settings));
+            .map(|section| concurrency_limits::plan(section, settings));
+        let sharing = operator
+            .quota
+            .as_ref()
+            .map(|section| quota_plan::plan(section, config));
+        let routing = operator
+            .upstream
+            .as_ref()
+            .map(|section| routing_plan::plan(section, settings));
         match (
             concurrency.transpose(),
             sharing.transpose(),
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -9,8 +9,8 @@
 use crate::setup::Setup;
 use crate::start_error::StartError;
 use crate::tasks;
+use madderbay_operator_config::OperatorConfig;
 use madderbay_operator_config::control::ControlSocket;
-use madderbay_operator_config::idempotency_store::IdempotencyStoreConfig;
 use madderbay_server::core::durability;
 use madderbay_server::core::event_loop::{EventLoop, SharedEventLoop};
 use madderbay_server::downstream::listener;
@@ -50,14 +50,14 @@
 impl Server {
     /// Opens all sockets and starts all tasks. The first failure ends the start.
     pub(crate) async fn start(setup: Setup) -> Result<Server, StartError> {
-        let (config, operator, plan) = (setup.config, setup.operator, setup.plan);
+        let config = setup.config;
+        let operator = setup.operator;
+        let plan = setup.plan;
         let limits = DescriptorLimits::new(&config)?;
         let (listener, address) = listen(config.listen).await?;
         let clock = Rc::new(Clock::default());
         let core = build_core(&config, &clock, &limits);
-        if let (Some(store), Some(settings)) = (setup.store, &operator.idempotency_store) {
-            start_store(store, settings, &clock, &core)?;
-        }
+        start_store(setup.store, &operator, &clock, &core)?;
         if let Some(concurrency) = plan.concurrency {
             core.borrow_mut()
                 .set_concurrency_limits(clock.now(), concurrency);
@@ -206,13 +206,17 @@
     Rc::new(RefCell::new(core))
 }
 
-/// Starts the thread that writes durable results, and the task that brings its reports to the core.
+/// Starts the thread that writes durable results, and the task that brings its reports to the core, where
+/// `[kept-results]` is on.
 fn start_store(
-    store: durability::OpenedStore,
-    settings: &IdempotencyStoreConfig,
+    store: Option<durability::OpenedStore>,
+    operator: &OperatorConfig,
     clock: &Rc<Clock>,
     core: &SharedEventLoop,
 ) -> Result<(), StartError> {
+    let (Some(store), Some(settings)) = (store, &operator.idempotency_store) else {
+        return Ok(());
+    };
     let (store, events) = durability::start(store, settings).map_err(StartError::StoreThread)?;
     core.borrow_mut().set_durability(store);
     tasks::spawn_store_events(events, clock, core);
--- a/crates/server/src/tasks.rs
+++ b/crates/server/src/tasks.rs
@@ -49,7 +49,8 @@
     clock: &Rc<Clock>,
     core: &SharedEventLoop,
 ) {
-    let (clock, core) = (clock.clone(), core.clone());
+    let clock = clock.clone();
+    let core = core.clone();
     spawn_local(async move {
         while let Some(event) = events.recv().await {
             core.borrow_mut().storage_event(clock.now(), event);
@@ -126,8 +127,8 @@
             () = tokio::time::sleep(wait) => {}
         }
         tokio::task::yield_now().await;
-        let turn = || core.borrow_mut().run_turn(clock.now());
-        if catch_unwind(AssertUnwindSafe(turn)).is_err() {
+        let run_turn = || core.borrow_mut().run_turn(clock.now());
+        if catch_unwind(AssertUnwindSafe(run_turn)).is_err() {
             log::error!("server: turn failed");
         }
     }
--- a/crates/simulation/src/cli/report_folder.rs
+++ b/crates/simulation/src/cli/report_folder.rs
@@ -71,7 +71,8 @@
             let name = handler.name();
             writeln!(f, "{name:<8} {percent:.1} of 100 reqs done in time")?;
         }
-        let (peak, quota) = (self.report.peak_calls_in_flight(), self.history.quota);
+        let peak = self.report.peak_calls_in_flight();
+        let quota = self.history.quota;
         writeln!(f, "\nmost calls in hand below: {peak} of {quota}")?;
         f.write_str("all that run hold one view, nobody is doubted: ")?;
         match self.report.settling_s {
@@ -93,7 +94,8 @@
         writeln!(f, "\nrules broken: {}", violations.len())?;
         violations.iter().try_for_each(|violation| {
             let second = violation.at_ms as f64 / 1e3;
-            let (invariant, detail) = (violation.invariant, &violation.detail);
+            let invariant = violation.invariant;
+            let detail = &violation.detail;
             writeln!(f, "{second:8.3} s {invariant}: {detail}")
         })
     }
--- a/crates/simulation/src/cli/search.rs
+++ b/crates/simulation/src/cli/search.rs
@@ -56,7 +56,8 @@
 fn summarize(report: &SimulationReport) -> Option<String> {
     let first = report.violations.first()?;
     let count = report.violations.len();
-    let (invariant, detail) = (first.invariant, &first.detail);
+    let invariant = first.invariant;
+    let detail = &first.detail;
     Some(format!("{invariant}: {detail} ({count} in all)"))
 }
 
--- a/crates/simulation/src/simulation/engine_commands.rs
+++ b/crates/simulation/src/simulation/engine_commands.rs
@@ -45,7 +45,8 @@
     }
 
     fn start_run(&mut self, target: ServerIncarnation, request: &str, handler: Handler) {
-        let (now, server) = (self.now, target.server);
+        let now = self.now;
+        let server = target.server;
         let work_s = handler.draw_work_s(&mut self.random);
         let is_repeated = self.history.defect == Some(Defect::RepeatedRuns)
             && request.ends_with(REPEATED_REFERENCE_SUFFIX);
--- a/crates/simulation/src/simulation/requests.rs
+++ b/crates/simulation/src/simulation/requests.rs
@@ -93,9 +93,8 @@
         let is_excused =
             self.node(server).is_stopped() || self.was_stopped_since(server, request.sent_at);
         if is_noticed_in_time && !is_excused {
-            let (handler, reference) = (request.handler, &request.reference);
             self.checker
-                .missing_answer(self.now, server, handler, reference);
+                .missing_answer(self.now, server, request.handler, &request.reference);
         }
     }
 
--- a/crates/simulation/src/simulation/upstream_calls.rs
+++ b/crates/simulation/src/simulation/upstream_calls.rs
@@ -46,7 +46,8 @@
 
     /// A call arrives at a backend. It is lost if its connection was closed on the way.
     pub(super) fn call_arrives(&mut self, backend: BackendId, call: UpstreamCall) {
-        let (target, connection) = (call.caller, call.connection);
+        let target = call.caller;
+        let connection = call.connection;
         let node = self.node(target.server);
         if !node.runs(target) || !node.process().has_connection(connection) {
             return;
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -31,7 +31,8 @@
     /// [`AdapterError::Record`] for the first record that is invalid, and
     /// [`AdapterError::TrailingBytes`] for bytes after the last one.
     pub fn play_batch(&mut self, batch: &Batch) -> Result<Vec<u8>, AdapterError> {
-        let (now, count) = (batch.header.clock, batch.header.record_count);
+        let now = batch.header.clock;
+        let count = batch.header.record_count;
         let mut fields = FieldReader::new(&batch.body);
         let mut unsettled = vec![];
         for number in 1..=count {
@@ -93,16 +94,17 @@
                 })
             }
             Event::RunEnded(result) => self.decide(instance, |state, _| {
-                let (id, outcome) = (result.request_id, result.outcome);
-                state.decider.on_run_ended(now, id, outcome, result.elapsed);
+                let id = result.request_id;
+                let decider = &mut state.decider;
+                decider.on_run_ended(now, id, result.outcome, result.elapsed);
             }),
             Event::CallNeeded { request_id } => self.decide(instance, |state, actions| {
                 state.decider.on_call_needed(now, request_id, actions);
             }),
             Event::CallFinished(result) => self.decide(instance, |state, actions| {
-                let (id, outcome) = (result.request_id, result.outcome);
+                let id = result.request_id;
                 let decider = &mut state.decider;
-                decider.on_call_finished(now, id, outcome, result.elapsed, actions);
+                decider.on_call_finished(now, id, result.outcome, result.elapsed, actions);
             }),
             Event::Drain { remaining } => self.decide(instance, |state, _| {
                 state.decider.drain(now, remaining);
