--- a/crates/concurrency/src/ceilings.rs
+++ b/crates/concurrency/src/ceilings.rs
@@ -13,7 +13,7 @@
 use madderbay::interface::{CallRequirement, Ceiling, HandlerId};
 use madderbay::time::{Duration, Timestamp};
 
-/// Time for which a skipped call counts as demand: its pool has a share of the calls meanwhile.
+/// Time for which a skipped call counts as demand: its pool is allocated calls meanwhile.
 const SKIPPED_CALL_DEMAND_PERIOD: Duration = Duration::from_millis(500);
 /// Maximum reported interval between two starts of a pool: a bottleneck that slow may be over by
 /// then.
--- a/crates/membership/src/membership/notice.rs
+++ b/crates/membership/src/membership/notice.rs
@@ -1,4 +1,4 @@
-//! Notices: a server tells another what its view holds under the other's name, and the other
+//! Notices: a server sends another what its view holds under the other's name, and the other
 //! answers.
 
 use super::Membership;
--- a/crates/quota/src/fleet_quotas/incarnations.rs
+++ b/crates/quota/src/fleet_quotas/incarnations.rs
@@ -9,7 +9,7 @@
 /// Incarnation number of a server that has sent no datagram yet.
 const UNKNOWN_INCARNATION: u64 = 0;
 
-/// What a datagram tells of its sender.
+/// What a datagram says of its sender.
 #[derive(Clone, Copy)]
 pub(super) struct PeerIdentity {
     pub(super) incarnation: u64,
--- a/crates/server/src/start_error.rs
+++ b/crates/server/src/start_error.rs
@@ -10,33 +10,43 @@
 /// Why a server can't start.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum StartError {
+    /// The operator file is wrong.
     #[error(transparent)]
     Operator(#[from] OperatorError),
+    /// The configuration is missing or wrong.
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// The directory of durable results can't be opened or read.
     #[error("kept-results: {0}")]
     Store(#[source] StoreError),
+    /// The thread that writes durable results can't be started.
     #[error("kept-results: {0}")]
     StoreThread(#[source] std::io::Error),
+    /// The runtime can't be created.
     #[error("runtime: {0}")]
     Runtime(#[source] std::io::Error),
+    /// The signals can't be taken over from the system's defaults.
     #[error("signals: {0}")]
     Signals(#[source] std::io::Error),
+    /// The configuration or the system allows too few file descriptors.
     #[error("limits.sockets {configured}: {available} descriptors are too few to serve")]
     TooFewDescriptors { configured: usize, available: usize },
+    /// The socket for load balancers can't be bound.
     #[error("listen {address}: {source}")]
     Listen {
         address: SocketAddr,
         source: std::io::Error,
     },
+    /// The socket between servers can't be bound.
     #[error("members: {address}: {source}")]
     MembersSocket {
         address: SocketAddr,
         source: std::io::Error,
     },
+    /// The server's name doesn't fit the datagrams between servers.
     #[error("members: name '{name}' is longer than {MAX_NAME_BYTES} bytes")]
     MemberName { name: String },
+    /// The control socket can't be opened.
     #[error(transparent)]
     ControlSocket(#[from] ControlSocketError),
 }
--- a/crates/server/src/support/config.rs
+++ b/crates/server/src/support/config.rs
@@ -1,7 +1,7 @@
 //! The configuration of one server: the file that `RELAY_CONFIG` names, and the variables that override it.
 //!
 //! This module owns the form of that file. It is given bytes and environment variables, and never waits: whether
-//! an incomplete file is read again is decided by the caller, by [`ConfigError::is_incomplete_file`].
+//! an incomplete file is read again is decided by the caller, by `ConfigError::is_incomplete_file`.
 
 use madderbay_settings::{self as settings, Settings, SettingsError};
 use serde::Deserialize;
--- a/crates/server/src/support/io.rs
+++ b/crates/server/src/support/io.rs
@@ -1,7 +1,7 @@
 //! The thin drivers between sockets and state machines: bytes in, bytes out, nothing understood.
 //!
-//! An [`Outbox`] owns what is still to be written to one peer and how its connection is to end. The `drive` functions
-//! own a connection's reading and writing. [`LineSplitter`] cuts bytes into lines. None of them knows a protocol or
+//! An `Outbox` owns what is still to be written to one peer and how its connection is to end. The `drive` functions
+//! own a connection's reading and writing. `LineSplitter` cuts bytes into lines. None of them knows a protocol or
 //! decides when a connection ends.
 
 mod driver;
--- a/crates/server/src/support/logging.rs
+++ b/crates/server/src/support/logging.rs
@@ -1,7 +1,7 @@
 //! The program's logger: one line an event on standard error, `LEVEL component: event, key=value, key=value`.
 //!
 //! It owns the level, the queue of lines and the thread that writes them. It is given lines by the macros of the
-//! `log` crate, and text that is written as it is by [`plain`]. It never blocks whoever logs: a line that does not
+//! `log` crate, and text that is written as it is by `plain`. It never blocks whoever logs: a line that does not
 //! fit the queue is counted and dropped, and so is each further line of a place in the code that logs too often.
 //! Both counts are reported in lines of their own.
 //!
--- a/crates/server/src/support/mod.rs
+++ b/crates/server/src/support/mod.rs
@@ -13,7 +13,6 @@
 pub mod json;
 /// The logger.
 pub mod logging;
-/// Counters and their names.
 pub mod metrics;
 /// A limit on how often something may happen.
 pub mod rate_limiter;
--- a/crates/server/src/support/rate_limiter.rs
+++ b/crates/server/src/support/rate_limiter.rs
@@ -1,6 +1,6 @@
 //! A limit on how often something may happen, with a count of what was over the limit.
 //!
-//! [`RateLimiter`] owns the permits that are left. It is given the time and reads no clock. It never delays anything:
+//! `RateLimiter` owns the permits that are left. It is given the time and reads no clock. It never delays anything:
 //! what gets no permit is left out by whoever asked.
 
 use madderbay::time::{Duration, Timestamp};
--- a/crates/simulation/src/event_queue.rs
+++ b/crates/simulation/src/event_queue.rs
@@ -15,7 +15,7 @@
     RequestDue(ServerIncarnation),
     /// A timer of a server fires.
     WakeUp(ServerIncarnation),
-    /// The engine tells its server something.
+    /// A notice of the engine arrives at its server.
     EngineNotice {
         target: ServerIncarnation,
         line: String,
--- a/crates/simulation/src/simulation/requests.rs
+++ b/crates/simulation/src/simulation/requests.rs
@@ -11,7 +11,7 @@
 
 /// An answer may come this much after its deadline before it counts as missing.
 const ANSWER_SLACK: Duration = Duration::from_millis(50);
-/// A request whose end is noticed later than this was held up with its server, and proves nothing.
+/// A request whose end is noticed later than this was delayed with its server, and proves nothing.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(5);
 /// The least rate at which clients send to a server.
 const MIN_REQUESTS_PER_SECOND: f64 = 0.05;
--- a/crates/simulation/src/upstream/engine_notices.rs
+++ b/crates/simulation/src/upstream/engine_notices.rs
@@ -4,7 +4,7 @@
 use madderbay::time::Duration;
 use serde_json::Value;
 
-/// What a server tells its engine.
+/// A command of a server to its engine.
 pub(crate) enum EngineCommand {
     /// The server is there.
     Attach,
@@ -41,7 +41,7 @@
     }
 }
 
-/// What an engine tells its server.
+/// A notice of an engine to its server.
 pub(crate) enum EngineNotice<'a> {
     /// The engine is there.
     Hello,
--- a/crates/simulation/src/workload.rs
+++ b/crates/simulation/src/workload.rs
@@ -11,7 +11,7 @@
 pub(crate) const CLIENT_TIMEOUT: Duration = Duration::from_millis(3_000);
 /// The longest time that an upstream call is waited for.
 pub(crate) const MAX_CALL_TIME: Duration = Duration::from_millis(1_500);
-/// Bytes of results that a server keeps for requests that come again.
+/// Bytes of results that a server caches for retries.
 pub(crate) const RESULT_CACHE_BYTES: usize = 1 << 20;
 
 /// The settings of every server; `SERVERS` stands for their number.
