--- a/crates/server/src/fleet/control_protocol.rs
+++ b/crates/server/src/fleet/control_protocol.rs
@@ -105,6 +105,20 @@
     pub(super) health_score: u8,
 }
 
+/// The head of an answer about quotas and counters.
+#[derive(Debug, Serialize, Deserialize)]
+pub(super) struct SharedHead {
+    /// This server.
+    pub(super) name: String,
+}
+
+/// The head of an answer about backends, which distinguishes it from the others.
+#[derive(Debug, Serialize, Deserialize)]
+pub(super) struct BackendsHead {
+    /// Always true.
+    pub(super) backends: bool,
+}
+
 /// A quota, or what was counted for one key.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(untagged)]
--- a/crates/server/src/fleet/control_protocol/tests.rs
+++ b/crates/server/src/fleet/control_protocol/tests.rs
@@ -60,6 +60,14 @@
     );
 }
 
+#[test]
+fn other_heads_keep_their_names() {
+    let name = "n1".into();
+    assert_eq!(line(&SharedHead { name }), r#"{"name":"n1"}"#);
+    let head = BackendsHead { backends: true };
+    assert_eq!(line(&head), r#"{"backends":true}"#);
+}
+
 #[test]
 fn quota_keeps_its_names() {
     let quota = QuotaRecord {
--- a/crates/server/src/fleet/control_socket.rs
+++ b/crates/server/src/fleet/control_socket.rs
@@ -5,8 +5,8 @@
 
 use super::backends::Backends;
 use super::control_protocol::{
-    BackendRecord, CountRecord, END, ErrorLine, MAX_QUERY_BYTES, MemberRecord, MembershipHead,
-    Query, QuotaRecord, SharedRecord, Subject,
+    BackendRecord, BackendsHead, CountRecord, END, ErrorLine, MAX_QUERY_BYTES, MemberRecord,
+    MembershipHead, Query, QuotaRecord, SharedHead, SharedRecord, Subject,
 };
 use super::gossip::Fleet;
 use super::quota_leases::{CounterKey, CounterNames};
@@ -16,7 +16,6 @@
 use madderbay_quota::{BudgetView, CounterId};
 use madderbay_upstream::BackendStatus;
 use serde::Serialize;
-use serde_json::json;
 use std::io::ErrorKind;
 use std::os::unix::fs::{FileTypeExt, PermissionsExt};
 use std::path::{Path, PathBuf};
@@ -254,7 +253,7 @@
     let manager = backends.manager().borrow();
     let statuses = manager.backend_statuses(backends.now());
     compose(
-        &json!({ "backends": true }),
+        &BackendsHead { backends: true },
         statuses.into_iter().map(backend_record),
     )
 }
@@ -282,17 +281,16 @@
     let now = fleet.now();
     let stack = fleet.stack().borrow();
     let quotas = stack.quotas()?;
-    let name = &stack.membership().local_identity().name;
+    let head = SharedHead {
+        name: stack.membership().local_identity().name.to_string(),
+    };
     let budgets = quotas.budget_views(now).into_iter().map(quota_record);
     let names = fleet.quota_source().counter_names();
     let counters = quotas.counters();
     let counts = CounterId::first(counters.len())
         .zip(counters)
         .flat_map(|(id, counter)| count_records(now, id, counter, names));
-    Some(compose(
-        &json!({ "name": name.to_string() }),
-        budgets.chain(counts),
-    ))
+    Some(compose(&head, budgets.chain(counts)))
 }
 
 fn quota_record(budget: BudgetView) -> SharedRecord {
