--- a/crates/server/src/support/io.rs
+++ b/crates/server/src/support/io.rs
@@ -18,9 +18,6 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Bytes of one read of a socket; an outbox that is written keeps no larger buffer.
-const READ_BUFFER_BYTES: usize = 16 << 10;
-
 /// Makes a connection.
 ///
 /// # Errors
--- a/crates/server/src/support/io/driver.rs
+++ b/crates/server/src/support/io/driver.rs
@@ -1,7 +1,6 @@
 //! The drivers of connections: they read for a state machine and write its outbox, until either side ends.
 
-use super::READ_BUFFER_BYTES;
-use super::outbox::OutboxState;
+use super::outbox::{OutboxState, READ_BUFFER_BYTES};
 use socket2::SockRef;
 use std::io::{ErrorKind, Read};
 use std::net::Shutdown;
--- a/crates/server/src/support/io/outbox.rs
+++ b/crates/server/src/support/io/outbox.rs
@@ -3,13 +3,15 @@
 //! State machines put bytes in and ask for the end; the driver of the connection writes and ends it. Nothing here
 //! waits or reads.
 
-use super::READ_BUFFER_BYTES;
 use std::cell::{Cell, RefCell};
 use std::io::ErrorKind;
 use std::rc::Rc;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
+/// Bytes of one read of a socket; an outbox that is written keeps no larger buffer.
+pub(super) const READ_BUFFER_BYTES: usize = 16 << 10;
+
 /// How a connection is to end.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 enum Ending {
