--- a/crates/server/src/fleet/control_socket.rs
+++ b/crates/server/src/fleet/control_socket.rs
@@ -8,8 +8,8 @@
     BackendRecord, BackendsHead, CountRecord, END, ErrorLine, MAX_QUERY_BYTES, MemberRecord,
     MembershipHead, Query, QuotaRecord, SharedHead, SharedRecord, Subject,
 };
+use super::counter_names::{CounterKey, CounterNames};
 use super::gossip::Fleet;
-use super::quota_leases::{CounterKey, CounterNames};
 use madderbay::time::{Duration, Timestamp};
 use madderbay_membership::MemberView;
 use madderbay_quota::counter::ReplicatedCounter;
--- a/crates/server/src/fleet/gossip.rs
+++ b/crates/server/src/fleet/gossip.rs
@@ -9,7 +9,8 @@
 mod event_log;
 
 use super::backends::Backends;
-use super::quota_leases::{CounterNames, FleetQuotaSource};
+use super::counter_names::CounterNames;
+use super::quota_leases::FleetQuotaSource;
 use crate::support::clock::MonotonicClock;
 use datagram_limit::DatagramLimit;
 use event_log::EventLog;
--- a/crates/server/src/fleet/mod.rs
+++ b/crates/server/src/fleet/mod.rs
@@ -12,7 +12,8 @@
 mod control_protocol;
 /// Answers the queries of operators.
 pub mod control_socket;
-mod counter_names;
+/// The names of what the fleet's counters count.
+pub mod counter_names;
 /// Drives membership, quotas and backends over one socket.
 pub mod gossip;
 /// Settings of the membership, from the operator file.
--- a/crates/server/src/fleet/quota_leases.rs
+++ b/crates/server/src/fleet/quota_leases.rs
@@ -3,6 +3,7 @@
 //! `FleetQuotaSource` shares the fleet's state machines with their driver and borrows them for one call at a time.
 //! It does no I/O and takes any clock, so that a simulation runs the same code.
 
+use super::counter_names::{CountedSubject, CounterKey, CounterNames};
 use crate::core::quota_gate::{QuotaSource, TenantRate};
 use crate::support::clock::MonotonicClock;
 use madderbay::interface::{HandlerId, TenantId};
@@ -12,8 +13,6 @@
 use std::cell::{Ref, RefCell, RefMut};
 use std::rc::Rc;
 
-pub use super::counter_names::{CountedSubject, CounterKey, CounterNames};
-
 /// Upper bound on the tenants whose rates are reported at a time: those with the most requests.
 const MAX_RATED_TENANTS: usize = 256;
 
--- a/crates/server/src/fleet/quota_plan.rs
+++ b/crates/server/src/fleet/quota_plan.rs
@@ -5,7 +5,7 @@
 
 use crate::core::handler_names::{HandlerResolver, UnknownHandlers};
 use crate::core::quota_gate::QuotaGroup;
-use crate::fleet::quota_leases::CounterNames;
+use crate::fleet::counter_names::CounterNames;
 use crate::support::clock::unix_micros;
 use crate::support::config::Config;
 use madderbay::time::Duration;
