--- a/crates/concurrency/src/ceilings.rs
+++ b/crates/concurrency/src/ceilings.rs
@@ -6,7 +6,6 @@
 use crate::UNLIMITED;
 use crate::fair_share::{self, Demand};
 use crate::handlers::{HandlerLoad, HandlerTable};
-use crate::ids::PoolId;
 use crate::pool::Pool;
 use crate::reserve::ReserveState;
 use crate::upstream::UpstreamLimits;
@@ -75,7 +74,7 @@
             handlers: pool.handlers.clone(),
             runs: runs[index],
             calls: calls[index],
-            start_interval: self.start_interval(PoolId(index)),
+            start_interval: self.start_interval(pool),
         };
         self.pools.iter().enumerate().map(ceiling).collect()
     }
@@ -173,8 +172,7 @@
     /// Expected interval between two starts of a pool whose requests are queued although workers
     /// are free: its recent runs each end after the mean duration of a run. Zero where the ceilings
     /// are not what delays it.
-    fn start_interval(&self, pool: PoolId) -> Duration {
-        let pool = &self.pools[pool.0];
+    fn start_interval(&self, pool: &Pool) -> Duration {
         let runs = self.handlers.sum(&pool.handlers, HandlerLoad::runs);
         let queued = self.handlers.sum(&pool.handlers, |l| l.queued);
         let workers_are_busy = self.handlers.total(HandlerLoad::runs) + 1 > self.workers;
--- a/crates/concurrency/src/lib.rs
+++ b/crates/concurrency/src/lib.rs
@@ -34,7 +34,6 @@
 /// Weighted max-min fair division of permits among pools.
 pub mod fair_share;
 mod handlers;
-mod ids;
 /// The adaptive limit on the calls to one upstream.
 pub mod limit;
 mod limiter;
