--- a/crates/concurrency/src/lib.rs
+++ b/crates/concurrency/src/lib.rs
@@ -34,11 +34,11 @@
 /// Weighted max-min fair division of permits among pools.
 pub mod fair_share;
 mod handlers;
-mod ids;
 /// The adaptive limit on the calls to one upstream.
 pub mod limit;
 mod limiter;
 mod pool;
+mod request_stage;
 mod requests;
 mod reserve;
 mod upstream;
@@ -47,7 +47,7 @@
 pub use config::{ConcurrencyConfig, PoolConfig, Reserve, UpstreamGroup};
 pub use limit::{AdjustmentCause, Completion, LimitChange, LimitChanges};
 pub use limiter::ConcurrencyLimiter;
-pub use requests::RequestStage;
+pub use request_stage::RequestStage;
 pub use usage::{CallUsage, PoolUsage, UpstreamUsage};
 
 /// A ceiling that does not bind.
--- a/crates/membership/src/membership/suspicion.rs
+++ b/crates/membership/src/membership/suspicion.rs
@@ -4,7 +4,7 @@
 use crate::datagram::DatagramKind;
 use crate::event::ChangeReason;
 use crate::identity::MemberIdentity;
-use crate::swim::encode_ping;
+use crate::swim_packet::encode_ping;
 use crate::view::MemberState;
 use compact_str::CompactString;
 use madderbay::time::{Duration, Timestamp};
@@ -66,7 +66,8 @@
             return;
         };
         if record.is_suspect() || record.is_missing() {
-            let (to, member) = (record.identity().address, record.to_swim_member());
+            let to = record.identity().address;
+            let member = record.to_swim_member();
             self.send_notice(to, member);
         }
     }
--- a/crates/membership/src/membership/swim_driver.rs
+++ b/crates/membership/src/membership/swim_driver.rs
@@ -6,7 +6,8 @@
 use crate::identity::MemberIdentity;
 use crate::member_table::MemberRecord;
 use crate::probe_retry::Probe;
-use crate::swim::{self, OutgoingMessage, RequestedTimer, Swim, SwimEffects, decode_header};
+use crate::swim::{self, OutgoingMessage, RequestedTimer, Swim, SwimEffects};
+use crate::swim_packet::decode_header;
 use crate::view::MemberState;
 use foca::{Message, OwnedNotification, Timer};
 use madderbay::time::Timestamp;
@@ -114,7 +115,8 @@
         let Some(record) = self.members.get(&identity.name) else {
             return;
         };
-        let (former, since_received) = (record.state(), record.since_received(now));
+        let former = record.state();
+        let since_received = record.since_received(now);
         self.members.set_down(now, identity);
         let state = self.recorded_state(identity);
         if state == MemberState::Left {
@@ -136,7 +138,8 @@
         let Some(record) = self.members.get(&former.name) else {
             return;
         };
-        let (former_state, was_active) = (record.state(), record.is_active());
+        let former_state = record.state();
+        let was_active = record.is_active();
         self.members.replace_identity(now, identity);
         let state = self.recorded_state(identity);
         if identity.incarnation != former.incarnation {
--- a/crates/membership/src/membership/swim_receive.rs
+++ b/crates/membership/src/membership/swim_receive.rs
@@ -5,7 +5,7 @@
 use crate::datagram::Header;
 use crate::error::DatagramError;
 use crate::identity::{MemberIdentity, Phase};
-use crate::swim::SwimPacket;
+use crate::swim_packet::SwimPacket;
 use foca::{Member, Message, State as SwimState};
 use madderbay::time::Timestamp;
 
@@ -33,7 +33,8 @@
     /// only the answer of a member that accepted its announcement, which ends the conflict.
     fn check_destination(&mut self, packet: &SwimPacket) -> Result<(), DatagramError> {
         let own = self.local_identity();
-        let (from, to) = (&packet.header.src, &packet.header.dst);
+        let from = &packet.header.src;
+        let to = &packet.header.dst;
         let is_announcement = packet.header.message == Message::Announce;
         if to.name != own.name && !(to.name.is_empty() && is_announcement) {
             return Err(DatagramError::Misdirected);
--- a/crates/server/src/fleet/control_socket.rs
+++ b/crates/server/src/fleet/control_socket.rs
@@ -5,18 +5,17 @@
 
 use super::backends::Backends;
 use super::control_protocol::{
-    BackendRecord, CountRecord, END, ErrorLine, MAX_QUERY_BYTES, MemberRecord, MembershipHead,
-    Query, QuotaRecord, SharedRecord, Subject,
+    BackendRecord, BackendsHead, CountRecord, END, ErrorLine, MAX_QUERY_BYTES, MemberRecord,
+    MembershipHead, Query, QuotaRecord, SharedHead, SharedRecord, Subject,
 };
+use super::counter_names::{CounterKey, CounterNames};
 use super::gossip::Fleet;
-use super::quota_leases::{CounterKey, CounterNames};
 use madderbay::time::{Duration, Timestamp};
 use madderbay_membership::MemberView;
-use madderbay_quota::BudgetView;
 use madderbay_quota::counter::ReplicatedCounter;
+use madderbay_quota::{BudgetView, CounterId};
 use madderbay_upstream::BackendStatus;
 use serde::Serialize;
-use serde_json::json;
 use std::io::ErrorKind;
 use std::os::unix::fs::{FileTypeExt, PermissionsExt};
 use std::path::{Path, PathBuf};
@@ -188,7 +187,8 @@
     let Some(subject) = Subject::from_word(&query.word) else {
         return error_answer("members, shared and routes can be asked for");
     };
-    let (fleet, backends) = (sources.fleet.as_deref(), sources.backends.as_deref());
+    let fleet = sources.fleet.as_deref();
+    let backends = sources.backends.as_deref();
     let (found, section) = match subject {
         Subject::Members => (fleet.map(members_answer), "[members]"),
         Subject::Quotas => (fleet.and_then(quotas_answer), "[shared]"),
@@ -253,7 +253,7 @@
     let manager = backends.manager().borrow();
     let statuses = manager.backend_statuses(backends.now());
     compose(
-        &json!({ "backends": true }),
+        &BackendsHead { backends: true },
         statuses.into_iter().map(backend_record),
     )
 }
@@ -278,17 +278,19 @@
 
 /// Quotas and counters; nothing where the fleet shares none.
 fn quotas_answer(fleet: &Fleet) -> Option<String> {
-    let (now, stack) = (fleet.now(), fleet.stack().borrow());
+    let now = fleet.now();
+    let stack = fleet.stack().borrow();
     let quotas = stack.quotas()?;
-    let name = &stack.membership().local_identity().name;
+    let head = SharedHead {
+        name: stack.membership().local_identity().name.to_string(),
+    };
     let budgets = quotas.budget_views(now).into_iter().map(quota_record);
     let names = fleet.quota_source().counter_names();
-    let counts = quotas.counters().iter().enumerate();
-    let counts = counts.flat_map(|(index, counter)| count_records(now, counter, index, names));
-    Some(compose(
-        &json!({ "name": name.to_string() }),
-        budgets.chain(counts),
-    ))
+    let counters = quotas.counters();
+    let counts = CounterId::first(counters.len())
+        .zip(counters)
+        .flat_map(|(id, counter)| count_records(now, id, counter, names));
+    Some(compose(&head, budgets.chain(counts)))
 }
 
 fn quota_record(budget: BudgetView) -> SharedRecord {
@@ -310,12 +312,12 @@
 /// The keys of one counter that are most counted on this server.
 fn count_records(
     now: Timestamp,
+    id: CounterId,
     counter: &ReplicatedCounter,
-    index: usize,
     names: &CounterNames,
 ) -> Vec<SharedRecord> {
     let heaviest = counter.heaviest_keys(MAX_REPORTED_KEYS);
-    let keys = names.keys(index).filter(|k| heaviest.contains(&k.hash));
+    let keys = names.keys(id).filter(|k| heaviest.contains(&k.hash));
     let record = |key: CounterKey<'_>| {
         let estimate = counter.estimate(now, key.hash, key.fair_rate);
         SharedRecord::Count(CountRecord {
--- a/crates/server/src/fleet_endpoint.rs
+++ b/crates/server/src/fleet_endpoint.rs
@@ -2,14 +2,14 @@
 //!
 //! It owns the socket together with that task. Without `[members]` there is no endpoint.
 
-use crate::startup::StartError;
+use crate::start_error::StartError;
 use crate::tasks;
 use madderbay_membership::is_valid_name;
 use madderbay_operator_config::membership::MembershipConfig;
 use madderbay_server::fleet::backends::Backends;
+use madderbay_server::fleet::counter_names::CounterNames;
 use madderbay_server::fleet::gossip::{Fleet, FleetConfig};
 use madderbay_server::fleet::membership_settings::membership_settings;
-use madderbay_server::fleet::quota_leases::CounterNames;
 use madderbay_server::fleet::quota_plan::QuotaPlan;
 use madderbay_server::support::clock::{self, MonotonicClock};
 use madderbay_server::support::config::Config;
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -32,6 +32,8 @@
 
 pub mod core;
 pub mod downstream;
+/// Talks with other servers and answers operators.
 pub mod fleet;
+/// Used by all the others.
 pub mod support;
 pub mod upstream;
--- a/crates/simulation/src/cli/search.rs
+++ b/crates/simulation/src/cli/search.rs
@@ -1,9 +1,9 @@
 //! Looks for drawn histories that violate an invariant.
 
 use super::arguments::SearchArguments;
-use super::commands::CommandOutcome;
 use super::error::CommandError;
 use super::files;
+use super::outcome::CommandOutcome;
 use madderbay_simulation::{SimulationReport, simulate};
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -56,7 +56,8 @@
 fn summarize(report: &SimulationReport) -> Option<String> {
     let first = report.violations.first()?;
     let count = report.violations.len();
-    let (invariant, detail) = (first.invariant, &first.detail);
+    let invariant = first.invariant;
+    let detail = &first.detail;
     Some(format!("{invariant}: {detail} ({count} in all)"))
 }
 
--- a/crates/simulation/src/node/assembly.rs
+++ b/crates/simulation/src/node/assembly.rs
@@ -3,8 +3,9 @@
 use super::client::ClientRequests;
 use super::process::{ClientConnection, EngineConnection, Process};
 use crate::clock::{self, NodeClock};
-use crate::fault::{BackendId, Defect, ServerId};
+use crate::fault::Defect;
 use crate::history::History;
+use crate::ids::{BackendId, ServerId};
 use crate::network::{backend_address, server_address};
 use crate::upstream::Engine;
 use crate::workload::{ENGINE_CORES, Handler, MAX_CALL_TIME, RESULT_CACHE_BYTES};
@@ -16,7 +17,8 @@
 use madderbay_server::core::quota_gate::QuotaGroup;
 use madderbay_server::downstream::json_rpc::JsonRpcSession;
 use madderbay_server::fleet::backends::Backends;
-use madderbay_server::fleet::quota_leases::{CounterNames, FleetQuotaSource};
+use madderbay_server::fleet::counter_names::CounterNames;
+use madderbay_server::fleet::quota_leases::FleetQuotaSource;
 use madderbay_server::support::clock::MonotonicClock;
 use madderbay_server::support::io::Outbox;
 use madderbay_server::upstream::engine::NoticeReader;
@@ -123,7 +125,7 @@
         };
         ConcurrencyConfig {
             pools: vec![
-                pool("books", Handler::Book, 1.0),
+                pool("books", Handler::Booking, 1.0),
                 pool("searches", Handler::Search, 0.0),
             ],
             reserve: Some(Reserve {
--- a/crates/simulation/src/simulation/engine_commands.rs
+++ b/crates/simulation/src/simulation/engine_commands.rs
@@ -1,8 +1,8 @@
 //! The engines do what their servers command.
 
 use super::Simulation;
-use crate::event_queue::ServerIncarnation;
-use crate::fault::{Defect, ServerId};
+use crate::fault::Defect;
+use crate::ids::{ServerId, ServerIncarnation};
 use crate::upstream::{EngineCommand, EngineNotice};
 use crate::workload::{ENGINE_CORES, Handler};
 
@@ -45,7 +45,8 @@
     }
 
     fn start_run(&mut self, target: ServerIncarnation, request: &str, handler: Handler) {
-        let (now, server) = (self.now, target.server);
+        let now = self.now;
+        let server = target.server;
         let work_s = handler.draw_work_s(&mut self.random);
         let is_repeated = self.history.defect == Some(Defect::RepeatedRuns)
             && request.ends_with(REPEATED_REFERENCE_SUFFIX);
--- a/crates/simulation/src/simulation/requests.rs
+++ b/crates/simulation/src/simulation/requests.rs
@@ -2,15 +2,16 @@
 
 use super::Simulation;
 use crate::clock;
-use crate::event_queue::{Event, ServerIncarnation};
-use crate::fault::{Defect, Fault, ScheduledFault, ServerId};
+use crate::event_queue::Event;
+use crate::fault::{Defect, Fault, ScheduledFault};
+use crate::ids::{ServerId, ServerIncarnation};
 use crate::node::{Answer, ExpectedAnswer, PendingRequest};
 use crate::workload::{CLIENT_TIMEOUT, ClientRequest, Handler};
 use madderbay::time::{Duration, Timestamp};
 
 /// An answer may come this much after its deadline before it counts as missing.
 const ANSWER_SLACK: Duration = Duration::from_millis(50);
-/// A request whose end is noticed later than this was held up with its server, and proves nothing.
+/// A request whose end is noticed later than this was delayed with its server, and proves nothing.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(5);
 /// The least rate at which clients send to a server.
 const MIN_REQUESTS_PER_SECOND: f64 = 0.05;
@@ -92,9 +93,8 @@
         let is_excused =
             self.node(server).is_stopped() || self.was_stopped_since(server, request.sent_at);
         if is_noticed_in_time && !is_excused {
-            let (handler, reference) = (request.handler, &request.reference);
             self.checker
-                .missing_answer(self.now, server, handler, reference);
+                .missing_answer(self.now, server, request.handler, &request.reference);
         }
     }
 
--- a/crates/simulation/src/simulation/upstream_calls.rs
+++ b/crates/simulation/src/simulation/upstream_calls.rs
@@ -1,8 +1,8 @@
 //! Calls from the servers to the backends, and the answers to them.
 
 use super::Simulation;
-use crate::event_queue::{Event, ServerIncarnation};
-use crate::fault::{BackendId, ServerId};
+use crate::event_queue::Event;
+use crate::ids::{BackendId, ServerId, ServerIncarnation};
 use crate::network::{self, UPSTREAM_DELAY};
 use crate::upstream::{AcceptedCall, CallDisposition, UpstreamCall};
 
@@ -46,7 +46,8 @@
 
     /// A call arrives at a backend. It is lost if its connection was closed on the way.
     pub(super) fn call_arrives(&mut self, backend: BackendId, call: UpstreamCall) {
-        let (target, connection) = (call.caller, call.connection);
+        let target = call.caller;
+        let connection = call.connection;
         let node = self.node(target.server);
         if !node.runs(target) || !node.process().has_connection(connection) {
             return;
