--- a/crates/server/src/downstream/connection.rs
+++ b/crates/server/src/downstream/connection.rs
@@ -4,7 +4,7 @@
 //! the time and notice of what happens on it. Never chooses between connections: that is for
 //! [`Connections`](super::connections::Connections).
 
-use crate::downstream::connections::{LineProgress, MAX_OPEN_REQUESTS, OpenRequestError};
+use crate::downstream::open_requests::{LineProgress, MAX_OPEN_REQUESTS, OpenRequestError};
 use crate::downstream::response;
 use crate::support::io::Outbox;
 use madderbay::time::{Duration, Timestamp};
--- a/crates/server/src/downstream/connections.rs
+++ b/crates/server/src/downstream/connections.rs
@@ -6,24 +6,11 @@
 //! Never reads a socket, decides a request or knows what an answer says.
 
 use crate::downstream::connection::Connection;
+use crate::downstream::open_requests::{LineProgress, OpenRequestError};
 use crate::support::io::Outbox;
 use madderbay::time::{Duration, Timestamp};
 use std::collections::HashMap;
 
-/// Requests that may be open on one connection.
-pub const MAX_OPEN_REQUESTS: usize = 32;
-
-/// Why no further request may be opened on a connection.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum OpenRequestError {
-    /// A request with the same JSON-RPC id is open on this connection.
-    #[error("id is in use")]
-    IdInUse,
-    /// [`MAX_OPEN_REQUESTS`] are open on this connection.
-    #[error("too many open requests")]
-    TooManyOpen,
-}
-
 /// A connection that was entered into the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OpenedConnection {
@@ -42,15 +29,6 @@
     pub at: Timestamp,
 }
 
-/// What a read changed in the lines of a connection.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LineProgress {
-    /// An incomplete line is buffered.
-    pub partial: bool,
-    /// At least one line was completed.
-    pub completed: bool,
-}
-
 /// All open connections by their numbers.
 #[derive(Default)]
 pub struct Connections {
--- a/crates/server/src/downstream/json_rpc.rs
+++ b/crates/server/src/downstream/json_rpc.rs
@@ -5,7 +5,7 @@
 //! Never reads a socket and never decides a request.
 
 use crate::core::event_loop::EventLoop;
-use crate::downstream::connections::{LineProgress, OpenRequestError};
+use crate::downstream::open_requests::{LineProgress, OpenRequestError};
 use crate::downstream::request_validation::InvalidRequest;
 use crate::downstream::response;
 use crate::downstream::wire_names::{VERSION, envelope, error_code, method, param};
--- a/crates/server/src/downstream/mod.rs
+++ b/crates/server/src/downstream/mod.rs
@@ -13,6 +13,8 @@
 pub mod json_rpc;
 /// Accepts connections and runs their tasks.
 pub mod listener;
+/// Lines and open requests of a connection.
+pub mod open_requests;
 /// Reports to the registry.
 pub mod registration;
 /// From a request's params to what decisions need.
--- a/crates/server/src/downstream/request_validation/param_reader.rs
+++ b/crates/server/src/downstream/request_validation/param_reader.rs
@@ -3,7 +3,7 @@
 //! Owns: the bounds on what one member may say. Is given: the members as they were written. Never knows a handler, and
 //! never looks at two members together.
 
-use super::InvalidRequest;
+use super::invalid_request::InvalidRequest;
 use crate::downstream::idempotency_table::IdempotencyKey;
 use crate::downstream::wire_names::param;
 use crate::support::attempt_name::{self, AttemptName};
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -59,7 +59,8 @@
     Actions, Arrival, Cancellation, Ceiling, Downstream, FleetPosition, Gauges, Handler, Machine,
     Outcome, Rules, Status, Tenant, TenantId, Upstream,
 };
-use crate::request::{Request, RequestSlot, RequestTable};
+use crate::request::{Request, RequestTable};
+use crate::slots::RequestSlot;
 use crate::time::{Duration, Timestamp};
 use crate::timers::{Timer, Timers};
 use admission::AdmissionController;
--- a/src/decide/answers.rs
+++ b/src/decide/answers.rs
@@ -2,9 +2,9 @@
 
 use super::Decider;
 use super::rejection::{Rejection, RejectionInputs, RejectionKind, ServerPace};
-use crate::idempotency::KeySlot;
 use crate::interface::{Actions, Cancellation};
-use crate::request::{Request, RequestSlot, Stage};
+use crate::request::{Request, Stage};
+use crate::slots::{KeySlot, RequestSlot};
 use crate::time::{Duration, Timestamp};
 use crate::timers::Timer;
 
--- a/src/decide/arrivals.rs
+++ b/src/decide/arrivals.rs
@@ -6,9 +6,10 @@
 use super::deadlines::{RequestDeadlines, answer_by};
 use super::drain::Drain;
 use super::request_queue::QueueLine;
-use crate::idempotency::{AttemptRole, KeySlot};
+use crate::idempotency::AttemptRole;
 use crate::interface::{Actions, Arrival, RetrySafety};
-use crate::request::{Request, RequestSlot, Stage};
+use crate::request::{Request, Stage};
+use crate::slots::{KeySlot, RequestSlot};
 use crate::time::{Duration, Timestamp};
 use crate::timers::Timer;
 
--- a/src/decide/calls.rs
+++ b/src/decide/calls.rs
@@ -5,7 +5,8 @@
     CallDecision, CallInputs, FailedCall, RetryDecision, decide_call, decide_retry,
 };
 use crate::interface::{Actions, Ceiling, Handler, Outcome};
-use crate::request::{Request, RequestSlot, Stage};
+use crate::request::{Request, Stage};
+use crate::slots::RequestSlot;
 use crate::time::{Duration, Timestamp};
 use crate::timers::Timer;
 
--- a/src/decide/control_loops.rs
+++ b/src/decide/control_loops.rs
@@ -3,7 +3,8 @@
 use super::Decider;
 use super::budget_controller::Completion;
 use crate::interface::{Gauges, HandlerId, Outcome};
-use crate::request::{Request, RequestSlot};
+use crate::request::Request;
+use crate::slots::RequestSlot;
 use crate::time::{Duration, Timestamp};
 
 /// Time between two ticks from which the process was held up. The latencies of a pause say nothing of the load.
--- a/src/decide/expired_timers.rs
+++ b/src/decide/expired_timers.rs
@@ -2,7 +2,8 @@
 
 use super::Decider;
 use crate::interface::Actions;
-use crate::request::{RequestSlot, Stage};
+use crate::request::Stage;
+use crate::slots::RequestSlot;
 use crate::time::Timestamp;
 use crate::timers::Timer;
 
--- a/src/decide/feasibility.rs
+++ b/src/decide/feasibility.rs
@@ -6,7 +6,7 @@
 
 use crate::ceilings::{CeilingId, CeilingTable, QueuedCounts};
 use crate::interface::HandlerId;
-use crate::request::RequestSlot;
+use crate::slots::RequestSlot;
 use crate::time::{Duration, Timestamp};
 use std::cmp::Ordering;
 
--- a/src/decide/feasibility/tests.rs
+++ b/src/decide/feasibility/tests.rs
@@ -1,7 +1,7 @@
 use super::{PlannedRequest, ServerLoad, infeasible_requests};
 use crate::ceilings::CeilingTable;
 use crate::interface::{Ceiling, HandlerId};
-use crate::request::RequestSlot;
+use crate::slots::RequestSlot;
 use crate::time::{Duration, Timestamp};
 use slotmap::SlotMap;
 
--- a/src/decide/request_queue.rs
+++ b/src/decide/request_queue.rs
@@ -3,7 +3,7 @@
 //! Owns the order: by the latest start with which a request meets its objective, in two lines, since short requests
 //! must not wait behind long ones. Starts and rejects nothing.
 
-use crate::request::RequestSlot;
+use crate::slots::RequestSlot;
 use crate::time::Timestamp;
 
 /// A queued request; the earlier latest start goes first.
--- a/src/decide/starts.rs
+++ b/src/decide/starts.rs
@@ -3,7 +3,8 @@
 use super::Decider;
 use super::feasibility::{PlannedRequest, ServerLoad, infeasible_requests};
 use crate::interface::{Actions, CallRequirement, Ceiling};
-use crate::request::{Request, RequestSlot};
+use crate::request::Request;
+use crate::slots::RequestSlot;
 use crate::time::Timestamp;
 
 impl Decider {
--- a/src/decide/waiting_calls.rs
+++ b/src/decide/waiting_calls.rs
@@ -2,7 +2,7 @@
 //!
 //! Owns their order: the one that waits longest comes first. Makes no call.
 
-use crate::request::RequestSlot;
+use crate::slots::RequestSlot;
 
 /// Runs whose call waits for capacity.
 #[derive(Default)]
--- a/src/idempotency.rs
+++ b/src/idempotency.rs
@@ -1,16 +1,11 @@
 //! The table of idempotency keys: which attempts belong to one request, and which of them runs. Owns the entries
 //! and their memory; is given slots of requests and decides nothing.
 
-use crate::request::RequestSlot;
+use crate::slots::{KeySlot, RequestSlot};
 use crate::time::Timestamp;
-use slotmap::{SlotMap, new_key_type};
+use slotmap::SlotMap;
 use std::collections::HashMap;
 
-new_key_type! {
-    /// Slot of an idempotency key in the table.
-    pub(crate) struct KeySlot;
-}
-
 /// What an attempt is to do under its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptRole {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -14,6 +14,7 @@
 /// What the decisions are made from and go out through.
 pub mod interface;
 mod request;
+mod slots;
 /// Timestamps and durations.
 pub mod time;
 mod timers;
--- a/src/request.rs
+++ b/src/request.rs
@@ -3,18 +3,13 @@
 //! Owns the stage of each request, and the memory and load that follow from it. Is given identifiers from outside.
 //! Decides nothing.
 
-use crate::idempotency::KeySlot;
 use crate::interface::{Actions, Arrival, HandlerId, TenantId};
+use crate::slots::{KeySlot, RequestSlot};
 use crate::time::{Duration, Timestamp};
-use slotmap::{SlotMap, new_key_type};
+use slotmap::SlotMap;
 use std::collections::HashMap;
 use std::ops::{Index, IndexMut};
 
-new_key_type! {
-    /// Slot of a request in the table.
-    pub(crate) struct RequestSlot;
-}
-
 /// How far a request has come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Stage {
--- /dev/null
+++ b/src/slots.rs
@@ -0,0 +1,11 @@
+//! The slots under which the tables of requests and of idempotency keys are entered.
+
+use slotmap::new_key_type;
+
+new_key_type! {
+    /// Slot of a request in the table of requests.
+    pub(crate) struct RequestSlot;
+
+    /// Slot of an idempotency key in the table of keys.
+    pub(crate) struct KeySlot;
+}
--- a/src/timers.rs
+++ b/src/timers.rs
@@ -1,7 +1,6 @@
 //! Deadlines of the decision module, in one ordered structure. Owns the order; decides nothing.
 
-use crate::idempotency::KeySlot;
-use crate::request::RequestSlot;
+use crate::slots::{KeySlot, RequestSlot};
 use crate::time::Timestamp;
 use std::collections::BTreeSet;
 
