--- /dev/null
+++ b/crates/server/tests/known_red.rs
@@ -0,0 +1,358 @@
+//! `.ci/tests`, which passes over the tests that `KNOWN-RED.txt` lists, run against a stub of `cargo`.
+
+use std::fs;
+use std::os::unix::fs::PermissionsExt;
+use std::path::{Path, PathBuf};
+use std::process::{Command, Output};
+use std::sync::atomic::{AtomicU32, Ordering};
+
+/// Stands for `cargo`. Appends its arguments to `calls`; knows the tests in `tests`, of which those in `failing` fail and
+/// those in `ignored` are not run; can't list them where there is a file `broken`.
+const STUB_CARGO: &str = r#"#!/usr/bin/env bash
+cd "$(dirname "$0")"
+printf '[%s]' "$@" >> calls
+echo >> calls
+case "$*" in
+  'test --workspace --quiet -- --list')
+    [ ! -e broken ] || exit 101
+    sed 's/$/: test/' tests
+    echo 'benches::not_a_test: benchmark' ;;
+  'test --workspace --quiet -- --exact '*)
+    if grep -qFx -- "$6" failing; then
+      echo 'test result: FAILED. 0 passed; 1 failed;'
+      exit 101
+    fi
+    if grep -qFx -- "$6" ignored; then
+      echo 'test result: ok. 0 passed; 0 failed; 1 ignored;'
+    else
+      echo 'test result: ok. 1 passed; 0 failed; 0 ignored;'
+    fi ;;
+  'test --workspace'|'test --workspace -- --exact --skip '*)
+    while IFS= read -r failing; do
+      for skipped in "$@"; do
+        [ "$skipped" != "$failing" ] || continue 2
+      done
+      exit 101
+    done < failing ;;
+  *) exit 64 ;;
+esac
+"#;
+
+/// The tests that the stub knows; two test programs have one of the same name.
+const KNOWN_TESTS: &str = "budget::holds\nbudget::holds_after_crash\nevery_script\nevery_script\n\
+    src/lib.rs - limits (line 12)\nshutdown::drains\nstartup::binds\n";
+const TWO_ENTRIES: &str = "# first the fleet\n\
+    budget::holds | cargo test -p x -- --seed 7, twice | 5 calls, not 4 | #12\n\n\
+    shutdown::drains | SEED=3 make test | hung | #13\n";
+/// The tests of [`TWO_ENTRIES`].
+const TWO_TESTS: &str = "budget::holds\nshutdown::drains\n";
+const LIST_CALL: &str = "[test][--workspace][--quiet][--][--list]";
+
+/// A repository with the script and a stub of `cargo`, removed when it is dropped.
+struct Repository {
+    root: PathBuf,
+}
+
+impl Repository {
+    fn new() -> Repository {
+        static COUNT: AtomicU32 = AtomicU32::new(0);
+        let number = COUNT.fetch_add(1, Ordering::Relaxed);
+        let name = format!("madderbay-known-red-{}-{number}", std::process::id());
+        let root = std::env::temp_dir().join(name);
+        for folder in [".ci", "bin"] {
+            fs::create_dir_all(root.join(folder)).expect("a folder");
+        }
+        let script = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../.ci/tests");
+        fs::copy(script, root.join(".ci/tests")).expect("the script");
+        let repository = Repository { root };
+        repository.write("bin/cargo", STUB_CARGO);
+        let executable = fs::Permissions::from_mode(0o755);
+        fs::set_permissions(repository.root.join("bin/cargo"), executable).expect("set");
+        repository.write("bin/tests", KNOWN_TESTS);
+        for file in ["failing", "ignored", "calls"] {
+            repository.write(&format!("bin/{file}"), "");
+        }
+        repository
+    }
+
+    /// A repository whose list has this text.
+    fn listing(list: &str) -> Repository {
+        let repository = Repository::new();
+        repository.write("KNOWN-RED.txt", list);
+        repository
+    }
+
+    /// Has these tests fail, one a line.
+    fn failing(self, tests: &str) -> Repository {
+        self.write("bin/failing", tests);
+        self
+    }
+
+    fn write(&self, path: &str, text: &str) {
+        fs::write(self.root.join(path), text).expect("written");
+    }
+
+    /// Runs the script, from another folder than the repository.
+    fn run(&self) -> ScriptRun {
+        let path = std::env::var("PATH").expect("a path");
+        let output = Command::new(self.root.join(".ci/tests"))
+            .env(
+                "PATH",
+                format!("{}:{path}", self.root.join("bin").display()),
+            )
+            .current_dir(std::env::temp_dir())
+            .output()
+            .expect("the script runs");
+        ScriptRun::new(&output, &self.root)
+    }
+}
+
+impl Drop for Repository {
+    fn drop(&mut self) {
+        let _ = fs::remove_dir_all(&self.root);
+    }
+}
+
+/// What the script did and printed.
+struct ScriptRun {
+    succeeded: bool,
+    stdout: String,
+    stderr: String,
+    /// The calls of `cargo`, each argument in brackets.
+    calls: Vec<String>,
+}
+
+impl ScriptRun {
+    fn new(output: &Output, root: &Path) -> ScriptRun {
+        let calls = fs::read_to_string(root.join("bin/calls")).expect("the calls");
+        ScriptRun {
+            succeeded: output.status.success(),
+            stdout: String::from_utf8(output.stdout.clone()).expect("text"),
+            stderr: String::from_utf8(output.stderr.clone()).expect("text"),
+            calls: calls.lines().map(String::from).collect(),
+        }
+    }
+
+    fn assert_ran_everything(&self) {
+        assert!(self.succeeded, "{}", self.stderr);
+        assert_eq!(self.calls, ["[test][--workspace]"]);
+        assert_eq!((&*self.stdout, &*self.stderr), ("", ""));
+    }
+}
+
+/// Asserts that the script fails because of a line, before any test is run.
+fn assert_rejects(list: &str, expected: &str) {
+    let run = Repository::listing(list).run();
+    assert!(!run.succeeded, "accepts {list:?}");
+    assert!(
+        run.stderr.starts_with(expected) && run.stderr.lines().count() == 1,
+        "{list:?}: {} in place of {expected}",
+        run.stderr
+    );
+    assert_eq!(run.stdout, "");
+    let ran_tests = run.calls.iter().any(|call| call != LIST_CALL);
+    assert!(!ran_tests, "{list:?}: {:?}", run.calls);
+}
+
+#[test]
+fn runs_everything_without_list() {
+    Repository::new().run().assert_ran_everything();
+}
+
+#[test]
+fn runs_everything_where_list_has_no_entry() {
+    for list in ["", "\n", "# TEST | COMMAND | SEEN | ISSUE\n\n  \t\n#\n"] {
+        Repository::listing(list).run().assert_ran_everything();
+    }
+}
+
+#[test]
+fn fails_without_list_where_test_fails() {
+    let run = Repository::new().failing("shutdown::drains\n").run();
+    assert!(!run.succeeded);
+    assert_eq!(run.calls, ["[test][--workspace]"]);
+}
+
+#[test]
+fn passes_over_exactly_listed_tests() {
+    let run = Repository::listing(TWO_ENTRIES).failing(TWO_TESTS).run();
+    assert!(run.succeeded, "{}", run.stderr);
+    let expected_calls = [
+        LIST_CALL,
+        "[test][--workspace][--][--exact][--skip][budget::holds][--skip][shutdown::drains]",
+        "[test][--workspace][--quiet][--][--exact][budget::holds]",
+        "[test][--workspace][--quiet][--][--exact][shutdown::drains]",
+    ];
+    assert_eq!(run.calls, expected_calls);
+}
+
+#[test]
+fn reports_listed_test() {
+    let run = Repository::listing(TWO_ENTRIES).failing(TWO_TESTS).run();
+    assert!(run.succeeded, "{}", run.stderr);
+    let expected = "\nKNOWN RED: budget::holds fails\n  command and seed: cargo test -p x -- --seed 7, twice\n  \
+        what was seen: 5 calls, not 4\n  issue: #12\n\nKNOWN RED: shutdown::drains fails\n  \
+        command and seed: SEED=3 make test\n  what was seen: hung\n  issue: #13\n";
+    assert_eq!(run.stdout, expected);
+}
+
+#[test]
+fn passes_name_with_spaces_as_one_argument() {
+    let list = "src/lib.rs - limits (line 12) | cargo test --doc | panics | #4\n";
+    let run = Repository::listing(list)
+        .failing("src/lib.rs - limits (line 12)\n")
+        .run();
+    assert!(run.succeeded, "{}", run.stderr);
+    let skipping = "[test][--workspace][--][--exact][--skip][src/lib.rs - limits (line 12)]";
+    assert_eq!(run.calls[1], skipping);
+}
+
+#[test]
+fn reads_last_line_without_newline() {
+    let list = "budget::holds | c | s | #1\nstartup::binds | c | s | #2";
+    let run = Repository::listing(list).run();
+    assert!(run.succeeded, "{}", run.stderr);
+    assert!(run.calls[1].ends_with("[--skip][startup::binds]"));
+}
+
+#[test]
+fn lists_any_number_of_tests() {
+    let names = [
+        "budget::holds",
+        "budget::holds_after_crash",
+        "shutdown::drains",
+        "startup::binds",
+    ];
+    let list: String = names.map(|name| format!("{name} | c | s | #1\n")).concat();
+    let run = Repository::listing(&list).failing(&names.join("\n")).run();
+    assert!(run.succeeded, "{}", run.stderr);
+    assert_eq!(run.stdout.matches("KNOWN RED:").count(), names.len());
+}
+
+#[test]
+fn rejects_line_without_four_fields() {
+    for (line, fields) in [
+        ("budget::holds", 1),
+        ("budget::holds, cause, issue", 1),
+        ("budget::holds|c|s|#1", 1),
+        ("budget::holds | c", 2),
+        ("budget::holds | c | s", 3),
+        ("budget::holds | c | s |", 3),
+        ("budget::holds | c | s | #1 | more", 5),
+        ("budget::holds | a | b | s | #1", 5),
+    ] {
+        let expected = format!("KNOWN-RED.txt:2: '{line}' has {fields} fields: not the four");
+        assert_rejects(&format!("# list\n{line}\n"), &expected);
+    }
+}
+
+#[test]
+fn rejects_line_with_empty_field() {
+    for line in [
+        " | c | s | #1",
+        "budget::holds |  | s | #1",
+        "budget::holds |   | s | #1",
+        "budget::holds | c |  | #1",
+        "budget::holds | c | s | ",
+        "budget::holds | c | s | \t",
+    ] {
+        let expected = format!("KNOWN-RED.txt:1: '{line}' has an empty field: not the four");
+        assert_rejects(&format!("{line}\n"), &expected);
+    }
+}
+
+#[test]
+fn rejects_wrong_line_after_good_ones() {
+    let list = "budget::holds | c | s | #1\n\nstartup::binds | c | s\n";
+    assert_rejects(
+        list,
+        "KNOWN-RED.txt:3: 'startup::binds | c | s' has 3 fields",
+    );
+}
+
+#[test]
+fn rejects_name_that_is_not_of_one_test() {
+    for (name, tests) in [
+        ("budget::unknown", 0),
+        ("budget", 0),
+        ("holds", 0),
+        ("budget::hold.", 0),
+        ("benches::not_a_test", 0),
+        ("budget::holds ", 0),
+        ("every_script", 2),
+    ] {
+        let list = format!("startup::binds | c | s | #1\n{name} | c | s | #2\n");
+        let expected =
+            format!("KNOWN-RED.txt:2: '{name}' is the name of {tests} tests, not of one");
+        assert_rejects(&list, &expected);
+    }
+}
+
+#[test]
+fn rejects_test_that_is_listed_twice() {
+    let list = "startup::binds | c | s | #1\nstartup::binds | d | t | #2\n";
+    assert_rejects(list, "KNOWN-RED.txt:1: 'startup::binds' is listed 2 times");
+}
+
+#[test]
+fn fails_where_tests_can_not_be_listed() {
+    let repository = Repository::listing("budget::holds | c | s | #1\n");
+    repository.write("bin/broken", "");
+    let run = repository.run();
+    assert!(!run.succeeded);
+    assert_eq!(run.calls, [LIST_CALL]);
+}
+
+#[test]
+fn reports_listed_test_that_passes() {
+    let list = "budget::holds | c | s | #1\nstartup::binds | c | s | #2\n";
+    let run = Repository::listing(list).failing("startup::binds\n").run();
+    assert!(run.succeeded, "{}", run.stderr);
+    let passes = "KNOWN RED: budget::holds passes: take it off KNOWN-RED.txt\n";
+    assert!(run.stdout.contains(passes), "{}", run.stdout);
+    assert!(run.stdout.contains("KNOWN RED: startup::binds fails\n"));
+}
+
+#[test]
+fn reports_listed_test_that_was_not_run() {
+    let repository = Repository::listing("budget::holds | c | s | #1\n");
+    repository.write("bin/ignored", "budget::holds\n");
+    let run = repository.run();
+    assert!(run.succeeded, "{}", run.stderr);
+    let not_run = "KNOWN RED: budget::holds was not run\n";
+    assert!(run.stdout.contains(not_run), "{}", run.stdout);
+}
+
+/// A test that fails and is not listed fails the script, though its name begins with that of a listed one; the listed
+/// one is printed nevertheless.
+#[test]
+fn fails_where_unlisted_test_fails() {
+    let failing = "budget::holds\nbudget::holds_after_crash\n";
+    let run = Repository::listing("budget::holds | c | s | #1\n")
+        .failing(failing)
+        .run();
+    assert!(!run.succeeded);
+    assert!(run.stdout.contains("KNOWN RED: budget::holds fails\n"));
+}
+
+/// The names of this program's own tests that are left with some arguments.
+fn own_tests(arguments: &[&str]) -> Vec<String> {
+    let program = std::env::current_exe().expect("this program");
+    let output = Command::new(program).arg("--list").args(arguments).output();
+    let text = String::from_utf8(output.expect("it runs").stdout).expect("text");
+    let names = text.lines().filter_map(|line| line.strip_suffix(": test"));
+    names.map(String::from).collect()
+}
+
+/// What the script relies on: a test program skips a name that is given with `--exact` and no other, and runs the rest.
+#[test]
+fn own_program_skips_exactly_listed_name() {
+    let all = own_tests(&[]);
+    let listed = "reports_listed_test";
+    let containing = all.iter().filter(|name| name.contains(listed)).count();
+    assert_eq!(containing, 3, "other names contain it: {all:?}");
+    let mut rest = all.clone();
+    rest.retain(|name| name != listed);
+    assert_eq!(own_tests(&["--exact", "--skip", listed]), rest);
+    assert_eq!(own_tests(&["--exact", listed]), [listed]);
+}
