--- a/crates/server/tests/crossings/requests_before_end.rs
+++ b/crates/server/tests/crossings/requests_before_end.rs
@@ -3,6 +3,17 @@
 use super::support::{TestServer, request, run_test, wait_until};
 use madderbay::time::{Duration, Timestamp};
 
+/// Has a server close connections that were idle for 200 ms, which are notified first; gives the instant of its next
+/// check.
+fn check_idle_connections(server: &TestServer, now: Timestamp) -> Option<Timestamp> {
+    let mut core = server.core.borrow_mut();
+    let connections = core.connections_mut();
+    let _ = connections
+        .set_idle_limit(Duration::from_millis(200))
+        .count();
+    connections.idle_deadline_reached(now, 1)
+}
+
 /// A request that had arrived when its connection was evicted is answered there.
 #[test]
 fn answers_request_received_before_eviction() {
@@ -28,17 +39,8 @@
     run_test(async {
         let server = TestServer::new(8).await;
         let mut peer = server.connect_checked().await;
-        let now = server.clock.now();
-        let close_at = {
-            let mut core = server.core.borrow_mut();
-            let _ = core
-                .connections_mut()
-                .set_idle_limit(Duration::from_millis(200))
-                .count();
-            core.connections_mut()
-                .idle_deadline_reached(now + Duration::from_millis(300), 1)
-                .expect("notified first")
-        };
+        let check_at = server.clock.now() + Duration::from_millis(300);
+        let close_at = check_idle_connections(&server, check_at).expect("notified first");
         assert!(peer.next_line().await.contains("leaving"));
         peer.send_at_once(&request(2, "quote", 1));
         assert_eq!(
@@ -60,10 +62,7 @@
     run_test(async {
         let server = TestServer::new(8).await;
         let mut peer = server.connect_checked().await;
-        server
-            .core
-            .borrow_mut()
-            .drain(server.clock.now(), Duration::from_millis(3_000));
+        server.begin_drain();
         assert!(peer.next_line().await.contains("leaving"));
         assert!(server.core.borrow().is_quiescent());
         peer.send_at_once(&request(2, "quote", 1));
@@ -81,10 +80,7 @@
         let line = request(2, "quote", 1);
         let (half, rest) = line.split_at(40);
         peer.send_behind_health_check(half).await;
-        server
-            .core
-            .borrow_mut()
-            .drain(server.clock.now(), Duration::from_millis(3_000));
+        server.begin_drain();
         peer.send_at_once(rest);
         server.serve_one_request().await;
         assert!(peer.next_line().await.contains("leaving"));
@@ -103,14 +99,7 @@
         peer.send_behind_health_check(half).await;
         // It is checked once: a second check would close a connection that was notified by the first.
         let check_at = server.clock.now() + Duration::from_millis(300);
-        let next_check = {
-            let mut core = server.core.borrow_mut();
-            let _ = core
-                .connections_mut()
-                .set_idle_limit(Duration::from_millis(200))
-                .count();
-            core.connections_mut().idle_deadline_reached(check_at, 1)
-        };
+        let next_check = check_idle_connections(&server, check_at);
         assert!(
             next_check.is_some_and(|next| next != check_at + Duration::from_millis(1_000)),
             "neither closed nor notified: {next_check:?}"
--- a/crates/server/tests/crossings/support.rs
+++ b/crates/server/tests/crossings/support.rs
@@ -81,6 +81,12 @@
         self.core.borrow_mut().run_turn(self.clock.now());
     }
 
+    /// Begins a drain with a grace period of three seconds.
+    pub(crate) fn begin_drain(&self) {
+        let grace = Duration::from_millis(3_000);
+        self.core.borrow_mut().drain(self.clock.now(), grace);
+    }
+
     /// The engine reports that the run of an attempt has completed.
     pub(crate) fn complete_run(&self, attempt: u64) {
         self.core.borrow_mut().run_over(
