--- a/crates/server/tests/crossings/connection_end.rs
+++ b/crates/server/tests/crossings/connection_end.rs
@@ -1,6 +1,6 @@
 //! How connections end: what is delivered before, and what is read after.
 
-use super::support::{TestServer, request, run_test, wait_until};
+use super::support::{TestServer, request, run_test, run_test_with_peer, wait_until};
 use std::io::ErrorKind;
 use std::time::Duration as StdDuration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -10,9 +10,7 @@
 /// discard answers that the peer has not read yet.
 #[test]
 fn delivers_last_answers_before_unread_input() {
-    run_test(async {
-        let server = TestServer::new(8).await;
-        let mut peer = server.connect_checked().await;
+    run_test_with_peer(async |_server, mut peer| {
         let flood = "x".repeat(60_000);
         peer.send_at_once(&(request(2, "quote", 1) + &flood));
         let received = peer.read_to_end().await.expect("an end, no reset");
@@ -27,9 +25,7 @@
 /// The input that is read after the shutdown of a connection is bounded.
 #[test]
 fn stops_reading_peer_that_never_ends() {
-    run_test(async {
-        let server = TestServer::new(8).await;
-        let mut peer = server.connect_checked().await;
+    run_test_with_peer(async |server, mut peer| {
         peer.send(&"x".repeat(30_000)).await;
         let is_open = || server.core.borrow().connection_count() > 0;
         let mut sent = 0;
@@ -50,9 +46,7 @@
 /// A request that arrives after the shutdown is not run, and the connection is not reset.
 #[test]
 fn ignores_request_that_crosses_end_of_connection() {
-    run_test(async {
-        let server = TestServer::new(8).await;
-        let mut peer = server.connect_checked().await;
+    run_test_with_peer(async |server, mut peer| {
         server.core.borrow_mut().close_connections();
         assert_eq!(peer.next_line().await, "");
         peer.send(&request(2, "quote", 1)).await;
--- a/crates/server/tests/crossings/requests_before_end.rs
+++ b/crates/server/tests/crossings/requests_before_end.rs
@@ -1,6 +1,6 @@
 //! Requests that were received before their connection was to end are answered on it.
 
-use super::support::{TestServer, request, run_test, wait_until};
+use super::support::{TestServer, request, run_test_with_peer, wait_until};
 use madderbay::time::{Duration, Timestamp};
 
 /// Has a server close connections that were idle for 200 ms, which are notified first; gives the instant of its next
@@ -17,9 +17,7 @@
 /// A request that had arrived when its connection was evicted is answered there.
 #[test]
 fn answers_request_received_before_eviction() {
-    run_test(async {
-        let server = TestServer::new(8).await;
-        let mut peer = server.connect_checked().await;
+    run_test_with_peer(async |server, mut peer| {
         peer.send_at_once(&request(2, "quote", 1));
         assert!(
             server
@@ -36,9 +34,7 @@
 /// A request that had arrived when its idle connection was closed, one second after the notice, is answered there.
 #[test]
 fn answers_request_received_before_idle_close() {
-    run_test(async {
-        let server = TestServer::new(8).await;
-        let mut peer = server.connect_checked().await;
+    run_test_with_peer(async |server, mut peer| {
         let check_at = server.clock.now() + Duration::from_millis(300);
         let close_at = check_idle_connections(&server, check_at).expect("notified first");
         assert!(peer.next_line().await.contains("leaving"));
@@ -59,9 +55,7 @@
 /// A request that had arrived when all connections were closed at the end of a drain is answered there.
 #[test]
 fn answers_request_received_before_end_of_drain() {
-    run_test(async {
-        let server = TestServer::new(8).await;
-        let mut peer = server.connect_checked().await;
+    run_test_with_peer(async |server, mut peer| {
         server.begin_drain();
         assert!(peer.next_line().await.contains("leaving"));
         assert!(server.core.borrow().is_quiescent());
@@ -74,9 +68,7 @@
 /// A line begun before the drain and completed within its grace period is a request like any other of that time.
 #[test]
 fn reads_rest_of_line_begun_before_drain() {
-    run_test(async {
-        let server = TestServer::new(8).await;
-        let mut peer = server.connect_checked().await;
+    run_test_with_peer(async |server, mut peer| {
         let line = request(2, "quote", 1);
         let (half, rest) = line.split_at(40);
         peer.send_behind_health_check(half).await;
@@ -91,9 +83,7 @@
 /// An incomplete line protects its connection from eviction and from the limit on idling, for a bounded time.
 #[test]
 fn waits_for_rest_of_incomplete_line() {
-    run_test(async {
-        let server = TestServer::new(8).await;
-        let mut peer = server.connect_checked().await;
+    run_test_with_peer(async |server, mut peer| {
         let line = request(2, "quote", 1);
         let (half, rest) = line.split_at(40);
         peer.send_behind_health_check(half).await;
--- a/crates/server/tests/crossings/resources.rs
+++ b/crates/server/tests/crossings/resources.rs
@@ -1,6 +1,8 @@
 //! What requests, calls and connections take: memory, descriptors and delay.
 
-use super::support::{TestServer, attempt_name, request, request_with_body, run_test, wait_until};
+use super::support::{
+    TestServer, attempt_name, request, request_with_body, run_test, run_test_with_peer, wait_until,
+};
 use madderbay_server::support::io::{Outbox, drive, drive_peer};
 use madderbay_server::upstream::calls;
 use madderbay_server::upstream::engine::EngineObserver as _;
@@ -12,9 +14,7 @@
 /// The longest body with every character escaped is forwarded as it was received.
 #[test]
 fn forwards_fully_escaped_body_unchanged() {
-    run_test(async {
-        let server = TestServer::new(8).await;
-        let mut peer = server.connect_checked().await;
+    run_test_with_peer(async |server, mut peer| {
         let bytes = format!("\"{}\"", "\\u0041".repeat(2_732));
         peer.send(&request_with_body(2, "quote", 1, &bytes)).await;
         wait_until(|| server.core.borrow().in_flight_count() == 1).await;
--- a/crates/server/tests/crossings/support.rs
+++ b/crates/server/tests/crossings/support.rs
@@ -35,6 +35,15 @@
     });
 }
 
+/// Runs a test with a server that keeps eight connections, one of which is the test's.
+pub(crate) fn run_test_with_peer(test: impl AsyncFnOnce(TestServer, Peer)) {
+    run_test(async {
+        let server = TestServer::new(8).await;
+        let peer = server.connect_checked().await;
+        test(server, peer).await;
+    });
+}
+
 /// A server's core behind a listener, with an engine that is up and completes no run by itself.
 pub(crate) struct TestServer {
     pub core: SharedEventLoop,
