--- a/crates/testkit/src/catalogue.rs
+++ b/crates/testkit/src/catalogue.rs
@@ -21,7 +21,7 @@
 
 /// The shortest time for which work is accounted.
 const TIME_SLICE: Duration = Duration::from_millis(1);
-/// The wait for an event while no call is in flight.
+/// The longest wait for an event.
 const IDLE_WAIT: Duration = Duration::from_millis(100);
 /// The time between two samples of the calls in flight, in milliseconds.
 const SAMPLE_MS: u128 = 10;
@@ -194,26 +194,38 @@
         let started = Instant::now();
         let mut worked = started;
         loop {
-            let idle = self.calls.is_empty();
-            let event = received.recv_timeout(if idle { IDLE_WAIT } else { TIME_SLICE });
-            if idle {
+            let event = received.recv_timeout(self.next_finish());
+            self.sample(started);
+            // The time up to the event is that of the calls before it.
+            let passed = worked.elapsed();
+            if passed >= TIME_SLICE || self.calls.is_empty() {
                 worked = Instant::now();
-                self.sample(started);
+                self.work(passed.as_secs_f64());
             }
             match event {
                 Ok(event) => self.handle(event),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            let passed = worked.elapsed();
-            if passed >= TIME_SLICE {
-                worked = Instant::now();
-                self.work(passed.as_secs_f64());
-            }
-            self.sample(started);
         }
     }
 
+    /// The time until a call is finished, if no event comes before: the thread sleeps until then, so that many
+    /// catalogues leave the machine to the servers.
+    fn next_finish(&self) -> Duration {
+        let times = match self.behavior {
+            _ if self.calls.is_empty() => return IDLE_WAIT,
+            Behavior::Silent => return IDLE_WAIT,
+            Behavior::Fails | Behavior::TurnsAway | Behavior::Resets => return TIME_SLICE,
+            Behavior::Slow(times) => times,
+            Behavior::Dribbles => 1.0,
+        };
+        let in_slots = self.calls.iter().take(self.slots);
+        let remaining = in_slots.map(|call| call.remaining).fold(1.0, f64::min);
+        let wait = self.call_duration.mul_f64(remaining.max(0.0) * times);
+        wait.clamp(TIME_SLICE, IDLE_WAIT)
+    }
+
     /// Samples the calls in flight up to now.
     fn sample(&mut self, started: Instant) {
         let samples = (started.elapsed().as_millis() / SAMPLE_MS) as usize;
--- a/crates/testkit/src/engine/core_pool.rs
+++ b/crates/testkit/src/engine/core_pool.rs
@@ -12,7 +12,7 @@
 
 /// The shortest time for which work is accounted.
 const TIME_SLICE: Duration = Duration::from_millis(1);
-/// The wait for an event while nothing runs.
+/// The longest wait for an event.
 const IDLE_WAIT: Duration = Duration::from_millis(100);
 /// Notices that are retained for the next connection.
 const MAX_RETAINED_NOTICES: usize = 4_000;
@@ -75,24 +75,41 @@
     pub(super) fn run(mut self, received: &Receiver<Event>, lines: &Sender<Event>) {
         let mut worked = Instant::now();
         loop {
-            let idle = self.runs.is_empty();
-            let event = received.recv_timeout(if idle { IDLE_WAIT } else { TIME_SLICE });
-            if idle {
+            let event = received.recv_timeout(self.next_step());
+            // The time up to the event is that of the runs before it.
+            let passed = worked.elapsed();
+            if passed >= TIME_SLICE || self.working_runs() == 0 {
                 worked = Instant::now();
+                self.work(passed.as_secs_f64() * 1e3);
             }
             match event {
                 Ok(event) => self.handle(event, lines),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            let passed = worked.elapsed();
-            if passed >= TIME_SLICE {
-                worked = Instant::now();
-                self.work(passed.as_secs_f64() * 1e3);
-            }
         }
     }
 
+    /// The time until a run makes its call or ends, if no event comes before: the thread sleeps until then, so that
+    /// many engines leave the machine to the servers.
+    fn next_step(&self) -> Duration {
+        let working = self.runs.values().filter(|r| r.state == RunState::Working);
+        let least_ms = working
+            .map(|run| run.remaining_ms - run.call_at_remaining_ms.unwrap_or(0.0))
+            .min_by(f64::total_cmp);
+        let Some(least_ms) = least_ms else {
+            return IDLE_WAIT;
+        };
+        let wait_ms = least_ms.max(0.0) / self.cores_per_run();
+        Duration::from_secs_f64(wait_ms / 1e3).clamp(TIME_SLICE, IDLE_WAIT)
+    }
+
+    /// The even part of the cores that each working run has, one core at most.
+    fn cores_per_run(&self) -> f64 {
+        let working = self.working_runs().max(1) as f64;
+        (self.cores / working).min(1.0)
+    }
+
     fn working_runs(&self) -> usize {
         self.runs
             .values()
@@ -102,8 +119,7 @@
 
     /// Gives each working run its even part of the cores, one core at most.
     fn work(&mut self, ms: f64) {
-        let working = self.working_runs().max(1) as f64;
-        let each_ms = ms * (self.cores / working).min(1.0);
+        let each_ms = ms * self.cores_per_run();
         let (mut finished, mut calling) = (vec![], vec![]);
         for (name, run) in &mut self.runs {
             if run.state != RunState::Working {
--- a/crates/testkit/src/load_balancer.rs
+++ b/crates/testkit/src/load_balancer.rs
@@ -28,7 +28,7 @@
 use std::time::{Duration, Instant};
 
 /// What one step of the loop counts at most towards the wait for answers, so that a stall of this process is no wait.
-/// A step without an event takes about a millisecond.
+/// A step without an event takes [`MAX_RECEIVE_TIME`].
 const MAX_WAIT_PER_STEP: Duration = Duration::from_millis(10);
 /// The time between two attempts to connect with a server that is gone.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(50);
@@ -38,6 +38,8 @@
 const REJECTED: i64 = -32002;
 /// The shortest time for which answers are awaited between two sendings.
 const MIN_RECEIVE_TIME: Duration = Duration::from_millis(1);
+/// The longest time for which answers are awaited in one step, so that a caller is called a few hundred times a second.
+const MAX_RECEIVE_TIME: Duration = Duration::from_millis(4);
 
 /// Requests of one handler.
 #[derive(Clone, Debug)]
@@ -314,9 +316,10 @@
         });
     }
 
-    /// Takes in what the server has sent; waits for it a short time.
+    /// Takes in what the server has sent; waits for it until the next request is due, but a short time at most.
     fn receive(&mut self, answered: &mut impl FnMut(&str)) {
-        let mut wait = MIN_RECEIVE_TIME;
+        let until_next = self.next.saturating_sub(self.began.elapsed());
+        let mut wait = until_next.clamp(MIN_RECEIVE_TIME, MAX_RECEIVE_TIME);
         while let Ok(received) = self.received.recv_timeout(wait) {
             wait = Duration::ZERO;
             if let Received::Line {
