--- a/crates/server/tests/durable_results/crash.rs
+++ b/crates/server/tests/durable_results/crash.rs
@@ -1,8 +1,9 @@
 //! Kills at many points: during recovery, and between intent, run, result, sync and answer.
 
 use super::support::{
-    LONG_WINDOW_MICROS, TestSetup, assert_nothing_runs, booking, completed, connect, kill, program,
+    LONG_WINDOW_MICROS, TestSetup, assert_nothing_runs, booking, completed, connect, kill,
 };
+use crate::program::program;
 use madderbay_testkit::engine::{Engine, HandlerWork};
 use madderbay_testkit::peer::Peer;
 use std::io::BufRead;
@@ -15,8 +16,7 @@
 #[test]
 fn loses_nothing_when_killed_during_recovery() {
     let setup = TestSetup::new(LONG_WINDOW_MICROS, "");
-    let (server, mut engine) = setup.start();
-    let mut client = connect(&server);
+    let (server, mut engine, mut client) = setup.start_with_client();
     for (id, key) in [(1, "5"), (2, "6")] {
         client.say(&booking(id, id, key, "QUJD"));
         assert!(engine.command().contains("\"RUN\""));
@@ -25,8 +25,7 @@
     assert!(client.line().contains("WFla"));
     kill(server, engine);
     kill_during_recoveries(&setup);
-    let (server, mut engine) = setup.start();
-    let mut client = connect(&server);
+    let (_server, mut engine, mut client) = setup.start_with_client();
     client.say(&booking(1, 11, "5", "QUJD"));
     assert!(client.line().contains("WFla"));
     client.say(&booking(2, 12, "6", "QUJD"));
@@ -62,18 +61,14 @@
 fn runs_each_key_once_when_killed_at_any_moment() {
     let mut chance = oorandom::Rand64::new(11);
     for history in 0..20u32 {
-        play_history(history, &mut chance);
+        run_history(history, &mut chance);
     }
 }
 
 /// Three incarnations over one engine, of which the first two are killed.
-fn play_history(history: u32, chance: &mut oorandom::Rand64) {
+fn run_history(history: u32, chance: &mut oorandom::Rand64) {
     let mut setup = TestSetup::new(LONG_WINDOW_MICROS, "");
-    let works = vec![HandlerWork {
-        handler: "book".into(),
-        ms: (1.0, 8.0),
-        calls: false,
-    }];
+    let works = vec![HandlerWork::new("book", (1.0, 8.0), false)];
     let engine = Engine::start(4.0, works, u64::from(history));
     let listener = setup.engine.local_addr().expect("an address").to_string();
     setup.config = setup.config.replace(&listener, &engine.address.to_string());
--- a/crates/server/tests/durable_results/directory.rs
+++ b/crates/server/tests/durable_results/directory.rs
@@ -1,6 +1,7 @@
 //! The directory of results: which cannot be used, and what the command line reports of one.
 
-use super::support::{LONG_WINDOW_MICROS, TestSetup, booking, complete_booking, connect, program};
+use super::support::{LONG_WINDOW_MICROS, TestSetup, booking, complete_booking};
+use crate::program::program;
 use std::process::Command;
 
 /// Starts the program, which has to refuse its directory; gives the line that says why.
@@ -56,8 +57,7 @@
 #[test]
 fn reports_contents_of_directory_in_use() {
     let setup = TestSetup::new(LONG_WINDOW_MICROS, "");
-    let (server, mut engine) = setup.start();
-    let mut client = connect(&server);
+    let (_server, mut engine, mut client) = setup.start_with_client();
     complete_booking(&mut client, &mut engine);
     client.say(&booking(2, 2, "6", "QUJD"));
     assert!(engine.command().contains("\"RUN\""));
--- a/crates/server/tests/durable_results/main.rs
+++ b/crates/server/tests/durable_results/main.rs
@@ -5,5 +5,7 @@
 mod common;
 mod crash;
 mod directory;
+#[path = "../common/program.rs"]
+mod program;
 mod restart;
 mod support;
--- a/crates/server/tests/durable_results/restart.rs
+++ b/crates/server/tests/durable_results/restart.rs
@@ -16,8 +16,7 @@
 #[test]
 fn result_survives_restart() {
     let setup = TestSetup::new(LONG_WINDOW_MICROS, "");
-    let (server, mut engine) = setup.start();
-    let mut client = connect(&server);
+    let (server, mut engine, mut client) = setup.start_with_client();
     complete_booking(&mut client, &mut engine);
     kill(server, engine);
     let (server, mut engine) = setup.start();
@@ -45,8 +44,7 @@
 #[test]
 fn never_reruns_attempt_that_may_have_run() {
     let setup = TestSetup::new(LONG_WINDOW_MICROS, "");
-    let (server, mut engine) = setup.start();
-    let mut client = connect(&server);
+    let (server, mut engine, mut client) = setup.start_with_client();
     client.say(&booking(1, 1, "5", "QUJD"));
     client.say(&booking(2, 2, "6", "QUJD"));
     assert!(engine.command().contains("\"RUN\"") && engine.command().contains("\"RUN\""));
@@ -72,8 +70,7 @@
 
 /// One incarnation in which the retries of the keys 5 and 6 fail and nothing runs.
 fn assert_retries_fail(setup: &TestSetup) {
-    let (server, mut engine) = setup.start();
-    let mut client = connect(&server);
+    let (server, mut engine, mut client) = setup.start_with_client();
     for (id, key) in [(1, "5"), (2, "6")] {
         client.say(&booking(id, 10 + id, key, "QUJD"));
         assert!(client.line().contains("\"error\":{\"code\":-32001"));
@@ -104,8 +101,7 @@
 #[test]
 fn runs_retry_of_attempt_that_engine_declined() {
     let setup = TestSetup::new(LONG_WINDOW_MICROS, "");
-    let (server, mut engine) = setup.start();
-    let mut client = connect(&server);
+    let (server, mut engine, mut client) = setup.start_with_client();
     client.say(&booking(1, 1, "5", "QUJD"));
     assert!(engine.command().contains("\"RUN\""));
     engine.say("{\"msg\":\"NO\",\"how\":\"RUN\",\"call\":\"0000000000000001\"}\n");
@@ -114,8 +110,7 @@
     client.say(&booking(2, 2, "6", "QUJD"));
     assert!(engine.command().contains("\"RUN\""));
     kill(server, engine);
-    let (server, mut engine) = setup.start();
-    let mut client = connect(&server);
+    let (_server, mut engine, mut client) = setup.start_with_client();
     client.say(&booking(1, 3, "5", "QUJD"));
     assert!(
         engine
@@ -174,13 +169,11 @@
 fn result_survives_window_that_ends_during_restart() {
     const WINDOW: Duration = Duration::from_millis(100);
     let setup = TestSetup::new(WINDOW.as_micros() as u64, "");
-    let (server, mut engine) = setup.start();
-    let mut client = connect(&server);
+    let (server, mut engine, mut client) = setup.start_with_client();
     complete_booking(&mut client, &mut engine);
     kill(server, engine);
     std::thread::sleep(WINDOW + WINDOW / 2);
-    let (server, mut engine) = setup.start();
-    let mut client = connect(&server);
+    let (_server, mut engine, mut client) = setup.start_with_client();
     client.say(&booking(1, 2, "5", "QUJD"));
     assert!(client.line().contains("WFla"));
     assert_nothing_runs(&mut engine, &mut client, 99);
--- a/crates/server/tests/durable_results/support.rs
+++ b/crates/server/tests/durable_results/support.rs
@@ -1,11 +1,12 @@
 //! What the tests of durable results share: the program over one directory of results, and the lines exchanged.
 
 use crate::common::SETTINGS;
+use crate::program::program;
 use madderbay_testkit::peer::{Peer, loopback_listener};
 use madderbay_testkit::server::{Dependencies, Server, configuration, write_config};
 use madderbay_testkit::{registry, unix_ms};
 use std::net::{TcpListener, TcpStream};
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::sync::mpsc::Receiver;
 
 /// Window of an idempotency key that no test outlasts, in microseconds.
@@ -22,11 +23,6 @@
     _reports: Receiver<String>,
 }
 
-/// The program under test.
-pub(crate) fn program() -> &'static Path {
-    Path::new(env!("CARGO_BIN_EXE_madderbay"))
-}
-
 impl TestSetup {
     /// An empty directory, with this window for idempotency keys and these further lines of its operator section.
     pub(crate) fn new(window_micros: u64, operator_lines: &str) -> TestSetup {
@@ -71,6 +67,13 @@
         (server, engine)
     }
 
+    /// The same with a connection of a load balancer.
+    pub(crate) fn start_with_client(&self) -> (Server, Peer, Peer) {
+        let (server, engine) = self.start();
+        let client = connect(&server);
+        (server, engine, client)
+    }
+
     /// Starts the program alone.
     pub(crate) fn start_program(&self) -> Server {
         Server::start(program(), &self.config, Some(&self.operator))
--- a/crates/server/tests/fleet.rs
+++ b/crates/server/tests/fleet.rs
@@ -1,27 +1,22 @@
 //! The scripts of faults under `tests/fleet` of the repository on real processes, whose datagrams pass through relays.
 
 mod common;
+#[path = "common/program.rs"]
+mod program;
 #[path = "common/script_players.rs"]
 mod script_players;
 
 use madderbay_testkit::engine::HandlerWork;
 use madderbay_testkit::fleet::processes::ProcessFleet;
 use madderbay_testkit::fleet::script::{Action, Script, Step, load_scripts};
+use program::program;
 use std::path::Path;
 
 /// Scripts that are played at the same time: few enough that the machine's cores are never the fault that is tested.
 const PLAYERS: usize = 4;
 
-fn program() -> &'static Path {
-    Path::new(env!("CARGO_BIN_EXE_madderbay"))
-}
-
 fn works() -> Vec<HandlerWork> {
-    let work = |handler: &str, calls| HandlerWork {
-        handler: handler.into(),
-        ms: (2.0, 6.0),
-        calls,
-    };
+    let work = |handler: &str, calls| HandlerWork::new(handler, (2.0, 6.0), calls);
     vec![
         work("search", true),
         work("quote", false),
--- a/crates/server/tests/process/main.rs
+++ b/crates/server/tests/process/main.rs
@@ -4,6 +4,8 @@
 mod common;
 mod connections;
 mod operator_file;
+#[path = "../common/program.rs"]
+mod program;
 mod reload;
 mod serving;
 mod shutdown;
--- a/crates/server/tests/process/operator_file.rs
+++ b/crates/server/tests/process/operator_file.rs
@@ -1,7 +1,8 @@
 //! The complete operator file is checked before anything starts.
 
 use crate::common::SETTINGS;
-use crate::support::{STOP_MS, all_at, program};
+use crate::program::program;
+use crate::support::{STOP_MS, all_at};
 use madderbay_testkit::peer::loopback_listener;
 use madderbay_testkit::server::{command, configuration, write_config};
 
--- a/crates/server/tests/process/startup.rs
+++ b/crates/server/tests/process/startup.rs
@@ -1,9 +1,10 @@
 //! How the program starts: peers that are down or break off, late and wrong configurations, restarts.
 
 use crate::common::SETTINGS;
+use crate::program::program;
 use crate::support::{
     ATTACH_FROM_START, GAUGES, HEALTH_CHECK, HELLO_RUNNING, HELLO_STARTED, LEAVING, PeerListeners,
-    STOP_MS, all_at, completed, connect_to, move_to, others, program, request, start_program,
+    STOP_MS, all_at, completed, connect_to, move_to, others, request, start_program,
     unreachable_address, unreachable_others,
 };
 use madderbay_testkit::peer::{Peer, loopback_listener};
--- a/crates/server/tests/process/support.rs
+++ b/crates/server/tests/process/support.rs
@@ -1,12 +1,12 @@
 //! What the tests of the program share: the program between hand-played peers, and the lines that they exchange.
 
 use crate::common::SETTINGS;
+use crate::program::program;
 use madderbay_testkit::peer::{Peer, loopback_listener};
 use madderbay_testkit::server::{Dependencies, Server as Program, configuration};
 use madderbay_testkit::{registry, unix_ms};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::ops::{Deref, DerefMut};
-use std::path::Path;
 use std::sync::mpsc::Receiver;
 
 /// Milliseconds from SIGTERM to SIGKILL, as the configuration states them.
@@ -89,11 +89,6 @@
     }
 }
 
-/// The program under test.
-pub(crate) fn program() -> &'static Path {
-    Path::new(env!("CARGO_BIN_EXE_madderbay"))
-}
-
 /// A new connection of a load balancer to a program that was started by itself.
 pub(crate) fn connect_to(program: &Program) -> Peer {
     Peer::new(TcpStream::connect(program.address).expect("a connection"))
