--- a/crates/server/tests/known_red.rs
+++ b/crates/server/tests/known_red.rs
@@ -196,15 +196,18 @@
     assert_eq!(run.stdout, expected);
 }
 
+/// Rustdoc splits a name at its spaces, and then passes over every documentation test.
 #[test]
-fn passes_name_with_spaces_as_one_argument() {
-    let list = "src/lib.rs - limits (line 12) | cargo test --doc | panics | #4\n";
-    let run = Repository::listing(list)
-        .failing("src/lib.rs - limits (line 12)\n")
-        .run();
-    assert!(run.succeeded, "{}", run.stderr);
-    let skipping = "[test][--workspace][--][--exact][--skip][src/lib.rs - limits (line 12)]";
-    assert_eq!(run.calls[1], skipping);
+fn rejects_documentation_test() {
+    for name in [
+        "src/lib.rs - limits (line 12)",
+        "budget::holds ",
+        "budget:: holds",
+    ] {
+        let list = format!("startup::binds | c | s | #1\n{name} | c | s | #2\n");
+        let expected = format!("KNOWN-RED.txt:2: '{name}' has a space, which only a documentation");
+        assert_rejects(&list, &expected);
+    }
 }
 
 #[test]
@@ -278,7 +281,6 @@
         ("holds", 0),
         ("budget::hold.", 0),
         ("benches::not_a_test", 0),
-        ("budget::holds ", 0),
         ("every_script", 2),
     ] {
         let list = format!("startup::binds | c | s | #1\n{name} | c | s | #2\n");
@@ -335,6 +337,52 @@
     assert!(run.stdout.contains("KNOWN RED: budget::holds fails\n"));
 }
 
+/// The library of a workspace for cargo itself: a test that fails, one whose name contains that of the former, one whose
+/// name is contained in it, and a documentation test.
+const REAL_LIBRARY: &str = "//! A library.\n//! ```\n//! assert_eq!(1 + 1, 2);\n//! ```\n\
+    #[test]\nfn holds() {\n    panic!();\n}\n#[test]\nfn holds_after_crash() {}\n#[test]\nfn hold() {}\n";
+
+/// Runs the script on [`REAL_LIBRARY`] with cargo itself.
+fn run_with_cargo(list: &str) -> ScriptRun {
+    let repository = Repository::listing(list);
+    fs::remove_file(repository.root.join("bin/cargo")).expect("no stub");
+    let manifest = "[workspace]\n[package]\nname = \"listed\"\nedition = \"2024\"\n";
+    repository.write("Cargo.toml", manifest);
+    fs::create_dir(repository.root.join("src")).expect("a folder");
+    repository.write("src/lib.rs", REAL_LIBRARY);
+    let output = Command::new(repository.root.join(".ci/tests"))
+        .env("CARGO_TARGET_DIR", repository.root.join("target"))
+        .env("CARGO_NET_OFFLINE", "true")
+        .output()
+        .expect("the script runs");
+    ScriptRun::new(&output, &repository.root)
+}
+
+#[test]
+fn cargo_runs_all_tests_but_the_listed_one() {
+    let run = run_with_cargo("holds | cargo test holds | panics | #1\n");
+    assert!(run.succeeded, "{}{}", run.stdout, run.stderr);
+    for expected in [
+        "test hold ... ok\n",
+        "test holds_after_crash ... ok\n",
+        "test result: ok. 2 passed; 0 failed; 0 ignored; 0 measured; 1 filtered out;",
+        "test src/lib.rs - (line 2) ... ok\n",
+        "KNOWN RED: holds fails\n",
+    ] {
+        assert!(run.stdout.contains(expected), "{expected}: {}", run.stdout);
+    }
+    assert!(!run.stdout.contains("test holds ..."), "{}", run.stdout);
+}
+
+#[test]
+fn cargo_fails_where_another_test_fails() {
+    let run = run_with_cargo("hold | cargo test hold | panics | #1\n");
+    assert!(!run.succeeded);
+    assert!(run.stdout.contains("test holds ... FAILED\n"));
+    let passes = "KNOWN RED: hold passes: take it off KNOWN-RED.txt\n";
+    assert!(run.stdout.contains(passes), "{}", run.stdout);
+}
+
 /// The names of this program's own tests that are left with some arguments.
 fn own_tests(arguments: &[&str]) -> Vec<String> {
     let program = std::env::current_exe().expect("this program");
