--- a/crates/server/tests/deploy.rs
+++ b/crates/server/tests/deploy.rs
@@ -1,6 +1,8 @@
 //! The deploy file says what the platform needs of it, whatever is added to the workspace.
 
 mod common;
+#[path = "common/program.rs"]
+mod program;
 
 use madderbay_testkit::engine::Engine;
 use madderbay_testkit::server::{Dependencies, command, configuration, write_config};
@@ -77,7 +79,7 @@
     let run = run.split('"').nth(1).expect("a command");
     assert!(run.starts_with("exec target/release/madderbay"), "{run}");
     assert!(!run.contains([';', '&', '|']), "{run} is one command");
-    let program = Path::new(env!("CARGO_BIN_EXE_madderbay"));
+    let program = program::program();
     let image = std::fs::read(program).expect("the program");
     let loader = b"/ld-linux";
     assert!(
@@ -156,7 +158,7 @@
 /// What the platform refuses the program can't ask for by the C library: it wants none of these symbols.
 #[test]
 fn no_refused_call_is_wanted_of_the_c_library() {
-    let image = std::fs::read(env!("CARGO_BIN_EXE_madderbay")).expect("the program");
+    let image = std::fs::read(program::program()).expect("the program");
     let file = object::File::parse(image.as_slice()).expect("an object file");
     let symbols: BTreeSet<&str> = file
         .dynamic_symbols()
--- a/crates/server/tests/members/datagrams.rs
+++ b/crates/server/tests/members/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams of strangers, and sockets where there is no fleet.
+//! Rejected datagrams, and sockets where there is no fleet.
 
 use crate::machine::{StallMonitor, run_fleet_case};
 use crate::program::program;
--- a/crates/server/tests/members/main.rs
+++ b/crates/server/tests/members/main.rs
@@ -1,4 +1,4 @@
-//! The view of the fleet in the real program: its control socket and command line, datagrams of strangers, and the
+//! The view of the fleet in the real program: its control socket and command line, rejected datagrams, and the
 //! rules of requests while views are wrong.
 
 mod command_line;
--- a/crates/server/tests/routes/ejection.rs
+++ b/crates/server/tests/routes/ejection.rs
@@ -1,19 +1,19 @@
 //! Outlier detection: backends that fail, are silent, reset or are slow are ejected by all servers, and readmitted.
 
 use crate::machine::{StallMonitor, run_fleet_case};
-use crate::support::{BACKENDS, BackendFleet, WELL};
+use crate::support::{BACKENDS, BackendFleet, HEALTHY};
 use madderbay_testkit::catalogue::Behavior;
 
-/// A backend with this behavior is ejected by all, and readmitted once it is well.
+/// A backend with this behavior is ejected by all, and readmitted once it is healthy.
 fn ejects_and_readmits(behavior: Behavior, seed: u64) {
     run_fleet_case(|monitor| {
         let mut fleet = BackendFleet::start(seed, monitor);
         fleet.backends[2].set_behavior(behavior);
         fleet.wait_until_ejected(2, &[]);
-        fleet.backends[2].set_behavior(WELL);
+        fleet.backends[2].set_behavior(HEALTHY);
         fleet.wait_until_readmitted(2);
         let load = fleet.finish();
-        // What may run twice hardly suffers; a booking that may have run fails, and is not made again.
+        // Searches, which may run twice, hardly suffer; a booking that may have run fails, and is not retried.
         assert!(
             load.searches > 0.97 && load.bookings > 0.85,
             "{behavior:?}: {load}"
@@ -52,13 +52,13 @@
     for _ in 0..5 {
         fleet.backends[1].set_behavior(Behavior::Fails);
         fleet.wait_for_calls(50);
-        fleet.backends[1].set_behavior(WELL);
+        fleet.backends[1].set_behavior(HEALTHY);
         fleet.wait_for_calls(50);
     }
     for backend in 0..BACKENDS {
         fleet.backends[backend].set_behavior(Behavior::Resets);
         fleet.wait_for_calls(90);
-        fleet.backends[backend].set_behavior(WELL);
+        fleet.backends[backend].set_behavior(HEALTHY);
         fleet.wait_for_calls(30);
     }
     let load = fleet.finish();
--- a/crates/server/tests/routes/partition.rs
+++ b/crates/server/tests/routes/partition.rs
@@ -2,12 +2,12 @@
 
 use crate::machine::{StallMonitor, run_fleet_case};
 use crate::program::program;
-use crate::support::{BACKENDS, BackendFleet, SERVERS, WELL};
+use crate::support::{BACKENDS, BackendFleet, HEALTHY, SERVERS};
 use madderbay_testkit::catalogue::Behavior;
 use madderbay_testkit::fleet::script::{Action, Fleet};
 use std::process::Command;
 
-/// A server whose own connections are cut finds all backends bad: the others go on as they were.
+/// A server whose own connections are cut has calls fail at all backends: the others go on as they were.
 #[test]
 fn isolated_server_ejects_no_backend_for_others() {
     run_fleet_case(isolates_first_server);
@@ -16,8 +16,8 @@
 fn isolates_first_server(monitor: &StallMonitor) {
     let mut fleet = BackendFleet::start(6, monitor);
     fleet.gates.iter().for_each(|g| g.cut(true));
-    fleet.wait_while("the first to doubt one", |f| {
-        // Most look bad to it, so that it ejects none.
+    fleet.wait_while("calls of the first to fail", |f| {
+        // Calls fail at most of them, so that it ejects none.
         f.missing_at(0, |states| {
             (states.values().filter(|b| b.failures > 0).count() < 3).then(|| format!("{states:?}"))
         })
@@ -74,7 +74,7 @@
     assert!(load.searches > 0.97 && load.bookings > 0.9, "{load}");
 }
 
-/// A backend is well again while the fleet is cut: once the fleet is healed all servers use it in the end, and
+/// A backend is healthy again while the fleet is partitioned: once it is healed all servers use it in the end, and
 /// `madderbay routes` reports all backends.
 #[test]
 fn readmits_backend_over_partition() {
@@ -89,7 +89,7 @@
         .servers
         .act(&Action::Cut(vec![vec![0], vec![1, 2]]))
         .expect("cut");
-    fleet.backends[3].set_behavior(WELL);
+    fleet.backends[3].set_behavior(HEALTHY);
     fleet.wait_until_readmitted(3);
     fleet.servers.act(&Action::Heal).expect("healed");
     assert_cli_reports_backends(&fleet);
--- a/crates/server/tests/routes/retries.rs
+++ b/crates/server/tests/routes/retries.rs
@@ -1,7 +1,7 @@
 //! Retries under a full outage, and calls while the configured backends change.
 
 use crate::machine::{StallMonitor, run_fleet_case};
-use crate::support::{BackendFleet, SERVERS, WELL, backend_section, start_backend};
+use crate::support::{BackendFleet, HEALTHY, SERVERS, backend_section, start_backend};
 use madderbay_testkit::catalogue::Behavior;
 
 /// One first attempt, and the tenth of it that retries may add.
@@ -34,10 +34,10 @@
         calls <= max_calls,
         "{calls} calls for {first_attempts} requests, {max_calls:.0} at the most"
     );
-    all(&fleet, WELL);
+    all(&fleet, HEALTHY);
     let before = fleet.calls_completed();
-    fleet.wait_while("calls to go well again", |f| {
-        (f.calls_completed() - before < 100).then(|| "few went well".into())
+    fleet.wait_while("calls to be completed again", |f| {
+        (f.calls_completed() - before < 100).then(|| "few were completed".into())
     });
     fleet.finish();
 }
--- a/crates/server/tests/routes/support.rs
+++ b/crates/server/tests/routes/support.rs
@@ -25,8 +25,8 @@
 pub(crate) const BACKENDS: usize = 5;
 /// Requests per second and server: three calls a second to each backend.
 const REQUESTS_PER_SECOND: f64 = 20.0;
-/// A backend that is well.
-pub(crate) const WELL: Behavior = Behavior::Slow(1.0);
+/// A healthy backend.
+pub(crate) const HEALTHY: Behavior = Behavior::Slow(1.0);
 
 /// Longest wait for a condition: longer than any ejection.
 const CONDITION_TIMEOUT: Duration = Duration::from_millis(100_000);
@@ -41,7 +41,7 @@
 /// Index of the other handler.
 const SEARCH: usize = 0;
 
-/// How a server judges its backends, by name: the state, the fraction of its weight, and bad calls of late.
+/// How a server judges its backends, by name: the state, the fraction of its weight, and recent failures of its calls.
 pub(crate) type BackendStates = HashMap<String, BackendReport>;
 
 /// What one load sent and, one text for each, how a rule was broken.
@@ -63,7 +63,7 @@
     vec![kind("search", 3.0, false), kind("book", 1.0, true)]
 }
 
-/// A backend that is well.
+/// A healthy backend.
 pub(crate) fn start_backend() -> Catalogue {
     Catalogue::start(100, StdDuration::from_millis(20))
 }
--- a/crates/server/tests/shared/main.rs
+++ b/crates/server/tests/shared/main.rs
@@ -1,9 +1,8 @@
 //! Quotas and counters that the servers of a fleet share, on real processes over one catalogue: never more calls in
-//! flight upstream than the fleet's budget, and the rules of each request meanwhile.
+//! flight upstream than the fleet's quota, and the rules of each request meanwhile.
 
 #[path = "../common/ample_capacity.rs"]
 mod ample_capacity;
-mod budget;
 #[path = "../common/mod.rs"]
 mod common;
 mod counters;
@@ -11,6 +10,7 @@
 mod machine;
 #[path = "../common/program.rs"]
 mod program;
+mod quota;
 #[path = "../common/script_players.rs"]
 mod script_players;
 mod scripts;
--- a/crates/server/tests/shared/budget.rs
+++ b/crates/server/tests/shared/quota.rs
@@ -1,4 +1,4 @@
-//! A fleet's budget of upstream calls.
+//! A fleet's quota of upstream calls.
 
 use crate::ample_capacity::settings;
 use crate::machine::{StallMonitor, run_fleet_case};
@@ -11,15 +11,15 @@
 use madderbay_testkit::fleet::script::{Condition, FleetSetup, QuotaSetup};
 use madderbay_testkit::load_balancer::{Answer, RequestRecord};
 
-/// A budget of one call and work for ten: what finds no capacity in time is rejected before its client gives up, with
-/// a Retry-After; the budget is never exceeded.
+/// A quota of one call and work for ten: what finds no capacity in time is rejected before its client gives up, with
+/// a Retry-After; the quota is never exceeded.
 #[test]
-fn rejects_with_retry_after_for_want_of_budget() {
-    run_fleet_case(loads_fleet_with_budget_of_one);
+fn rejects_with_retry_after_for_want_of_quota() {
+    run_fleet_case(loads_fleet_with_quota_of_one);
 }
 
-fn loads_fleet_with_budget_of_one(monitor: &StallMonitor) {
-    let mut fleet = fleet_with_budget_of_one(monitor);
+fn loads_fleet_with_quota_of_one(monitor: &StallMonitor) {
+    let mut fleet = fleet_with_quota_of_one(monitor);
     fleet.start(1);
     fleet.wait_for(&Condition::Has {
         who: vec![0],
@@ -52,9 +52,9 @@
     assert_eq!(catalogue.peak(), 1);
 }
 
-fn fleet_with_budget_of_one(monitor: &StallMonitor) -> WatchedFleet<'_> {
+fn fleet_with_quota_of_one(monitor: &StallMonitor) -> WatchedFleet<'_> {
     let ms = Duration::from_millis;
-    let budget = QuotaSetup {
+    let quota = QuotaSetup {
         capacity: 1,
         servers: 1,
         slots: true,
@@ -64,7 +64,7 @@
         handlers: "book",
     };
     let setup = FleetSetup {
-        budget: Some(budget),
+        budget: Some(quota),
         ..FleetSetup::of(1)
     };
     let works = [HandlerWork::new("book", (1.0, 3.0), true)];
