--- a/crates/server/tests/crossings/support.rs
+++ b/crates/server/tests/crossings/support.rs
@@ -35,6 +35,15 @@
     });
 }
 
+/// Runs a test with a server that keeps eight connections, one of which is the test's.
+pub(crate) fn run_test_with_peer(test: impl AsyncFnOnce(TestServer, Peer)) {
+    run_test(async {
+        let server = TestServer::new(8).await;
+        let peer = server.connect_checked().await;
+        test(server, peer).await;
+    });
+}
+
 /// A server's core behind a listener, with an engine that is up and completes no run by itself.
 pub(crate) struct TestServer {
     pub core: SharedEventLoop,
@@ -82,6 +91,12 @@
         self.core.borrow_mut().run_turn(self.clock.now());
     }
 
+    /// Begins a drain with a grace period of three seconds.
+    pub(crate) fn begin_drain(&self) {
+        let grace = Duration::from_millis(3_000);
+        self.core.borrow_mut().drain(self.clock.now(), grace);
+    }
+
     /// The engine reports that the run of an attempt has completed.
     pub(crate) fn complete_run(&self, attempt: u64) {
         self.core.borrow_mut().run_ended(
--- a/crates/server/tests/shared/budget.rs
+++ b/crates/server/tests/shared/quota.rs
@@ -1,28 +1,32 @@
-//! A fleet's budget of upstream calls.
+//! A fleet's quota of upstream calls.
 
-use crate::machine::{self, StallMonitor};
-use crate::support::{LoadPlan, WatchedFleet, is_completed, kind, program, send, settings, work};
+use crate::ample_capacity::settings;
+use crate::machine::{StallMonitor, run_fleet_case};
+use crate::program::program;
+use crate::support::{LoadPlan, is_completed, kind, send};
+use crate::watched_fleet::WatchedFleet;
 use madderbay::time::Duration;
+use madderbay_testkit::engine::HandlerWork;
 use madderbay_testkit::fleet::processes::ProcessFleet;
 use madderbay_testkit::fleet::script::{Condition, FleetSetup, QuotaSetup};
 use madderbay_testkit::load_balancer::{Answer, RequestRecord};
 
-/// A budget of one call and work for ten: what finds no capacity in time is rejected before its client gives up, with
-/// a Retry-After; the budget is never exceeded.
+/// A quota of one call and work for ten: what finds no capacity in time is rejected before its client gives up, with
+/// a Retry-After; the quota is never exceeded.
 #[test]
-fn rejects_with_retry_after_for_want_of_budget() {
-    machine::play(play_budget_of_one);
+fn rejects_with_retry_after_for_want_of_quota() {
+    run_fleet_case(loads_fleet_with_quota_of_one);
 }
 
-fn play_budget_of_one(monitor: &StallMonitor) {
-    let mut fleet = fleet_with_budget_of_one(monitor);
+fn loads_fleet_with_quota_of_one(monitor: &StallMonitor) {
+    let mut fleet = fleet_with_quota_of_one(monitor);
     fleet.start(1);
     fleet.wait_for(&Condition::Has {
         who: vec![0],
         least: 1,
         most: 1,
     });
-    let catalogue = fleet.fleet.catalogue(0).clone();
+    let catalogue = fleet.processes.catalogue(0).clone();
     catalogue.peak();
     let plan = LoadPlan {
         per_second: 30.0,
@@ -48,9 +52,9 @@
     assert_eq!(catalogue.peak(), 1);
 }
 
-fn fleet_with_budget_of_one(monitor: &StallMonitor) -> WatchedFleet<'_> {
+fn fleet_with_quota_of_one(monitor: &StallMonitor) -> WatchedFleet<'_> {
     let ms = Duration::from_millis;
-    let budget = QuotaSetup {
+    let quota = QuotaSetup {
         capacity: 1,
         servers: 1,
         slots: true,
@@ -60,12 +64,12 @@
         handlers: "book",
     };
     let setup = FleetSetup {
-        budget: Some(budget),
+        budget: Some(quota),
         ..FleetSetup::of(1)
     };
-    let works = [work("book", (1.0, 3.0), true)];
+    let works = [HandlerWork::new("book", (1.0, 3.0), true)];
     WatchedFleet {
-        fleet: ProcessFleet::new(setup, program(), &settings(), &works, 5),
+        processes: ProcessFleet::new(setup, program(), &settings(), &works, 5),
         monitor,
     }
 }
