--- a/crates/server/tests/durable_results/crash.rs
+++ b/crates/server/tests/durable_results/crash.rs
@@ -2,6 +2,7 @@
 
 use super::support::{
     LONG_WINDOW_MICROS, TestSetup, assert_nothing_runs, booking, completed, connect, kill,
+    start_process,
 };
 use crate::program::program;
 use madderbay_testkit::engine::{Engine, HandlerWork};
@@ -37,11 +38,9 @@
 fn kill_during_recoveries(setup: &TestSetup) {
     let files = setup.write_files();
     for n in 0..12u64 {
-        let mut process = madderbay_testkit::server::command(program(), Some(&files.config))
-            .arg("--operator")
-            .arg(&files.operator)
-            .spawn()
-            .expect("it starts");
+        let mut command = madderbay_testkit::server::command(program(), Some(&files.config));
+        command.arg("--operator").arg(&files.operator);
+        let mut process = start_process(|| command.spawn()).expect("it starts");
         std::thread::sleep(Duration::from_micros(n * 500));
         process
             .kill()
--- a/crates/server/tests/durable_results/directory.rs
+++ b/crates/server/tests/durable_results/directory.rs
@@ -1,19 +1,19 @@
 //! The directory of results: which cannot be used, and what the command line reports of one.
 
-use super::support::{LONG_WINDOW_MICROS, TestSetup, booking, complete_booking};
+use super::support::{LONG_WINDOW_MICROS, TestSetup, booking, complete_booking, start_process};
 use crate::program::program;
 use std::process::Command;
 
 /// Starts the program, which has to refuse its directory; gives the line that says why.
 fn start_error(setup: &TestSetup) -> String {
     let files = setup.write_files();
-    let output = Command::new(program())
+    let mut command = Command::new(program());
+    command
         .env("RELAY_CONFIG", &files.config)
         .env_remove("MADDERBAY_OPERATOR")
         .arg("--operator")
-        .arg(&files.operator)
-        .output()
-        .expect("it runs");
+        .arg(&files.operator);
+    let output = start_process(|| command.output()).expect("it runs");
     files.remove();
     assert_eq!(output.status.code(), Some(2));
     let text = String::from_utf8(output.stderr).expect("text");
@@ -41,11 +41,9 @@
 
 /// The exit status and the output lines of `madderbay kept` with this sub-command.
 fn query_directory(setup: &TestSetup, subcommand: &str) -> (Option<i32>, Vec<String>) {
-    let output = Command::new(program())
-        .args(["kept", subcommand])
-        .arg(&setup.directory)
-        .output()
-        .expect("it runs");
+    let mut command = Command::new(program());
+    command.args(["kept", subcommand]).arg(&setup.directory);
+    let output = start_process(|| command.output()).expect("it runs");
     let text = String::from_utf8([output.stdout, output.stderr].concat()).expect("text");
     (
         output.status.code(),
--- a/crates/server/tests/durable_results/restart.rs
+++ b/crates/server/tests/durable_results/restart.rs
@@ -2,7 +2,7 @@
 
 use super::support::{
     LONG_WINDOW_MICROS, TestSetup, assert_nothing_runs, booking, complete_booking, completed,
-    connect, kill,
+    connect, kill, with_open_directory,
 };
 use madderbay_idempotency_store::record::Record;
 use madderbay_idempotency_store::storage::DirectoryStorage;
@@ -123,7 +123,7 @@
 #[test]
 fn recovers_hundred_thousand_keys() {
     let setup = TestSetup::new(LONG_WINDOW_MICROS, "disk_mb = 64\n");
-    write_hundred_thousand_results(&setup.directory);
+    with_open_directory(|| write_hundred_thousand_results(&setup.directory));
     let (server, _engine) = setup.start();
     let known = "idempotency-store: recovered, requests=100000, records=200000,";
     assert!(server.before[0].contains(known), "{:?}", server.before);
--- a/crates/server/tests/durable_results/support.rs
+++ b/crates/server/tests/durable_results/support.rs
@@ -8,10 +8,31 @@
 use std::net::{TcpListener, TcpStream};
 use std::path::PathBuf;
 use std::sync::mpsc::Receiver;
+use std::sync::{PoisonError, RwLock};
 
 /// Window of an idempotency key that no test outlasts, in microseconds.
 pub(crate) const LONG_WINDOW_MICROS: u64 = 30_000_000;
 
+/// Read while a process is started, and written while this process has a directory of results open: a process that is
+/// started meanwhile has the lock on the directory too, until it runs its own program.
+static OPEN_DIRECTORY: RwLock<()> = RwLock::new(());
+
+/// Starts a process while this one has no directory of results open.
+pub(crate) fn start_process<T>(start: impl FnOnce() -> T) -> T {
+    let _guard = OPEN_DIRECTORY
+        .read()
+        .unwrap_or_else(PoisonError::into_inner);
+    start()
+}
+
+/// Uses a directory of results in this process while no other is started.
+pub(crate) fn with_open_directory<T>(use_it: impl FnOnce() -> T) -> T {
+    let _guard = OPEN_DIRECTORY
+        .write()
+        .unwrap_or_else(PoisonError::into_inner);
+    use_it()
+}
+
 /// A directory of results, an engine's listener, and the files to start the program with.
 pub(crate) struct TestSetup {
     pub directory: PathBuf,
@@ -76,7 +97,7 @@
 
     /// Starts the program alone.
     pub(crate) fn start_program(&self) -> Server {
-        Server::start(program(), &self.config, Some(&self.operator))
+        start_process(|| Server::start(program(), &self.config, Some(&self.operator)))
     }
 
     /// Writes the configuration and the operator file.
--- a/crates/testkit/src/peer.rs
+++ b/crates/testkit/src/peer.rs
@@ -5,19 +5,37 @@
 
 use crate::WAIT_TIMEOUT;
 use std::io::{BufRead, BufReader, Read, Write};
-use std::net::{TcpListener, TcpStream};
+use std::net::{Ipv4Addr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Instant;
 
 /// What a query for the engine's load gauges begins with.
 const GAUGES_QUERY: &str = "{\"msg\":\"STAT\",\"cookie\":";
 
-/// Listens on a free loopback port.
+/// The first of the loopback addresses that listeners take, one each.
+const FIRST_LISTENER_ADDRESS: Ipv4Addr = Ipv4Addr::new(127, 64, 0, 0);
+/// Processes that have a range of such addresses of their own, by their process id.
+const ADDRESS_RANGES: u32 = 64;
+/// Addresses of a range.
+const ADDRESSES_OF_RANGE: u32 = 1 << 16;
+
+/// Listens on a free port of a loopback address that no other listener of this process has.
+///
+/// The port of a listener that has ended is soon given to another. A program that still looks for the former one
+/// would then reach the fake of another test.
 ///
 /// # Panics
 ///
 /// If no port is free.
 pub fn loopback_listener() -> TcpListener {
-    TcpListener::bind("127.0.0.1:0").expect("a free port")
+    TcpListener::bind((next_listener_address(), 0)).expect("a free port")
+}
+
+fn next_listener_address() -> Ipv4Addr {
+    static COUNT: AtomicU32 = AtomicU32::new(0);
+    let range = std::process::id() % ADDRESS_RANGES;
+    let number = 1 + COUNT.fetch_add(1, Ordering::Relaxed) % (ADDRESSES_OF_RANGE - 1);
+    Ipv4Addr::from(u32::from(FIRST_LISTENER_ADDRESS) + range * ADDRESSES_OF_RANGE + number)
 }
 
 /// One end of a connection, with what was read ahead of it.
