--- a/crates/quota/tests/replicated_counter.rs
+++ b/crates/quota/tests/replicated_counter.rs
@@ -16,10 +16,10 @@
 
 /// A fleet of `servers` with one counter, all started and in one view.
 fn settled_fleet(servers: usize, seed: u64) -> SimulatedFleet {
-    let memory = Duration::from_millis(30_000);
+    let down_retention = Duration::from_millis(30_000);
     let setup = FleetSetup {
         window: Some(WINDOW),
-        memory,
+        down_retention,
         ..FleetSetup::of(servers)
     };
     let mut sim = SimulatedFleet::new(setup, seed);
--- a/crates/server/tests/members/shutdown.rs
+++ b/crates/server/tests/members/shutdown.rs
@@ -9,10 +9,10 @@
 fn announces_graceful_shutdown() {
     machine::play(|_| {
         let mut fleet = start_fleet(
-            "servers 3\nstart all\nsettle 20s\ndrain n3\nsees all n3 left 10s\nsettle 10s",
+            "servers 3\nstart all\nsettle 20s\ndrain n3\nview all n3 left 10s\nsettle 10s",
         );
         fleet.act(&Action::Kill(1)).expect("killed");
-        let script = Script::read("end", "servers 3\nsees n1 n2 down 20s").expect("a script");
+        let script = Script::read("end", "servers 3\nview n1 n2 down 20s").expect("a script");
         script.play(&mut fleet).expect("the kill is detected");
     });
 }
--- a/crates/server/tests/members/wrong_views.rs
+++ b/crates/server/tests/members/wrong_views.rs
@@ -5,10 +5,9 @@
 use madderbay_testkit::fleet::script::Script;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-const LOSSY_START: &str =
-    "servers 4\nset memory=2s\nloss 0.1\nspoil 0.05\ndouble 0.1\nstart all\nsettle 30s";
-const FAULTS: &str = "servers 4\ncut n1 n2 | n3 n4\nsees n1 n3 down 20s\nkill n4\nreplay n1\nheal\nstop n2\n\
-    sees n1 n2 suspect 20s\ncontinue n2\nstart n4\noneway n1 > n2 n3 n4\nreplay n1\nheal\nsettle 40s";
+const LOSSY_START: &str = "servers 4\nset down_retention=2s\nloss 0.1\ncorrupt 0.05\nduplicate 0.1\nstart all\nsettle 30s";
+const FAULTS: &str = "servers 4\npartition n1 n2 | n3 n4\nview n1 n3 down 20s\nkill n4\nreplay n1\nheal\nstop n2\n\
+    view n1 n2 suspect 20s\ncontinue n2\nstart n4\noneway n1 > n2 n3 n4\nreplay n1\nheal\nsettle 40s";
 
 /// Each server keeps the rules alone, whatever it believes of the others, while they are cut off, paused and killed,
 /// and datagrams are lost, doubled and spoilt.
--- a/crates/testkit/examples/members/histories.rs
+++ b/crates/testkit/examples/members/histories.rs
@@ -52,7 +52,7 @@
 
 fn play(seed: u64, tally: &Mutex<Tally>) {
     let setup = FleetSetup {
-        memory: Duration::from_millis(2_000),
+        down_retention: Duration::from_millis(2_000),
         ..FleetSetup::of(SERVERS)
     };
     let (mut fleet, settled) = started_fleet(setup, seed);
--- a/crates/testkit/examples/members/hour.rs
+++ b/crates/testkit/examples/members/hour.rs
@@ -20,8 +20,8 @@
 const PAUSE_SEED: u128 = 5;
 
 pub(crate) fn measure() {
-    for (way, minds_itself) in [("ours", true), ("no own health", false)] {
-        let (downs, suspicions) = swim(minds_itself);
+    for (way, local_health_aware) in [("ours", true), ("no own health", false)] {
+        let (downs, suspicions) = swim(local_health_aware);
         println!(
             "{way}: {downs} downs held of the living, {suspicions} suspicions, {MEMBERS} members, {MINUTES} minutes"
         );
@@ -38,9 +38,9 @@
 }
 
 /// Declarations as down, and suspicions.
-fn swim(minds_itself: bool) -> (u64, u64) {
+fn swim(local_health_aware: bool) -> (u64, u64) {
     let setup = FleetSetup {
-        minds_itself,
+        local_health_aware,
         ..FleetSetup::of(MEMBERS)
     };
     let mut fleet = SimulatedFleet::new(setup, FLEET_SEED);
--- a/crates/testkit/examples/members/simulated.rs
+++ b/crates/testkit/examples/members/simulated.rs
@@ -56,11 +56,11 @@
 }
 
 /// The faults of a row over several seeds, with the observers' own health or without.
-fn swim(members: usize, loss: f64, seeds: u64, minds_itself: bool) -> Row {
+fn swim(members: usize, loss: f64, seeds: u64, local_health_aware: bool) -> Row {
     let rows = Mutex::new(Row::default());
     for_each_seed(seeds, THREADS, |seed| {
         let setup = FleetSetup {
-            minds_itself,
+            local_health_aware,
             ..FleetSetup::of(members)
         };
         let mut fleet = SimulatedFleet::new(setup, seed);
--- a/crates/testkit/src/fleet/processes/actions.rs
+++ b/crates/testkit/src/fleet/processes/actions.rs
@@ -1,6 +1,6 @@
 //! Carries out the actions of a script on real processes.
 
-use super::operator_file::{self, BUDGET_SECTION, millis};
+use super::operator_file::{self, QUOTA_SECTION, millis};
 use super::{Node, ProcessFleet};
 use crate::fleet::script::{Action, ActionError};
 use std::path::Path;
@@ -28,7 +28,7 @@
                 self.nodes[*server].demand = *demand;
                 self.renew_load(*server);
             }
-            Action::Budget { server, capacity } => self.set_budget(*server, *capacity)?,
+            Action::SetCapacity { server, capacity } => self.set_capacity(*server, *capacity)?,
             Action::Peak(most) => self.check_peak(*most)?,
             Action::Cut(groups) => {
                 for (number, group) in (1..).zip(groups) {
@@ -77,14 +77,14 @@
         Ok(())
     }
 
-    fn set_budget(&mut self, server: usize, capacity: u32) -> Result<(), ActionError> {
+    fn set_capacity(&mut self, server: usize, capacity: u32) -> Result<(), ActionError> {
         let node = &mut self.nodes[server];
         node.capacity = capacity;
         let path = operator_path(node)?;
         let text = std::fs::read_to_string(path)?;
-        let before = text.split(BUDGET_SECTION).next().unwrap_or_default();
-        let budget = operator_file::budget(&self.setup, node.name, capacity);
-        std::fs::write(path, format!("{before}{budget}"))?;
+        let sections_before = text.split(QUOTA_SECTION).next().unwrap_or_default();
+        let quota = operator_file::quota(&self.setup, node.name, capacity);
+        std::fs::write(path, format!("{sections_before}{quota}"))?;
         node.running()?.signal("-HUP");
         Ok(())
     }
--- a/crates/testkit/src/fleet/processes/conditions.rs
+++ b/crates/testkit/src/fleet/processes/conditions.rs
@@ -1,7 +1,7 @@
 //! Checks conditions on the fleet by what its servers report.
 
 use super::{MembershipReport, ProcessFleet, name};
-use crate::fleet::script::Condition;
+use crate::fleet::script::{Condition, other_observers};
 use madderbay_membership::{Connectivity, MemberState};
 
 /// What a server answered, with its index.
@@ -15,8 +15,15 @@
     pub(super) fn unmet_condition(&self, condition: &Condition) -> Option<String> {
         match condition {
             Condition::Settled => self.unsettled(),
-            Condition::Sees { who, of, state } => self.sees_otherwise(who, *of, *state),
-            Condition::Hears { who, hears } => self.hears_otherwise(who, *hears),
+            Condition::View {
+                observers,
+                member,
+                state,
+            } => self.wrong_state(observers, *member, *state),
+            Condition::Connectivity {
+                servers,
+                connectivity,
+            } => self.wrong_connectivity(servers, *connectivity),
             Condition::Has { who, least, most } => who
                 .iter()
                 .filter(|server| self.nodes[**server].answers())
@@ -24,7 +31,7 @@
             Condition::Uses { who, least } => {
                 let reports = who.iter().filter_map(|server| self.quota(*server));
                 let used: u32 = reports.map(|report| report.in_use).sum();
-                (used < *least).then(|| format!("{used} calls are in hand, not {least}"))
+                (used < *least).then(|| format!("{used} calls are in flight, not {least}"))
             }
         }
     }
@@ -45,30 +52,26 @@
         })
     }
 
-    fn sees_otherwise(
+    fn wrong_state(
         &self,
-        servers: &[usize],
-        of: usize,
+        observers: &[usize],
+        member: usize,
         state: Option<MemberState>,
     ) -> Option<String> {
-        let wanted = state.map(|state| state.to_string());
-        // Among several servers the one that is looked at is left out.
-        let observers: Vec<usize> = servers
-            .iter()
-            .copied()
-            .filter(|server| servers.len() == 1 || *server != of)
-            .collect();
-        self.find_wrong(&observers, |server, report| {
-            let seen = report.states.get(&name(of));
-            (seen != wanted.as_ref())
-                .then(|| format!("{} sees {} {seen:?}", name(server), name(of)))
+        let expected = state.map(|state| state.to_string());
+        let observers: Vec<usize> = other_observers(observers, member).collect();
+        self.find_wrong(&observers, |observer, report| {
+            let reported = report.states.get(&name(member));
+            (reported != expected.as_ref())
+                .then(|| format!("{} reports {} {reported:?}", name(observer), name(member)))
         })
     }
 
-    fn hears_otherwise(&self, servers: &[usize], hears: Connectivity) -> Option<String> {
+    fn wrong_connectivity(&self, servers: &[usize], expected: Connectivity) -> Option<String> {
         self.find_wrong(servers, |server, report| {
-            (report.hears != hears.to_string())
-                .then(|| format!("{} hears {}", name(server), report.hears))
+            let reported = report.connectivity;
+            (reported != Some(expected))
+                .then(|| format!("{} reports its connectivity {reported:?}", name(server)))
         })
     }
 
@@ -118,16 +121,16 @@
             .map(|other| name(self.nodes[other.server].name))
             .collect();
         present.sort();
-        let mut held: Vec<String> = report
+        let mut in_view: Vec<String> = report
             .states
             .iter()
             .filter(|(_, state)| !["down", "left"].contains(&state.as_str()))
             .map(|(member, _)| member.clone())
             .collect();
-        held.sort();
-        if held != present {
+        in_view.sort();
+        if in_view != present {
             return Some(format!(
-                "{} holds {held:?} in, not {present:?}",
+                "{} has {in_view:?} in its view, not {present:?}",
                 name(*server)
             ));
         }
@@ -136,12 +139,12 @@
             .iter()
             .find(|(_, state)| *state == "suspect" || *state == "joining");
         if let Some((member, state)) = unsettled {
-            return Some(format!("{} holds {member} {state}", name(*server)));
+            return Some(format!("{} reports {member} {state}", name(*server)));
         }
         let mut others = connected();
         let different = others.find(|other| other.report.digest != report.digest)?;
         Some(format!(
-            "{} and {} differ",
+            "the views of {} and {} differ",
             name(*server),
             name(different.server)
         ))
--- a/crates/testkit/src/fleet/processes/operator_file.rs
+++ b/crates/testkit/src/fleet/processes/operator_file.rs
@@ -5,8 +5,8 @@
 use madderbay::time::Duration;
 use std::path::Path;
 
-/// The section that begins what [`budget`] writes.
-pub(super) const BUDGET_SECTION: &str = "[shared]";
+/// The section that begins what [`quota`] writes.
+pub(super) const QUOTA_SECTION: &str = "[shared]";
 
 pub(super) fn millis(duration: Duration) -> u64 {
     duration.as_micros() / 1_000
@@ -30,30 +30,30 @@
         relays.addresses[index],
         join.join(", "),
         setup.zones[index],
-        setup.most,
+        setup.max_members,
         millis(setup.probe),
         millis(setup.suspicion),
-        (millis(setup.memory) / 1_000).max(1),
+        (millis(setup.down_retention) / 1_000).max(1),
         control_socket.display(),
     )
 }
 
-/// The section of a budget with this capacity; empty without a budget.
-pub(super) fn budget(setup: &FleetSetup, name: usize, capacity: u32) -> String {
-    let Some(budget) = &setup.budget else {
+/// The sections of a quota with this capacity; empty without a quota.
+pub(super) fn quota(setup: &FleetSetup, name: usize, capacity: u32) -> String {
+    let Some(quota) = &setup.budget else {
         return String::new();
     };
-    let slot = if budget.slots {
+    let slot = if quota.slots {
         format!("seat = {}\n", name + 1)
     } else {
         String::new()
     };
     format!(
-        "{BUDGET_SECTION}\nenabled = on\n{slot}[budget below]\nhandlers = {}\ncalls = {capacity}\nservers = {}\n\
+        "{QUOTA_SECTION}\nenabled = on\n{slot}[budget below]\nhandlers = {}\ncalls = {capacity}\nservers = {}\n\
          lease_ms = {}\nlongest_ms = {}\n",
-        budget.handlers,
-        budget.servers,
-        millis(budget.lease),
-        millis(budget.max_call)
+        quota.handlers,
+        quota.servers,
+        millis(quota.lease),
+        millis(quota.max_call)
     )
 }
--- a/crates/testkit/src/fleet/processes/reports.rs
+++ b/crates/testkit/src/fleet/processes/reports.rs
@@ -1,6 +1,7 @@
 //! What servers report at their control sockets.
 
 use super::{Node, ProcessFleet, name};
+use madderbay_membership::Connectivity;
 use serde_json::Value;
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Write};
@@ -13,17 +14,17 @@
 /// A server's view of the fleet.
 #[derive(Clone, Debug)]
 pub struct MembershipReport {
-    /// What it receives of the fleet: `whole`, `part` or `alone`.
-    pub hears: String,
+    /// How much of the fleet it receives from; `None` for a word that no server should report.
+    pub connectivity: Option<Connectivity>,
     /// The digest of its view.
     pub digest: String,
-    /// The number of other members that it holds active.
+    /// The number of other members that are not down.
     pub active: usize,
     /// The state of each member by its name.
     pub states: HashMap<String, String>,
 }
 
-/// A server's part of the budget, in calls.
+/// A server's part of the quota, in calls.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaReport {
     /// What it may use now.
@@ -31,9 +32,9 @@
     /// What it has in flight.
     pub in_use: u32,
     /// Its base quota.
-    pub own: u32,
-    /// What it has work for.
-    pub wants: u32,
+    pub base_quota: u32,
+    /// What it has demand for.
+    pub demand: u32,
 }
 
 /// What one server says of one of its backends.
@@ -54,7 +55,7 @@
         let (head, members) = lines.split_first()?;
         let text = |value: &Value| value.as_str().unwrap_or_default().to_string();
         Some(MembershipReport {
-            hears: text(&head["hears"]),
+            connectivity: connectivity(&head["hears"]),
             digest: text(&head["digest"]),
             active: head["active"].as_u64()? as usize,
             states: members
@@ -64,16 +65,16 @@
         })
     }
 
-    /// A server's part of the budget; `None` where it does not answer or has no budget.
+    /// A server's part of the quota; `None` where it does not answer or has no quota.
     pub fn quota(&self, server: usize) -> Option<QuotaReport> {
         let lines = self.query(server, "shared")?;
-        let budget = lines.iter().find(|line| line["whole"].is_u64())?;
-        let units = |key: &str| budget[key].as_u64().map(|units| units as u32);
+        let quota = lines.iter().find(|line| line["whole"].is_u64())?;
+        let units = |key: &str| quota[key].as_u64().map(|units| units as u32);
         Some(QuotaReport {
             usable: units("usable")?,
             in_use: units("in_use")?,
-            own: units("own")?,
-            wants: units("wants")?,
+            base_quota: units("own")?,
+            demand: units("wants")?,
         })
     }
 
@@ -101,17 +102,17 @@
         lines.iter().skip(1).map(backend).collect()
     }
 
-    /// The budget as all servers that answer report it, in one line.
+    /// The quota as all servers that answer report it, in one line.
     pub(super) fn all_quotas(&self) -> String {
         let reports = (0..self.nodes.len()).filter_map(|server| {
             let QuotaReport {
                 usable,
                 in_use,
-                wants,
+                demand,
                 ..
             } = self.quota(server)?;
             let name = name(server);
-            Some(format!("{name} {in_use} of {usable}, work for {wants}"))
+            Some(format!("{name} {in_use} of {usable}, demand {demand}"))
         });
         reports.collect::<Vec<String>>().join("; ")
     }
@@ -121,6 +122,17 @@
     }
 }
 
+/// The connectivity by the word of the operators' interface.
+fn connectivity(word: &Value) -> Option<Connectivity> {
+    let all = [
+        Connectivity::Complete,
+        Connectivity::Partial,
+        Connectivity::Isolated,
+    ];
+    all.into_iter()
+        .find(|connectivity| word.as_str() == Some(connectivity.to_string().as_str()))
+}
+
 impl Node {
     /// The lines of an answer at the control socket; `None` where the server does not answer
     /// completely.
--- a/crates/testkit/src/fleet/processes/start.rs
+++ b/crates/testkit/src/fleet/processes/start.rs
@@ -24,7 +24,7 @@
             clock_ahead_ms,
         );
         let address = datagram_address(&server);
-        self.relays.hears(index, address);
+        self.relays.set_server_address(index, address);
         // Nobody needs its log.
         drop(server.follow());
         let node = &mut self.nodes[index];
@@ -61,7 +61,7 @@
             operator_file::members(&self.setup, index, &self.relays, &node.control_socket);
         text += &self.operator;
         text += &self.each[index];
-        text += &operator_file::budget(&self.setup, name, node.capacity);
+        text += &operator_file::quota(&self.setup, name, node.capacity);
         text
     }
 }
--- a/crates/testkit/src/fleet/relay.rs
+++ b/crates/testkit/src/fleet/relay.rs
@@ -66,8 +66,7 @@
     }
 
     /// A server was started and receives at this address.
-    pub fn hears(&self, server: usize, at: SocketAddr) {
-        let address = at;
+    pub fn set_server_address(&self, server: usize, address: SocketAddr) {
         let _ = self.events.send(Event::ServerAddress { server, address });
     }
 
--- a/crates/testkit/src/fleet/script/action.rs
+++ b/crates/testkit/src/fleet/script/action.rs
@@ -12,9 +12,9 @@
         who: usize,
         /// The index of the server whose name it takes; its own as a rule.
         name: usize,
-        /// How far its Unix clock is off.
+        /// How far its Unix clock is from the true time.
         clock: Duration,
-        /// Whether its clock is late rather than early.
+        /// Whether its clock is behind the true time rather than ahead of it.
         back: bool,
     },
     /// Kills a server.
@@ -29,26 +29,26 @@
     Cut(Vec<Vec<usize>>),
     /// Loses all datagrams from the first server to the others.
     OneWay(usize, Vec<usize>),
-    /// Ends all cuts of both kinds.
+    /// Ends all partitions, those of one direction too.
     Heal,
     /// Sets faults of the network; those that are `None` stay as they are, and all `None` ends them
     /// all.
     Network {
-        /// The part of all datagrams that is lost.
+        /// The fraction of all datagrams that is lost.
         loss: Option<f64>,
-        /// The part that arrives twice.
+        /// The fraction that is duplicated.
         double: Option<f64>,
-        /// The part that has one bit changed.
+        /// The fraction that is corrupted: one bit is changed.
         spoil: Option<f64>,
-        /// The least and the most delay.
+        /// The shortest and the longest delay.
         delay: Option<(Duration, Duration)>,
     },
     /// Sends again the datagrams that were sent to a server.
     Replay(usize),
-    /// From here on a server has work for this many calls at a time.
+    /// From here on a server has demand for this many calls at a time.
     Demand(usize, u32),
-    /// The operator changes the budget at one server, which reloads it.
-    Budget {
+    /// The operator changes the capacity of the quota at one server, which reloads it.
+    SetCapacity {
         /// Which server.
         server: usize,
         /// Calls in flight in the whole fleet.
@@ -64,7 +64,7 @@
 }
 
 impl Action {
-    /// Ends loss, doubling, corruption and delay of datagrams.
+    /// Ends loss, duplication, corruption and delay of datagrams.
     pub const CALM: Action = Action::Network {
         loss: None,
         double: None,
@@ -82,10 +82,10 @@
         }
     }
 
-    /// Loses this part of all datagrams.
-    pub fn loss(part: f64) -> Action {
+    /// Loses this fraction of all datagrams.
+    pub fn loss(fraction: f64) -> Action {
         Action::Network {
-            loss: Some(part),
+            loss: Some(fraction),
             double: None,
             spoil: None,
             delay: None,
@@ -98,23 +98,23 @@
 pub enum Condition {
     /// All servers that run and are connected hold exactly each other alive, with one digest.
     Settled,
-    /// Servers hold another one in a state.
-    Sees {
-        /// Those that hold it.
-        who: Vec<usize>,
-        /// The one whose state it is.
-        of: usize,
-        /// The state; `None` for a member that they don't know.
+    /// A member has this state in the views of some servers.
+    View {
+        /// The servers whose views these are; the member itself is left out among several.
+        observers: Vec<usize>,
+        /// The member.
+        member: usize,
+        /// Its state; `None` if the views don't have it.
         state: Option<MemberState>,
     },
-    /// Servers judge their own connectivity like this.
-    Hears {
+    /// Each server judges its own connectivity like this.
+    Connectivity {
         /// Which servers.
-        who: Vec<usize>,
+        servers: Vec<usize>,
         /// Their judgement.
-        hears: Connectivity,
+        connectivity: Connectivity,
     },
-    /// Each server may use at least and at most this many calls of the budget.
+    /// Each server may use at least and at most this many calls of the quota.
     Has {
         /// Which servers.
         who: Vec<usize>,
@@ -132,6 +132,19 @@
     },
 }
 
+/// The observers of [`Condition::View`] whose views are looked at: among several the member itself
+/// is left out.
+pub(in crate::fleet) fn other_observers(
+    observers: &[usize],
+    member: usize,
+) -> impl Iterator<Item = usize> {
+    let is_alone = observers.len() == 1;
+    observers
+        .iter()
+        .copied()
+        .filter(move |server| is_alone || *server != member)
+}
+
 /// One step of a script.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
--- a/crates/testkit/src/fleet/script/error.rs
+++ b/crates/testkit/src/fleet/script/error.rs
@@ -26,23 +26,26 @@
     /// A whole number.
     #[error("a number is expected")]
     Number,
-    /// A part of all datagrams.
-    #[error("a part from 0 to 1 is expected")]
-    Part,
+    /// A fraction of all datagrams.
+    #[error("a fraction from 0 to 1 is expected")]
+    Fraction,
+    /// Whether something is on.
+    #[error("on or off is expected")]
+    Switch,
     /// The name of one of the servers.
     #[error("a server is expected, as in n1")]
     Server,
     /// The state of a member.
     #[error("a state is expected: joining, alive, suspect, draining, down, left or unknown")]
     State,
-    /// What a server receives of the fleet.
-    #[error("whole, part or alone is expected")]
+    /// How much of the fleet a server receives from.
+    #[error("complete, partial or isolated is expected")]
     Connectivity,
     /// An assignment.
     #[error("KEY=VALUE is expected")]
     Assignment,
     /// A key of `set`.
-    #[error("no such key, or one that needs budget= before it")]
+    #[error("no such key, or one that needs capacity= before it")]
     Key,
     /// The keyword of a line.
     #[error("no such step")]
@@ -68,7 +71,7 @@
     #[error("is for simulated fleets")]
     SimulatedOnly,
     /// More calls than allowed were in flight.
-    #[error("{peak} calls were in hand, more than {most}")]
+    #[error("{peak} calls were in flight, more than {most}")]
     TooManyCalls {
         /// The most calls in flight.
         peak: u64,
@@ -76,7 +79,7 @@
         most: u32,
     },
     /// Servers that ran and were connected were declared down.
-    #[error("{count} were declared down while they lived")]
+    #[error("{count} were declared down while they ran")]
     WronglyDown {
         /// How many.
         count: usize,
--- a/crates/testkit/src/fleet/script/setup.rs
+++ b/crates/testkit/src/fleet/script/setup.rs
@@ -1,16 +1,16 @@
-//! How a fleet is set up before a script plays: its servers, their timing, and a budget of calls.
+//! How a fleet is set up before a script plays: its servers, their timing, and a quota of calls.
 
 use madderbay::time::Duration;
 
 /// The zone of servers that no script puts elsewhere.
 const DEFAULT_ZONE: &str = "north";
 
-/// A budget of calls in flight over the whole fleet, and the calls that are made under it.
+/// A quota of calls in flight in the whole fleet, and the calls that are made under it.
 #[derive(Clone, Debug)]
 pub struct QuotaSetup {
     /// The capacity: calls in flight in the whole fleet.
     pub capacity: u32,
-    /// The number of servers that the budget is for.
+    /// The number of servers that the quota is for.
     pub servers: u32,
     /// Whether each server has a configured slot.
     pub slots: bool,
@@ -20,13 +20,13 @@
     pub max_call: Duration,
     /// The mean time that a call takes.
     pub call: Duration,
-    /// The handlers whose calls are under the budget, as the operator file has them; of real
+    /// The handlers whose calls are under the quota, as the operator file has them; of real
     /// processes only.
     pub handlers: &'static str,
 }
 
 impl QuotaSetup {
-    /// A budget with a capacity for a number of servers, and short leases and calls.
+    /// A quota of a capacity for a number of servers, with short leases and calls.
     pub(super) fn of(capacity: u32, servers: usize) -> QuotaSetup {
         QuotaSetup {
             capacity,
@@ -48,26 +48,26 @@
     /// The zone of each server.
     pub zones: Vec<String>,
     /// How long a member that is down is remembered.
-    pub memory: Duration,
+    pub down_retention: Duration,
     /// How long a member is suspect before it is declared down.
     pub suspicion: Duration,
     /// The time between two probes of a server.
     pub probe: Duration,
     /// The most members that a server holds.
-    pub most: usize,
+    pub max_members: usize,
     /// The servers that each one joins through.
     pub join: Vec<usize>,
-    /// Whether servers take their own health into account; without it they are plain SWIM.
+    /// Whether servers take their local health into account; without it they are plain SWIM.
     /// Simulated only.
-    pub minds_itself: bool,
-    /// The budget of calls, if there is one.
+    pub local_health_aware: bool,
+    /// The quota of calls, if there is one.
     pub budget: Option<QuotaSetup>,
     /// The window over which requests are counted, if they are.
     pub window: Option<Duration>,
 }
 
 impl FleetSetup {
-    /// A fleet with one budget of a capacity for all its servers, whose calls take that long.
+    /// A fleet with one quota of a capacity for all its servers, whose calls take that long.
     pub fn with_budget(servers: usize, capacity: u32, call: Duration) -> FleetSetup {
         let budget = QuotaSetup {
             call,
@@ -79,17 +79,17 @@
         }
     }
 
-    /// A number of servers in one zone that join through the first, without a budget.
+    /// A number of servers in one zone that join through the first, without a quota.
     pub fn of(servers: usize) -> FleetSetup {
         FleetSetup {
             servers,
             zones: FleetSetup::default_zones(servers),
-            memory: Duration::from_millis(60_000),
+            down_retention: Duration::from_millis(60_000),
             suspicion: Duration::from_millis(3_000),
             probe: Duration::from_millis(500),
-            most: 2_000,
+            max_members: 2_000,
             join: vec![0],
-            minds_itself: true,
+            local_health_aware: true,
             budget: None,
             window: None,
         }
--- /dev/null
+++ b/crates/testkit/src/fleet/script/words.rs
@@ -0,0 +1,108 @@
+//! The words of a line: times, numbers, states and servers.
+
+use super::error::Expected;
+use super::setup::FleetSetup;
+use madderbay::time::Duration;
+use madderbay_membership::{Connectivity, MemberState};
+use std::str::FromStr;
+
+const SECONDS_PER_MILLISECOND: f64 = 0.001;
+const STATES: [MemberState; 6] = [
+    MemberState::Joining,
+    MemberState::Alive,
+    MemberState::Suspect,
+    MemberState::Draining,
+    MemberState::Down,
+    MemberState::Left,
+];
+
+/// A word that was not understood, without its place.
+pub(super) struct Unexpected {
+    pub(super) word: String,
+    pub(super) expected: Expected,
+}
+
+pub(super) type Parsed<T> = Result<T, Unexpected>;
+
+pub(super) fn unexpected(word: &str, expected: Expected) -> Unexpected {
+    Unexpected {
+        word: word.into(),
+        expected,
+    }
+}
+
+pub(super) fn time(word: &str) -> Parsed<Duration> {
+    let (number, unit_secs) = match (word.strip_suffix("ms"), word.strip_suffix('s')) {
+        (Some(number), _) => (number, SECONDS_PER_MILLISECOND),
+        (None, Some(number)) => (number, 1.0),
+        (None, None) => return Err(unexpected(word, Expected::Time)),
+    };
+    let number: f64 = number
+        .parse()
+        .map_err(|_| unexpected(word, Expected::Time))?;
+    Ok(Duration::from_secs_f64(number * unit_secs))
+}
+
+pub(super) fn number<T: FromStr>(word: &str) -> Parsed<T> {
+    word.parse().map_err(|_| unexpected(word, Expected::Number))
+}
+
+pub(super) fn fraction(word: &str) -> Parsed<f64> {
+    word.parse()
+        .ok()
+        .filter(|fraction| (0.0..=1.0).contains(fraction))
+        .ok_or_else(|| unexpected(word, Expected::Fraction))
+}
+
+pub(super) fn switch(word: &str) -> Parsed<bool> {
+    match word {
+        "on" => Ok(true),
+        "off" => Ok(false),
+        _ => Err(unexpected(word, Expected::Switch)),
+    }
+}
+
+/// A state, or `None` for a member that is not known.
+pub(super) fn member_state(word: &str) -> Parsed<Option<MemberState>> {
+    if word == "unknown" {
+        return Ok(None);
+    }
+    let state = STATES.into_iter().find(|state| state.to_string() == word);
+    match state {
+        Some(_) => Ok(state),
+        None => Err(unexpected(word, Expected::State)),
+    }
+}
+
+pub(super) fn connectivity(word: &str) -> Parsed<Connectivity> {
+    match word {
+        "complete" => Ok(Connectivity::Complete),
+        "partial" => Ok(Connectivity::Partial),
+        "isolated" => Ok(Connectivity::Isolated),
+        _ => Err(unexpected(word, Expected::Connectivity)),
+    }
+}
+
+/// The index of a server by its name.
+pub(super) fn server(setup: &FleetSetup, word: &str) -> Parsed<usize> {
+    word.strip_prefix('n')
+        .and_then(|number| number.parse::<usize>().ok())
+        .filter(|number| (1..=setup.servers).contains(number))
+        .map(|number| number - 1)
+        .ok_or_else(|| unexpected(word, Expected::Server))
+}
+
+/// The indices of servers by their names and zones, or of all.
+pub(super) fn servers(setup: &FleetSetup, words: &[&str]) -> Parsed<Vec<usize>> {
+    let mut found = vec![];
+    for word in words {
+        if *word == "all" {
+            found.extend(0..setup.servers);
+        } else if setup.zones.iter().any(|zone| zone == word) {
+            found.extend((0..setup.servers).filter(|server| setup.zones[*server] == *word));
+        } else {
+            found.push(server(setup, word)?);
+        }
+    }
+    Ok(found)
+}
--- a/crates/testkit/src/fleet/simulated/actions.rs
+++ b/crates/testkit/src/fleet/simulated/actions.rs
@@ -25,7 +25,7 @@
                 self.nodes[*server].work.demand = *demand;
                 self.start_calls(*server);
             }
-            Action::Budget { server, capacity } => self.set_budget(*server, *capacity),
+            Action::SetCapacity { server, capacity } => self.set_capacity(*server, *capacity),
             Action::Peak(most) => self.check_peak(*most)?,
             Action::Cut(_) | Action::Heal => {
                 self.network.act(action);
@@ -69,7 +69,7 @@
         self.nodes[server].stack = None;
     }
 
-    fn set_budget(&mut self, server: usize, capacity: u32) {
+    fn set_capacity(&mut self, server: usize, capacity: u32) {
         self.nodes[server].work.capacity = Some(capacity);
         let named = self.nodes[server].name;
         let settings = self.quota_settings(server, named);
--- a/crates/testkit/src/fleet/simulated/conditions.rs
+++ b/crates/testkit/src/fleet/simulated/conditions.rs
@@ -1,7 +1,7 @@
 //! Checks conditions on the simulated fleet by looking into its servers.
 
 use super::{SimulatedFleet, name};
-use crate::fleet::script::Condition;
+use crate::fleet::script::{Condition, other_observers};
 use madderbay_membership::{Connectivity, MemberState, Membership, Phase};
 use madderbay_quota::budget::Budget;
 use std::collections::HashMap;
@@ -11,10 +11,17 @@
     pub(super) fn unmet_condition(&self, condition: &Condition) -> Option<String> {
         match condition {
             Condition::Settled => self.unsettled(),
-            Condition::Sees { who, of, state } => self.sees_otherwise(who, *of, *state),
-            Condition::Hears { who, hears } => who
+            Condition::View {
+                observers,
+                member,
+                state,
+            } => self.wrong_state(observers, *member, *state),
+            Condition::Connectivity {
+                servers,
+                connectivity,
+            } => servers
                 .iter()
-                .find_map(|server| self.hears_otherwise(*server, *hears)),
+                .find_map(|server| self.wrong_connectivity(*server, *connectivity)),
             Condition::Has { who, least, most } => who
                 .iter()
                 .find_map(|server| self.quota_outside(*server, *least, *most)),
@@ -23,32 +30,29 @@
                     .iter()
                     .filter_map(|server| self.shared(*server)?.budgets().first());
                 let used: u32 = budgets.map(Budget::in_use).sum();
-                (used < *least).then(|| format!("{used} calls are in hand, not {least}"))
+                (used < *least).then(|| format!("{used} calls are in flight, not {least}"))
             }
         }
     }
 
-    fn sees_otherwise(
+    fn wrong_state(
         &self,
-        servers: &[usize],
-        of: usize,
-        state: Option<MemberState>,
+        observers: &[usize],
+        member: usize,
+        expected: Option<MemberState>,
     ) -> Option<String> {
-        // Among several servers the one that is looked at is left out.
-        let mut observers = servers
-            .iter()
-            .copied()
-            .filter(|server| servers.len() == 1 || *server != of);
-        observers.find_map(|server| {
-            let members = self.nodes[server].active_members()?;
-            let seen = members.member_state(&name(of));
-            (seen != state).then(|| format!("{} sees {} {seen:?}", name(server), name(of)))
+        other_observers(observers, member).find_map(|observer| {
+            let members = self.nodes[observer].active_members()?;
+            let state = members.member_state(&name(member));
+            (state != expected)
+                .then(|| format!("{} reports {} {state:?}", name(observer), name(member)))
         })
     }
 
-    fn hears_otherwise(&self, server: usize, hears: Connectivity) -> Option<String> {
-        let heard = self.nodes[server].active_members()?.connectivity();
-        (heard != hears).then(|| format!("{} hears {heard}", name(server)))
+    fn wrong_connectivity(&self, server: usize, expected: Connectivity) -> Option<String> {
+        let connectivity = self.nodes[server].active_members()?.connectivity();
+        (connectivity != expected)
+            .then(|| format!("{} reports its connectivity {connectivity:?}", name(server)))
     }
 
     fn quota_outside(&self, server: usize, least: u32, most: u32) -> Option<String> {
@@ -88,14 +92,18 @@
             if active + 1 != size {
                 let others = size - 1;
                 return Some(format!(
-                    "{} holds {active} others in, not {others}",
+                    "{} has {active} other members, not {others}",
                     name(server)
                 ));
             }
             let digest = members.digest();
             let first = *digests.entry(partition).or_insert((server, digest));
             if first.1 != digest {
-                return Some(format!("{} and {} differ", name(first.0), name(server)));
+                return Some(format!(
+                    "the views of {} and {} differ",
+                    name(first.0),
+                    name(server)
+                ));
             }
             if members.local_identity().phase == Phase::Joining {
                 return Some(format!("{} is joining", name(server)));
--- a/crates/testkit/src/fleet/simulated/start.rs
+++ b/crates/testkit/src/fleet/simulated/start.rs
@@ -62,12 +62,12 @@
             fleet: FLEET_NAME.into(),
             join: setup.join.iter().map(|server| address(*server)).collect(),
             allowed_networks: AllowedNetworks::new(["127.0.0.0/8".parse().expect("a network")]),
-            max_members: setup.most,
+            max_members: setup.max_members,
             probe_interval: setup.probe,
             probe_timeout: setup.probe.mul_f64(PROBE_TIMEOUT_PART),
             suspicion_timeout: setup.suspicion,
-            down_retention: setup.memory,
-            local_health_aware: setup.minds_itself,
+            down_retention: setup.down_retention,
+            local_health_aware: setup.local_health_aware,
         }
     }
 
--- a/crates/testkit/tests/script.rs
+++ b/crates/testkit/tests/script.rs
@@ -19,13 +19,16 @@
     let kill = |server| Step::Action(Action::Kill(server));
     assert_eq!(steps("kill n2 south"), [kill(1), kill(2)]);
     assert_eq!(steps("kill all"), [kill(0), kill(1), kill(2)]);
-    let budget = |server| {
-        Step::Action(Action::Budget {
+    let set_capacity = |server| {
+        Step::Action(Action::SetCapacity {
             server,
             capacity: 32,
         })
     };
-    assert_eq!(steps("budget n1 n3 32"), [budget(0), budget(2)]);
+    assert_eq!(
+        steps("capacity n1 n3 32"),
+        [set_capacity(0), set_capacity(2)]
+    );
 }
 
 #[test]
@@ -41,13 +44,17 @@
     assert_eq!(steps("start n1"), [start(0, 0, 0.0, false)]);
     assert_eq!(steps("start n1 clock=-300s"), [start(0, 0, 300.0, true)]);
     assert_eq!(steps("start n1 clock=5ms"), [start(0, 0, 0.005, false)]);
-    assert_eq!(steps("namesake n3 n1"), [start(2, 0, 0.0, false)]);
+    assert_eq!(steps("start n3 name=n1"), [start(2, 0, 0.0, false)]);
+    assert_eq!(
+        steps("start n3 name=n1 clock=-5ms"),
+        [start(2, 0, 0.005, true)]
+    );
 }
 
 #[test]
-fn groups_of_a_cut_are_separated_by_bars() {
-    let cut = Action::Cut(vec![vec![0], vec![1, 2]]);
-    assert_eq!(steps("cut n1 | n2 south"), [Step::Action(cut)]);
+fn groups_of_a_partition_are_separated_by_bars() {
+    let partition = Action::Cut(vec![vec![0], vec![1, 2]]);
+    assert_eq!(steps("partition n1 | n2 south"), [Step::Action(partition)]);
     let one_way = Action::OneWay(0, vec![1, 2]);
     assert_eq!(steps("oneway n1 > n2 n3"), [Step::Action(one_way)]);
 }
@@ -56,27 +63,30 @@
 fn a_condition_has_a_term() {
     let within = |condition, ms| [Step::Within(condition, Duration::from_millis(ms))];
     assert_eq!(steps("settle 10s"), within(Condition::Settled, 10_000));
-    let unknown = Condition::Sees {
-        who: vec![0],
-        of: 2,
+    let unknown = Condition::View {
+        observers: vec![0],
+        member: 2,
         state: None,
     };
-    assert_eq!(steps("sees n1 n3 unknown 40ms"), within(unknown, 40));
-    let spares = Condition::Has {
+    assert_eq!(steps("view n1 n3 unknown 40ms"), within(unknown, 40));
+    let at_most = Condition::Has {
         who: vec![0],
         least: 0,
         most: 10,
     };
-    assert_eq!(steps("spares n1 10 3s # at most"), within(spares, 3_000));
+    assert_eq!(
+        steps("quota-at-most n1 10 3s # calls"),
+        within(at_most, 3_000)
+    );
 }
 
 #[test]
 fn the_setup_applies_to_the_lines_below_it() {
-    let text = "servers 2\nset budget=64 servers=12 lease=2s join=n2\nstart all";
+    let text = "servers 2\nset capacity=64 max_servers=12 lease=2s join=n2\nstart all";
     let setup = Script::read("test", text).expect("a script").setup;
-    let budget = setup.budget.expect("a budget");
-    assert_eq!((budget.capacity, budget.servers), (64, 12));
-    assert_eq!(budget.lease, Duration::from_millis(2_000));
+    let quota = setup.budget.expect("a quota");
+    assert_eq!((quota.capacity, quota.servers), (64, 12));
+    assert_eq!(quota.lease, Duration::from_millis(2_000));
     assert_eq!((setup.servers, setup.join), (2, vec![1]));
 }
 
@@ -102,12 +112,13 @@
         ("jump n1", "jump", Expected::Keyword),
         ("heal n1", "heal", Expected::Line("heal")),
         ("settle 10", "10", Expected::Time),
-        ("loss 2", "2", Expected::Part),
+        ("loss 2", "2", Expected::Fraction),
         ("peak many", "many", Expected::Number),
-        ("sees n1 n1 gone 1s", "gone", Expected::State),
-        ("hears n1 half 1s", "half", Expected::Connectivity),
+        ("view n1 n1 gone 1s", "gone", Expected::State),
+        ("connectivity n1 half 1s", "half", Expected::Connectivity),
         ("set memory", "memory", Expected::Assignment),
         ("set lease=1s", "lease", Expected::Key),
+        ("set capacity=8 slots=yes", "yes", Expected::Switch),
     ] {
         let error = error(line);
         assert_eq!((error.word.as_str(), error.expected), (word, expected));
