--- a/crates/quota/tests/replicated_counter.rs
+++ b/crates/quota/tests/replicated_counter.rs
@@ -43,12 +43,12 @@
     key: u32,
     fair_rate: f64,
 ) -> Option<CountEstimate> {
-    sim.told(server, key, fair_rate)
+    sim.checked_estimate(server, key, fair_rate)
 }
 
 /// Requests of a key arrive at a server from now on.
 fn set_rate(sim: &mut SimulatedFleet, server: usize, key: u32, per_second: f64) {
-    sim.reqs(server, key, per_second);
+    sim.set_request_rate(server, key, per_second);
 }
 
 /// Lets time pass while all running servers' estimates stay within their bounds.
--- a/crates/testkit/examples/shared/counts.rs
+++ b/crates/testkit/examples/shared/counts.rs
@@ -61,7 +61,7 @@
     wait_until(&mut fleet, &Condition::Settled, SETTLE_TERM);
     act(&mut fleet, Action::loss(loss));
     let key = name_hash("acme");
-    (0..servers).for_each(|server| fleet.reqs(server, key, 4.0 + server as f64 % 5.0));
+    (0..servers).for_each(|server| fleet.set_request_rate(server, key, 4.0 + server as f64 % 5.0));
     fleet.run(START_TIME);
     let bytes_before = bytes_sent(&fleet);
     let mut checks = check_estimates(&mut fleet, servers, key);
@@ -86,7 +86,9 @@
         fleet.run(CHECK_INTERVAL);
         let truth = fleet.truth(key);
         for server in 0..servers.min(MAX_CHECKED_SERVERS) {
-            let estimate = fleet.told(server, key, FAIR_RATE).expect("counts");
+            let estimate = fleet
+                .checked_estimate(server, key, FAIR_RATE)
+                .expect("counts");
             checks.push(Check {
                 bound: estimate.bound(),
                 value: estimate.value,
--- a/crates/testkit/examples/shared/pools.rs
+++ b/crates/testkit/examples/shared/pools.rs
@@ -86,7 +86,7 @@
         .replace("\"servers\": 1", "\"servers\": 5");
     let catalogue = Some(catalogue.clone());
     let binary = release_binary();
-    let mut fleet = ProcessFleet::over(catalogue, setup, binary, &settings, &works(), 1);
+    let mut fleet = ProcessFleet::with_catalogue(catalogue, setup, binary, &settings, &works(), 1);
     fleet.operator = POOLS.into();
     start_all(&mut fleet, 0..SERVERS);
     wait_until(&mut fleet, &Condition::Settled, START_TERM);
--- a/crates/testkit/src/fleet/network.rs
+++ b/crates/testkit/src/fleet/network.rs
@@ -1,5 +1,6 @@
 //! The network between the servers of a fleet, with its faults. Simulated fleets and the relays of
-//! real ones share it.
+//! real ones share it. It owns partitions and faults, is given datagrams and actions, and never
+//! sends anything itself.
 
 use super::script::Action;
 use madderbay::time::Duration;
@@ -8,30 +9,33 @@
 
 /// Datagrams to each server that are retained, so that they can be replayed.
 const MAX_RETAINED_DATAGRAMS: usize = 200;
-/// Fleets of more servers retain nothing.
+/// The largest fleet whose datagrams are retained, in servers.
 const MAX_SERVERS_TO_RETAIN: usize = 50;
 
-/// Decides what becomes of each datagram: lost, doubled, corrupted, delayed. It owns the cuts and
-/// the faults, and draws from one seed; it never sends anything itself.
+/// Decides what becomes of each datagram: lost, duplicated, corrupted, delayed. What it draws is
+/// determined by its seed.
 pub struct SimulatedNetwork {
     random: Rand64,
-    /// The side of the cut that each server is on; all are on one without a cut.
+    /// The group of the partition that each server is in; all are in one without a partition.
     partition: Vec<usize>,
     /// Pairs of servers where nothing gets from the first to the second.
     one_way: HashSet<(usize, usize)>,
+    /// The fractions of all datagrams that are lost, duplicated and corrupted.
     loss: f64,
     double: f64,
     spoil: f64,
+    /// The shortest and the longest delay.
     delay: (Duration, Duration),
-    /// The least and the most delay without faults.
+    /// The same without faults.
     calm_delay: (Duration, Duration),
     /// By receiver the first datagrams, with their senders.
     retained: Vec<Vec<(usize, Vec<u8>)>>,
 }
 
 impl SimulatedNetwork {
-    /// A network without faults; `calm` is the least and the most delay of its datagrams.
-    pub fn new(servers: usize, seed: u64, calm: (Duration, Duration)) -> SimulatedNetwork {
+    /// A network without faults; `calm_delay` is the shortest and the longest delay of its
+    /// datagrams.
+    pub fn new(servers: usize, seed: u64, calm_delay: (Duration, Duration)) -> SimulatedNetwork {
         SimulatedNetwork {
             random: Rand64::new(u128::from(seed)),
             partition: vec![0; servers],
@@ -39,15 +43,15 @@
             loss: 0.0,
             double: 0.0,
             spoil: 0.0,
-            delay: calm,
-            calm_delay: calm,
+            delay: calm_delay,
+            calm_delay,
             retained: vec![vec![]; servers],
         }
     }
 
     /// Carries out an action on the network; all other actions are ignored.
-    pub fn act(&mut self, act: &Action) {
-        match act {
+    pub fn act(&mut self, action: &Action) {
+        match action {
             Action::Cut(groups) => {
                 for (number, group) in (1..).zip(groups) {
                     group
@@ -66,7 +70,9 @@
                 spoil: None,
                 delay: None,
             } => {
-                (self.loss, self.double, self.spoil) = (0.0, 0.0, 0.0);
+                self.loss = 0.0;
+                self.double = 0.0;
+                self.spoil = 0.0;
                 self.delay = self.calm_delay;
             }
             Action::Network {
@@ -84,20 +90,21 @@
         }
     }
 
-    /// The side of the cut that a server is on.
+    /// The group of the partition that a server is in.
     pub(super) fn partition(&self, server: usize) -> usize {
         self.partition[server]
     }
 
-    /// Whether two servers are on one side and there is no cut of one way anywhere.
+    /// Whether two servers are in one group and there is no partition of one direction anywhere.
     pub(super) fn connects_both_ways(&self, one: usize, other: usize) -> bool {
         self.partition[one] == self.partition[other] && self.one_way.is_empty()
     }
 
     /// What arrives of a datagram, each copy with its delay.
     pub fn carry(&mut self, from: usize, to: usize, bytes: &[u8]) -> Vec<(Duration, Vec<u8>)> {
-        let cut = self.partition[from] != self.partition[to] || self.one_way.contains(&(from, to));
-        if cut || self.draw(self.loss) {
+        let partitioned =
+            self.partition[from] != self.partition[to] || self.one_way.contains(&(from, to));
+        if partitioned || self.draw(self.loss) {
             return vec![];
         }
         let copies = 1 + usize::from(self.draw(self.double));
@@ -116,15 +123,16 @@
         if small_fleet && self.retained[to].len() < MAX_RETAINED_DATAGRAMS {
             self.retained[to].push((from, bytes.clone()));
         }
-        let (least, most) = self.delay;
-        let more = most.saturating_sub(least).mul_f64(self.random.rand_float());
-        (least + more, bytes)
+        let (min_delay, max_delay) = self.delay;
+        let range = max_delay.saturating_sub(min_delay);
+        let delay = min_delay + range.mul_f64(self.random.rand_float());
+        (delay, bytes)
     }
 
-    /// Whether a fault happens that hits this part of all datagrams. Nothing is drawn where the
-    /// part is 0.
-    fn draw(&mut self, part: f64) -> bool {
-        part > 0.0 && self.random.rand_float() < part
+    /// Whether a fault happens that hits this fraction of all datagrams. Nothing is drawn where it
+    /// is 0.
+    fn draw(&mut self, fraction: f64) -> bool {
+        fraction > 0.0 && self.random.rand_float() < fraction
     }
 
     /// The first datagrams that were sent to a server, with their senders.
--- a/crates/testkit/src/fleet/processes/client_load.rs
+++ b/crates/testkit/src/fleet/processes/client_load.rs
@@ -1,13 +1,13 @@
-//! The load that clients put on a server which has work for calls under a budget.
+//! The load that clients put on a server which has demand for calls under a quota.
 
-use super::{Node, ProcessFleet, budget_call, name};
+use super::{Node, ProcessFleet, name, quota_call};
 use crate::load_balancer::{Load, RequestKind, RequestRecord, rule_violations};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::JoinHandle;
 use std::time::Duration as StdDuration;
 
-/// What a client waits for its answer, in milliseconds.
+/// The time that a client waits for its answer, in milliseconds.
 const REQUEST_TIMEOUT_MS: u64 = 4_000;
 /// Within this an answer is in time.
 const LATENCY_OBJECTIVE: StdDuration = StdDuration::from_secs(2);
@@ -34,13 +34,13 @@
     pub(super) fn renew_load(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         node.loads.iter().for_each(ClientLoad::switch_off);
-        let (Some(server), Some(budget)) = (&node.server, &self.setup.budget) else {
+        let (Some(server), Some(quota)) = (&node.server, &self.setup.budget) else {
             return;
         };
         if node.demand == 0 {
             return;
         }
-        let call_secs = budget_call(budget).as_secs_f64();
+        let call_secs = quota_call(quota).as_secs_f64();
         let load = Load {
             kinds: request_kinds(),
             rates: vec![(StdDuration::ZERO, f64::from(node.demand) / call_secs)],
@@ -48,7 +48,8 @@
             seed: self.began.elapsed().as_nanos() as u64,
             timeout_ms: REQUEST_TIMEOUT_MS,
         };
-        let (address, engine) = (server.address, node.engine.clone());
+        let address = server.address;
+        let engine = node.engine.clone();
         let on = Arc::new(AtomicBool::new(true));
         let flag = on.clone();
         let records = std::thread::spawn(move || {
@@ -77,7 +78,8 @@
     ///
     /// If a load's thread has panicked.
     pub fn finish_loads(&mut self) -> (usize, Vec<String>) {
-        let (mut requests, mut violations) = (0, vec![]);
+        let mut requests = 0;
+        let mut violations = vec![];
         for node in &self.nodes {
             node.loads.iter().for_each(ClientLoad::switch_off);
         }
--- a/crates/testkit/src/fleet/processes/conditions.rs
+++ b/crates/testkit/src/fleet/processes/conditions.rs
@@ -11,7 +11,7 @@
 }
 
 impl ProcessFleet {
-    /// What a condition lacks, in one line; `None` while it holds.
+    /// What is missing of a condition, in one line; `None` while it holds.
     pub(super) fn unmet_condition(&self, condition: &Condition) -> Option<String> {
         match condition {
             Condition::Settled => self.unsettled(),
--- a/crates/testkit/src/fleet/processes/mod.rs
+++ b/crates/testkit/src/fleet/processes/mod.rs
@@ -30,12 +30,13 @@
 
 /// The time between two checks of a condition, long enough that checking costs the servers little.
 const CHECK_INTERVAL: StdDuration = StdDuration::from_millis(50);
-/// The least time that a call under a budget takes, so that few requests keep many calls in flight.
-const MIN_BUDGET_CALL: StdDuration = StdDuration::from_millis(300);
+/// The shortest time of a call under a quota, so that few requests keep many calls in flight.
+const MIN_QUOTA_CALL: StdDuration = StdDuration::from_millis(300);
 /// Slots of a catalogue at which no call ever waits for one.
 const UNLIMITED_SLOTS: usize = 100_000;
-/// Slots and call time of a server's own catalogue.
+/// Slots of the catalogue of a single server.
 const OWN_SLOTS: usize = 8;
+/// The time of a call at the catalogue of a single server.
 const OWN_CALL: StdDuration = StdDuration::from_millis(5);
 /// The cores of each fake engine.
 const ENGINE_CORES: f64 = 2.0;
@@ -51,9 +52,9 @@
     engine: Engine,
     catalogue: Catalogue,
     registry: Registry,
-    /// The calls at a time that it has work for.
+    /// The calls at a time that it has demand for.
     demand: u32,
-    /// The capacity of the budget in its operator file.
+    /// The capacity of the quota in its operator file.
     capacity: u32,
     loads: Vec<ClientLoad>,
     /// Where it receives datagrams itself, behind its relay.
@@ -76,16 +77,16 @@
 pub struct ProcessFleet {
     /// How the fleet is set up.
     pub setup: FleetSetup,
-    /// More sections for the operator files of all servers.
+    /// Further sections for the operator files of all servers.
     pub operator: String,
-    /// More sections for the operator file of each server.
+    /// Further sections for the operator file of each server.
     pub each: Vec<String>,
     binary: PathBuf,
     /// The platform's settings of all servers, JSON.
     settings: String,
     relays: DatagramRelays,
     nodes: Vec<Node>,
-    /// The side of the cut that each server is on; all on one side when there is no cut.
+    /// The group of the partition that each server is in; all are in one without a partition.
     partition: Vec<usize>,
     began: Instant,
     /// Holds the control sockets.
@@ -94,7 +95,7 @@
 
 impl ProcessFleet {
     /// A fleet of which no server is started yet. `works` is what the engines run, `settings` the
-    /// platform's settings of each server. Under a budget all servers share one catalogue, on which
+    /// platform's settings of each server. Under a quota all servers share one catalogue, on which
     /// no call waits.
     ///
     /// # Panics
@@ -110,16 +111,16 @@
         let shared = setup
             .budget
             .as_ref()
-            .map(|budget| Catalogue::start(UNLIMITED_SLOTS, budget_call(budget)));
-        ProcessFleet::over(shared, setup, binary, settings, works, seed)
+            .map(|quota| Catalogue::start(UNLIMITED_SLOTS, quota_call(quota)));
+        ProcessFleet::with_catalogue(shared, setup, binary, settings, works, seed)
     }
 
-    /// The same with a given catalogue for all servers, or with one for each.
+    /// The same with one given catalogue for all servers, or with one of its own for each.
     ///
     /// # Panics
     ///
     /// If its folder or its fakes can't be made.
-    pub fn over(
+    pub fn with_catalogue(
         catalogue: Option<Catalogue>,
         setup: FleetSetup,
         binary: &Path,
@@ -128,7 +129,7 @@
         seed: u64,
     ) -> ProcessFleet {
         let folder = make_folder();
-        let capacity = setup.budget.as_ref().map_or(0, |budget| budget.capacity);
+        let capacity = setup.budget.as_ref().map_or(0, |quota| quota.capacity);
         let nodes = (0..setup.servers).map(|index| Node {
             server: None,
             name: index,
@@ -163,7 +164,7 @@
         &self.nodes[server].engine
     }
 
-    /// The fake catalogue of a server; under a budget it is the same for all.
+    /// The fake catalogue of a server; under a quota it is the same for all.
     pub fn catalogue(&self, server: usize) -> &Catalogue {
         &self.nodes[server].catalogue
     }
@@ -191,12 +192,12 @@
 }
 
 impl Fleet for ProcessFleet {
-    fn act(&mut self, act: &Action) -> Result<(), ActionError> {
-        self.carry_out(act)
+    fn act(&mut self, action: &Action) -> Result<(), ActionError> {
+        self.carry_out(action)
     }
 
-    fn unmet(&mut self, what: &Condition) -> Option<String> {
-        self.unmet_condition(what)
+    fn unmet(&mut self, condition: &Condition) -> Option<String> {
+        self.unmet_condition(condition)
     }
 
     fn pass(&mut self) {
@@ -215,9 +216,9 @@
     }
 }
 
-/// What a call under a budget takes on real processes.
-fn budget_call(budget: &QuotaSetup) -> StdDuration {
-    StdDuration::from_micros(budget.call.as_micros()).max(MIN_BUDGET_CALL)
+/// The time of a call under a quota on real processes.
+fn quota_call(quota: &QuotaSetup) -> StdDuration {
+    StdDuration::from_micros(quota.call.as_micros()).max(MIN_QUOTA_CALL)
 }
 
 /// Makes a folder that no other fleet has.
--- a/crates/testkit/src/fleet/relay.rs
+++ b/crates/testkit/src/fleet/relay.rs
@@ -1,7 +1,7 @@
 //! Relays between real servers: one UDP socket for each server, whose address is the one that the
 //! server advertises.
 //!
-//! A datagram that reaches the relay of one server is sent on to it from the relay of the sender.
+//! A datagram that reaches the relay of one server is forwarded to it from the relay of the sender.
 //! Thus every directed pair of servers can have faults, and no server can tell that there are
 //! relays.
 
@@ -14,9 +14,9 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
 use std::time::{Duration as StdDuration, Instant};
 
-/// The longest time that the relays wait for an event.
+/// The longest wait for an event.
 const MAX_WAIT: StdDuration = StdDuration::from_millis(200);
-/// Larger datagrams are cut off.
+/// The largest datagram that is forwarded whole; larger ones are truncated.
 const MAX_DATAGRAM_BYTES: usize = 2_048;
 
 enum Event {
@@ -71,12 +71,12 @@
     }
 
     /// Carries out an action on the network from here on; all other actions are ignored.
-    pub fn act(&self, act: &Action) {
-        let _ = self.events.send(Event::Action(act.clone()));
+    pub fn act(&self, action: &Action) {
+        let _ = self.events.send(Event::Action(action.clone()));
     }
 }
 
-/// Passes on what the relay of a server receives, until the carrier is gone.
+/// Hands on what the relay of a server receives, until the carrier is gone.
 fn read_datagrams(to: usize, socket: &UdpSocket, events: &Sender<Event>) {
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Sends on a datagram at once or later. One from an unknown address is dropped.
+    /// Forwards a datagram at once or later. One from an unknown address is dropped.
     fn carry(&mut self, to: usize, from: SocketAddr, bytes: &[u8]) {
         let Some(from) = self.by_address.get(&from).copied() else {
             return;
--- a/crates/testkit/src/fleet/script/runner.rs
+++ b/crates/testkit/src/fleet/script/runner.rs
@@ -1,4 +1,5 @@
-//! Plays scripts on fleets. [`Fleet`] is what real and simulated fleets have in common.
+//! Plays scripts on fleets, step by step, and reads the scripts of a folder. [`Fleet`] is what real
+//! and simulated fleets have in common; this file knows neither.
 
 use super::{Action, ActionError, Condition, Script, ScriptFailure, Step};
 use madderbay::time::Duration;
@@ -11,10 +12,10 @@
     /// # Errors
     ///
     /// If the fleet can't do it, or if the action is a check that does not hold.
-    fn act(&mut self, act: &Action) -> Result<(), ActionError>;
+    fn act(&mut self, action: &Action) -> Result<(), ActionError>;
 
-    /// What a condition lacks, in one line; `None` while it holds.
-    fn unmet(&mut self, what: &Condition) -> Option<String>;
+    /// What is missing of a condition, in one line; `None` while it holds.
+    fn unmet(&mut self, condition: &Condition) -> Option<String>;
 
     /// Lets a short time pass, real or simulated, before a condition is checked again.
     fn pass(&mut self);
@@ -93,6 +94,6 @@
         let script = Script::read(&name, &text).unwrap_or_else(|error| panic!("{error}"));
         scripts.push((name, script));
     }
-    scripts.sort_by(|a, b| a.0.cmp(&b.0));
+    scripts.sort_by(|(one, _), (other, _)| one.cmp(other));
     scripts
 }
--- a/crates/testkit/src/fleet/script_generator.rs
+++ b/crates/testkit/src/fleet/script_generator.rs
@@ -1,18 +1,23 @@
 //! Draws actions for a fleet from a seed, one after the other, each of which the fleet can carry
-//! out as it is.
+//! out in its present state. It knows which servers it has killed and stopped, and does nothing to
+//! the fleet itself.
 
 use super::script::Action;
 use madderbay::time::Duration;
 use oorandom::Rand64;
 
-/// The most that a fault of the network hits, as a part of all datagrams.
-const MAX_FAULT_PART: f64 = 0.4;
-/// Datagrams are corrupted this many times as often as they are lost.
-const SPOIL_FOR_LOSS: f64 = 0.3;
-/// The kinds of actions that are drawn evenly; those beyond the named ones start, continue or shift
-/// work.
+/// The largest fraction of all datagrams that a fault of the network hits.
+const MAX_FAULT_FRACTION: f64 = 0.4;
+/// Datagrams that are corrupted for each one that is lost.
+const CORRUPTION_PER_LOSS: f64 = 0.3;
+/// The number of kinds of actions, which are drawn evenly; those beyond the named ones start,
+/// continue or shift demand.
 const ACTION_KINDS: f64 = 12.0;
 
+/// The shortest delay of a datagram, and the least that the longest one is drawn as.
+const MIN_DELAY: Duration = Duration::from_millis(1);
+const MIN_MAX_DELAY_SECS: f64 = 0.01;
+
 /// A source of drawn actions. It owns what it has done to the fleet: which servers it has killed
 /// and stopped.
 pub struct ScriptGenerator {
@@ -20,12 +25,12 @@
     /// By server whether it runs, stopped or not.
     up: Vec<bool>,
     stopped: Vec<bool>,
-    /// The most work that a server is given, in calls at a time.
+    /// The largest demand that a server is given, in calls at a time.
     max_demand: f64,
 }
 
 impl ScriptGenerator {
-    /// For a fleet of which all servers run. A server is given work for fewer than `demand` calls
+    /// For a fleet of which all servers run. The demand of a server is less than `demand` calls
     /// at a time.
     pub fn new(seed: u64, servers: usize, demand: u32) -> ScriptGenerator {
         ScriptGenerator {
@@ -37,8 +42,8 @@
     }
 
     /// Draws a number of seconds under a limit.
-    pub fn secs(&mut self, most: f64) -> f64 {
-        self.random.rand_float() * most
+    pub fn secs(&mut self, max_secs: f64) -> f64 {
+        self.random.rand_float() * max_secs
     }
 
     /// The servers that are stopped now.
@@ -48,13 +53,13 @@
             .collect()
     }
 
-    /// Draws the next action: crashes, pauses, cuts of both kinds, loss, doubling, corruption,
-    /// delays of up to a second, replayed datagrams, shifted work.
+    /// Draws the next action: crashes, pauses, partitions of both kinds, loss, duplication,
+    /// corruption, delays of up to a second, replayed datagrams, shifted demand.
     pub fn act(&mut self) -> Action {
         let who = (self.random.rand_float() * self.up.len() as f64) as usize;
-        let part = self.random.rand_float() * MAX_FAULT_PART;
-        let longest = Duration::from_secs_f64(0.01 + self.random.rand_float());
-        let delay = Some((Duration::from_millis(1), longest));
+        let fraction = self.random.rand_float() * MAX_FAULT_FRACTION;
+        let max_delay = Duration::from_secs_f64(MIN_MAX_DELAY_SECS + self.random.rand_float());
+        let delay = Some((MIN_DELAY, max_delay));
         let running = self.up[who] && !self.stopped[who];
         match (self.random.rand_float() * ACTION_KINDS) as usize {
             0 if running => {
@@ -66,26 +71,27 @@
                 Action::Stop(who)
             }
             2 => {
-                let (even, odd) = (0..self.up.len()).partition(|other| other % 2 == who % 2);
-                Action::Cut(vec![even, odd])
+                let (same_parity, others) =
+                    (0..self.up.len()).partition(|other| other % 2 == who % 2);
+                Action::Cut(vec![same_parity, others])
             }
             3 => Action::Cut(vec![vec![who], self.others(who)]),
             4 => Action::OneWay(who, self.others(who)),
             5 => Action::Heal,
             6 => Action::Network {
-                loss: Some(part),
-                double: Some(part),
-                spoil: Some(part * SPOIL_FOR_LOSS),
+                loss: Some(fraction),
+                double: Some(fraction),
+                spoil: Some(fraction * CORRUPTION_PER_LOSS),
                 delay,
             },
             7 => Action::CALM,
             8 => Action::Replay(who),
-            _ => self.repair_or_shift_work(who),
+            _ => self.repair_or_shift_demand(who),
         }
     }
 
-    /// Starts a server that is down, continues one that is stopped, or gives it other work.
-    fn repair_or_shift_work(&mut self, who: usize) -> Action {
+    /// Starts a server that is down, continues one that is stopped, or gives it another demand.
+    fn repair_or_shift_demand(&mut self, who: usize) -> Action {
         if !self.up[who] {
             self.up[who] = true;
             return Action::start(who);
--- a/crates/testkit/src/fleet/simulated/calls.rs
+++ b/crates/testkit/src/fleet/simulated/calls.rs
@@ -1,8 +1,11 @@
-//! Simulated calls under a budget: a server with work starts as many as it may.
+//! Simulated calls under a quota: a server with demand starts as many as it may.
 
 use super::{Event, SimulatedFleet};
 use madderbay::time::Timestamp;
 
+/// A call takes at least this many times the mean, and less than one mean more.
+const MIN_CALL_FACTOR: f64 = 0.5;
+
 /// Calls in flight of all servers together.
 pub(super) struct CallMeter {
     in_flight: u32,
@@ -52,27 +55,31 @@
         self.calls.call_seconds(self.now)
     }
 
-    /// Starts the calls that a server has work for, as far as it may.
+    /// Starts the calls that a server has demand for, as many as it may.
     pub(super) fn start_calls(&mut self, server: usize) {
         let Some(setup) = &self.setup.budget else {
             return;
         };
-        let (mean, longest) = (setup.call, setup.max_call);
+        let mean_call = setup.call;
+        let max_call = setup.max_call;
         loop {
             let node = &mut self.nodes[server];
             let now = node.clock(self.now);
-            let (demand, incarnation) = (node.work.demand, node.incarnation);
+            let demand = node.work.demand;
+            let incarnation = node.incarnation;
             let quotas = node.active_stack().and_then(|stack| stack.quotas_mut());
             let Some(quotas) = quotas else {
                 return;
             };
             let budget = &mut quotas.budgets_mut()[0];
-            let (in_use, may_start) = (budget.in_use(), budget.may_start(now));
+            let in_use = budget.in_use();
+            let may_start = budget.may_start(now);
             if in_use >= demand || !may_start {
                 return budget.set_waiting(now, demand.saturating_sub(in_use));
             }
             budget.call_started(now);
-            let took = mean.mul_f64(0.5 + self.random.rand_float()).min(longest);
+            let factor = MIN_CALL_FACTOR + self.random.rand_float();
+            let took = mean_call.mul_f64(factor).min(max_call);
             let ended = Event::CallEnded {
                 server,
                 incarnation,
@@ -96,7 +103,7 @@
             return;
         }
         let now = node.clock(self.now);
-        if let Some(quotas) = node.stack.as_mut().and_then(|s| s.quotas_mut()) {
+        if let Some(quotas) = node.stack.as_mut().and_then(|stack| stack.quotas_mut()) {
             quotas.budgets_mut()[0].call_ended(now);
         }
         self.start_calls(server);
--- a/crates/testkit/src/fleet/simulated/conditions.rs
+++ b/crates/testkit/src/fleet/simulated/conditions.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 
 impl SimulatedFleet {
-    /// What a condition lacks, in one line; `None` while it holds.
+    /// What is missing of a condition, in one line; `None` while it holds.
     pub(super) fn unmet_condition(&self, condition: &Condition) -> Option<String> {
         match condition {
             Condition::Settled => self.unsettled(),
@@ -88,20 +88,20 @@
         for server in present {
             let members = self.members(server)?;
             let partition = self.network.partition(server);
-            let (size, active) = (sizes[&partition], members.active_count());
-            if active + 1 != size {
-                let others = size - 1;
+            let others = sizes[&partition] - 1;
+            let active = members.active_count();
+            if active != others {
                 return Some(format!(
                     "{} has {active} other members, not {others}",
                     name(server)
                 ));
             }
             let digest = members.digest();
-            let first = *digests.entry(partition).or_insert((server, digest));
-            if first.1 != digest {
+            let (first, first_digest) = *digests.entry(partition).or_insert((server, digest));
+            if first_digest != digest {
                 return Some(format!(
                     "the views of {} and {} differ",
-                    name(first.0),
+                    name(first),
                     name(server)
                 ));
             }
--- a/crates/testkit/src/fleet/simulated/counts.rs
+++ b/crates/testkit/src/fleet/simulated/counts.rs
@@ -8,10 +8,12 @@
 
 /// The time between two arrivals of counted requests, at all servers at once.
 const ARRIVAL_INTERVAL: Duration = Duration::from_millis(20);
-/// The part of a counter's window that one slot has.
-const SLOT_PART: f64 = 0.1;
-/// The ages, in slots, of the first and of the last slot that an estimate is about.
-const SLOT_AGES: (f64, f64) = (3.0, 13.0);
+/// The fraction of a counter's window that one slot has.
+const SLOT_FRACTION: f64 = 0.1;
+/// The age, in slots, of the youngest slot that an estimate is about.
+const MIN_SLOT_AGE: f64 = 3.0;
+/// The age, in slots, from which on an estimate is not about a slot.
+const MAX_SLOT_AGE: f64 = 13.0;
 
 /// What one incarnation of a server has truly counted.
 pub(super) struct TrueCounts {
@@ -33,12 +35,11 @@
 
     /// Requests of a key in the slots that an estimate is about, by the server's clock.
     fn in_window(&self, key: u32, now: Timestamp, slot: Duration) -> u32 {
-        let (least_age, most_age) = (slot.mul_f64(SLOT_AGES.0), slot.mul_f64(SLOT_AGES.1));
+        let ages = slot.mul_f64(MIN_SLOT_AGE)..slot.mul_f64(MAX_SLOT_AGE);
         let mut sum = 0;
-        for ((_, number), count) in self.counted.iter().filter(|c| c.0.0 == key) {
-            let over = self.began + Duration::from_micros((number + 1) * slot.as_micros());
-            let age = now - over;
-            if now >= over && age >= least_age && age < most_age {
+        for ((counted_key, number), count) in &self.counted {
+            let end = self.began + Duration::from_micros((number + 1) * slot.as_micros());
+            if *counted_key == key && now >= end && ages.contains(&(now - end)) {
                 sum += count;
             }
         }
@@ -48,11 +49,11 @@
 
 impl SimulatedFleet {
     /// From here on this many requests of a key arrive at a server each second, and are counted.
-    pub fn reqs(&mut self, who: usize, key: u32, per_second: f64) {
+    pub fn set_request_rate(&mut self, server: usize, key: u32, per_second: f64) {
         if self.nodes.iter().all(|node| node.work.rates.is_empty()) {
             self.push(self.now + ARRIVAL_INTERVAL, Event::Requests);
         }
-        let rates = &mut self.nodes[who].work.rates;
+        let rates = &mut self.nodes[server].work.rates;
         rates.retain(|rate| rate.key != key);
         rates.push(KeyRate {
             key,
@@ -78,8 +79,10 @@
             return;
         };
         let mut incarnations = self.true_counts.iter_mut().rev();
-        let truth = incarnations.find(|t| t.server == server).expect("began");
-        let slot = counter.settings().window.mul_f64(SLOT_PART);
+        let truth = incarnations
+            .find(|truth| truth.server == server)
+            .expect("began");
+        let slot = counter.settings().window.mul_f64(SLOT_FRACTION);
         let number = (now - truth.began).as_micros() / slot.as_micros();
         for rate in &mut node.work.rates {
             let mean = rate.per_second * ARRIVAL_INTERVAL.as_secs_f64();
@@ -103,7 +106,7 @@
         let Some(window) = self.setup.window else {
             return 0;
         };
-        let slot = window.mul_f64(SLOT_PART);
+        let slot = window.mul_f64(SLOT_FRACTION);
         let chosen = self.true_counts.iter().filter(|truth| chosen(truth));
         chosen
             .map(|truth| {
@@ -113,31 +116,39 @@
             .sum()
     }
 
-    /// A server's estimate for a key, which is checked against the true count; `fair` is the fair
-    /// rate that the estimate is asked with. `None` while the server does not run, or without a
-    /// counter.
-    pub fn told(&mut self, who: usize, key: u32, fair: f64) -> Option<CountEstimate> {
-        let now = self.nodes[who].clock(self.now);
-        let estimate = self.shared(who)?.estimate(now, 0, key, fair);
+    /// A server's estimate for a key, which is checked against the true count; `fair_rate` is the
+    /// rate that the estimate is asked with, in requests a second. `None` while the server does not
+    /// run, or without a counter.
+    pub fn checked_estimate(
+        &mut self,
+        server: usize,
+        key: u32,
+        fair_rate: f64,
+    ) -> Option<CountEstimate> {
+        let now = self.nodes[server].clock(self.now);
+        let estimate = self.shared(server)?.estimate(now, 0, key, fair_rate);
         let truth = f64::from(self.truth(key));
-        let known_truth = f64::from(self.known_truth(who, key)?);
+        let known_truth = f64::from(self.known_truth(server, key)?);
         self.out_of_bounds.1 += 1;
         if truth < estimate.low || known_truth > estimate.high {
             self.out_of_bounds.0 += 1;
-            self.log_line(who, format_args!(" tells {estimate:?} of {truth}"));
+            self.log_line(
+                server,
+                format_args!(": estimate out of bounds, {estimate:?}, truth={truth}"),
+            );
         }
         Some(estimate)
     }
 
     /// The true count of the incarnations that an estimate's bound is about: the server's present
-    /// one and the others in its view. After a start on one side of a cut a server knows neither
-    /// the other side, nor what its former incarnation has counted and not sent.
-    fn known_truth(&self, who: usize, key: u32) -> Option<u32> {
-        let view = self.members(who)?;
+    /// one and the others in its view. After a start on one side of a partition a server knows
+    /// neither the other side, nor what its former incarnation has counted and not sent.
+    fn known_truth(&self, server: usize, key: u32) -> Option<u32> {
+        let view = self.members(server)?;
         let mut incarnations = self.true_counts.iter().rev();
-        let began = incarnations.find(|truth| truth.server == who)?.began;
+        let began = incarnations.find(|truth| truth.server == server)?.began;
         Some(self.truth_of(key, |truth| {
-            if truth.server == who {
+            if truth.server == server {
                 truth.began == began
             } else {
                 view.member(&name(self.nodes[truth.server].name)).is_some()
--- a/crates/testkit/src/fleet/simulated/driver.rs
+++ b/crates/testkit/src/fleet/simulated/driver.rs
@@ -62,7 +62,8 @@
             return;
         };
         action(stack, clock);
-        let (datagrams, changes) = (stack.take_datagrams(), stack.membership_mut().take_events());
+        let datagrams = stack.take_datagrams();
+        let changes = stack.membership_mut().take_events();
         let timeout = stack.next_timeout().max(clock);
         let quotas = stack.quotas_mut();
         let quota_events = quotas.map_or(vec![], FleetQuotas::take_events);
@@ -133,7 +134,7 @@
 
     /// Whether a recent disturbance may have had a server declared down.
     fn is_excused(&self, server: usize) -> bool {
-        let span = self.setup.suspicion.mul_f64(2.0) + EXCUSED_MARGIN;
-        self.now - self.excused[server] < span
+        let excused_time = self.setup.suspicion.mul_f64(2.0) + EXCUSED_MARGIN;
+        self.now - self.excused[server] < excused_time
     }
 }
--- a/crates/testkit/src/fleet/simulated/mod.rs
+++ b/crates/testkit/src/fleet/simulated/mod.rs
@@ -7,7 +7,7 @@
 //! # What is simulated
 //!
 //! Membership, and quotas and counters if the setup has them. Each server has a monotonic clock
-//! with an offset and a drift of its own. Under a budget, calls take a drawn time. Counted requests
+//! with an offset and a drift of its own. Under a quota, calls take a drawn time. Counted requests
 //! arrive at a given rate.
 
 mod actions;
@@ -38,7 +38,7 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// The simulated time at which a fleet is made.
 const START: Timestamp = Timestamp::from_micros(1_000_000);
-/// The least and the most delay of a datagram without faults.
+/// The shortest and the longest delay of a datagram without faults.
 const CALM_DELAY: (Duration, Duration) = (Duration::from_micros(200), Duration::from_micros(2_000));
 /// Servers for each third octet of the addresses.
 const SERVERS_PER_SUBNET: usize = 250;
@@ -73,8 +73,8 @@
     pub wrongly_down: usize,
     /// What the servers did, a line each; nothing is logged while it is `None`.
     pub log: Option<Vec<String>>,
-    /// By server the last time of a cut, stop or start after which a declaration as down may be
-    /// right.
+    /// By server the last time of a partition, stop or start, after which a declaration as down may
+    /// be right.
     excused: Vec<Timestamp>,
     /// The most calls in flight of all servers together since this was last set.
     pub peak: u32,
@@ -92,7 +92,9 @@
         let nodes: Vec<Node> = nodes.collect();
         SimulatedFleet {
             now: START,
-            by_address: (0..setup.servers).map(|s| (address(s), s)).collect(),
+            by_address: (0..setup.servers)
+                .map(|server| (address(server), server))
+                .collect(),
             network: SimulatedNetwork::new(setup.servers, seed + 2, CALM_DELAY),
             excused: vec![Timestamp::default(); setup.servers],
             setup,
@@ -145,12 +147,12 @@
 }
 
 impl Fleet for SimulatedFleet {
-    fn act(&mut self, act: &Action) -> Result<(), ActionError> {
-        self.carry_out(act)
+    fn act(&mut self, action: &Action) -> Result<(), ActionError> {
+        self.carry_out(action)
     }
 
-    fn unmet(&mut self, what: &Condition) -> Option<String> {
-        self.unmet_condition(what)
+    fn unmet(&mut self, condition: &Condition) -> Option<String> {
+        self.unmet_condition(condition)
     }
 
     fn pass(&mut self) {
--- a/crates/testkit/src/fleet/simulated/node.rs
+++ b/crates/testkit/src/fleet/simulated/node.rs
@@ -1,4 +1,4 @@
-//! One simulated server: its state machines, its clock and the work that it has.
+//! One simulated server: its state machines, its clock and its demand.
 
 use madderbay::time::{Duration, Timestamp};
 use madderbay_membership::Membership;
@@ -8,25 +8,25 @@
 
 /// Datagrams that wait for a stopped server, as in the buffer of a socket.
 const MAX_WAITING_DATAGRAMS: usize = 200;
-/// Clocks are at most this far ahead of the simulated time at its start, in seconds.
+/// The furthest that a clock is ahead of the simulated time at its start, in seconds.
 const MAX_CLOCK_OFFSET_SECS: f64 = 1e4;
-/// The most that a clock runs too fast or too slow.
+/// The largest fraction by which a clock runs too fast or too slow.
 const MAX_CLOCK_DRIFT: f64 = 0.005;
 
 /// How often requests of one key arrive at a server.
 pub(super) struct KeyRate {
     pub(super) key: u32,
     pub(super) per_second: f64,
-    /// The part of the next request that is accumulated.
+    /// The fraction of the next request that is accumulated.
     pub(super) accumulated: f64,
 }
 
 /// The work that a server has.
 #[derive(Default)]
 pub(super) struct Workload {
-    /// Calls at a time that it has work for.
+    /// Calls at a time that it has demand for.
     pub(super) demand: u32,
-    /// The capacity of the budget that the operator has set last, where it is not the setup's.
+    /// The capacity of the quota that the operator has set last, where it is not the setup's.
     pub(super) capacity: Option<u32>,
     /// Calls that ended while the server was stopped.
     pub(super) unnoticed_ends: u32,
@@ -97,7 +97,7 @@
         self.members().filter(|_| !self.stopped)
     }
 
-    /// Keeps a datagram for a stopped server; further ones than its buffer holds are lost.
+    /// Buffers a datagram for a stopped server; those beyond the size of its buffer are lost.
     pub(super) fn buffer(&mut self, from: SocketAddr, bytes: Vec<u8>) {
         if self.waiting.len() < MAX_WAITING_DATAGRAMS {
             self.waiting.push((from, bytes));
--- a/crates/testkit/src/fleet/simulated/start.rs
+++ b/crates/testkit/src/fleet/simulated/start.rs
@@ -11,18 +11,18 @@
 const UNIX_START_MS: u64 = 1_764_576_000_000;
 /// The name of the fleet.
 const FLEET_NAME: &str = "fleet";
-/// The name of the budget and of the counter.
+/// The name of the quota and of the counter.
 const QUOTA_NAME: &str = "below";
 /// The time by which a lessor outwaits a lease.
 const LEASE_GUARD: Duration = Duration::from_millis(20);
-/// The most requests of a key that a server is taken to read in a second.
+/// The rate of requests of a key that a server is taken to read at most, in requests a second.
 const MAX_COUNTED_PER_SECOND: f64 = 200.0;
-/// The part of the probe interval after which a probe has failed.
-const PROBE_TIMEOUT_PART: f64 = 0.4;
+/// The fraction of the probe interval after which a probe has failed.
+const PROBE_TIMEOUT_FRACTION: f64 = 0.4;
 
 impl SimulatedFleet {
-    /// Starts a server under the name of another or its own, with a Unix clock that is off by a
-    /// time.
+    /// Starts a server under the name of another or its own, with a Unix clock that is ahead of the
+    /// true time or, if it is late, behind it.
     pub(super) fn start(&mut self, index: usize, named: usize, clock: Duration, late: bool) {
         let unix_ms = self.unix_ms(clock, late);
         let seed = self.random.rand_u64();
@@ -31,7 +31,10 @@
         let quotas = self
             .quota_settings(index, named)
             .map(|settings| FleetQuotas::new(now, seed, settings));
-        if quotas.as_ref().is_some_and(|q| !q.counters().is_empty()) {
+        if quotas
+            .as_ref()
+            .is_some_and(|quotas| !quotas.counters().is_empty())
+        {
             self.true_counts.push(TrueCounts::new(index, now));
         }
         let node = &mut self.nodes[index];
@@ -64,7 +67,7 @@
             allowed_networks: AllowedNetworks::new(["127.0.0.0/8".parse().expect("a network")]),
             max_members: setup.max_members,
             probe_interval: setup.probe,
-            probe_timeout: setup.probe.mul_f64(PROBE_TIMEOUT_PART),
+            probe_timeout: setup.probe.mul_f64(PROBE_TIMEOUT_FRACTION),
             suspicion_timeout: setup.suspicion,
             down_retention: setup.down_retention,
             local_health_aware: setup.local_health_aware,
@@ -72,7 +75,7 @@
     }
 
     /// The quotas of a server's next incarnation, or of its present one if that reloads; `None` if
-    /// the setup has neither a budget nor a counter.
+    /// the setup has neither a quota nor a counter.
     pub(super) fn quota_settings(
         &self,
         index: usize,
--- a/crates/testkit/src/gate.rs
+++ b/crates/testkit/src/gate.rs
@@ -1,5 +1,6 @@
-//! A way to a backend that can be cut: while it is, bytes are held back in both directions and
-//! connections stay open.
+//! A TCP relay to a backend that can be interrupted: meanwhile bytes are held back in both
+//! directions and connections stay open. It owns its connections and reads nothing of what they
+//! carry.
 
 use crate::peer::loopback_listener;
 use std::io::{Read, Write};
@@ -8,21 +9,21 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// The time between two checks whether a cut is over.
+/// The time between two checks whether an interruption is over.
 const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 /// Bytes that are carried at a time.
 const BUFFER_BYTES: usize = 4_096;
 
-/// A way to an address, with threads of its own for each connection.
+/// A relay to an address, with threads of its own for each connection.
 #[derive(Clone)]
 pub struct Gate {
-    /// Where the way begins.
+    /// Where it listens.
     pub address: SocketAddr,
     cut: Arc<AtomicBool>,
 }
 
 impl Gate {
-    /// Starts a way to an address, on a free loopback port.
+    /// Starts a relay to an address, on a free loopback port.
     ///
     /// # Panics
     ///
@@ -38,7 +39,7 @@
         gate
     }
 
-    /// Fault: cuts the way, or ends the cut.
+    /// Fault: interrupts the relay, or ends the interruption.
     pub fn cut(&self, cut: bool) {
         self.cut.store(cut, Ordering::Relaxed);
     }
@@ -53,13 +54,14 @@
         let (Ok(to_client), Ok(from_backend)) = (client.try_clone(), backend.try_clone()) else {
             continue;
         };
-        let (cut_forth, cut_back) = (cut.clone(), cut.clone());
-        std::thread::spawn(move || carry(client, backend, &cut_forth));
-        std::thread::spawn(move || carry(from_backend, to_client, &cut_back));
+        let cut_to_backend = cut.clone();
+        std::thread::spawn(move || carry(client, backend, &cut_to_backend));
+        let cut_to_client = cut.clone();
+        std::thread::spawn(move || carry(from_backend, to_client, &cut_to_client));
     }
 }
 
-/// Carries the bytes of one direction, and holds them back while the way is cut.
+/// Carries the bytes of one direction, and holds them back while the relay is interrupted.
 fn carry(mut from: TcpStream, mut to: TcpStream, cut: &AtomicBool) {
     let mut bytes = [0; BUFFER_BYTES];
     while let Ok(length) = from.read(&mut bytes) {
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -5,7 +5,7 @@
 //! fake simulates and which faults it has is on its module's page. [`engine::Engine`],
 //! [`catalogue::Catalogue`] and [`registry::Registry`] are what a server calls,
 //! [`load_balancer::Load`] is what calls a server. [`peer::Peer`] is one end of a connection that a
-//! test plays itself, [`gate::Gate`] a connection that can be cut.
+//! test plays itself, [`gate::Gate`] a relay that can be interrupted.
 //!
 //! [`server::Server`] is the real program between fakes. [`fleet`] has many servers that talk with
 //! each other, as real processes or simulated, under faults that a script or a seed determines.
@@ -24,7 +24,7 @@
 mod event_queue;
 /// Fleets of servers under faults.
 pub mod fleet;
-/// A way to a backend that can be cut.
+/// A TCP relay to a backend that can be interrupted.
 pub mod gate;
 /// Fake load balancers: a seeded open load.
 pub mod load_balancer;
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -269,7 +269,11 @@
             "it does not listen: {before:?}"
         );
     }
-    let address = line.trim().rsplit('=').next().and_then(|a| a.parse().ok());
+    let address = line
+        .trim()
+        .rsplit('=')
+        .next()
+        .and_then(|address| address.parse().ok());
     let address = address.unwrap_or_else(|| panic!("no address in '{line}'"));
     (before, address)
 }
