--- a/crates/testkit/examples/routes/main.rs
+++ b/crates/testkit/examples/backends/main.rs
@@ -1,9 +1,9 @@
 //! Measures routes beside round robin without ejection, least in hand with plain repeats, and own
 //! judgement alone.
 //!
-//!     cargo run --release -p madderbay-testkit --example routes simulated [SERVERS BACKENDS [CASE [SEEDS]]]
-//!     cargo build --release && cargo run --release -p madderbay-testkit --example routes real
-//!     ... routes look MODE [SEED]       one case, second by second, with what was left out and why
+//!     cargo run --release -p madderbay-testkit --example backends simulated [SERVERS BACKENDS [CASE [SEEDS]]]
+//!     cargo build --release && cargo run --release -p madderbay-testkit --example backends real
+//!     ... backends look MODE [SEED]       one case, second by second, with what was left out and why
 
 mod cases;
 mod real;
--- a/crates/testkit/examples/routes/real.rs
+++ b/crates/testkit/examples/backends/real.rs
@@ -67,7 +67,7 @@
 
 /// The platform's settings, wide enough that no server sheds load.
 fn settings() -> String {
-    include_str!("../settings.json")
+    include_str!("../../src/measurement/settings/fleet.json")
         .replace("\"tip_multiple\": 5.0", "\"tip_multiple\": 40.0")
         .replace("\"memory_kb\": 4000.0", "\"memory_kb\": 400000.0")
         .replace("\"dep_share\": 8.0", "\"dep_share\": 60.0")
--- a/crates/testkit/examples/kept.rs
+++ b/crates/testkit/examples/durable_results/main.rs
@@ -1,6 +1,6 @@
 //! Measures durable results on the real program, between fakes on loopback:
 //!
-//!     cargo build --release && cargo run --release -p madderbay-testkit --example kept [HISTORIES]
+//!     cargo build --release && cargo run --release -p madderbay-testkit --example durable_results [HISTORIES]
 //!
 //! First the cost: response times, commits and CPU at several rates, and the time of a recovery.
 //! Then histories: a server is killed at a random moment while it books, restarted, and sent each
--- a/crates/testkit/examples/members/main.rs
+++ b/crates/testkit/examples/membership/main.rs
@@ -1,10 +1,10 @@
 //! Measures the view of the fleet beside all-to-all heartbeats and beside SWIM without the
 //! accuser's own health.
 //!
-//!     cargo run --release -p madderbay-testkit --example members simulated [SEEDS [MEMBERS [LOSS]]]
-//!     cargo run --release -p madderbay-testkit --example members hour
-//!     cargo build --release && cargo run --release -p madderbay-testkit --example members real [SEEDS]
-//!     ... members histories [COUNT]      ... members flood      ... members cost
+//!     cargo run --release -p madderbay-testkit --example membership simulated [SEEDS [MEMBERS [LOSS]]]
+//!     cargo run --release -p madderbay-testkit --example membership hour
+//!     cargo build --release && cargo run --release -p madderbay-testkit --example membership real [SEEDS]
+//!     ... membership histories [COUNT]      ... membership flood      ... membership cost
 
 mod heartbeats;
 mod histories;
--- a/crates/testkit/examples/members/processes.rs
+++ b/crates/testkit/examples/membership/processes.rs
@@ -14,7 +14,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-const SETTINGS: &str = include_str!("../settings.json");
+const SETTINGS: &str = include_str!("../../src/measurement/settings/fleet.json");
 /// The time over which the processor time of a row is measured.
 const CALM: Duration = Duration::from_secs(5);
 /// The time over which the processor time of idle servers is measured.
--- a/crates/testkit/examples/pools.rs
+++ b/crates/testkit/examples/pools/limits.rs
@@ -184,8 +184,8 @@
     format!("{median:.2} ({least:.2} to {most:.2})")
 }
 
-fn main() {
-    let mut args = std::env::args().skip(1);
+pub(crate) fn main() {
+    let mut args = std::env::args().skip(2);
     let seeds = args.next().and_then(|seeds| seeds.parse().ok());
     let seeds: u64 = seeds.unwrap_or(DEFAULT_SEEDS);
     let only = args.next();
--- a/crates/testkit/examples/shares.rs
+++ b/crates/testkit/examples/pools/quotas.rs
@@ -14,7 +14,7 @@
 };
 use std::time::Duration;
 
-const SETTINGS: &str = include_str!("settings-trips.json");
+const SETTINGS: &str = include_str!("../../src/measurement/settings/trips.json");
 const DEFAULT_SEEDS: u64 = 3;
 /// A server's part of the catalogue, in calls.
 const SHARES: [f64; 5] = [2.0, 6.0, 12.0, 40.0, 80.0];
@@ -68,8 +68,8 @@
     }
 }
 
-fn main() {
-    let mut args = std::env::args().skip(1);
+pub(crate) fn main() {
+    let mut args = std::env::args().skip(2);
     let seeds = args.next().and_then(|seeds| seeds.parse().ok());
     let seeds: u64 = seeds.unwrap_or(DEFAULT_SEEDS);
     let only: Option<f64> = args.next().and_then(|share| share.parse().ok());
--- a/crates/testkit/examples/shared/main.rs
+++ b/crates/testkit/examples/quotas/main.rs
@@ -1,18 +1,18 @@
 //! Measures budgets shared over a fleet beside fixed parts and beside one giver elected by the
 //! view, and counts against the truth.
 //!
-//!     cargo run --release -p madderbay-testkit --example shared simulated [SERVERS]
-//!     ... shared drawn [COUNT]      ... shared counts
-//!     cargo build --release && cargo run --release -p madderbay-testkit --example shared real
-//!     ... shared histories [COUNT]      ... shared trouble
+//!     cargo run --release -p madderbay-testkit --example quotas simulated [SERVERS]
+//!     ... quotas drawn [COUNT]      ... quotas counts
+//!     cargo build --release && cargo run --release -p madderbay-testkit --example quotas real
+//!     ... quotas histories [COUNT]      ... quotas trouble
 
 mod budget;
 mod central_lessor;
 mod counts;
 mod histories;
-mod pools;
 mod processes;
 mod simulated;
+mod slow_catalogue;
 
 /// Histories that are drawn, unless the command line says otherwise.
 const SIMULATED_HISTORIES: u64 = 10_000;
@@ -26,7 +26,7 @@
         "simulated" => simulated::measure(number.map(|servers| servers as usize)),
         "drawn" => histories::simulate(number.unwrap_or(SIMULATED_HISTORIES)),
         "counts" => counts::measure(),
-        "trouble" => pools::measure(),
+        "trouble" => slow_catalogue::measure(),
         "real" => processes::measure(),
         "histories" => histories::run_processes(number.unwrap_or(REAL_HISTORIES)),
         _ => eprintln!("simulated, drawn, counts, real, histories or trouble"),
--- a/crates/testkit/examples/shared/processes.rs
+++ b/crates/testkit/examples/quotas/processes.rs
@@ -17,7 +17,7 @@
 
 /// The platform's settings, wide enough that no server sheds load.
 pub(crate) fn settings() -> String {
-    include_str!("../settings.json")
+    include_str!("../../src/measurement/settings/fleet.json")
         .replace("\"tip_multiple\": 5.0", "\"tip_multiple\": 40.0")
         .replace("\"memory_kb\": 4000.0", "\"memory_kb\": 400000.0")
 }
--- a/crates/testkit/examples/shared/pools.rs
+++ b/crates/testkit/examples/quotas/slow_catalogue.rs
@@ -16,7 +16,7 @@
 };
 use std::time::Duration as StdDuration;
 
-const SETTINGS: &str = include_str!("../settings-trips.json");
+const SETTINGS: &str = include_str!("../../src/measurement/settings/trips.json");
 /// The part of all requests that arrive at each server.
 const PARTS: [f64; 5] = [0.6, 0.1, 0.1, 0.1, 0.1];
 const SERVERS: usize = PARTS.len();
