--- a/crates/testkit/examples/backends/main.rs
+++ b/crates/testkit/examples/backends/main.rs
@@ -1,9 +1,9 @@
-//! Measures routes beside round robin without ejection, least in hand with plain repeats, and own
-//! judgement alone.
+//! Measures the selection of backends beside the same without shared observations, least in flight
+//! with plain retries, and round robin without ejection.
 //!
 //!     cargo run --release -p madderbay-testkit --example backends simulated [SERVERS BACKENDS [CASE [SEEDS]]]
 //!     cargo build --release && cargo run --release -p madderbay-testkit --example backends real
-//!     ... backends look MODE [SEED]       one case, second by second, with what was left out and why
+//!     ... backends trace CASE [SEED]       one case, second by second, with what was ejected and why
 
 mod cases;
 mod real;
@@ -15,11 +15,14 @@
 const FLEETS: [(usize, usize); 4] = [(5, 10), (12, 100), (300, 10), (300, 100)];
 
 fn main() {
-    let mut args = std::env::args().skip(1);
-    let what = args.next().unwrap_or_default();
-    let rest: Vec<String> = args.collect();
-    let number = |index: usize| rest.get(index).and_then(|n| n.parse::<usize>().ok());
-    match what.as_str() {
+    let mut arguments = std::env::args().skip(1);
+    let mode = arguments.next().unwrap_or_default();
+    let rest: Vec<String> = arguments.collect();
+    let number = |index: usize| {
+        let word = rest.get(index)?;
+        word.parse::<usize>().ok()
+    };
+    match mode.as_str() {
         "simulated" => match (number(0), number(1)) {
             (Some(servers), Some(backends)) => {
                 let only = rest.get(2).map_or("", String::as_str);
@@ -32,11 +35,11 @@
                 }
             }
         },
-        "look" => {
+        "trace" => {
             let case = rest.first().map_or("", String::as_str);
-            simulated::show(case, number(1).unwrap_or(0) as u64);
+            simulated::trace(case, number(1).unwrap_or(0) as u64);
         }
         "real" => real::measure(),
-        _ => eprintln!("simulated, real or look"),
+        _ => eprintln!("simulated, real or trace"),
     }
 }
--- a/crates/testkit/examples/backends/real.rs
+++ b/crates/testkit/examples/backends/real.rs
@@ -1,5 +1,5 @@
-//! Real processes over ten fake backends, one of which has a fault for some seconds: with the whole
-//! machine, without gossip, and without ejections and retries.
+//! Real processes over ten fake backends, one of which has a fault for some seconds: with all of the
+//! selection, without gossip, and without ejections and retries.
 
 use crate::cases::FAULTY;
 use madderbay_testkit::catalogue::{Behavior, Catalogue};
@@ -8,8 +8,11 @@
 use madderbay_testkit::fleet::script::{Condition, Fleet, FleetSetup};
 use madderbay_testkit::load_balancer::{Load, RequestKind, RequestRecord, latencies};
 use madderbay_testkit::measurement::fleets::{release_binary, start_all};
-use madderbay_testkit::measurement::loads::{LoadResult, LoadTarget, join_loads, request_kind};
-use madderbay_testkit::measurement::report::table_head;
+use madderbay_testkit::measurement::loads::{
+    LoadResult, LoadTarget, goodput, join_loads, request_kind,
+};
+use madderbay_testkit::measurement::report::{cpu_ms_per_request, table_head};
+use madderbay_testkit::measurement::settings;
 use std::ops::Range;
 use std::time::{Duration, Instant};
 
@@ -19,60 +22,62 @@
 /// Requests a second at each server.
 const RATE: f64 = 10.0;
 const LATENCY_OBJECTIVE: Duration = Duration::from_secs(2);
-/// When the fault begins, when it is over, and the end of the load, in milliseconds.
+/// When the fault begins, when it ends, and the end of the load, in milliseconds.
 const CALM_MS: u64 = 5_000;
 const OVER_MS: u64 = 13_000;
 const END_MS: u64 = 25_000;
+const FAULT: Range<Duration> = Duration::from_millis(CALM_MS)..Duration::from_millis(OVER_MS);
 /// The time between two samples of the faulty backend's calls, in milliseconds.
 const SAMPLE_MS: u64 = 100;
 /// The time over which its traffic is averaged, in milliseconds.
 const SECOND_MS: u64 = 1_000;
-/// Of its traffic without the fault: with less it is avoided, with more it is back.
+/// With less than this part of its traffic without the fault, a backend is avoided.
 const AVOIDED_PART: f64 = 0.4;
+/// With more than this part of its traffic without the fault, a backend has returned.
 const BACK_PART: f64 = 0.5;
-
-/// Prints the table of all faults and ways.
+/// A server's quota upstream, in calls, so large that it never matters.
+const QUOTA: f64 = 60.0;
+/// The time that clients wait for an answer, in milliseconds.
+const REQUEST_TIMEOUT_MS: u64 = 3_000;
+/// The faults, and their names in the table.
+const FAULTS: [(&str, Behavior); 3] = [
+    ("10 times slower", Behavior::Slow(10.0)),
+    ("fails at once", Behavior::Fails),
+    ("never answers", Behavior::Silent),
+];
+/// The variants, and their keys in the operator file.
+const VARIANTS: [(&str, &str); 3] = [
+    ("shared observations", ""),
+    ("own observations", "shares = off\n"),
+    (
+        "no ejection, no retries",
+        "shares = off\nout_most = 0\nrepeats = 0\nhedges = off\n",
+    ),
+];
+
+/// Prints the table of all faults and variants.
 pub(crate) fn measure() {
     let heads = [
-        "processes, trouble",
-        "way",
-        "kept: search, book",
-        "99% of searches within, ms",
-        "off after, s",
-        "back after, s",
-        "CPU a req, ms",
-        "rules broken",
+        "processes, fault",
+        "variant",
+        "success: search, book",
+        "p99 of searches, ms",
+        "ejected after, s",
+        "returned after, s",
+        "CPU a request, ms",
+        "invariants violated",
     ];
     println!("{}", table_head(&heads));
     for servers in [5, 12] {
-        for (fault, behavior) in [
-            ("10 times slower", Behavior::Slow(10.0)),
-            ("fails at once", Behavior::Fails),
-            ("never answers", Behavior::Silent),
-        ] {
-            for (way, keys) in [
-                ("shared", ""),
-                ("own alone", "shares = off\n"),
-                (
-                    "nobody left out, no repeats",
-                    "shares = off\nout_most = 0\nrepeats = 0\nhedges = off\n",
-                ),
-            ] {
+        for (fault, behavior) in FAULTS {
+            for (variant, keys) in VARIANTS {
                 let row = Measured::run(servers, behavior, keys).row();
-                println!("| {servers}, {fault} | {way} | {row} |");
+                println!("| {servers}, {fault} | {variant} | {row} |");
             }
         }
     }
 }
 
-/// The platform's settings, wide enough that no server sheds load.
-fn settings() -> String {
-    include_str!("../../src/measurement/settings/fleet.json")
-        .replace("\"tip_multiple\": 5.0", "\"tip_multiple\": 40.0")
-        .replace("\"memory_kb\": 4000.0", "\"memory_kb\": 400000.0")
-        .replace("\"dep_share\": 8.0", "\"dep_share\": 60.0")
-}
-
 fn kinds() -> Vec<RequestKind> {
     vec![
         request_kind("search", 3.0, LATENCY_OBJECTIVE, false),
@@ -85,7 +90,9 @@
     let work = |handler| HandlerWork::new(handler, (1.0, 2.0), true);
     let works = [work("search"), work("book")];
     let setup = FleetSetup::of(servers);
-    let mut fleet = ProcessFleet::new(setup, release_binary(), &settings(), &works, 1);
+    let settings = settings::fleet_without_load_shedding();
+    let settings = settings::with_quota(&settings, QUOTA);
+    let mut fleet = ProcessFleet::new(setup, &release_binary(), &settings, &works, 1);
     let sections: String = backends
         .iter()
         .enumerate()
@@ -127,7 +134,7 @@
             let calls = play_fault(&backends[FAULTY], fault);
             (join_loads(loads), calls)
         });
-        let cpu_ms = (fleet.cpu() - cpu_before) * 1e3 / load.records.len() as f64;
+        let cpu_ms = cpu_ms_per_request(fleet.cpu() - cpu_before, load.records.len());
         Measured {
             load,
             calls,
@@ -147,9 +154,9 @@
             |ms: Option<u64>| ms.map_or("never".into(), |ms| format!("{:.1}", ms as f64 / 1e3));
         format!(
             "{:.3}, {:.3} | {} | {} | {} | {:.2} | {}",
-            self.kept(0),
-            self.kept(1),
-            self.slowest_search(),
+            goodput(&self.load.records, &kinds(), 0, FAULT),
+            goodput(&self.load.records, &kinds(), 1, FAULT),
+            self.p99_of_searches_ms(),
             secs(off),
             secs(back),
             self.cpu_ms,
@@ -157,28 +164,12 @@
         )
     }
 
-    /// The requests of a handler that were sent during the fault.
-    fn during_fault(&self, handler: usize) -> impl Iterator<Item = &RequestRecord> {
-        let fault = Duration::from_millis(CALM_MS)..Duration::from_millis(OVER_MS);
-        self.load
-            .records
-            .iter()
-            .filter(move |record| record.handler == handler && fault.contains(&record.sent))
-    }
-
-    /// The part of these that were answered in time.
-    fn kept(&self, handler: usize) -> f64 {
-        let all = self.during_fault(handler).count();
-        let kept = self
-            .during_fault(handler)
-            .filter(|record| record.in_time(LATENCY_OBJECTIVE));
-        kept.count() as f64 / all.max(1) as f64
-    }
-
-    /// The time within which 99% of the searches during the fault were done, in milliseconds.
-    fn slowest_search(&self) -> u64 {
-        let searches: Vec<RequestRecord> = self.during_fault(0).cloned().collect();
-        latencies(&searches, 0).value_at_quantile(0.99)
+    /// The 99th percentile of the response times of searches during the fault, in milliseconds.
+    fn p99_of_searches_ms(&self) -> u64 {
+        let during_fault = self.load.records.iter();
+        let during_fault = during_fault.filter(|record| FAULT.contains(&record.sent));
+        let records: Vec<RequestRecord> = during_fault.cloned().collect();
+        latencies(&records, 0).value_at_quantile(0.99)
     }
 
     /// Calls that have reached the faulty backend by a time.
@@ -205,7 +196,7 @@
         rates: vec![(Duration::ZERO, RATE)],
         length: Duration::from_millis(END_MS),
         seed: server as u64,
-        timeout_ms: 3_000,
+        timeout_ms: REQUEST_TIMEOUT_MS,
     }
 }
 
--- a/crates/testkit/examples/backends/simulated.rs
+++ b/crates/testkit/examples/backends/simulated.rs
@@ -4,11 +4,12 @@
 use madderbay::time::Duration;
 use madderbay_testkit::backend_simulation::{BackendFleetSetup, BackendSimulation, RoutingPolicy};
 use madderbay_testkit::measurement::report::{median, table_head};
+use madderbay_testkit::measurement::seeds::run_seeds;
 
 const POLICIES: [(RoutingPolicy, &str); 4] = [
-    (RoutingPolicy::Shared, "shared"),
-    (RoutingPolicy::Alone, "own alone"),
-    (RoutingPolicy::LeastInHand, "least in hand, repeats"),
+    (RoutingPolicy::Shared, "shared observations"),
+    (RoutingPolicy::Alone, "own observations"),
+    (RoutingPolicy::LeastInHand, "least in flight, retries"),
     (RoutingPolicy::RoundRobin, "round robin"),
 ];
 /// When the fault begins, when it is over, and the end, in milliseconds.
@@ -17,13 +18,14 @@
 const END_MS: u64 = 40_000;
 /// The time over which a backend's traffic is averaged, in milliseconds.
 const SECOND_MS: u64 = 1_000;
-/// Of its traffic without the fault: with less a backend is avoided, with more it is back.
+/// With less than this part of its traffic without the fault, a backend is avoided.
 const AVOIDED_PART: f64 = 0.25;
+/// With more than this part of its traffic without the fault, a backend has returned.
 const BACK_PART: f64 = 0.5;
 
 /// What one run has shown.
 struct RunResult {
-    /// The part of the calls that succeeded during the fault.
+    /// The fraction of the calls that succeeded during the fault.
     success: f64,
     /// The time within which 99% of them did, in milliseconds.
     slowest_ms: f64,
@@ -46,24 +48,20 @@
     );
     let heads = [
         "case",
-        "way",
-        "kept",
-        "99% of calls within, ms",
-        "off after, s",
-        "back after, s",
-        "load for each first try",
-        "left out wrongly, server-seconds",
-        "most on the one that returns, of its part",
+        "variant",
+        "success",
+        "p99, ms",
+        "ejected after, s",
+        "returned after, s",
+        "attempts per call",
+        "wrongly ejected, server-seconds",
+        "peak at the returning one, of its part",
     ];
     println!("{}", table_head(&heads));
     for (case, set_fault) in CASES.into_iter().filter(|case| case.0.contains(only)) {
         for (policy, name) in POLICIES {
-            let results: Vec<RunResult> = std::thread::scope(|scope| {
-                let play = |seed| move || run(servers, backends, policy, set_fault, seed);
-                let runs: Vec<_> = (0..seeds).map(|seed| scope.spawn(play(seed))).collect();
-                runs.into_iter()
-                    .map(|run| run.join().expect("played"))
-                    .collect()
+            let results = run_seeds(0..seeds, seeds as usize, |seed| {
+                run(servers, backends, policy, set_fault, seed)
             });
             print_row(case, name, &results);
         }
@@ -72,40 +70,41 @@
 
 /// Prints the medians of several runs.
 fn print_row(case: &str, policy: &str, results: &[RunResult]) {
-    let mid = |of: fn(&RunResult) -> f64| {
-        let mut values: Vec<f64> = results.iter().map(of).collect();
+    let median_of = |figure: fn(&RunResult) -> f64| {
+        let mut values: Vec<f64> = results.iter().map(figure).collect();
         median(&mut values)
     };
-    let secs = |secs: f64| {
-        if secs.is_finite() {
-            format!("{secs:.1}")
-        } else {
-            "never".into()
-        }
-    };
-    let (off, back, peak) = if is_about_one_backend(case) {
-        (
-            secs(mid(|r| r.off_secs)),
-            secs(mid(|r| r.back_secs)),
-            format!("{:.1}", mid(|r| r.peak)),
-        )
-    } else {
-        ("-".into(), "-".into(), "-".into())
-    };
-    let slowest_ms = mid(|r| r.slowest_ms);
+    let mut ejected = String::from("-");
+    let mut returned = String::from("-");
+    let mut peak = String::from("-");
+    if is_about_one_backend(case) {
+        ejected = secs_or_never(median_of(|result| result.off_secs));
+        returned = secs_or_never(median_of(|result| result.back_secs));
+        peak = format!("{:.1}", median_of(|result| result.peak));
+    }
+    let slowest_ms = median_of(|result| result.slowest_ms);
     let slowest = if slowest_ms.is_nan() {
         "-".into()
     } else {
         format!("{slowest_ms:.0}")
     };
     println!(
-        "| {case} | {policy} | {:.3} | {slowest} | {off} | {back} | {:.2} | {:.0} | {peak} |",
-        mid(|r| r.success),
-        mid(|r| r.attempts),
-        mid(|r| r.wrongly_ejected)
+        "| {case} | {policy} | {:.3} | {slowest} | {ejected} | {returned} | {:.2} | {:.0} | {peak} |",
+        median_of(|result| result.success),
+        median_of(|result| result.attempts),
+        median_of(|result| result.wrongly_ejected)
     );
 }
 
+/// A time in seconds, which is infinite where it was never reached.
+fn secs_or_never(secs: f64) -> String {
+    if secs.is_finite() {
+        format!("{secs:.1}")
+    } else {
+        "never".into()
+    }
+}
+
 /// The calls a second that arrive at a server: under one to each backend in a large fleet, up to
 /// ten in a small one.
 fn rate(servers: usize, backends: usize) -> f64 {
@@ -160,7 +159,7 @@
 }
 
 /// Prints one case second by second, and what the servers have logged.
-pub(crate) fn show(case: &str, seed: u64) {
+pub(crate) fn trace(case: &str, seed: u64) {
     let mut cases = CASES.into_iter();
     let (case, set_fault) = cases
         .find(|(name, _)| name.contains(case))
@@ -175,7 +174,7 @@
     for from in (0..END_MS).step_by(SECOND_MS as usize) {
         let to = from + SECOND_MS;
         println!(
-            "{:3} s: kept {:.3}, part of it {:.3}, left out by {:.1}, load {:.2}",
+            "{:3} s: success {:.3}, its part of the traffic {:.3}, ejected by {:.1}, attempts per call {:.2}",
             from / SECOND_MS,
             simulation.kept(from, to),
             simulation.part(FAULTY, from, to),
--- a/crates/testkit/examples/membership/heartbeats.rs
+++ b/crates/testkit/examples/membership/heartbeats.rs
@@ -1,21 +1,23 @@
 //! All-to-all heartbeats, for comparison: each server sends 60 bytes to each other every half
-//! second, and declares down whom it has not heard of for 3 s. Every address is known to all from
-//! the beginning, which flatters them.
+//! second, and holds down each of which it has received nothing for 3 s. Every address is known to
+//! all from the beginning, which flatters them.
 
 use crate::row::Row;
 use oorandom::Rand64;
 
-/// Seconds between two heartbeats of a server, and of silence after which it is down.
+/// The time between two heartbeats of a server, in seconds.
 const HEARTBEAT_SECS: f64 = 0.5;
+/// The time without a heartbeat after which a server is down, in seconds.
 const TIMEOUT_SECS: f64 = 3.0;
 /// The time that a step simulates, in seconds.
 const STEP_SECS: f64 = 0.05;
-/// Longer than any fleet takes to settle, in seconds.
+/// Upper bound on the time that a fleet takes to settle, in seconds.
 const SETTLE_TERM_SECS: f64 = 30.0;
 /// The time over which bytes are measured, in seconds.
 const CALM_SECS: f64 = 5.0;
 const HEARTBEAT_BYTES: u64 = 60;
 
+/// A simulated fleet that has nothing but heartbeats.
 pub(crate) struct Heartbeats {
     servers: usize,
     loss: f64,
@@ -24,7 +26,7 @@
     running: Vec<bool>,
     /// By server until when it is paused.
     paused_until: Vec<f64>,
-    /// The side of the cut that each server is on.
+    /// The group of the partition that each server is in.
     partition: Vec<usize>,
     /// By receiver and sender when the last heartbeat arrived.
     received: Vec<f64>,
@@ -85,8 +87,8 @@
         }
     }
 
-    /// Whether a server holds another one to be up.
-    pub(crate) fn holds_up(&self, server: usize, other: usize) -> bool {
+    /// Whether another server is up in a server's view.
+    pub(crate) fn is_up(&self, server: usize, other: usize) -> bool {
         self.now - self.received[server * self.servers + other] <= TIMEOUT_SECS
     }
 
@@ -96,13 +98,13 @@
             let mut others = (0..self.servers).filter(|other| *other != server);
             others.all(|other| {
                 let connected = self.partition[server] == self.partition[other];
-                self.holds_up(server, other) == (self.running[other] && connected)
+                self.is_up(server, other) == (self.running[other] && connected)
             })
         })
     }
 
-    /// Steps until all views are right. Gives the time that it took, infinite if they don't become
-    /// so.
+    /// Steps until all views are right. Gives the time that it took in seconds, infinite if that is
+    /// longer than the term.
     pub(crate) fn settle(&mut self) -> f64 {
         let began = self.now;
         while !self.settled() {
@@ -122,7 +124,8 @@
     if fleet.settle().is_infinite() {
         return row.join.push(f64::INFINITY);
     }
-    let (sent_before, began) = (fleet.bytes_sent, fleet.now);
+    let sent_before = fleet.bytes_sent;
+    let began = fleet.now;
     while fleet.now - began < CALM_SECS {
         fleet.step();
     }
@@ -133,7 +136,7 @@
     fleet.running[servers / 2] = false;
     row.crash.push(fleet.settle());
     fleet.partition[..servers / 3].fill(1);
-    row.cut.push(fleet.settle());
+    row.partition.push(fleet.settle());
     fleet.partition.fill(0);
     row.heal.push(fleet.settle());
 }
--- a/crates/testkit/examples/membership/histories.rs
+++ b/crates/testkit/examples/membership/histories.rs
@@ -6,77 +6,79 @@
 use madderbay::time::Duration;
 use madderbay_testkit::fleet::processes::ProcessFleet;
 use madderbay_testkit::fleet::script::{Action, Condition, Fleet, FleetSetup};
-use madderbay_testkit::measurement::fleets::{act, for_each_seed};
+use madderbay_testkit::measurement::fleets::act;
 use madderbay_testkit::measurement::loads::LoadTarget;
+use madderbay_testkit::measurement::report::Violations;
+use madderbay_testkit::measurement::seeds::run_seeds;
 use oorandom::Rand64;
-use std::sync::Mutex;
 use std::time::Duration as StdDuration;
 
 const SERVERS: usize = 5;
 /// Histories at a time.
 const THREADS: usize = 8;
+/// Faults of a history, and the number of their kinds, which are drawn evenly.
 const FAULTS: usize = 8;
-/// The most that a fault of the network hits, as a part of all datagrams.
-const MAX_FAULT_PART: f64 = 0.3;
+const FAULT_KINDS: f64 = 8.0;
+/// The largest fraction of all datagrams that a fault of the network hits.
+const MAX_FAULT_FRACTION: f64 = 0.3;
+/// Requests a second, and the length of the load in seconds.
+const REQUESTS_PER_SECOND: f64 = 60.0;
+const LOAD_SECS: u64 = 3;
 /// The longest pause between two faults, in seconds.
 const MAX_PAUSE_SECS: f64 = 0.5;
-/// Lines that are printed of what broke.
-const MAX_PRINTED: usize = 20;
 
-/// What the histories have shown.
-#[derive(Default)]
-struct Tally {
+/// What one history has shown.
+struct HistoryResult {
     requests: usize,
-    faults: usize,
-    /// The longest time that the views took to settle in the end, in seconds.
-    slowest: f64,
-    /// A line for each broken rule, and for each fleet that did not settle.
-    broken: Vec<String>,
+    /// The time that the views took to settle in the end, in seconds.
+    settle_secs: f64,
+    /// A line for each violated rule, and one if the views did not settle.
+    violations: Vec<String>,
 }
 
-/// Plays a number of histories and prints what broke.
+/// Plays a number of histories and prints what was violated.
 pub(crate) fn measure(count: u64) {
-    let tally = Mutex::new(Tally::default());
-    for_each_seed(count, THREADS, |seed| play(seed, &tally));
-    let tally = tally.into_inner().expect("a tally");
+    let results = run_seeds(0..count, THREADS, play);
+    let faults = FAULTS * results.len();
+    let mut requests = 0;
+    let mut slowest_secs: f64 = 0.0;
+    let mut violations = Violations::default();
+    for (seed, result) in (0..).zip(results) {
+        requests += result.requests;
+        slowest_secs = slowest_secs.max(result.settle_secs);
+        violations.add(seed, result.violations);
+    }
     println!(
-        "{count} histories of {SERVERS} processes, {} faults, {} reqs: {} rules or views broken; slowest to settle {:.1} s",
-        tally.faults,
-        tally.requests,
-        tally.broken.len(),
-        tally.slowest
+        "{count} histories of {SERVERS} processes, {faults} faults, {requests} requests: {} invariants violated or views not settled; slowest to settle {slowest_secs:.1} s",
+        violations.count()
     );
-    let printed = tally.broken.iter().take(MAX_PRINTED);
-    printed.for_each(|line| println!("{line}"));
+    violations.print();
 }
 
-fn play(seed: u64, tally: &Mutex<Tally>) {
+fn play(seed: u64) -> HistoryResult {
     let setup = FleetSetup {
         down_retention: Duration::from_millis(2_000),
         ..FleetSetup::of(SERVERS)
     };
-    let (mut fleet, settled) = started_fleet(setup, seed);
+    let (mut fleet, first_settle_secs) = started_fleet(setup, seed);
     let target = LoadTarget::of(&fleet, 0);
-    let load = load(seed, 3, 60.0);
-    let (records, healed) = std::thread::scope(|scope| {
+    let load = load(seed, LOAD_SECS, REQUESTS_PER_SECOND);
+    let (records, settle_secs) = std::thread::scope(|scope| {
         let sending = scope.spawn(|| target.send(&load, |_| ()));
         play_faults(&mut fleet, seed);
-        let healed = settle(&mut fleet);
-        (sending.join().expect("loaded"), healed)
+        let settle_secs = settle(&mut fleet);
+        (sending.join().expect("loaded"), settle_secs)
     });
-    let mut broken = target.violations(&load, &records);
-    if settled.is_infinite() || healed.is_infinite() {
+    let mut violations = target.violations(&load, &records);
+    if first_settle_secs.is_infinite() || settle_secs.is_infinite() {
         let unmet = fleet.unmet(&Condition::Settled);
-        broken.push(format!("not settled: {unmet:?}"));
+        violations.push(format!("not settled: {unmet:?}"));
+    }
+    HistoryResult {
+        requests: records.len(),
+        settle_secs,
+        violations,
     }
-    let mut tally = tally.lock().expect("a tally");
-    tally.requests += records.len();
-    tally.faults += FAULTS;
-    tally.slowest = tally.slowest.max(healed);
-    let broken = broken.into_iter();
-    tally
-        .broken
-        .extend(broken.map(|line| format!("seed {seed}: {line}")));
 }
 
 /// Draws faults for all servers but the first, and ends those of the network.
@@ -101,8 +103,8 @@
 /// A server and something that is done to it or to the network.
 fn draw_fault(random: &mut Rand64, running: &[bool; SERVERS]) -> (usize, Action) {
     let who = 1 + (random.rand_float() * (SERVERS - 1) as f64) as usize;
-    let part = random.rand_float() * MAX_FAULT_PART;
-    let action = match (random.rand_float() * 8.0) as usize {
+    let fraction = random.rand_float() * MAX_FAULT_FRACTION;
+    let action = match (random.rand_float() * FAULT_KINDS) as usize {
         0 if running[who] => Action::Kill(who),
         1 if running[who] => Action::Drain(who),
         2 => {
@@ -111,13 +113,13 @@
         }
         3 => Action::OneWay(who, vec![0, 1, 2]),
         4 => Action::Heal,
-        5 => lossy_network(part),
+        5 => lossy_network(fraction),
         6 => Action::Replay(0),
         _ if !running[who] => Action::start(who),
         _ => Action::Network {
             loss: None,
-            double: Some(part),
-            spoil: Some(part),
+            double: Some(fraction),
+            spoil: Some(fraction),
             delay: None,
         },
     };
--- a/crates/testkit/examples/membership/hour.rs
+++ b/crates/testkit/examples/membership/hour.rs
@@ -12,28 +12,36 @@
 const MEMBERS: usize = 100;
 const LOSS: f64 = 0.1;
 const MINUTES: usize = 60;
-const PAUSED_PART: f64 = 0.05;
+/// The fraction of the servers that are paused in a minute.
+const PAUSED_FRACTION: f64 = 0.05;
 const PAUSE_MS: u64 = 2_000;
 const MINUTE_MS: u64 = 60_000;
 const FLEET_SEED: u64 = 1;
-/// The seed of who is paused.
+/// The seed that determines who is paused.
 const PAUSE_SEED: u128 = 5;
 
+/// Prints a line for each variant.
 pub(crate) fn measure() {
-    for (way, local_health_aware) in [("ours", true), ("no own health", false)] {
+    let variants = [
+        ("this protocol", true),
+        ("this protocol without local health", false),
+    ];
+    for (variant, local_health_aware) in variants {
         let (downs, suspicions) = swim(local_health_aware);
         println!(
-            "{way}: {downs} downs held of the living, {suspicions} suspicions, {MEMBERS} members, {MINUTES} minutes"
+            "{variant}: {downs} live members held down, {suspicions} suspicions, {MEMBERS} members, {MINUTES} minutes"
         );
     }
     let downs = heartbeats();
-    println!("heartbeats: {downs} downs held of the living, {MEMBERS} members, {MINUTES} minutes");
+    println!(
+        "all-to-all heartbeats: {downs} live members held down, {MEMBERS} members, {MINUTES} minutes"
+    );
 }
 
 /// The servers that are paused in the next minute.
 fn draw_paused(random: &mut Rand64) -> Vec<usize> {
     (0..MEMBERS)
-        .filter(|_| random.rand_float() < PAUSED_PART)
+        .filter(|_| random.rand_float() < PAUSED_FRACTION)
         .collect()
 }
 
@@ -72,7 +80,9 @@
 fn heartbeats() -> u64 {
     let mut fleet = Heartbeats::new(MEMBERS, LOSS, FLEET_SEED);
     let mut random = Rand64::new(PAUSE_SEED);
-    let (mut downs, mut held_up) = (0, vec![true; MEMBERS * MEMBERS]);
+    let mut downs = 0;
+    // By observer and member whether the member was up in its view before.
+    let mut was_up = vec![true; MEMBERS * MEMBERS];
     fleet.settle();
     for _ in 0..MINUTES {
         let began = fleet.now();
@@ -81,13 +91,21 @@
         }
         while fleet.now() - began < MINUTE_MS as f64 / 1e3 {
             fleet.step();
-            for server in (0..MEMBERS).filter(|server| !fleet.is_paused(*server)) {
-                for other in (0..MEMBERS).filter(|other| *other != server) {
-                    let up = fleet.holds_up(server, other);
-                    let before = std::mem::replace(&mut held_up[server * MEMBERS + other], up);
-                    downs += u64::from(before && !up);
-                }
-            }
+            downs += new_downs(&fleet, &mut was_up);
+        }
+    }
+    downs
+}
+
+/// Counts the members that went down in the view of a server that is not paused, and updates what
+/// was up before.
+fn new_downs(fleet: &Heartbeats, was_up: &mut [bool]) -> u64 {
+    let mut downs = 0;
+    for observer in (0..MEMBERS).filter(|observer| !fleet.is_paused(*observer)) {
+        for member in (0..MEMBERS).filter(|member| *member != observer) {
+            let is_up = fleet.is_up(observer, member);
+            let before = std::mem::replace(&mut was_up[observer * MEMBERS + member], is_up);
+            downs += u64::from(before && !is_up);
         }
     }
     downs
--- a/crates/testkit/examples/membership/main.rs
+++ b/crates/testkit/examples/membership/main.rs
@@ -1,5 +1,4 @@
-//! Measures the view of the fleet beside all-to-all heartbeats and beside SWIM without the
-//! accuser's own health.
+//! Measures membership beside all-to-all heartbeats and beside the protocol without local health.
 //!
 //!     cargo run --release -p madderbay-testkit --example membership simulated [SEEDS [MEMBERS [LOSS]]]
 //!     cargo run --release -p madderbay-testkit --example membership hour
@@ -16,14 +15,14 @@
 const DEFAULT_SEEDS: u64 = 5;
 
 fn main() {
-    let mut args = std::env::args().skip(1);
-    let what = args.next().unwrap_or_default();
-    let seeds = args.next().and_then(|seeds| seeds.parse().ok());
+    let mut arguments = std::env::args().skip(1);
+    let mode = arguments.next().unwrap_or_default();
+    let seeds = arguments.next().and_then(|seeds| seeds.parse().ok());
     let seeds = seeds.unwrap_or(DEFAULT_SEEDS);
-    match what.as_str() {
+    match mode.as_str() {
         "simulated" => {
-            let members = args.next().and_then(|members| members.parse().ok());
-            let loss = args.next().and_then(|loss| loss.parse().ok());
+            let members = arguments.next().and_then(|members| members.parse().ok());
+            let loss = arguments.next().and_then(|loss| loss.parse().ok());
             simulated::measure(seeds, members, loss);
         }
         "histories" => histories::measure(seeds),
--- a/crates/testkit/examples/membership/processes.rs
+++ b/crates/testkit/examples/membership/processes.rs
@@ -1,4 +1,5 @@
-//! Real processes: the faults of a row, what the view costs, and a flood of foreign datagrams.
+//! Real processes: the faults of a row, what membership costs, and a flood of datagrams that are
+//! rejected.
 
 use crate::row::{Row, print_head, settle};
 use madderbay_testkit::engine::{Engine, HandlerWork};
@@ -7,22 +8,33 @@
 use madderbay_testkit::load_balancer::{Load, RequestRecord, latencies};
 use madderbay_testkit::measurement::fleets::{act, release_binary, start_all};
 use madderbay_testkit::measurement::loads::{LoadTarget, request_kind};
-use madderbay_testkit::measurement::report::table_head;
+use madderbay_testkit::measurement::report::{cpu_ms_per_request, table_head};
+use madderbay_testkit::measurement::settings;
 use madderbay_testkit::registry::Registry;
 use madderbay_testkit::server::{Dependencies, Server, configuration};
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-const SETTINGS: &str = include_str!("../../src/measurement/settings/fleet.json");
 /// The time over which the processor time of a row is measured.
 const CALM: Duration = Duration::from_secs(5);
 /// The time over which the processor time of idle servers is measured.
 const IDLE_TIME: Duration = Duration::from_secs(20);
-/// The load under a flood: its length in seconds and its requests a second.
+/// The load under a flood: its length in seconds, its requests a second and its seed.
 const FLOOD_SECS: u64 = 10;
 const FLOOD_RATE: f64 = 200.0;
+const FLOOD_SEED: u64 = 3;
+/// The size of a datagram of a flood, and the time between two bursts of them.
 const FLOOD_DATAGRAM_BYTES: usize = 200;
+const FLOOD_PAUSE: Duration = Duration::from_millis(1);
+const LATENCY_OBJECTIVE: Duration = Duration::from_secs(2);
+/// The time that clients wait for an answer, in milliseconds.
+const REQUEST_TIMEOUT_MS: u64 = 5_000;
+/// A server without a fleet: the cores of its engine, its connections, and the time of its shutdown
+/// in milliseconds.
+const ENGINE_CORES: f64 = 2.0;
+const MAX_SOCKETS: usize = 128;
+const SHUTDOWN_MS: u64 = 500;
 
 fn works() -> Vec<HandlerWork> {
     let work = |handler, calls| HandlerWork::new(handler, (2.0, 6.0), calls);
@@ -33,8 +45,11 @@
     ]
 }
 
+/// A load of all three handlers for some seconds, of so many requests a second.
 pub(crate) fn load(seed: u64, secs: u64, rate: f64) -> Load {
-    let kind = |handler, part, keyed| request_kind(handler, part, Duration::from_secs(2), keyed);
+    let kind = |handler, weight, idempotency_key| {
+        request_kind(handler, weight, LATENCY_OBJECTIVE, idempotency_key)
+    };
     Load {
         kinds: vec![
             kind("search", 0.4, false),
@@ -44,14 +59,14 @@
         rates: vec![(Duration::ZERO, rate)],
         length: Duration::from_secs(secs),
         seed,
-        timeout_ms: 5_000,
+        timeout_ms: REQUEST_TIMEOUT_MS,
     }
 }
 
 /// A fleet that has started and settled; and how long the latter took in seconds.
 pub(crate) fn started_fleet(setup: FleetSetup, seed: u64) -> (ProcessFleet, f64) {
     let servers = setup.servers;
-    let mut fleet = ProcessFleet::new(setup, release_binary(), SETTINGS, &works(), seed);
+    let mut fleet = ProcessFleet::new(setup, &release_binary(), settings::FLEET, &works(), seed);
     start_all(&mut fleet, 0..servers);
     let settled = settle(&mut fleet);
     (fleet, settled)
@@ -65,17 +80,19 @@
             let mut row = Row::default();
             for seed in 0..seeds {
                 let setup = FleetSetup::of(servers);
-                let mut fleet = ProcessFleet::new(setup, release_binary(), SETTINGS, &[], seed);
+                let mut fleet =
+                    ProcessFleet::new(setup, &release_binary(), settings::FLEET, &[], seed);
                 act(&mut fleet, Action::loss(loss));
                 row.play(&mut fleet, servers, |fleet, row| {
-                    let (cpu_before, began) = (fleet.cpu(), Instant::now());
+                    let cpu_before = fleet.cpu();
+                    let began = Instant::now();
                     std::thread::sleep(CALM);
                     let server_secs = began.elapsed().as_secs_f64() * (servers - 1) as f64;
                     row.cpu
                         .push((fleet.cpu() - cpu_before) / server_secs * 100.0);
                 });
             }
-            row.print(&format!("{servers}, {loss}"));
+            row.print_line(&format!("{servers}, {loss}"));
         }
     }
 }
@@ -83,9 +100,9 @@
 /// Prints what requests cost and take while foreign datagrams arrive.
 pub(crate) fn measure_flood() {
     let heads = [
-        "strays a second",
-        "50, 99% of reqs within, ms",
-        "CPU a req, ms",
+        "rejected datagrams a second",
+        "p50, p99 of requests, ms",
+        "CPU a request, ms",
         "CPU, % of a core",
     ];
     println!("{}", table_head(&heads));
@@ -101,7 +118,7 @@
             "| {datagrams_per_second} | {}, {} | {:.2} | {:.1} |",
             all.value_at_quantile(0.5),
             all.value_at_quantile(0.99),
-            cpu * 1e3 / records.len() as f64,
+            cpu_ms_per_request(cpu, records.len()),
             cpu / FLOOD_SECS as f64 * 100.0
         );
     }
@@ -113,7 +130,7 @@
     let on = AtomicBool::new(true);
     std::thread::scope(|scope| {
         scope.spawn(|| flood(address, datagrams_per_second, &on));
-        let records = target.send(&load(3, FLOOD_SECS, FLOOD_RATE), |_| ());
+        let records = target.send(&load(FLOOD_SEED, FLOOD_SECS, FLOOD_RATE), |_| ());
         on.store(false, Ordering::Relaxed);
         records
     })
@@ -122,18 +139,19 @@
 /// Sends datagrams that belong to no fleet, while it is on.
 fn flood(to: SocketAddr, datagrams_per_second: u32, on: &AtomicBool) {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let (began, mut sent) = (Instant::now(), 0u64);
+    let began = Instant::now();
+    let mut sent: u64 = 0;
     while on.load(Ordering::Relaxed) {
         let due = began.elapsed().as_secs_f64() * f64::from(datagrams_per_second);
         while sent < due as u64 {
             let _ = socket.send_to(&[sent as u8; FLOOD_DATAGRAM_BYTES], to);
             sent += 1;
         }
-        std::thread::sleep(Duration::from_millis(1));
+        std::thread::sleep(FLOOD_PAUSE);
     }
 }
 
-/// Prints the processor time of idle servers, with the view and without.
+/// Prints the processor time of idle servers, with membership and without.
 pub(crate) fn measure_idle_cost() {
     for servers in [5, 12] {
         let (fleet, _) = started_fleet(FleetSetup::of(servers), 1);
@@ -143,7 +161,7 @@
         let alone: Vec<(Server, Registry)> = (0..servers).map(start_alone).collect();
         let without = idle_cpu(&alone.iter().map(|(server, _)| server).collect::<Vec<_>>());
         println!(
-            "{servers} servers, % of a core each: {with:.3} with, {without:.3} without, {:.3} the view's",
+            "{servers} servers, % of a core each: {with:.3} with, {without:.3} without, {:.3} of membership",
             with - without
         );
     }
@@ -151,21 +169,29 @@
 
 /// A server without a fleet.
 fn start_alone(seed: usize) -> (Server, Registry) {
-    let engine = Engine::start(2.0, works(), seed as u64).address;
+    let engine = Engine::start(ENGINE_CORES, works(), seed as u64).address;
     let registry = Registry::start();
     let dependencies = Dependencies {
         engine,
         registry: registry.address,
         catalogue: engine,
     };
-    let text = configuration("127.0.0.1:0", dependencies, 128, 500, SETTINGS);
-    (Server::start(release_binary(), &text, None), registry)
+    let listen = "127.0.0.1:0";
+    let text = configuration(
+        listen,
+        dependencies,
+        MAX_SOCKETS,
+        SHUTDOWN_MS,
+        settings::FLEET,
+    );
+    (Server::start(&release_binary(), &text, None), registry)
 }
 
 /// The processor time of each server while nothing happens, in percent of a core.
 fn idle_cpu(servers: &[&Server]) -> f64 {
     let cpu = || servers.iter().map(|server| server.cpu()).sum::<f64>();
-    let (before, began) = (cpu(), Instant::now());
+    let cpu_before = cpu();
+    let began = Instant::now();
     std::thread::sleep(IDLE_TIME);
-    (cpu() - before) / began.elapsed().as_secs_f64() / servers.len() as f64 * 100.0
+    (cpu() - cpu_before) / began.elapsed().as_secs_f64() / servers.len() as f64 * 100.0
 }
--- a/crates/testkit/examples/membership/row.rs
+++ b/crates/testkit/examples/membership/row.rs
@@ -5,7 +5,7 @@
 use madderbay_testkit::measurement::fleets::{act, start_all, wait_until};
 use madderbay_testkit::measurement::report::{median, table_head};
 
-/// Longer than any fleet takes to settle.
+/// Upper bound on the time that a fleet takes to settle.
 const SETTLE_TERM: Duration = Duration::from_millis(120_000);
 
 /// What the runs of one row have shown: seconds, infinite where a fleet did not settle; bytes a
@@ -14,31 +14,33 @@
 pub(crate) struct Row {
     pub(crate) join: Vec<f64>,
     pub(crate) crash: Vec<f64>,
-    pub(crate) cut: Vec<f64>,
+    pub(crate) partition: Vec<f64>,
     pub(crate) heal: Vec<f64>,
     pub(crate) bytes: Vec<f64>,
     pub(crate) cpu: Vec<f64>,
-    /// Members that were declared down while they ran.
+    /// Members that were declared down while they ran and were connected.
     pub(crate) wrongly_down: usize,
 }
 
 impl Row {
+    /// Adds what other runs have shown.
     pub(crate) fn add(&mut self, other: Row) {
         self.join.extend(other.join);
         self.crash.extend(other.crash);
-        self.cut.extend(other.cut);
+        self.partition.extend(other.partition);
         self.heal.extend(other.heal);
         self.bytes.extend(other.bytes);
         self.cpu.extend(other.cpu);
         self.wrongly_down += other.wrongly_down;
     }
 
-    pub(crate) fn print(&mut self, head: &str) {
+    /// Prints the row; `head` is what stands in its first columns.
+    pub(crate) fn print_line(&mut self, head: &str) {
         println!(
             "| {head} | {} | {} | {} | {} | {} | {} | {} |",
             median_and_worst(&mut self.join, 1),
             median_and_worst(&mut self.crash, 1),
-            median_and_worst(&mut self.cut, 1),
+            median_and_worst(&mut self.partition, 1),
             median_and_worst(&mut self.heal, 1),
             median_and_worst(&mut self.bytes, 0),
             median_and_worst(&mut self.cpu, 3),
@@ -46,8 +48,8 @@
         );
     }
 
-    /// All but the last of the servers start, and settle; it joins, one crashes, a third is cut
-    /// off, the cut heals. `calm` measures what a settled fleet costs.
+    /// All but the last of the servers start, and settle; it joins, one crashes, a third is
+    /// partitioned off, the partition heals. `calm` measures what a settled fleet costs.
     pub(crate) fn play<F: Fleet>(
         &mut self,
         fleet: &mut F,
@@ -67,7 +69,7 @@
         let third = servers / 3;
         let groups = vec![(0..third).collect(), (third..servers).collect()];
         act(fleet, Action::Cut(groups));
-        self.cut.push(settle(fleet));
+        self.partition.push(settle(fleet));
         act(fleet, Action::Heal);
         self.heal.push(settle(fleet));
     }
@@ -79,11 +81,11 @@
         first,
         "join, s",
         "crash, s",
-        "cut, s",
+        "partition, s",
         "heal, s",
         "bytes a second",
         "CPU, % of a core",
-        "wrongly down",
+        "held down",
     ];
     println!("{}", table_head(&heads));
 }
@@ -93,7 +95,7 @@
     wait_until(fleet, &Condition::Settled, SETTLE_TERM)
 }
 
-/// Loses a part of all datagrams and delays the others by up to 5 ms.
+/// Loses a fraction of all datagrams and delays the others by up to 5 ms.
 pub(crate) fn lossy_network(loss: f64) -> Action {
     let delay = Some((Duration::from_micros(200), Duration::from_millis(5)));
     Action::Network {
--- a/crates/testkit/examples/membership/simulated.rs
+++ b/crates/testkit/examples/membership/simulated.rs
@@ -5,25 +5,27 @@
 use madderbay::time::Duration;
 use madderbay_testkit::fleet::script::FleetSetup;
 use madderbay_testkit::fleet::simulated::SimulatedFleet;
-use madderbay_testkit::measurement::fleets::{act, for_each_seed};
+use madderbay_testkit::measurement::fleets::act;
 use madderbay_testkit::measurement::report::process_status_kb;
-use std::sync::Mutex;
+use madderbay_testkit::measurement::seeds::run_seeds;
 use std::time::Instant;
 
 /// The time over which bytes and processor time are measured.
 const CALM: Duration = Duration::from_millis(20_000);
 /// Runs at a time.
 const THREADS: usize = 5;
-/// From this many members on a fleet is large, and has at most this many seeds.
+/// From this many members on a fleet is large.
 const LARGE_FLEET: usize = 101;
+/// The most seeds of a large fleet, and those of its heartbeats.
 const MAX_SEEDS_OF_LARGE_FLEET: u64 = 5;
+const HEARTBEAT_SEEDS_OF_LARGE_FLEET: u64 = 1;
 
 const MEMBERS: [usize; 3] = [10, 100, 1_000];
 const LOSSES: [f64; 3] = [0.0, 0.1, 0.3];
 
 /// Prints the table, or its rows of one number of members and one loss.
 pub(crate) fn measure(seeds: u64, only_members: Option<usize>, only_loss: Option<f64>) {
-    print_head("way, members, loss");
+    print_head("variant, members, loss");
     let members = MEMBERS
         .into_iter()
         .filter(|members| only_members.is_none_or(|only| only == *members));
@@ -41,24 +43,27 @@
 
 fn print_rows(members: usize, loss: f64, seeds: u64) {
     let large = members >= LARGE_FLEET;
-    let seeds = if large {
-        seeds.min(MAX_SEEDS_OF_LARGE_FLEET)
+    let (seeds, heartbeat_seeds) = if large {
+        let seeds = seeds.min(MAX_SEEDS_OF_LARGE_FLEET);
+        (seeds, HEARTBEAT_SEEDS_OF_LARGE_FLEET)
     } else {
-        seeds
+        (seeds, seeds)
     };
-    swim(members, loss, seeds, true).print(&format!("ours, {members}, {loss}"));
-    swim(members, loss, seeds, false).print(&format!("no own health, {members}, {loss}"));
+    for (variant, local_health_aware) in [("this protocol", true), ("without local health", false)]
+    {
+        let mut row = swim(members, loss, seeds, local_health_aware);
+        row.print_line(&format!("{variant}, {members}, {loss}"));
+    }
     let mut row = Row::default();
-    for seed in 0..if large { 1 } else { seeds } {
+    for seed in 0..heartbeat_seeds {
         heartbeats::play(members, loss, seed, &mut row);
     }
-    row.print(&format!("heartbeats, {members}, {loss}"));
+    row.print_line(&format!("all-to-all heartbeats, {members}, {loss}"));
 }
 
-/// The faults of a row over several seeds, with the observers' own health or without.
+/// The faults of a row over several seeds, with the observers' local health or without.
 fn swim(members: usize, loss: f64, seeds: u64, local_health_aware: bool) -> Row {
-    let rows = Mutex::new(Row::default());
-    for_each_seed(seeds, THREADS, |seed| {
+    let rows = run_seeds(0..seeds, THREADS, |seed| {
         let setup = FleetSetup {
             local_health_aware,
             ..FleetSetup::of(members)
@@ -70,21 +75,26 @@
             measure_calm(fleet, members - 1, row);
         });
         row.wrongly_down = fleet.wrongly_down;
-        rows.lock().expect("rows").add(row);
+        row
     });
-    rows.into_inner().expect("rows")
+    let mut all = Row::default();
+    rows.into_iter().for_each(|row| all.add(row));
+    all
 }
 
 /// What each of these servers sends and costs while nothing happens.
 fn measure_calm(fleet: &mut SimulatedFleet, servers: usize, row: &mut Row) {
-    let sent = |fleet: &SimulatedFleet| {
-        let each = fleet.running().map(|(_, m)| m.counters().bytes_out);
+    let bytes_sent = |fleet: &SimulatedFleet| {
+        let running = fleet.running();
+        let each = running.map(|(_, membership)| membership.counters().bytes_out);
         each.sum::<u64>()
     };
-    let (before, began) = (sent(fleet), Instant::now());
+    let bytes_before = bytes_sent(fleet);
+    let began = Instant::now();
     fleet.run(CALM);
     let server_secs = CALM.as_secs_f64() * servers as f64;
-    row.bytes.push((sent(fleet) - before) as f64 / server_secs);
+    let bytes = bytes_sent(fleet) - bytes_before;
+    row.bytes.push(bytes as f64 / server_secs);
     row.cpu
         .push(began.elapsed().as_secs_f64() / server_secs * 100.0);
 }
--- a/crates/testkit/examples/pools/limits.rs
+++ b/crates/testkit/examples/pools/limits.rs
@@ -1,56 +1,32 @@
-//! Measures pools against the program without them and with fixed limits, between fakes on
-//! loopback:
-//!
-//!     cargo build --release && cargo run --release -p madderbay-testkit --example pools [SEEDS]
-//!
-//! An engine of 4 cores (work 20 to 40 ms), a trip book of 8 slots (25 ms a call), 90 reqs a
-//! second. From the 5th to the 13th second the trip book is 20 times slower; for the first 5 of
-//! these 1.6 times as many reqs come.
+//! Pools with adaptive limits beside fixed ones and beside none: goodput of each handler, calls in
+//! flight upstream, and how far the limit swings. Work takes 20 to 40 ms.
 
 use madderbay_testkit::engine::HandlerWork;
-use madderbay_testkit::load_balancer::{Answer, Load, RequestKind, kept, latencies};
-use madderbay_testkit::measurement::loads::request_kind;
+use madderbay_testkit::load_balancer::{Answer, RequestKind, latencies};
+use madderbay_testkit::measurement::loads::{goodput, request_kind};
+use madderbay_testkit::measurement::report::{Violations, median};
+use madderbay_testkit::measurement::seeds::run_seeds;
 use madderbay_testkit::measurement::trips::{
-    CALM, LENGTH, OVER, REQUEST_TIMEOUT_MS, ServerRun, SingleServer, rates,
+    AFTER_FAULT, BEFORE_FAULT, FAULT, Scenario, ServerRun,
 };
 use std::ops::Range;
-use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 const DEFAULT_SEEDS: u64 = 5;
 /// Seeds without the fault.
 const CALM_SEEDS: u64 = 2;
-/// Runs at a time: each wants a core or two for its fakes.
+/// Runs at a time: each needs a core or two for its fakes.
 const RUNS_AT_A_TIME: usize = 2;
 /// The limit of the calls in flight before it is changed.
 const INITIAL_LIMIT: f64 = 12.0;
 /// The time that the limit gets to settle after the fault has begun or ended.
 const SETTLING_TIME: Duration = Duration::from_secs(3);
-const SECOND: Duration = Duration::from_secs(1);
-/// What a line of the log about the limit begins with.
+/// The time at the beginning of the fault that is reported by itself.
+const FIRST_SECOND: Duration = Duration::from_secs(1);
+/// The beginning of a line of the log about the limit.
 const LIMIT_LINE: &str = "INFO concurrency: limit ";
-/// Lines that are printed of what broke.
-const MAX_PRINTED: usize = 10;
-/// During the fault, and after it.
-const FAULT: Range<Duration> = CALM..OVER;
-const AFTER: Range<Duration> = OVER..LENGTH;
-
-const SETTINGS: &str = r#"{"classes": [
- {"name": "trip-search", "aim_us": 1500000, "hard_limit_us": 8000000,
-  "importance": 1.0, "effect": "read_like"},
- {"name": "fare-quote", "aim_us": 1500000, "hard_limit_us": 8000000,
-  "importance": 1.0, "effect": "read_like"},
- {"name": "seat-book", "aim_us": 3000000, "hard_limit_us": 8000000, "importance": 3.0,
-  "effect": "idempotency_key", "repeat_window_us": 30000000}],
- "tenants": [{"name": "acme", "allowance_per_s": 500.0}],
- "family_info": {"n_cores": 4, "memory_kb": 100000.0, "blowup": 4.0, "key_kb": 2.0, "preemption": "freeze",
-  "below": "one_for_all", "dep_share": 12.0, "share_span_us": 5000000, "linger_us": 200000,
-  "class_calls": [true, false, true], "class_skip_worth": [0.6, 0.0, 0.0], "passes_deadline": true,
-  "readiness": true, "say": "allowance", "upstreams": 2, "keepalive_max_us": 30000000,
-  "meters": ["core_use", "on_cores", "heap_share", "links"]},
- "permissions": {"retry_after": true, "max_retry_after_us": 5000000},
- "rules": {"tip_multiple": 5.0, "drain_grace_us": 200000}, "servers": 1}"#;
 
+const SETTINGS: &str = include_str!("settings.json");
 const POOLS: &str = r"
 [pools]
 enabled = on
@@ -85,57 +61,165 @@
     ]
 }
 
+/// Prints the figures of all variants, or of one.
+pub(crate) fn measure(seeds: Option<u64>, only: Option<&str>) {
+    let seeds = seeds.unwrap_or(DEFAULT_SEEDS);
+    let fixed = POOLS.replace("adaptive", "fixed");
+    let variants = [
+        ("off", None),
+        ("fixed", Some(fixed.as_str())),
+        ("adaptive", Some(POOLS)),
+    ];
+    println!("{seeds} seeds; median (least to most)");
+    let mut violations = Violations::default();
+    for (variant, operator) in variants {
+        if only.is_none_or(|only| only == variant) {
+            measure_variant(variant, operator, seeds, &mut violations);
+        }
+    }
+    println!("invariants violated: {}", violations.count());
+    violations.print();
+}
+
+fn measure_variant(variant: &str, operator: Option<&str>, seeds: u64, violations: &mut Violations) {
+    println!("== pools {variant}");
+    let results = run_seeds(1..seeds + 1, RUNS_AT_A_TIME, |seed| {
+        Measured::new(operator, true, seed)
+    });
+    for (handler, kind) in kinds().iter().enumerate() {
+        print_handler(handler, &kind.handler, &results);
+    }
+    print_calls(&results);
+    // One at a time, since their processor time is compared.
+    let calm = run_seeds(1..CALM_SEEDS + 1, 1, |seed| {
+        Measured::new(operator, false, seed)
+    });
+    println!(
+        "calm only: goodput {}, CPU a request {} ms",
+        range(&calm, Measured::total_goodput),
+        range(&calm, |measured| measured.run.cpu_ms),
+    );
+    for measured in results.into_iter().chain(calm) {
+        violations.add(measured.seed, measured.run.violations);
+    }
+}
+
+/// Prints the figures of one handler.
+fn print_handler(handler: usize, name: &str, results: &[Measured]) {
+    let goodput =
+        |time: Range<Duration>| range(results, |measured| measured.goodput(handler, time.clone()));
+    println!(
+        "{name:12} goodput in calm {}, during the fault {}, in its first second {}, after it {}",
+        goodput(BEFORE_FAULT),
+        goodput(FAULT),
+        goodput(FAULT.start..FAULT.start + FIRST_SECOND),
+        goodput(AFTER_FAULT),
+    );
+    let answered = |is_like: fn(&Answer) -> bool| {
+        range(results, |measured| measured.answered(handler, is_like))
+    };
+    println!(
+        "{:12} during the fault completed {}, rejected {}, failed {}",
+        "",
+        answered(|answer| *answer == Answer::Completed),
+        answered(|answer| matches!(answer, Answer::Rejected(_))),
+        answered(|answer| *answer == Answer::Failed),
+    );
+    println!(
+        "{:12} p99 of those completed {} ms",
+        "",
+        range(results, |measured| measured.p99_ms(handler))
+    );
+}
+
+/// Prints the figures of the calls and of their limit.
+fn print_calls(results: &[Measured]) {
+    let peak = |time: Range<Duration>| range(results, |measured| measured.peak(time.clone()));
+    println!(
+        "most calls in flight upstream: during the fault {}, after its first second {}, after it {}",
+        peak(FAULT),
+        peak(FAULT.start + FIRST_SECOND..FAULT.end),
+        peak(AFTER_FAULT),
+    );
+    let swing = |time: Range<Duration>| range(results, |measured| measured.swing(time.clone()));
+    println!(
+        "swing of the limit from 3 s on: during the fault {}, after it {}",
+        swing(FAULT.start + SETTLING_TIME..FAULT.end),
+        swing(AFTER_FAULT.start + SETTLING_TIME..AFTER_FAULT.end),
+    );
+    println!(
+        "CPU a request in all {} ms",
+        range(results, |measured| measured.run.cpu_ms)
+    );
+}
+
+/// The median, the least and the most of a figure.
+fn range(results: &[Measured], figure: impl Fn(&Measured) -> f64) -> String {
+    let mut values: Vec<f64> = results.iter().map(figure).collect();
+    let median = median(&mut values);
+    let least = values[0];
+    let most = values[values.len() - 1];
+    format!("{median:.2} ({least:.2} to {most:.2})")
+}
+
 /// A change of the limit of the calls in flight.
 struct LimitChange {
     at: Duration,
-    to: f64,
+    limit: f64,
+}
+
+impl LimitChange {
+    /// Reads it from a line of the log; `None` if the line is about something else.
+    fn read(at: Duration, line: &str) -> Option<LimitChange> {
+        let rest = line.strip_prefix(LIMIT_LINE)?;
+        let limit = rest.split(", to=").nth(1);
+        let limit = limit.and_then(|limit| limit.split(',').next()?.parse().ok());
+        Some(LimitChange {
+            at,
+            limit: limit.unwrap_or(0.0),
+        })
+    }
 }
 
 /// What one run has shown.
 struct Measured {
+    seed: u64,
     run: ServerRun,
-    limits: Vec<LimitChange>,
+    limit_changes: Vec<LimitChange>,
 }
 
 impl Measured {
-    /// Runs a server with an operator file or without one, with the fault or without it.
-    fn new(binary: &Path, operator: Option<&str>, fault: bool, seed: u64) -> Measured {
-        let load = Load {
+    fn new(operator: Option<&str>, fault: bool, seed: u64) -> Measured {
+        let scenario = Scenario {
+            settings: SETTINGS,
+            operator,
             kinds: kinds(),
-            rates: rates(fault),
-            length: LENGTH,
+            works: works(),
+            fault,
             seed,
-            timeout_ms: REQUEST_TIMEOUT_MS,
         };
-        let server = SingleServer::start(binary, SETTINGS, operator, works(), seed);
-        let run = server.run(&load, fault);
-        let limits = run.log.iter().filter_map(|(at, line)| {
-            let rest = line.strip_prefix(LIMIT_LINE)?;
-            let to = rest.split(", to=").nth(1);
-            let to = to.and_then(|to| to.split(',').next()?.parse().ok());
-            Some(LimitChange {
-                at: *at,
-                to: to.unwrap_or(0.0),
-            })
-        });
+        let run = scenario.run();
+        let log = run.log.iter();
+        let limit_changes = log.filter_map(|(at, line)| LimitChange::read(*at, line));
         Measured {
-            limits: limits.collect(),
+            seed,
+            limit_changes: limit_changes.collect(),
             run,
         }
     }
 
-    /// The part of a handler's requests in a time that were answered in time.
-    fn kept(&self, handler: usize, time: Range<Duration>) -> f64 {
-        kept(&self.run.records, &kinds(), handler, time.start, time.end).1
+    fn goodput(&self, handler: usize, time: Range<Duration>) -> f64 {
+        goodput(&self.run.records, &kinds(), handler, time)
     }
 
-    /// The same of all requests.
-    fn kept_of_all(&self) -> f64 {
-        let (records, kinds) = (&self.run.records, kinds());
-        let kept = records
+    /// The goodput of all handlers over the whole run.
+    fn total_goodput(&self) -> f64 {
+        let records = &self.run.records;
+        let kinds = kinds();
+        let in_time = records
             .iter()
             .filter(|record| record.in_time(kinds[record.handler].latency_objective));
-        kept.count() as f64 / records.len() as f64
+        in_time.count() as f64 / records.len() as f64
     }
 
     /// A handler's requests during the fault whose first answer is like this.
@@ -150,132 +234,30 @@
         answered.count() as f64
     }
 
-    fn slowest_ms(&self, handler: usize) -> f64 {
+    /// The 99th percentile of a handler's response times, in milliseconds.
+    fn p99_ms(&self, handler: usize) -> f64 {
         latencies(&self.run.records, handler).value_at_quantile(0.99) as f64
     }
 
+    /// The most calls in flight during a time.
     fn peak(&self, time: Range<Duration>) -> f64 {
         self.run.peak(time) as f64
     }
 
-    /// The widest swing of the limit within a time, as a part of its mean there.
+    /// The widest swing of the limit during a time, as a fraction of its mean there.
     fn swing(&self, time: Range<Duration>) -> f64 {
-        let mut earlier = self.limits.iter().rev();
-        let before = earlier
-            .find(|limit| limit.at < time.start)
-            .map_or(INITIAL_LIMIT, |limit| limit.to);
-        let within = self.limits.iter().filter(|limit| time.contains(&limit.at));
-        let all: Vec<f64> = std::iter::once(before)
-            .chain(within.map(|limit| limit.to))
+        let mut earlier = self.limit_changes.iter().rev();
+        let initial = earlier
+            .find(|change| change.at < time.start)
+            .map_or(INITIAL_LIMIT, |change| change.limit);
+        let changes = self.limit_changes.iter();
+        let during = changes.filter(|change| time.contains(&change.at));
+        let limits: Vec<f64> = std::iter::once(initial)
+            .chain(during.map(|change| change.limit))
             .collect();
-        let least = all.iter().copied().fold(f64::MAX, f64::min);
-        let most = all.iter().copied().fold(0.0, f64::max);
-        let mean = all.iter().sum::<f64>() / all.len() as f64;
+        let least = limits.iter().copied().fold(f64::MAX, f64::min);
+        let most = limits.iter().copied().fold(0.0, f64::max);
+        let mean = limits.iter().sum::<f64>() / limits.len() as f64;
         (most - least) / mean.max(1e-9)
     }
 }
-
-/// The median, the least and the most of a figure.
-fn range(results: &[Measured], figure: impl Fn(&Measured) -> f64) -> String {
-    let mut values: Vec<f64> = results.iter().map(figure).collect();
-    values.sort_by(f64::total_cmp);
-    let (least, most) = (values[0], values[values.len() - 1]);
-    let median = values[values.len() / 2];
-    format!("{median:.2} ({least:.2} to {most:.2})")
-}
-
-pub(crate) fn main() {
-    let mut args = std::env::args().skip(2);
-    let seeds = args.next().and_then(|seeds| seeds.parse().ok());
-    let seeds: u64 = seeds.unwrap_or(DEFAULT_SEEDS);
-    let only = args.next();
-    let binary = std::env::var("MADDERBAY").unwrap_or_else(|_| "target/release/madderbay".into());
-    let binary = PathBuf::from(binary);
-    let fixed = POOLS.replace("adaptive", "fixed");
-    let ways = [
-        ("off", None),
-        ("fixed", Some(fixed.as_str())),
-        ("adaptive", Some(POOLS)),
-    ];
-    println!("{seeds} seeds; median (least to most)");
-    let mut violations = vec![];
-    for (way, operator) in ways {
-        if only.as_ref().is_none_or(|only| only == way) {
-            violations.extend(measure(&binary, way, operator, seeds));
-        }
-    }
-    println!("rules broken: {}", violations.len());
-    let printed = violations.iter().take(MAX_PRINTED);
-    printed.for_each(|line| println!("  {line}"));
-}
-
-/// Prints the figures of one way; gives the violated rules.
-fn measure(binary: &Path, way: &str, operator: Option<&str>, seeds: u64) -> Vec<String> {
-    let results = run_all(binary, operator, seeds);
-    println!("== pools {way}");
-    for (handler, kind) in kinds().iter().enumerate() {
-        print_handler(handler, &kind.handler, &results);
-    }
-    println!(
-        "calls in hand below: most in the trouble {}, after its first second {}, after it {}",
-        range(&results, |r| r.peak(FAULT)),
-        range(&results, |r| r.peak(CALM + SECOND..OVER)),
-        range(&results, |r| r.peak(AFTER)),
-    );
-    println!(
-        "swing of the limit from 3 s on: in the trouble {}, after it {}",
-        range(&results, |r| r.swing(CALM + SETTLING_TIME..OVER)),
-        range(&results, |r| r.swing(OVER + SETTLING_TIME..LENGTH)),
-    );
-    println!("CPU a req in all {} ms", range(&results, |r| r.run.cpu_ms));
-    let calm: Vec<Measured> = (1..=CALM_SEEDS)
-        .map(|seed| Measured::new(binary, operator, false, seed))
-        .collect();
-    println!(
-        "calm only: kept {}, CPU a req {} ms",
-        range(&calm, Measured::kept_of_all),
-        range(&calm, |r| r.run.cpu_ms),
-    );
-    let all = results.into_iter().chain(calm);
-    all.flat_map(|result| result.run.violations).collect()
-}
-
-/// Runs the fault with each seed.
-fn run_all(binary: &Path, operator: Option<&str>, seeds: u64) -> Vec<Measured> {
-    let seeds: Vec<u64> = (1..=seeds).collect();
-    let mut results = vec![];
-    for seeds in seeds.chunks(RUNS_AT_A_TIME) {
-        std::thread::scope(|scope| {
-            let run = |seed| scope.spawn(move || Measured::new(binary, operator, true, seed));
-            let runs: Vec<_> = seeds.iter().map(|seed| run(*seed)).collect();
-            let runs = runs.into_iter();
-            results.extend(runs.map(|run| run.join().expect("played")));
-        });
-    }
-    results
-}
-
-/// Prints the figures of one handler.
-fn print_handler(handler: usize, name: &str, results: &[Measured]) {
-    let kept = |time: Range<Duration>| range(results, |r| r.kept(handler, time.clone()));
-    println!(
-        "{name:12} kept in calm {}, in the trouble {}, in its first second {}, after {}",
-        kept(Duration::ZERO..CALM),
-        kept(FAULT),
-        kept(CALM..CALM + SECOND),
-        kept(AFTER),
-    );
-    let answered = |is_like: fn(&Answer) -> bool| range(results, |r| r.answered(handler, is_like));
-    println!(
-        "{:12} in the trouble done {}, shed {}, errored {}",
-        "",
-        answered(|answer| *answer == Answer::Completed),
-        answered(|answer| matches!(answer, Answer::Rejected(_))),
-        answered(|answer| *answer == Answer::Failed),
-    );
-    println!(
-        "{:12} 99% of those done within {} ms",
-        "",
-        range(results, |r| r.slowest_ms(handler))
-    );
-}
--- a/crates/testkit/examples/quotas/central_lessor.rs
+++ b/crates/testkit/examples/quotas/central_lessor.rs
@@ -1,5 +1,5 @@
-//! A central lessor, for comparison: each server holds the first one in its view to be it. It
-//! grants the whole budget by leases of a second to whoever asks, and a new one waits for nothing.
+//! A central lessor, for comparison: in the view of each server it is the first member. It grants
+//! the whole capacity by leases of a second to whoever asks, and a new one waits for nothing.
 
 use madderbay::time::Duration;
 use madderbay_membership::MemberState;
@@ -16,7 +16,7 @@
     lessee: usize,
     units: u32,
     until: f64,
-    /// What the lessee had work for.
+    /// What the lessee had demand for.
     demand: u32,
 }
 
@@ -27,7 +27,7 @@
     until: f64,
 }
 
-/// The leases of all servers, each of which may hold itself to be the lessor.
+/// The leases of all servers, each of which may believe that it is the lessor.
 struct CentralLessor {
     capacity: u32,
     /// By lessor.
@@ -52,11 +52,12 @@
         }
     }
 
+    /// Lets all lessees renew their leases, and sums up the calls that they then have in flight.
     fn step(
         &mut self,
         fleet: &SimulatedFleet,
         demands: &[u32],
-        apart: impl Fn(usize, usize) -> bool,
+        partitioned: impl Fn(usize, usize) -> bool,
     ) {
         self.now += STEP_SECS;
         let mut used = 0;
@@ -64,7 +65,7 @@
             let Some(lessor) = lessor_of(fleet, lessee, demands.len()) else {
                 continue;
             };
-            if !apart(lessee, lessor) && fleet.members(lessor).is_some() {
+            if !partitioned(lessee, lessor) && fleet.members(lessor).is_some() {
                 self.renew(lessor, lessee, *demand);
             }
             let lease = &self.leases[lessee];
@@ -76,20 +77,25 @@
         self.call_secs += f64::from(used) * STEP_SECS;
     }
 
-    /// Grants a lessee as much as is free and as its even part allows.
+    /// Grants a lessee as much as is free and as its even part allows. None has more than that while
+    /// others have demand for theirs.
     fn renew(&mut self, lessor: usize, lessee: usize, demand: u32) {
         let now = self.now;
         let grants = &mut self.grants[lessor];
         grants.retain(|grant| grant.until > now && grant.lessee != lessee);
         let granted = grants.iter().map(|grant| grant.units).sum();
         let free = self.capacity.saturating_sub(granted);
-        // None has more than its part while others have work for theirs.
-        let others = grants.iter().map(|grant| grant.demand);
-        let others = others.filter(|demand| *demand > 0);
-        let even = self.capacity / (1 + others.clone().count() as u32);
-        let idle = others.map(|demand| even.saturating_sub(demand));
-        let idle = idle.sum::<u32>();
-        let units = demand.min(free).min(even + idle);
+        let other_demands: Vec<u32> = grants
+            .iter()
+            .map(|grant| grant.demand)
+            .filter(|demand| *demand > 0)
+            .collect();
+        let even_part = self.capacity / (1 + other_demands.len() as u32);
+        let idle: u32 = other_demands
+            .iter()
+            .map(|demand| even_part.saturating_sub(*demand))
+            .sum();
+        let units = demand.min(free).min(even_part + idle);
         let until = now + LEASE_SECS;
         grants.push(Grant {
             lessee,
@@ -114,25 +120,25 @@
 
 /// What a central lessor makes of a demand.
 pub(crate) struct CentralResult {
-    /// Calls in flight as a part of the capacity: the mean and the most.
+    /// Calls in flight as a fraction of the capacity: the mean and the most.
     pub(crate) used: f64,
     pub(crate) peak: f64,
 }
 
-/// Plays a demand for some seconds; `cut` separates the two halves of the servers.
+/// Plays a demand for some seconds. `halved` says that the two halves of the servers are partitioned.
 pub(crate) fn play(
     fleet: &mut SimulatedFleet,
     capacity: u32,
     demands: &[u32],
-    cut: bool,
+    halved: bool,
     secs: f64,
 ) -> CentralResult {
     let middle = demands.len() / 2;
-    let apart = |a: usize, b: usize| cut && (a < middle) != (b < middle);
+    let partitioned = |one: usize, other: usize| halved && (one < middle) != (other < middle);
     let mut lessor = CentralLessor::new(demands.len(), capacity);
     for _ in 0..(secs / STEP_SECS) as usize {
         fleet.run(Duration::from_secs_f64(STEP_SECS));
-        lessor.step(fleet, demands, apart);
+        lessor.step(fleet, demands, partitioned);
     }
     CentralResult {
         used: lessor.call_secs / secs / f64::from(capacity),
--- a/crates/testkit/examples/quotas/counts.rs
+++ b/crates/testkit/examples/quotas/counters.rs
@@ -1,5 +1,5 @@
-//! Errors of counts against the truth and against the advertised bound; time and memory with many
-//! tenants.
+//! Errors of replicated counters against the truth and against the advertised bound; time and memory
+//! with many tenants.
 
 use crate::simulated::bytes_sent;
 use madderbay::time::{Duration, Timestamp};
@@ -14,18 +14,20 @@
 
 const WINDOW: Duration = Duration::from_millis(10_000);
 const SETTLE_TERM: Duration = Duration::from_millis(60_000);
-/// The time until all counts are complete.
+/// The time after which the window of all counters is full.
 const START_TIME: Duration = Duration::from_millis(20_000);
-/// Checks of the estimates, the time before each, and the servers that are checked at most.
+/// Checks of the estimates, and the time before each.
 const CHECKS: usize = 40;
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// The servers that are checked at most.
 const MAX_CHECKED_SERVERS: usize = 12;
-/// The fair rate that estimates are asked with, a second.
+/// The fair rate that estimates are asked with, in requests a second.
 const FAIR_RATE: f64 = 2.0;
-/// Of the measurement with many tenants.
+/// The requests of many tenants, and the time between two of them.
 const REQUESTS: u64 = 1_000_000;
 const TENANTS: u64 = 100_000;
-const ARRIVAL_MICROS: u64 = 20;
+const ARRIVAL_INTERVAL: Duration = Duration::from_micros(20);
+const MAX_REQUESTS_PER_SECOND: f64 = 1_000.0;
 
 /// An estimate beside the truth.
 struct Check {
@@ -39,10 +41,10 @@
 pub(crate) fn measure() {
     let heads = [
         "servers, loss",
-        "told, truth, bound (median look)",
-        "unheard at a look",
+        "value, truth, bound (median sample)",
+        "servers not received",
         "outside the bound",
-        "bytes a second",
+        "bytes a second a server",
     ];
     println!("{}", table_head(&heads));
     for (servers, loss) in [(5, 0.0), (5, 0.1), (12, 0.0), (12, 0.1), (100, 0.0)] {
@@ -61,11 +63,14 @@
     wait_until(&mut fleet, &Condition::Settled, SETTLE_TERM);
     act(&mut fleet, Action::loss(loss));
     let key = name_hash("acme");
-    (0..servers).for_each(|server| fleet.set_request_rate(server, key, 4.0 + server as f64 % 5.0));
+    for server in 0..servers {
+        let per_second = 4.0 + server as f64 % 5.0;
+        fleet.set_request_rate(server, key, per_second);
+    }
     fleet.run(START_TIME);
     let bytes_before = bytes_sent(&fleet);
     let mut checks = check_estimates(&mut fleet, servers, key);
-    checks.sort_by(|a, b| a.bound.total_cmp(&b.bound));
+    checks.sort_by(|one, other| one.bound.total_cmp(&other.bound));
     let median = &checks[checks.len() / 2];
     let secs = CHECK_INTERVAL.as_secs_f64() * CHECKS as f64;
     let bytes = (bytes_sent(&fleet) - bytes_before) as f64;
@@ -105,17 +110,20 @@
     let settings = CounterSettings {
         name: "tenants".into(),
         window: WINDOW,
-        max_per_second: 1_000.0,
+        max_per_second: MAX_REQUESTS_PER_SECOND,
     };
-    let mut counter = ReplicatedCounter::new(Timestamp::from_micros(1), settings);
-    let (memory_before, mut random) = (process_status_kb("VmRSS"), Rand64::new(3));
+    let mut now = Timestamp::from_micros(1);
+    let mut counter = ReplicatedCounter::new(now, settings);
+    let mut random = Rand64::new(3);
+    let memory_before = process_status_kb("VmRSS");
     let began = Instant::now();
-    for number in 0..REQUESTS {
-        let now = Timestamp::from_micros(1 + number * ARRIVAL_MICROS);
-        counter.add(now, random.rand_range(0..TENANTS) as u32, 1);
+    for _ in 0..REQUESTS {
+        let tenant = random.rand_range(0..TENANTS) as u32;
+        counter.add(now, tenant, 1);
+        now = now + ARRIVAL_INTERVAL;
     }
     println!(
-        "a million reqs of 100,000 tenants counted in {:.1} s, {} KB more memory",
+        "a million requests of 100,000 tenants counted in {:.1} s, {} KB more memory",
         began.elapsed().as_secs_f64(),
         process_status_kb("VmRSS") - memory_before
     );
--- /dev/null
+++ b/crates/testkit/examples/quotas/demand.rs
@@ -0,0 +1,99 @@
+//! A fleet with a quota, and the demand of its servers.
+
+use madderbay::time::Duration;
+use madderbay_testkit::fleet::script::{Action, Condition, Fleet, FleetSetup};
+use madderbay_testkit::measurement::fleets::{act, start_all, wait_until};
+
+/// The base quota of each server, in calls.
+pub(crate) const BASE_QUOTA: u32 = 6;
+/// Of the calls that are possible, the percentage that has to be in flight before a demand counts as
+/// followed.
+const FOLLOWED_PERCENT: u32 = 80;
+/// Upper bound on the time to settle.
+const SETTLE_TERM: Duration = Duration::from_millis(60_000);
+/// Upper bound on the time until all servers have their base quotas.
+const QUOTA_TERM: Duration = Duration::from_millis(30_000);
+/// Upper bound on the time to follow a demand.
+const FOLLOW_TERM: Duration = Duration::from_millis(20_000);
+
+/// A fleet with a quota of this capacity, whose calls take this long.
+pub(crate) fn setup(servers: usize, capacity: u32, call_ms: u64) -> FleetSetup {
+    FleetSetup::with_budget(servers, capacity, Duration::from_millis(call_ms))
+}
+
+/// Starts all servers and waits until each has its base quota.
+pub(crate) fn start(fleet: &mut impl Fleet, servers: usize) {
+    start_all(fleet, 0..servers);
+    let settled = wait_until(fleet, &Condition::Settled, SETTLE_TERM);
+    assert!(settled.is_finite(), "settled");
+    let quotas = quota_at_least(servers, BASE_QUOTA);
+    let has_quotas = wait_until(fleet, &quotas, QUOTA_TERM);
+    assert!(has_quotas.is_finite(), "each has its base quota");
+}
+
+/// Each of the servers may use at least this many calls.
+pub(crate) fn quota_at_least(servers: usize, least: u32) -> Condition {
+    Condition::Has {
+        who: (0..servers).collect(),
+        least,
+        most: u32::MAX,
+    }
+}
+
+/// How demand is spread over the servers. There is more of it than the capacity.
+#[derive(Clone, Copy)]
+pub(crate) enum DemandShape {
+    /// All have the same.
+    Even,
+    /// A third of the servers have nearly all of it.
+    Skewed,
+    /// One server has all of it.
+    AtOneServer,
+}
+
+impl DemandShape {
+    pub(crate) const ALL: [DemandShape; 3] = [
+        DemandShape::Even,
+        DemandShape::Skewed,
+        DemandShape::AtOneServer,
+    ];
+
+    /// Its name in tables.
+    pub(crate) fn name(self) -> &'static str {
+        match self {
+            DemandShape::Even => "even",
+            DemandShape::Skewed => "skewed",
+            DemandShape::AtOneServer => "all at one server",
+        }
+    }
+
+    /// The demand of each server, in calls at a time.
+    pub(crate) fn demands(self, servers: usize, capacity: u32) -> Vec<u32> {
+        let of_server = |server: usize| match self {
+            DemandShape::Even => capacity * 13 / 10 / servers as u32,
+            DemandShape::Skewed if server.is_multiple_of(3) => capacity * 36 / 10 / servers as u32,
+            DemandShape::Skewed => 1,
+            DemandShape::AtOneServer if server == servers / 2 => capacity * 13 / 10,
+            DemandShape::AtOneServer => 0,
+        };
+        (0..servers).map(of_server).collect()
+    }
+}
+
+/// Ends all demand.
+pub(crate) fn end_demands(fleet: &mut impl Fleet, servers: usize) {
+    (0..servers).for_each(|server| act(fleet, Action::Demand(server, 0)));
+}
+
+/// Sets the demand of the servers. Gives the time until most of it is followed, in seconds.
+pub(crate) fn follow(fleet: &mut impl Fleet, capacity: u32, demands: &[u32]) -> f64 {
+    for (server, demand) in demands.iter().enumerate() {
+        act(fleet, Action::Demand(server, *demand));
+    }
+    let possible = capacity.min(demands.iter().sum());
+    let uses = Condition::Uses {
+        who: (0..demands.len()).collect(),
+        least: possible * FOLLOWED_PERCENT / 100,
+    };
+    wait_until(fleet, &uses, FOLLOW_TERM)
+}
--- a/crates/testkit/examples/quotas/main.rs
+++ b/crates/testkit/examples/quotas/main.rs
@@ -1,34 +1,39 @@
-//! Measures budgets shared over a fleet beside fixed parts and beside one giver elected by the
-//! view, and counts against the truth.
+//! Measures quotas of a fleet beside fixed parts and beside one central lessor, and replicated
+//! counters against the truth.
 //!
 //!     cargo run --release -p madderbay-testkit --example quotas simulated [SERVERS]
-//!     ... quotas drawn [COUNT]      ... quotas counts
+//!     ... quotas simulated-histories [COUNT]      ... quotas counters
 //!     cargo build --release && cargo run --release -p madderbay-testkit --example quotas real
-//!     ... quotas histories [COUNT]      ... quotas trouble
+//!     ... quotas histories [COUNT]      ... quotas slow-catalogue
 
-mod budget;
 mod central_lessor;
-mod counts;
+mod counters;
+mod demand;
 mod histories;
 mod processes;
 mod simulated;
 mod slow_catalogue;
 
-/// Histories that are drawn, unless the command line says otherwise.
+/// Histories that are played, unless the command line says otherwise.
 const SIMULATED_HISTORIES: u64 = 10_000;
 const REAL_HISTORIES: u64 = 200;
 
 fn main() {
-    let mut args = std::env::args().skip(1);
-    let what = args.next().unwrap_or_default();
-    let number: Option<u64> = args.next().and_then(|number| number.parse().ok());
-    match what.as_str() {
+    let mut arguments = std::env::args().skip(1);
+    let mode = arguments.next().unwrap_or_default();
+    let number = arguments.next();
+    let number: Option<u64> = number.and_then(|number| number.parse().ok());
+    match mode.as_str() {
         "simulated" => simulated::measure(number.map(|servers| servers as usize)),
-        "drawn" => histories::simulate(number.unwrap_or(SIMULATED_HISTORIES)),
-        "counts" => counts::measure(),
-        "trouble" => slow_catalogue::measure(),
+        "simulated-histories" => histories::simulate(number.unwrap_or(SIMULATED_HISTORIES)),
+        "counters" => counters::measure(),
+        "slow-catalogue" => slow_catalogue::measure(),
         "real" => processes::measure(),
         "histories" => histories::run_processes(number.unwrap_or(REAL_HISTORIES)),
-        _ => eprintln!("simulated, drawn, counts, real, histories or trouble"),
+        _ => {
+            eprintln!(
+                "simulated, simulated-histories, counters, real, histories or slow-catalogue"
+            );
+        }
     }
 }
--- a/crates/testkit/examples/quotas/slow_catalogue.rs
+++ b/crates/testkit/examples/quotas/slow_catalogue.rs
@@ -1,30 +1,30 @@
-//! The scenario of `docs/measured/pools.md` over five servers and one catalogue, with three in five
-//! requests at one of them: pools with a fixed part for each, and with a shared budget of the same
-//! capacity.
+//! The scenario of a slow catalogue over five servers, with three in five requests at one of them:
+//! pools with a fixed part of the capacity for each server, and with leases of a quota.
 
-use crate::budget::{has_at_least, setup};
+use crate::demand::{quota_at_least, setup};
 use madderbay::time::Duration;
 use madderbay_testkit::catalogue::Catalogue;
 use madderbay_testkit::fleet::processes::ProcessFleet;
 use madderbay_testkit::fleet::script::Condition;
-use madderbay_testkit::load_balancer::{Load, kept};
+use madderbay_testkit::load_balancer::Load;
 use madderbay_testkit::measurement::fleets::{release_binary, start_all, wait_until};
-use madderbay_testkit::measurement::loads::{LoadResult, LoadTarget, join_loads};
-use madderbay_testkit::measurement::report::table_head;
+use madderbay_testkit::measurement::loads::{LoadResult, LoadTarget, goodput, join_loads};
+use madderbay_testkit::measurement::report::{cpu_ms_per_request, table_head};
+use madderbay_testkit::measurement::settings;
 use madderbay_testkit::measurement::trips::{
-    CALL, CALM, LENGTH, OVER, REQUEST_TIMEOUT_MS, SLOTS, SlowDown, kinds, rates, works,
+    AFTER_FAULT, CALL, FAULT, LOAD_LENGTH, REQUEST_TIMEOUT_MS, SLOTS, SlowDown, kinds, rates, works,
 };
+use std::ops::Range;
 use std::time::Duration as StdDuration;
 
-const SETTINGS: &str = include_str!("../../src/measurement/settings/trips.json");
-/// The part of all requests that arrive at each server.
-const PARTS: [f64; 5] = [0.6, 0.1, 0.1, 0.1, 0.1];
-const SERVERS: usize = PARTS.len();
-/// The capacity of the budget, and the sum of the fixed parts.
+/// The fraction of all requests that arrives at each server.
+const TRAFFIC_FRACTIONS: [f64; 5] = [0.6, 0.1, 0.1, 0.1, 0.1];
+const SERVERS: usize = TRAFFIC_FRACTIONS.len();
+/// The capacity of the quota, and the sum of the fixed parts.
 const CAPACITY: u32 = 12;
 const START_TERM: Duration = Duration::from_millis(30_000);
-/// The longest time of a call under the budget.
-const LONGEST_CALL: Duration = Duration::from_millis(4_000);
+/// The longest time of a call under the quota.
+const MAX_CALL: Duration = Duration::from_millis(4_000);
 
 const POOLS: &str = "[pools]\nenabled = on\n[pool seats]\nhandlers = seat-book\n[pool searches]\n\
      handlers = trip-search\ncalls_weight = 0\n[reserve]\nhandlers = fare-quote\npart = 0.1\n";
@@ -32,66 +32,62 @@
 /// Prints the table.
 pub(crate) fn measure() {
     let heads = [
-        "way",
-        "kept in the trouble: trip-search, fare-quote, seat-book",
+        "variant",
+        "goodput during the fault: trip-search, fare-quote, seat-book",
         "after it",
-        "most below",
-        "rules broken",
-        "CPU a req, ms",
+        "most calls upstream",
+        "invariants violated",
+        "CPU a request, ms",
     ];
     println!("{}", table_head(&heads));
-    for (way, shared) in [("fixed parts", false), ("shared", true)] {
-        print_row(way, shared);
+    for (variant, leases) in [("fixed parts", false), ("leases", true)] {
+        print_row(variant, leases);
     }
 }
 
-fn print_row(way: &str, shared: bool) {
+fn print_row(variant: &str, leases: bool) {
     let catalogue = Catalogue::start(SLOTS, CALL);
-    let fleet = start_fleet(&catalogue, shared);
+    let fleet = start_fleet(&catalogue, leases);
     catalogue.peak();
     let cpu_before = fleet.cpu();
     let result = run_loads(&fleet, &catalogue);
-    let kept = |from: StdDuration, to: StdDuration| {
+    let goodput_of_handlers = |time: Range<StdDuration>| {
         [0, 1, 2]
-            .map(|handler| kept(&result.records, &kinds(), handler, from, to).1)
-            .map(|part| format!("{part:.2}"))
+            .map(|handler| goodput(&result.records, &kinds(), handler, time.clone()))
+            .map(|goodput| format!("{goodput:.2}"))
             .join(", ")
     };
     println!(
-        "| {way} | {} | {} | {} | {} | {:.2} |",
-        kept(CALM, OVER),
-        kept(OVER, LENGTH),
+        "| {variant} | {} | {} | {} | {} | {:.2} |",
+        goodput_of_handlers(FAULT),
+        goodput_of_handlers(AFTER_FAULT),
         catalogue.peak(),
         result.violations,
-        (fleet.cpu() - cpu_before) * 1e3 / result.records.len() as f64
+        cpu_ms_per_request(fleet.cpu() - cpu_before, result.records.len())
     );
 }
 
-/// Servers over one catalogue, under a shared budget or with a fixed part of the capacity each.
-fn start_fleet(catalogue: &Catalogue, shared: bool) -> ProcessFleet {
+/// Servers over one catalogue, with leases of a quota or with a fixed part of the capacity each.
+fn start_fleet(catalogue: &Catalogue, leases: bool) -> ProcessFleet {
     let mut setup = setup(SERVERS, CAPACITY, CALL.as_millis() as u64);
-    if let Some(budget) = &mut setup.budget {
-        budget.handlers = "trip-search, seat-book";
-        budget.max_call = LONGEST_CALL;
+    if let Some(quota) = &mut setup.budget {
+        quota.handlers = "trip-search, seat-book";
+        quota.max_call = MAX_CALL;
     }
-    if !shared {
+    if !leases {
         setup.budget = None;
     }
     let fixed_part = f64::from(CAPACITY) / SERVERS as f64;
-    let settings = SETTINGS
-        .replace(
-            "\"dep_share\": 12.0",
-            &format!("\"dep_share\": {fixed_part:.1}"),
-        )
+    let settings = settings::with_quota(settings::TRIPS, fixed_part)
         .replace("\"servers\": 1", "\"servers\": 5");
     let catalogue = Some(catalogue.clone());
     let binary = release_binary();
-    let mut fleet = ProcessFleet::with_catalogue(catalogue, setup, binary, &settings, &works(), 1);
+    let mut fleet = ProcessFleet::with_catalogue(catalogue, setup, &binary, &settings, &works(), 1);
     fleet.operator = POOLS.into();
     start_all(&mut fleet, 0..SERVERS);
     wait_until(&mut fleet, &Condition::Settled, START_TERM);
-    if shared {
-        let quotas = has_at_least(SERVERS, CAPACITY / SERVERS as u32);
+    if leases {
+        let quotas = quota_at_least(SERVERS, CAPACITY / SERVERS as u32);
         wait_until(&mut fleet, &quotas, START_TERM);
     }
     fleet
@@ -119,8 +115,10 @@
     let rates = rates(true).into_iter();
     Load {
         kinds: kinds(),
-        rates: rates.map(|(at, rate)| (at, rate * PARTS[server])).collect(),
-        length: LENGTH,
+        rates: rates
+            .map(|(at, rate)| (at, rate * TRAFFIC_FRACTIONS[server]))
+            .collect(),
+        length: LOAD_LENGTH,
         seed: server as u64 + 1,
         timeout_ms: REQUEST_TIMEOUT_MS,
     }
--- a/crates/testkit/src/measurement/fleets.rs
+++ b/crates/testkit/src/measurement/fleets.rs
@@ -2,16 +2,22 @@
 
 use crate::fleet::script::{Action, Condition, Fleet};
 use madderbay::time::Duration;
-use std::path::Path;
-use std::sync::atomic::{AtomicU64, Ordering};
+use std::path::PathBuf;
 
+/// The environment variable that names another program than the release build.
+const PROGRAM_VARIABLE: &str = "MADDERBAY";
 /// The release build of the program, from the root of the repository.
+const RELEASE_BINARY: &str = "target/release/madderbay";
+
+/// The program that is measured: the release build, unless the environment variable `MADDERBAY`
+/// names another one.
 ///
 /// # Panics
 ///
 /// If it isn't built.
-pub fn release_binary() -> &'static Path {
-    let binary = Path::new("target/release/madderbay");
+pub fn release_binary() -> PathBuf {
+    let path = std::env::var(PROGRAM_VARIABLE).unwrap_or_else(|_| RELEASE_BINARY.into());
+    let binary = PathBuf::from(path);
     assert!(binary.exists(), "build the release first");
     binary
 }
@@ -34,8 +40,8 @@
     servers.for_each(|server| act(fleet, Action::start(server)));
 }
 
-/// Waits until a condition holds. Gives the time that it took in seconds, infinite if that passes
-/// the term.
+/// Waits until a condition holds. Gives the time that it took in seconds, infinite if it does not
+/// hold within the term.
 pub fn wait_until(fleet: &mut impl Fleet, condition: &Condition, term: Duration) -> f64 {
     let began = fleet.at();
     while fleet.unmet(condition).is_some() {
@@ -46,21 +52,3 @@
     }
     fleet.at().saturating_sub(began).as_secs_f64()
 }
-
-/// Calls a function with each seed from 0 up to a count, on several threads.
-pub fn for_each_seed(count: u64, threads: usize, play: impl Fn(u64) + Sync) {
-    let next = AtomicU64::new(0);
-    std::thread::scope(|scope| {
-        for _ in 0..threads {
-            scope.spawn(|| {
-                loop {
-                    let seed = next.fetch_add(1, Ordering::Relaxed);
-                    if seed >= count {
-                        return;
-                    }
-                    play(seed);
-                }
-            });
-        }
-    });
-}
--- a/crates/testkit/src/measurement/loads.rs
+++ b/crates/testkit/src/measurement/loads.rs
@@ -1,24 +1,42 @@
-//! Loads on real servers, and what became of their requests.
+//! Loads on real servers, and what became of their requests. It owns no server.
 
 use crate::engine::Engine;
 use crate::fleet::processes::ProcessFleet;
-use crate::load_balancer::{Load, RequestKind, RequestRecord, rule_violations};
+use crate::load_balancer::{Load, RequestKind, RequestRecord, kept, rule_violations};
 use std::net::SocketAddr;
+use std::ops::Range;
 use std::thread::ScopedJoinHandle;
 use std::time::Duration;
 
-/// A kind of request of the only tenant; its part, its latency objective and whether its requests
-/// have idempotency keys.
-pub fn request_kind(handler: &str, part: f64, target: Duration, keyed: bool) -> RequestKind {
+/// A kind of request of the only tenant: the weight with which it is drawn, its latency objective,
+/// and whether its requests have idempotency keys.
+pub fn request_kind(
+    handler: &str,
+    weight: f64,
+    latency_objective: Duration,
+    idempotency_key: bool,
+) -> RequestKind {
     RequestKind {
         handler: handler.into(),
-        weight: part,
-        latency_objective: target,
-        idempotency_key: keyed,
+        weight,
+        latency_objective,
+        idempotency_key,
         tenant: "acme",
     }
 }
 
+/// The goodput of a handler: the fraction of its requests that were answered within their latency
+/// objective, of those that were sent in a time since the beginning of the load.
+pub fn goodput(
+    records: &[RequestRecord],
+    kinds: &[RequestKind],
+    handler: usize,
+    time: Range<Duration>,
+) -> f64 {
+    let (_, in_time) = kept(records, kinds, handler, time.start, time.end);
+    in_time
+}
+
 /// What became of a load or of several.
 #[derive(Default)]
 pub struct LoadResult {
@@ -50,7 +68,7 @@
         }
     }
 
-    /// Sends a load and waits for the answers; `tick` gets the time since the beginning, a few
+    /// Sends a load and waits for the answers; `tick` is given the time since the beginning, a few
     /// hundred times a second.
     pub fn send(&self, load: &Load, tick: impl FnMut(Duration)) -> Vec<RequestRecord> {
         load.run(self.server, |name| self.engine.answered(name), tick)
--- a/crates/testkit/src/measurement/trips.rs
+++ b/crates/testkit/src/measurement/trips.rs
@@ -1,40 +1,49 @@
-//! The scenario of the examples `pools`, `shares` and `shared`: a catalogue with few slots that is
-//! 20 times slower for some seconds, while more requests arrive for the first of these.
+//! The scenario of the examples `pools` and `quotas`: a catalogue with few slots that is 20 times
+//! slower for some seconds, while more requests arrive for the first of these.
+//!
+//! [`Scenario`](crate::measurement::trips::Scenario) is the whole of it against one server, and
+//! owns that server with its fakes while it runs. Fleets take the parts that they need.
 
+use super::fleets::release_binary;
 use super::loads::{LoadTarget, request_kind};
+use super::report::cpu_ms_per_request;
 use crate::catalogue::{Behavior, Catalogue};
 use crate::engine::{Engine, HandlerWork};
 use crate::load_balancer::{Load, Rates, RequestKind, RequestRecord};
 use crate::registry::Registry;
 use crate::server::{Dependencies, Server, configuration};
 use std::ops::Range;
-use std::path::Path;
 use std::sync::mpsc::Receiver;
 use std::time::{Duration, Instant};
 
-/// When the fault begins.
-pub const CALM: Duration = Duration::from_secs(5);
-/// When the fault is over.
-pub const OVER: Duration = Duration::from_secs(13);
+/// The time before the fault, since the beginning of the load.
+pub const BEFORE_FAULT: Range<Duration> = Duration::ZERO..FAULT_START;
+/// The time of the fault since the beginning of the load.
+pub const FAULT: Range<Duration> = FAULT_START..FAULT_END;
+/// The time from the end of the fault to the end of the load.
+pub const AFTER_FAULT: Range<Duration> = FAULT_END..LOAD_LENGTH;
 /// The length of the load.
-pub const LENGTH: Duration = Duration::from_secs(20);
-/// What clients wait for an answer, in milliseconds.
+pub const LOAD_LENGTH: Duration = Duration::from_secs(20);
+/// The time that clients wait for an answer, in milliseconds.
 pub const REQUEST_TIMEOUT_MS: u64 = 8_000;
 /// The slots of the catalogue.
 pub const SLOTS: usize = 8;
-/// What a call takes.
+/// The time of a call.
 pub const CALL: Duration = Duration::from_millis(25);
 
-/// Requests a second without the fault, and at its beginning.
+const FAULT_START: Duration = Duration::from_secs(5);
+const FAULT_END: Duration = Duration::from_secs(13);
+/// Requests a second without the fault.
 const RATE: f64 = 90.0;
+/// Requests a second at the beginning of the fault.
 const PEAK_RATE: f64 = 144.0;
-/// How long the peak lasts.
+/// The time for which requests arrive at the peak rate.
 const PEAK: Duration = Duration::from_secs(5);
-/// How much slower the catalogue is.
+/// How many times slower the catalogue is.
 const SLOW_DOWN: f64 = 20.0;
 /// The time between two samples of the calls in flight, in milliseconds.
 const SAMPLE_MS: usize = 10;
-/// What is waited for a server's first report, and for each line of its log.
+/// Upper bound on the wait for a server's first report, and for each line of its log.
 const SERVER_TIMEOUT: Duration = Duration::from_secs(10);
 /// The time that a server's shutdown may take, in milliseconds.
 const SHUTDOWN_MS: u64 = 3_000;
@@ -67,15 +76,15 @@
     if fault {
         vec![
             (Duration::ZERO, RATE),
-            (CALM, PEAK_RATE),
-            (CALM + PEAK, RATE),
+            (FAULT_START, PEAK_RATE),
+            (FAULT_START + PEAK, RATE),
         ]
     } else {
         vec![(Duration::ZERO, RATE)]
     }
 }
 
-/// Slows the catalogue down from [`CALM`] to [`OVER`].
+/// Slows the catalogue down during [`FAULT`].
 pub struct SlowDown<'a> {
     catalogue: &'a Catalogue,
     slow: bool,
@@ -92,10 +101,10 @@
 
     /// To be called with the time since the beginning, often.
     pub fn tick(&mut self, now: Duration) {
-        let slow = (CALM..OVER).contains(&now);
+        let slow = FAULT.contains(&now);
         if std::mem::replace(&mut self.slow, slow) != slow {
-            let times = if slow { SLOW_DOWN } else { 1.0 };
-            self.catalogue.set_behavior(Behavior::Slow(times));
+            let factor = if slow { SLOW_DOWN } else { 1.0 };
+            self.catalogue.set_behavior(Behavior::Slow(factor));
         }
     }
 }
@@ -115,7 +124,7 @@
 }
 
 impl ServerRun {
-    /// The most calls in flight at the catalogue in a time since the beginning.
+    /// The most calls in flight at the catalogue during a time since the beginning of the load.
     pub fn peak(&self, time: Range<Duration>) -> usize {
         let sample = |at: Duration| (at.as_millis() as usize / SAMPLE_MS).min(self.in_flight.len());
         let samples = &self.in_flight[sample(time.start)..sample(time.end)];
@@ -123,8 +132,43 @@
     }
 }
 
+/// The scenario against one server.
+pub struct Scenario<'a> {
+    /// The platform's settings of the server.
+    pub settings: &'a str,
+    /// Its operator file, if it has one.
+    pub operator: Option<&'a str>,
+    /// What arrives.
+    pub kinds: Vec<RequestKind>,
+    /// What the engine does for it.
+    pub works: Vec<HandlerWork>,
+    /// Whether the catalogue has its fault.
+    pub fault: bool,
+    /// Determines the load and the fakes.
+    pub seed: u64,
+}
+
+impl Scenario<'_> {
+    /// Starts a server, sends the load and ends the server.
+    ///
+    /// # Panics
+    ///
+    /// If the server or a fake does not start.
+    pub fn run(self) -> ServerRun {
+        let load = Load {
+            kinds: self.kinds,
+            rates: rates(self.fault),
+            length: LOAD_LENGTH,
+            seed: self.seed,
+            timeout_ms: REQUEST_TIMEOUT_MS,
+        };
+        let server = SingleServer::start(self.settings, self.operator, self.works, self.seed);
+        server.run(&load, self.fault)
+    }
+}
+
 /// One server between fakes of its own.
-pub struct SingleServer {
+struct SingleServer {
     server: Server,
     engine: Engine,
     catalogue: Catalogue,
@@ -133,14 +177,8 @@
 }
 
 impl SingleServer {
-    /// Starts a server with the platform's settings and an operator file, if one is given, and
-    /// waits until it has reported itself and is connected with the engine.
-    ///
-    /// # Panics
-    ///
-    /// If that fails.
-    pub fn start(
-        binary: &Path,
+    /// Starts a server, and waits until it has reported itself and is connected with the engine.
+    fn start(
         settings: &str,
         operator: Option<&str>,
         works: Vec<HandlerWork>,
@@ -156,7 +194,7 @@
         };
         let listen = "127.0.0.1:0";
         let text = configuration(listen, dependencies, MAX_SOCKETS, SHUTDOWN_MS, settings);
-        let mut server = Server::start(binary, &text, operator);
+        let mut server = Server::start(&release_binary(), &text, operator);
         let report = registry.reports.recv_timeout(SERVER_TIMEOUT);
         report.expect("a report");
         server.log_at("engine: up");
@@ -171,12 +209,13 @@
     }
 
     /// Sends a load, with the fault or without it, and ends the server.
-    pub fn run(self, load: &Load, fault: bool) -> ServerRun {
+    fn run(self, load: &Load, fault: bool) -> ServerRun {
         let target = LoadTarget {
             server: self.server.address,
             engine: self.engine.clone(),
         };
-        let (began, first_sample) = (Instant::now(), self.catalogue.stats().in_flight.len());
+        let first_sample = self.catalogue.stats().in_flight.len();
+        let began = Instant::now();
         let cpu_before = self.server.cpu();
         let mut slow_down = SlowDown::of(&self.catalogue);
         let records = target.send(load, |now| {
@@ -184,7 +223,7 @@
                 slow_down.tick(now);
             }
         });
-        let cpu_ms = (self.server.cpu() - cpu_before) * 1e3 / records.len() as f64;
+        let cpu_ms = cpu_ms_per_request(self.server.cpu() - cpu_before, records.len());
         let violations = target.violations(load, &records);
         self.server.signal("-TERM");
         let mut log = vec![];
