--- a/crates/testkit/examples/durable_results/histories.rs
+++ b/crates/testkit/examples/durable_results/histories.rs
@@ -45,7 +45,7 @@
         total.retries_rejected,
         violations.count()
     );
-    violations.print();
+    violations.print_first();
 }
 
 /// What the attempts of one or more histories were answered.
--- a/crates/testkit/examples/membership/histories.rs
+++ b/crates/testkit/examples/membership/histories.rs
@@ -52,7 +52,7 @@
         "{count} histories of {SERVERS} processes, {faults} faults, {requests} requests: {} invariants violated or views not settled; slowest to settle {slowest_secs:.1} s",
         violations.count()
     );
-    violations.print();
+    violations.print_first();
 }
 
 fn play(seed: u64) -> HistoryResult {
--- a/crates/testkit/examples/pools/limits.rs
+++ b/crates/testkit/examples/pools/limits.rs
@@ -78,7 +78,7 @@
         }
     }
     println!("invariants violated: {}", violations.count());
-    violations.print();
+    violations.print_first();
 }
 
 fn measure_variant(variant: &str, operator: Option<&str>, seeds: u64, violations: &mut Violations) {
--- a/crates/testkit/examples/quotas/demand.rs
+++ b/crates/testkit/examples/quotas/demand.rs
@@ -26,16 +26,16 @@
     start_all(fleet, 0..servers);
     let settled = wait_until(fleet, &Condition::Settled, SETTLE_TERM);
     assert!(settled.is_finite(), "settled");
-    let quotas = quota_at_least(servers, BASE_QUOTA);
+    let quotas = min_quota(servers, BASE_QUOTA);
     let has_quotas = wait_until(fleet, &quotas, QUOTA_TERM);
     assert!(has_quotas.is_finite(), "each has its base quota");
 }
 
 /// Each of the servers may use at least this many calls.
-pub(crate) fn quota_at_least(servers: usize, least: u32) -> Condition {
+pub(crate) fn min_quota(servers: usize, calls: u32) -> Condition {
     Condition::Has {
         who: (0..servers).collect(),
-        least,
+        least: calls,
         most: u32::MAX,
     }
 }
--- a/crates/testkit/examples/quotas/histories.rs
+++ b/crates/testkit/examples/quotas/histories.rs
@@ -98,7 +98,7 @@
         capacity(),
         violations.count()
     );
-    violations.print();
+    violations.print_first();
 }
 
 /// The capacity of the real fleets.
--- a/crates/testkit/examples/quotas/slow_catalogue.rs
+++ b/crates/testkit/examples/quotas/slow_catalogue.rs
@@ -1,7 +1,7 @@
 //! The scenario of a slow catalogue over five servers, with three in five requests at one of them:
 //! pools with a fixed part of the capacity for each server, and with leases of a quota.
 
-use crate::demand::{quota_at_least, setup};
+use crate::demand::{min_quota, setup};
 use madderbay::time::Duration;
 use madderbay_testkit::catalogue::Catalogue;
 use madderbay_testkit::fleet::processes::ProcessFleet;
@@ -87,7 +87,7 @@
     start_all(&mut fleet, 0..SERVERS);
     wait_until(&mut fleet, &Condition::Settled, START_TERM);
     if leases {
-        let quotas = quota_at_least(SERVERS, CAPACITY / SERVERS as u32);
+        let quotas = min_quota(SERVERS, CAPACITY / SERVERS as u32);
         wait_until(&mut fleet, &quotas, START_TERM);
     }
     fleet
--- a/crates/testkit/src/fleet/processes/conditions.rs
+++ b/crates/testkit/src/fleet/processes/conditions.rs
@@ -1,7 +1,7 @@
 //! Checks conditions on the fleet by what its servers report.
 
 use super::{MembershipReport, ProcessFleet, name};
-use crate::fleet::script::{Condition, other_observers};
+use crate::fleet::script::ConditionChecks;
 use madderbay_membership::{Connectivity, MemberState};
 
 /// What a server answered, with its index.
@@ -10,57 +10,23 @@
     report: MembershipReport,
 }
 
-impl ProcessFleet {
-    /// What is missing of a condition, in one line; `None` while it holds.
-    pub(super) fn unmet_condition(&self, condition: &Condition) -> Option<String> {
-        match condition {
-            Condition::Settled => self.unsettled(),
-            Condition::View {
-                observers,
-                member,
-                state,
-            } => self.wrong_state(observers, *member, *state),
-            Condition::Connectivity {
-                servers,
-                connectivity,
-            } => self.wrong_connectivity(servers, *connectivity),
-            Condition::Has { who, least, most } => who
-                .iter()
-                .filter(|server| self.nodes[**server].answers())
-                .find_map(|server| self.quota_outside(*server, *least, *most)),
-            Condition::Uses { who, least } => {
-                let reports = who.iter().filter_map(|server| self.quota(*server));
-                let used: u32 = reports.map(|report| report.in_use).sum();
-                (used < *least).then(|| format!("{used} calls are in flight, not {least}"))
-            }
-        }
-    }
-
-    /// The first of these servers that should answer and whose report is wrong or missing.
-    fn find_wrong(
-        &self,
-        servers: &[usize],
-        wrong: impl Fn(usize, &MembershipReport) -> Option<String>,
-    ) -> Option<String> {
-        let mut answering = servers
-            .iter()
-            .copied()
-            .filter(|server| self.nodes[*server].answers());
-        answering.find_map(|server| match self.membership(server) {
-            Some(report) => wrong(server, &report),
-            None => Some(no_answer(server)),
-        })
+impl ConditionChecks for ProcessFleet {
+    fn unsettled(&self) -> Option<String> {
+        let views = match self.views() {
+            Ok(views) => views,
+            Err(server) => return Some(no_answer(server)),
+        };
+        views.iter().find_map(|view| self.wrong_view(view, &views))
     }
 
     fn wrong_state(
         &self,
         observers: &[usize],
         member: usize,
-        state: Option<MemberState>,
+        expected: Option<MemberState>,
     ) -> Option<String> {
-        let expected = state.map(|state| state.to_string());
-        let observers: Vec<usize> = other_observers(observers, member).collect();
-        self.find_wrong(&observers, |observer, report| {
+        let expected = expected.map(|state| state.to_string());
+        self.find_wrong(observers, |observer, report| {
             let reported = report.states.get(&name(member));
             (reported != expected.as_ref())
                 .then(|| format!("{} reports {} {reported:?}", name(observer), name(member)))
@@ -75,22 +41,42 @@
         })
     }
 
-    fn quota_outside(&self, server: usize, least: u32, most: u32) -> Option<String> {
-        let Some(report) = self.quota(server) else {
-            return Some(no_answer(server));
-        };
-        let usable = report.usable;
-        (usable < least || usable > most)
-            .then(|| format!("{} may use {usable}; {}", name(server), self.all_quotas()))
+    fn quota_outside(&self, servers: &[usize], least: u32, most: u32) -> Option<String> {
+        let mut answering = servers
+            .iter()
+            .copied()
+            .filter(|server| self.nodes[*server].answers());
+        answering.find_map(|server| {
+            let Some(report) = self.quota(server) else {
+                return Some(no_answer(server));
+            };
+            let usable = report.usable;
+            (usable < least || usable > most)
+                .then(|| format!("{} may use {usable}; {}", name(server), self.all_quotas()))
+        })
     }
 
-    /// What is missing until all servers that run and are connected hold exactly each other alive.
-    fn unsettled(&self) -> Option<String> {
-        let views = match self.views() {
-            Ok(views) => views,
-            Err(server) => return Some(no_answer(server)),
-        };
-        views.iter().find_map(|view| self.wrong_view(view, &views))
+    fn in_flight(&self, servers: &[usize]) -> u32 {
+        let reports = servers.iter().filter_map(|server| self.quota(*server));
+        reports.map(|report| report.in_use).sum()
+    }
+}
+
+impl ProcessFleet {
+    /// The first of these servers that should answer and whose report is wrong or missing.
+    fn find_wrong(
+        &self,
+        servers: &[usize],
+        wrong: impl Fn(usize, &MembershipReport) -> Option<String>,
+    ) -> Option<String> {
+        let mut answering = servers
+            .iter()
+            .copied()
+            .filter(|server| self.nodes[*server].answers());
+        answering.find_map(|server| match self.membership(server) {
+            Some(report) => wrong(server, &report),
+            None => Some(no_answer(server)),
+        })
     }
 
     /// The views of all servers that run, but for those whose name another server has taken over.
--- a/crates/testkit/src/fleet/processes/mod.rs
+++ b/crates/testkit/src/fleet/processes/mod.rs
@@ -17,7 +17,9 @@
 
 use self::client_load::ClientLoad;
 use super::relay::DatagramRelays;
-use super::script::{Action, ActionError, Condition, Fleet, FleetSetup, QuotaSetup, name};
+use super::script::{
+    Action, ActionError, Condition, ConditionChecks, Fleet, FleetSetup, QuotaSetup, name,
+};
 use crate::catalogue::Catalogue;
 use crate::engine::{Engine, HandlerWork};
 use crate::registry::Registry;
--- a/crates/testkit/src/fleet/script/action.rs
+++ b/crates/testkit/src/fleet/script/action.rs
@@ -132,19 +132,6 @@
     },
 }
 
-/// The observers of [`Condition::View`] whose views are looked at: among several the member itself
-/// is left out.
-pub(in crate::fleet) fn other_observers(
-    observers: &[usize],
-    member: usize,
-) -> impl Iterator<Item = usize> {
-    let is_alone = observers.len() == 1;
-    observers
-        .iter()
-        .copied()
-        .filter(move |server| is_alone || *server != member)
-}
-
 /// One step of a script.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
--- a/crates/testkit/src/fleet/script/mod.rs
+++ b/crates/testkit/src/fleet/script/mod.rs
@@ -90,14 +90,15 @@
 //! ```
 
 mod action;
+mod condition_checks;
 mod error;
 mod parser;
 mod runner;
 mod setup;
 mod words;
 
-pub(in crate::fleet) use action::other_observers;
 pub use action::{Action, Condition, Step};
+pub(in crate::fleet) use condition_checks::ConditionChecks;
 pub use error::{ActionError, Expected, ScriptError, ScriptFailure};
 pub use runner::{ConditionTime, Fleet, load_scripts};
 pub use setup::{FleetSetup, QuotaSetup};
--- a/crates/testkit/src/fleet/simulated/conditions.rs
+++ b/crates/testkit/src/fleet/simulated/conditions.rs
@@ -1,82 +1,12 @@
 //! Checks conditions on the simulated fleet by looking into its servers.
 
 use super::{SimulatedFleet, name};
-use crate::fleet::script::{Condition, other_observers};
+use crate::fleet::script::ConditionChecks;
 use madderbay_membership::{Connectivity, MemberState, Membership, Phase};
 use madderbay_quota::budget::Budget;
 use std::collections::HashMap;
 
-impl SimulatedFleet {
-    /// What is missing of a condition, in one line; `None` while it holds.
-    pub(super) fn unmet_condition(&self, condition: &Condition) -> Option<String> {
-        match condition {
-            Condition::Settled => self.unsettled(),
-            Condition::View {
-                observers,
-                member,
-                state,
-            } => self.wrong_state(observers, *member, *state),
-            Condition::Connectivity {
-                servers,
-                connectivity,
-            } => servers
-                .iter()
-                .find_map(|server| self.wrong_connectivity(*server, *connectivity)),
-            Condition::Has { who, least, most } => who
-                .iter()
-                .find_map(|server| self.quota_outside(*server, *least, *most)),
-            Condition::Uses { who, least } => {
-                let budgets = who
-                    .iter()
-                    .filter_map(|server| self.shared(*server)?.budgets().first());
-                let used: u32 = budgets.map(Budget::in_use).sum();
-                (used < *least).then(|| format!("{used} calls are in flight, not {least}"))
-            }
-        }
-    }
-
-    fn wrong_state(
-        &self,
-        observers: &[usize],
-        member: usize,
-        expected: Option<MemberState>,
-    ) -> Option<String> {
-        other_observers(observers, member).find_map(|observer| {
-            let members = self.nodes[observer].active_members()?;
-            let state = members.member_state(&name(member));
-            (state != expected)
-                .then(|| format!("{} reports {} {state:?}", name(observer), name(member)))
-        })
-    }
-
-    fn wrong_connectivity(&self, server: usize, expected: Connectivity) -> Option<String> {
-        let connectivity = self.nodes[server].active_members()?.connectivity();
-        (connectivity != expected)
-            .then(|| format!("{} reports its connectivity {connectivity:?}", name(server)))
-    }
-
-    fn quota_outside(&self, server: usize, least: u32, most: u32) -> Option<String> {
-        let now = self.nodes[server].clock(self.now);
-        let usable = self.shared(server)?.budgets().first()?.usable(now);
-        (usable < least || usable > most)
-            .then(|| format!("{} may use {usable}, of at least {least}", name(server)))
-    }
-
-    /// Servers that run, but for those whose name another server has taken over.
-    fn present(&self) -> Vec<usize> {
-        let has_own_name = |members: &Membership| {
-            members.member_state(&members.local_identity().name) != Some(MemberState::Down)
-        };
-        (0..self.nodes.len())
-            .filter(|server| {
-                self.nodes[*server]
-                    .active_members()
-                    .is_some_and(has_own_name)
-            })
-            .collect()
-    }
-
-    /// What is missing until all servers that run and are connected hold exactly each other alive.
+impl ConditionChecks for SimulatedFleet {
     fn unsettled(&self) -> Option<String> {
         let present = self.present();
         let mut sizes: HashMap<usize, usize> = HashMap::new();
@@ -116,6 +46,64 @@
             .find_map(|(server, _)| self.suspect(*server))
     }
 
+    fn wrong_state(
+        &self,
+        observers: &[usize],
+        member: usize,
+        expected: Option<MemberState>,
+    ) -> Option<String> {
+        observers.iter().find_map(|observer| {
+            let members = self.nodes[*observer].active_members()?;
+            let state = members.member_state(&name(member));
+            (state != expected)
+                .then(|| format!("{} reports {} {state:?}", name(*observer), name(member)))
+        })
+    }
+
+    fn wrong_connectivity(&self, servers: &[usize], expected: Connectivity) -> Option<String> {
+        servers.iter().find_map(|server| {
+            let connectivity = self.nodes[*server].active_members()?.connectivity();
+            (connectivity != expected).then(|| {
+                format!(
+                    "{} reports its connectivity {connectivity:?}",
+                    name(*server)
+                )
+            })
+        })
+    }
+
+    fn quota_outside(&self, servers: &[usize], least: u32, most: u32) -> Option<String> {
+        servers.iter().find_map(|server| {
+            let now = self.nodes[*server].clock(self.now);
+            let usable = self.shared(*server)?.budgets().first()?.usable(now);
+            (usable < least || usable > most)
+                .then(|| format!("{} may use {usable}, of at least {least}", name(*server)))
+        })
+    }
+
+    fn in_flight(&self, servers: &[usize]) -> u32 {
+        let budgets = servers
+            .iter()
+            .filter_map(|server| self.shared(*server)?.budgets().first());
+        budgets.map(Budget::in_use).sum()
+    }
+}
+
+impl SimulatedFleet {
+    /// Servers that run, but for those whose name another server has taken over.
+    fn present(&self) -> Vec<usize> {
+        let has_own_name = |members: &Membership| {
+            members.member_state(&members.local_identity().name) != Some(MemberState::Down)
+        };
+        (0..self.nodes.len())
+            .filter(|server| {
+                self.nodes[*server]
+                    .active_members()
+                    .is_some_and(has_own_name)
+            })
+            .collect()
+    }
+
     /// That a server holds some member suspect.
     fn suspect(&self, server: usize) -> Option<String> {
         let view = self.members(server)?.view();
--- a/crates/testkit/src/fleet/simulated/mod.rs
+++ b/crates/testkit/src/fleet/simulated/mod.rs
@@ -25,7 +25,7 @@
 use self::counts::TrueCounts;
 use self::node::Node;
 use super::network::SimulatedNetwork;
-use super::script::{Action, ActionError, Condition, Fleet, FleetSetup, name};
+use super::script::{Action, ActionError, Condition, ConditionChecks, Fleet, FleetSetup, name};
 use crate::event_queue::EventQueue;
 use madderbay::time::{Duration, Timestamp};
 use madderbay_membership::Membership;
--- a/crates/testkit/src/measurement/report.rs
+++ b/crates/testkit/src/measurement/report.rs
@@ -40,7 +40,7 @@
     }
 
     /// Prints the first ones, a line each.
-    pub fn print(&self) {
+    pub fn print_first(&self) {
         let printed = self.0.iter().take(MAX_PRINTED);
         printed.for_each(|line| println!("  {line}"));
     }
--- a/crates/testkit/tests/script.rs
+++ b/crates/testkit/tests/script.rs
@@ -69,14 +69,14 @@
         state: None,
     };
     assert_eq!(steps("view n1 n3 unknown 40ms"), within(unknown, 40));
-    let at_most = Condition::Has {
+    let upper_bound = Condition::Has {
         who: vec![0],
         least: 0,
         most: 10,
     };
     assert_eq!(
         steps("quota-at-most n1 10 3s # calls"),
-        within(at_most, 3_000)
+        within(upper_bound, 3_000)
     );
 }
 
