--- a/crates/testkit/tests/script.rs
+++ b/crates/testkit/tests/script.rs
@@ -1,6 +1,7 @@
 //! Parsing of fault scripts: what each line makes, and what is reported of a line that is wrong.
 
 use madderbay::time::Duration;
+use madderbay_membership::Connectivity;
 use madderbay_testkit::fleet::script::{Action, Condition, Expected, Script, ScriptError, Step};
 
 /// The steps of a line for three servers, of which `n3` is in the zone `south`.
@@ -69,6 +70,11 @@
         state: None,
     };
     assert_eq!(steps("view n1 n3 unknown 40ms"), within(unknown, 40));
+    let partial = Condition::Connectivity {
+        servers: vec![0, 1, 2],
+        connectivity: Connectivity::Partial,
+    };
+    assert_eq!(steps("connectivity all partial 2s"), within(partial, 2_000));
     let upper_bound = Condition::Has {
         who: vec![0],
         least: 0,
@@ -106,6 +112,9 @@
     );
 }
 
+/// What a line has to be that begins with `quota-at-least`.
+const FORM_OF_QUOTA: Expected = Expected::Line("quota-at-least GROUP N TERM");
+
 #[test]
 fn errors_tell_apart_what_is_wrong() {
     for (line, word, expected) in [
@@ -114,6 +123,7 @@
         ("settle 10", "10", Expected::Time),
         ("loss 2", "2", Expected::Fraction),
         ("peak many", "many", Expected::Number),
+        ("quota-at-least n1 2", "quota-at-least", FORM_OF_QUOTA),
         ("view n1 n1 gone 1s", "gone", Expected::State),
         ("connectivity n1 half 1s", "half", Expected::Connectivity),
         ("set memory", "memory", Expected::Assignment),
