--- a/crates/testkit/src/fleet/processes/conditions.rs
+++ b/crates/testkit/src/fleet/processes/conditions.rs
@@ -25,10 +25,9 @@
         member: usize,
         expected: Option<MemberState>,
     ) -> Option<String> {
-        let expected = expected.map(|state| state.to_string());
         self.find_wrong(observers, |observer, report| {
-            let reported = report.states.get(&name(member));
-            (reported != expected.as_ref())
+            let reported = report.states.get(&name(member)).copied();
+            (reported != expected)
                 .then(|| format!("{} reports {} {reported:?}", name(observer), name(member)))
         })
     }
@@ -89,7 +88,7 @@
             }
             let report = self.membership(server).ok_or(server)?;
             let own_state = report.states.get(&name(node.name));
-            if own_state.is_none_or(|state| state != "down") {
+            if own_state != Some(&MemberState::Down) {
                 views.push(View { server, report });
             }
         }
@@ -110,7 +109,7 @@
         let mut in_view: Vec<String> = report
             .states
             .iter()
-            .filter(|(_, state)| !["down", "left"].contains(&state.as_str()))
+            .filter(|(_, state)| !matches!(state, MemberState::Down | MemberState::Left))
             .map(|(member, _)| member.clone())
             .collect();
         in_view.sort();
@@ -123,7 +122,7 @@
         let unsettled = report
             .states
             .iter()
-            .find(|(_, state)| *state == "suspect" || *state == "joining");
+            .find(|(_, state)| matches!(state, MemberState::Suspect | MemberState::Joining));
         if let Some((member, state)) = unsettled {
             return Some(format!("{} reports {member} {state}", name(*server)));
         }
--- a/crates/testkit/src/fleet/processes/reports.rs
+++ b/crates/testkit/src/fleet/processes/reports.rs
@@ -1,7 +1,8 @@
 //! What servers report at their control sockets.
 
 use super::{Node, ProcessFleet, name};
-use madderbay_membership::Connectivity;
+use crate::fleet::script::state_by_name;
+use madderbay_membership::{Connectivity, MemberState};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Write};
@@ -21,7 +22,7 @@
     /// The number of other members that are not down.
     pub active: usize,
     /// The state of each member by its name.
-    pub states: HashMap<String, String>,
+    pub states: HashMap<String, MemberState>,
 }
 
 /// A server's part of the quota, in calls.
@@ -49,7 +50,8 @@
 }
 
 impl ProcessFleet {
-    /// A server's view of the fleet; `None` where it does not answer.
+    /// A server's view of the fleet; `None` where it does not answer, or reports a state that no
+    /// member has.
     pub fn membership(&self, server: usize) -> Option<MembershipReport> {
         let lines = self.query(server, "members")?;
         let (head, members) = lines.split_first()?;
@@ -60,8 +62,11 @@
             active: head["active"].as_u64()? as usize,
             states: members
                 .iter()
-                .map(|member| (text(&member["name"]), text(&member["state"])))
-                .collect(),
+                .map(|member| {
+                    let state = state_by_name(member["state"].as_str()?)?;
+                    Some((text(&member["name"]), state))
+                })
+                .collect::<Option<_>>()?,
         })
     }
 
--- a/crates/testkit/src/fleet/script/mod.rs
+++ b/crates/testkit/src/fleet/script/mod.rs
@@ -102,6 +102,7 @@
 pub use error::{ActionError, Expected, ScriptError, ScriptFailure};
 pub use runner::{ConditionTime, Fleet, load_scripts};
 pub use setup::{FleetSetup, QuotaSetup};
+pub(in crate::fleet) use words::state_by_name;
 
 /// A parsed script.
 #[derive(Debug)]
--- a/crates/testkit/src/fleet/script/words.rs
+++ b/crates/testkit/src/fleet/script/words.rs
@@ -67,13 +67,17 @@
     if word == "unknown" {
         return Ok(None);
     }
-    let state = STATES.into_iter().find(|state| state.to_string() == word);
-    match state {
-        Some(_) => Ok(state),
+    match state_by_name(word) {
+        Some(state) => Ok(Some(state)),
         None => Err(unexpected(word, Expected::State)),
     }
 }
 
+/// A member's state by the word that servers report.
+pub(in crate::fleet) fn state_by_name(word: &str) -> Option<MemberState> {
+    STATES.into_iter().find(|state| state.to_string() == word)
+}
+
 pub(super) fn connectivity(word: &str) -> Parsed<Connectivity> {
     match word {
         "complete" => Ok(Connectivity::Complete),
