--- a/crates/quota/tests/fleet.rs
+++ b/crates/quota/tests/fleet.rs
@@ -61,7 +61,7 @@
 
 /// Random histories: crashes, pauses longer than a lease, partitions in one direction and both,
 /// loss, duplication, delays of up to a second, old datagrams, changing demand. The command
-/// `--example shared drawn` plays ten thousand.
+/// `--example quotas simulated-histories` plays ten thousand.
 #[test]
 fn random_histories_never_exceed_the_capacity() {
     for seed in 0..150u64 {
--- a/crates/testkit/examples/sites.rs
+++ b/crates/testkit/examples/sites.rs
@@ -1,21 +1,31 @@
-//! Makes the variants of the kit's sites that `deploy/sites` describes: `cargo run --example sites
-//! KIT`, KIT being the kit's folder. A description is lines: `from = FILE` the kit's site to begin
-//! with, `PATH = VALUE` a key to set (a number in a path is a place in a list), `- PATH` one to
-//! take out, `# ...` nothing. What is written beside the descriptions belongs to the kit and is not
-//! committed.
+//! Writes the variants of the kit's sites that `deploy/sites` describes:
+//!
+//!     cargo run --package madderbay-testkit --example sites -- KIT
+//!
+//! KIT is the kit's folder. A description is a text file of lines; `#` begins a comment line, and
+//! empty lines are ignored:
+//!
+//! | line | meaning |
+//! | --- | --- |
+//! | `from = FILE` | first of all: the site to begin with, relative to the kit |
+//! | `PATH = VALUE` | sets a key, TOML; a number in a path is an index of a list |
+//! | `- PATH` | removes a key |
+//!
+//! What is written beside the descriptions belongs to the kit and is not committed.
 
+use std::ffi::OsStr;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use thiserror::Error;
 use toml_edit::{DocumentMut, Item, TomlError, Value};
 
-/// Where the descriptions are.
+/// The folder of the descriptions, which the variants are written to.
 const DESCRIPTIONS: &str = "deploy/sites";
-/// What a site needs beside it.
+/// The files that a site needs beside it.
 const COMPANIONS: [&str; 3] = ["real.json", "wire.json", "unlock.txt"];
 
-/// Why the variants can't be made.
+/// Why the variants can't be written.
 #[derive(Debug, Error)]
 enum SiteError {
     #[error("{}: {error}", path.display())]
@@ -58,8 +68,11 @@
     SiteError::File { path, error }
 }
 
-/// The item that holds the last part of a path, and that part.
-fn holder<'a, 'b>(site: &'a mut DocumentMut, path: &'b str) -> Option<(&'a mut Item, &'b str)> {
+/// The item that contains the last key of a path, and that key.
+fn parent_item<'site, 'path>(
+    site: &'site mut DocumentMut,
+    path: &'path str,
+) -> Option<(&'site mut Item, &'path str)> {
     let (parents, last) = path.rsplit_once('.').unwrap_or(("", path));
     let mut item = site.as_item_mut();
     for part in parents.split('.').filter(|part| !part.is_empty()) {
@@ -72,11 +85,11 @@
 }
 
 /// Carries out one line of a description.
-fn change(site: &mut DocumentMut, line: &str) -> Result<(), ChangeError> {
+fn apply_line(site: &mut DocumentMut, line: &str) -> Result<(), ChangeError> {
     let no_such_key = |path: &str| ChangeError::NoSuchKey(path.into());
     if let Some(path) = line.strip_prefix("- ") {
         let removed =
-            holder(site, path).and_then(|(item, last)| item.as_table_like_mut()?.remove(last));
+            parent_item(site, path).and_then(|(item, last)| item.as_table_like_mut()?.remove(last));
         return match removed {
             Some(_) => Ok(()),
             None => Err(no_such_key(path)),
@@ -86,7 +99,7 @@
     let value: Value = value
         .parse()
         .map_err(|_| ChangeError::NoValue(value.into()))?;
-    let (item, last) = holder(site, path).ok_or_else(|| no_such_key(path))?;
+    let (item, last) = parent_item(site, path).ok_or_else(|| no_such_key(path))?;
     let table = item
         .as_table_like_mut()
         .ok_or_else(|| ChangeError::NotInTable(path.into()))?;
@@ -94,47 +107,58 @@
     Ok(())
 }
 
-/// Makes the site that a description describes, and copies what it needs beside it.
-fn make(kit: &Path, description: &Path) -> Result<(), SiteError> {
-    let text = read(description)?;
-    let mut lines = text
-        .lines()
-        .map(str::trim)
-        .zip(1..)
-        .filter(|(line, _)| !line.is_empty() && !line.starts_with('#'));
-    let base = lines
-        .next()
-        .and_then(|(line, _)| line.strip_prefix("from = "));
-    let base = kit.join(base.ok_or_else(|| SiteError::NoBase {
-        description: description.into(),
-    })?);
-    let site = read(&base)?.parse();
-    let mut site: DocumentMut = site.map_err(|error| SiteError::Toml {
-        path: base.clone(),
-        error,
-    })?;
-    for (line, number) in lines {
-        change(&mut site, line).map_err(|error| SiteError::Change {
+/// A variant of a site.
+struct Variant {
+    /// The file of the kit's site that it is made from.
+    base: PathBuf,
+    site: DocumentMut,
+}
+
+impl Variant {
+    /// Makes the variant that a description describes.
+    fn read(kit: &Path, description: &Path) -> Result<Variant, SiteError> {
+        let text = read(description)?;
+        let mut lines = text
+            .lines()
+            .map(str::trim)
+            .zip(1..)
+            .filter(|(line, _)| !line.is_empty() && !line.starts_with('#'));
+        let base = lines
+            .next()
+            .and_then(|(line, _)| line.strip_prefix("from = "));
+        let base = kit.join(base.ok_or_else(|| SiteError::NoBase {
             description: description.into(),
-            line: number,
+        })?);
+        let site = read(&base)?.parse();
+        let mut site: DocumentMut = site.map_err(|error| SiteError::Toml {
+            path: base.clone(),
             error,
         })?;
+        for (line, number) in lines {
+            apply_line(&mut site, line).map_err(|error| SiteError::Change {
+                description: description.into(),
+                line: number,
+                error,
+            })?;
+        }
+        Ok(Variant { base, site })
     }
-    let folder = Path::new(DESCRIPTIONS);
-    let made = folder
-        .join(description.file_stem().unwrap_or_default())
-        .with_extension("toml");
-    write(&made, site.to_string())?;
-    let beside = base.parent().unwrap_or(kit);
-    for companion in COMPANIONS {
-        write(&folder.join(companion), read(&beside.join(companion))?)?;
+
+    /// Writes it under a name, with the files that it needs beside it. Gives its path.
+    fn write(&self, kit: &Path, name: &OsStr) -> Result<PathBuf, SiteError> {
+        let folder = Path::new(DESCRIPTIONS);
+        let path = folder.join(name).with_extension("toml");
+        write(&path, self.site.to_string())?;
+        let beside = self.base.parent().unwrap_or(kit);
+        for companion in COMPANIONS {
+            write(&folder.join(companion), read(&beside.join(companion))?)?;
+        }
+        Ok(path)
     }
-    println!("{}", made.display());
-    Ok(())
 }
 
-/// Makes the sites of all descriptions.
-fn make_all(kit: &Path) -> Result<(), SiteError> {
+/// Writes the variants of all descriptions.
+fn write_all_variants(kit: &Path) -> Result<(), SiteError> {
     let folder = Path::new(DESCRIPTIONS);
     let entries = std::fs::read_dir(folder).map_err(|error| file_error(folder, error))?;
     let mut descriptions: Vec<PathBuf> = entries
@@ -143,9 +167,12 @@
         .filter(|path| !path.ends_with("unlock.txt"))
         .collect();
     descriptions.sort();
-    descriptions
-        .iter()
-        .try_for_each(|description| make(kit, description))
+    for description in descriptions {
+        let variant = Variant::read(kit, &description)?;
+        let path = variant.write(kit, description.file_stem().unwrap_or_default())?;
+        println!("{}", path.display());
+    }
+    Ok(())
 }
 
 fn main() -> ExitCode {
@@ -156,7 +183,7 @@
         );
         return ExitCode::from(2);
     }
-    if let Err(error) = make_all(Path::new(&kit)) {
+    if let Err(error) = write_all_variants(Path::new(&kit)) {
         eprintln!("sites: {error}");
         return ExitCode::from(2);
     }
