--- a/crates/testkit/src/fleet/script_generator.rs
+++ b/crates/testkit/src/fleet/script_generator.rs
@@ -56,27 +56,27 @@
     /// Draws the next action: crashes, pauses, partitions of both kinds, loss, duplication,
     /// corruption, delays of up to a second, replayed datagrams, shifted demand.
     pub fn act(&mut self) -> Action {
-        let who = (self.random.rand_float() * self.up.len() as f64) as usize;
+        let server = (self.random.rand_float() * self.up.len() as f64) as usize;
         let fraction = self.random.rand_float() * MAX_FAULT_FRACTION;
         let max_delay = Duration::from_secs_f64(MIN_MAX_DELAY_SECS + self.random.rand_float());
         let delay = Some((MIN_DELAY, max_delay));
-        let running = self.up[who] && !self.stopped[who];
+        let running = self.up[server] && !self.stopped[server];
         match (self.random.rand_float() * ACTION_KINDS) as usize {
             0 if running => {
-                self.up[who] = false;
-                Action::Kill(who)
+                self.up[server] = false;
+                Action::Kill(server)
             }
             1 if running => {
-                self.stopped[who] = true;
-                Action::Stop(who)
+                self.stopped[server] = true;
+                Action::Stop(server)
             }
             2 => {
                 let (same_parity, others) =
-                    (0..self.up.len()).partition(|other| other % 2 == who % 2);
+                    (0..self.up.len()).partition(|other| other % 2 == server % 2);
                 Action::Cut(vec![same_parity, others])
             }
-            3 => Action::Cut(vec![vec![who], self.others(who)]),
-            4 => Action::OneWay(who, self.others(who)),
+            3 => Action::Cut(vec![vec![server], self.others(server)]),
+            4 => Action::OneWay(server, self.others(server)),
             5 => Action::Heal,
             6 => Action::Network {
                 loss: Some(fraction),
@@ -85,25 +85,27 @@
                 delay,
             },
             7 => Action::CALM,
-            8 => Action::Replay(who),
-            _ => self.repair_or_shift_demand(who),
+            8 => Action::Replay(server),
+            _ => self.repair_or_shift_demand(server),
         }
     }
 
     /// Starts a server that is down, continues one that is stopped, or gives it another demand.
-    fn repair_or_shift_demand(&mut self, who: usize) -> Action {
-        if !self.up[who] {
-            self.up[who] = true;
-            return Action::start(who);
+    fn repair_or_shift_demand(&mut self, server: usize) -> Action {
+        if !self.up[server] {
+            self.up[server] = true;
+            return Action::start(server);
         }
-        if self.stopped[who] {
-            self.stopped[who] = false;
-            return Action::Continue(who);
+        if self.stopped[server] {
+            self.stopped[server] = false;
+            return Action::Continue(server);
         }
-        Action::Demand(who, (self.random.rand_float() * self.max_demand) as u32)
+        Action::Demand(server, (self.random.rand_float() * self.max_demand) as u32)
     }
 
-    fn others(&self, who: usize) -> Vec<usize> {
-        (0..self.up.len()).filter(|other| *other != who).collect()
+    fn others(&self, server: usize) -> Vec<usize> {
+        (0..self.up.len())
+            .filter(|other| *other != server)
+            .collect()
     }
 }
