--- /dev/null
+++ b/crates/testkit/examples/pools/limits.rs
@@ -0,0 +1,263 @@
+//! Pools with adaptive limits beside fixed ones and beside none: goodput of each handler, calls in
+//! flight upstream, and how far the limit swings. Work takes 20 to 40 ms.
+
+use madderbay_testkit::engine::HandlerWork;
+use madderbay_testkit::load_balancer::{Answer, RequestKind, latencies};
+use madderbay_testkit::measurement::loads::{goodput, request_kind};
+use madderbay_testkit::measurement::report::{Violations, median};
+use madderbay_testkit::measurement::seeds::run_seeds;
+use madderbay_testkit::measurement::trips::{
+    AFTER_FAULT, BEFORE_FAULT, FAULT, Scenario, ServerRun,
+};
+use std::ops::Range;
+use std::time::Duration;
+
+const DEFAULT_SEEDS: u64 = 5;
+/// Seeds without the fault.
+const CALM_SEEDS: u64 = 2;
+/// Runs at a time: each needs a core or two for its fakes.
+const RUNS_AT_A_TIME: usize = 2;
+/// The limit of the calls in flight before it is changed.
+const INITIAL_LIMIT: f64 = 12.0;
+/// The time that the limit gets to settle after the fault has begun or ended.
+const SETTLING_TIME: Duration = Duration::from_secs(3);
+/// The time at the beginning of the fault that is reported by itself.
+const FIRST_SECOND: Duration = Duration::from_secs(1);
+/// The beginning of a line of the log about the limit.
+const LIMIT_LINE: &str = "INFO concurrency: limit ";
+
+const SETTINGS: &str = include_str!("settings.json");
+const POOLS: &str = r"
+[pools]
+enabled = on
+limits = adaptive
+[pool seats]
+handlers = seat-book
+[pool searches]
+handlers = trip-search
+calls_weight = 0
+[pool quotes]
+handlers = fare-quote
+[reserve]
+handlers = fare-quote
+part = 0.2
+";
+
+fn kinds() -> Vec<RequestKind> {
+    let ms = Duration::from_millis;
+    vec![
+        request_kind("trip-search", 0.41, ms(1_500), false),
+        request_kind("fare-quote", 0.37, ms(1_500), false),
+        request_kind("seat-book", 0.22, ms(3_000), true),
+    ]
+}
+
+fn works() -> Vec<HandlerWork> {
+    let work = |handler, calls| HandlerWork::new(handler, (20.0, 40.0), calls);
+    vec![
+        work("trip-search", true),
+        work("fare-quote", false),
+        work("seat-book", true),
+    ]
+}
+
+/// Prints the figures of all variants, or of one.
+pub(crate) fn measure(seeds: Option<u64>, only: Option<&str>) {
+    let seeds = seeds.unwrap_or(DEFAULT_SEEDS);
+    let fixed = POOLS.replace("adaptive", "fixed");
+    let variants = [
+        ("off", None),
+        ("fixed", Some(fixed.as_str())),
+        ("adaptive", Some(POOLS)),
+    ];
+    println!("{seeds} seeds; median (least to most)");
+    let mut violations = Violations::default();
+    for (variant, operator) in variants {
+        if only.is_none_or(|only| only == variant) {
+            measure_variant(variant, operator, seeds, &mut violations);
+        }
+    }
+    println!("invariants violated: {}", violations.count());
+    violations.print_first();
+}
+
+fn measure_variant(variant: &str, operator: Option<&str>, seeds: u64, violations: &mut Violations) {
+    println!("== pools {variant}");
+    let results = run_seeds(1..seeds + 1, RUNS_AT_A_TIME, |seed| {
+        Measured::new(operator, true, seed)
+    });
+    for (handler, kind) in kinds().iter().enumerate() {
+        print_handler(handler, &kind.handler, &results);
+    }
+    print_calls(&results);
+    // One at a time, since their processor time is compared.
+    let calm = run_seeds(1..CALM_SEEDS + 1, 1, |seed| {
+        Measured::new(operator, false, seed)
+    });
+    println!(
+        "calm only: goodput {}, CPU a request {} ms",
+        range(&calm, Measured::total_goodput),
+        range(&calm, |measured| measured.run.cpu_ms),
+    );
+    for measured in results.into_iter().chain(calm) {
+        violations.add(measured.seed, measured.run.violations);
+    }
+}
+
+/// Prints the figures of one handler.
+fn print_handler(handler: usize, name: &str, results: &[Measured]) {
+    let goodput =
+        |time: Range<Duration>| range(results, |measured| measured.goodput(handler, time.clone()));
+    println!(
+        "{name:12} goodput in calm {}, during the fault {}, in its first second {}, after it {}",
+        goodput(BEFORE_FAULT),
+        goodput(FAULT),
+        goodput(FAULT.start..FAULT.start + FIRST_SECOND),
+        goodput(AFTER_FAULT),
+    );
+    let answered = |is_like: fn(&Answer) -> bool| {
+        range(results, |measured| measured.answered(handler, is_like))
+    };
+    println!(
+        "{:12} during the fault completed {}, rejected {}, failed {}",
+        "",
+        answered(|answer| *answer == Answer::Completed),
+        answered(|answer| matches!(answer, Answer::Rejected(_))),
+        answered(|answer| *answer == Answer::Failed),
+    );
+    println!(
+        "{:12} p99 of those completed {} ms",
+        "",
+        range(results, |measured| measured.p99_ms(handler))
+    );
+}
+
+/// Prints the figures of the calls and of their limit.
+fn print_calls(results: &[Measured]) {
+    let peak = |time: Range<Duration>| range(results, |measured| measured.peak(time.clone()));
+    println!(
+        "most calls in flight upstream: during the fault {}, after its first second {}, after it {}",
+        peak(FAULT),
+        peak(FAULT.start + FIRST_SECOND..FAULT.end),
+        peak(AFTER_FAULT),
+    );
+    let swing = |time: Range<Duration>| range(results, |measured| measured.swing(time.clone()));
+    println!(
+        "swing of the limit from 3 s on: during the fault {}, after it {}",
+        swing(FAULT.start + SETTLING_TIME..FAULT.end),
+        swing(AFTER_FAULT.start + SETTLING_TIME..AFTER_FAULT.end),
+    );
+    println!(
+        "CPU a request in all {} ms",
+        range(results, |measured| measured.run.cpu_ms)
+    );
+}
+
+/// The median, the least and the most of a figure.
+fn range(results: &[Measured], figure: impl Fn(&Measured) -> f64) -> String {
+    let mut values: Vec<f64> = results.iter().map(figure).collect();
+    let median = median(&mut values);
+    let least = values[0];
+    let most = values[values.len() - 1];
+    format!("{median:.2} ({least:.2} to {most:.2})")
+}
+
+/// A change of the limit of the calls in flight.
+struct LimitChange {
+    at: Duration,
+    limit: f64,
+}
+
+impl LimitChange {
+    /// Reads it from a line of the log; `None` if the line is about something else.
+    fn read(at: Duration, line: &str) -> Option<LimitChange> {
+        let rest = line.strip_prefix(LIMIT_LINE)?;
+        let limit = rest.split(", to=").nth(1);
+        let limit = limit.and_then(|limit| limit.split(',').next()?.parse().ok());
+        Some(LimitChange {
+            at,
+            limit: limit.unwrap_or(0.0),
+        })
+    }
+}
+
+/// What one run has shown.
+struct Measured {
+    seed: u64,
+    run: ServerRun,
+    limit_changes: Vec<LimitChange>,
+}
+
+impl Measured {
+    fn new(operator: Option<&str>, fault: bool, seed: u64) -> Measured {
+        let scenario = Scenario {
+            settings: SETTINGS,
+            operator,
+            kinds: kinds(),
+            works: works(),
+            fault,
+            seed,
+        };
+        let run = scenario.run();
+        let log = run.log.iter();
+        let limit_changes = log.filter_map(|(at, line)| LimitChange::read(*at, line));
+        Measured {
+            seed,
+            limit_changes: limit_changes.collect(),
+            run,
+        }
+    }
+
+    fn goodput(&self, handler: usize, time: Range<Duration>) -> f64 {
+        goodput(&self.run.records, &kinds(), handler, time)
+    }
+
+    /// The goodput of all handlers over the whole run.
+    fn total_goodput(&self) -> f64 {
+        let records = &self.run.records;
+        let kinds = kinds();
+        let in_time = records
+            .iter()
+            .filter(|record| record.in_time(kinds[record.handler].latency_objective));
+        in_time.count() as f64 / records.len() as f64
+    }
+
+    /// A handler's requests during the fault whose first answer is like this.
+    fn answered(&self, handler: usize, is_like: fn(&Answer) -> bool) -> f64 {
+        let records = self.run.records.iter();
+        let during_fault =
+            records.filter(|record| record.handler == handler && FAULT.contains(&record.sent));
+        let answered = during_fault.filter(|record| {
+            let first = record.answers.first();
+            first.is_some_and(|(answer, _)| is_like(answer))
+        });
+        answered.count() as f64
+    }
+
+    /// The 99th percentile of a handler's response times, in milliseconds.
+    fn p99_ms(&self, handler: usize) -> f64 {
+        latencies(&self.run.records, handler).value_at_quantile(0.99) as f64
+    }
+
+    /// The most calls in flight during a time.
+    fn peak(&self, time: Range<Duration>) -> f64 {
+        self.run.peak(time) as f64
+    }
+
+    /// The widest swing of the limit during a time, as a fraction of its mean there.
+    fn swing(&self, time: Range<Duration>) -> f64 {
+        let mut earlier = self.limit_changes.iter().rev();
+        let initial = earlier
+            .find(|change| change.at < time.start)
+            .map_or(INITIAL_LIMIT, |change| change.limit);
+        let changes = self.limit_changes.iter();
+        let during = changes.filter(|change| time.contains(&change.at));
+        let limits: Vec<f64> = std::iter::once(initial)
+            .chain(during.map(|change| change.limit))
+            .collect();
+        let least = limits.iter().copied().fold(f64::MAX, f64::min);
+        let most = limits.iter().copied().fold(0.0, f64::max);
+        let mean = limits.iter().sum::<f64>() / limits.len() as f64;
+        (most - least) / mean.max(1e-9)
+    }
+}
--- a/crates/testkit/src/fleet/simulated/conditions.rs
+++ b/crates/testkit/src/fleet/simulated/conditions.rs
@@ -1,78 +1,12 @@
 //! Checks conditions on the simulated fleet by looking into its servers.
 
 use super::{SimulatedFleet, name};
-use crate::fleet::script::Condition;
+use crate::fleet::script::ConditionChecks;
 use madderbay_membership::{Connectivity, MemberState, Membership, Phase};
 use madderbay_quota::budget::Budget;
 use std::collections::HashMap;
 
-impl SimulatedFleet {
-    /// What a condition lacks, in one line; `None` while it holds.
-    pub(super) fn unmet_condition(&self, condition: &Condition) -> Option<String> {
-        match condition {
-            Condition::Settled => self.unsettled(),
-            Condition::Sees { who, of, state } => self.sees_otherwise(who, *of, *state),
-            Condition::Hears { who, hears } => who
-                .iter()
-                .find_map(|server| self.hears_otherwise(*server, *hears)),
-            Condition::Has { who, least, most } => who
-                .iter()
-                .find_map(|server| self.quota_outside(*server, *least, *most)),
-            Condition::Uses { who, least } => {
-                let budgets = who
-                    .iter()
-                    .filter_map(|server| self.shared(*server)?.budgets().first());
-                let used: u32 = budgets.map(Budget::in_use).sum();
-                (used < *least).then(|| format!("{used} calls are in hand, not {least}"))
-            }
-        }
-    }
-
-    fn sees_otherwise(
-        &self,
-        servers: &[usize],
-        of: usize,
-        state: Option<MemberState>,
-    ) -> Option<String> {
-        // Among several servers the one that is looked at is left out.
-        let mut observers = servers
-            .iter()
-            .copied()
-            .filter(|server| servers.len() == 1 || *server != of);
-        observers.find_map(|server| {
-            let members = self.nodes[server].active_members()?;
-            let seen = members.member_state(&name(of));
-            (seen != state).then(|| format!("{} sees {} {seen:?}", name(server), name(of)))
-        })
-    }
-
-    fn hears_otherwise(&self, server: usize, hears: Connectivity) -> Option<String> {
-        let heard = self.nodes[server].active_members()?.connectivity();
-        (heard != hears).then(|| format!("{} hears {heard}", name(server)))
-    }
-
-    fn quota_outside(&self, server: usize, least: u32, most: u32) -> Option<String> {
-        let now = self.nodes[server].clock(self.now);
-        let usable = self.shared(server)?.budgets().first()?.usable(now);
-        (usable < least || usable > most)
-            .then(|| format!("{} may use {usable}, of at least {least}", name(server)))
-    }
-
-    /// Servers that run, but for those whose name another server has taken over.
-    fn present(&self) -> Vec<usize> {
-        let has_own_name = |members: &Membership| {
-            members.member_state(&members.local_identity().name) != Some(MemberState::Down)
-        };
-        (0..self.nodes.len())
-            .filter(|server| {
-                self.nodes[*server]
-                    .active_members()
-                    .is_some_and(has_own_name)
-            })
-            .collect()
-    }
-
-    /// What is missing until all servers that run and are connected hold exactly each other alive.
+impl ConditionChecks for SimulatedFleet {
     fn unsettled(&self) -> Option<String> {
         let present = self.present();
         let mut sizes: HashMap<usize, usize> = HashMap::new();
@@ -84,18 +18,22 @@
         for server in present {
             let members = self.members(server)?;
             let partition = self.network.partition(server);
-            let (size, active) = (sizes[&partition], members.active_count());
-            if active + 1 != size {
-                let others = size - 1;
+            let others = sizes[&partition] - 1;
+            let active = members.active_count();
+            if active != others {
                 return Some(format!(
-                    "{} holds {active} others in, not {others}",
+                    "{} has {active} other members, not {others}",
                     name(server)
                 ));
             }
             let digest = members.digest();
-            let first = *digests.entry(partition).or_insert((server, digest));
-            if first.1 != digest {
-                return Some(format!("{} and {} differ", name(first.0), name(server)));
+            let (first, first_digest) = *digests.entry(partition).or_insert((server, digest));
+            if first_digest != digest {
+                return Some(format!(
+                    "the views of {} and {} differ",
+                    name(first),
+                    name(server)
+                ));
             }
             if members.local_identity().phase == Phase::Joining {
                 return Some(format!("{} is joining", name(server)));
@@ -108,6 +46,64 @@
             .find_map(|(server, _)| self.suspect(*server))
     }
 
+    fn wrong_state(
+        &self,
+        observers: &[usize],
+        member: usize,
+        expected: Option<MemberState>,
+    ) -> Option<String> {
+        observers.iter().find_map(|observer| {
+            let members = self.nodes[*observer].active_members()?;
+            let state = members.member_state(&name(member));
+            (state != expected)
+                .then(|| format!("{} reports {} {state:?}", name(*observer), name(member)))
+        })
+    }
+
+    fn wrong_connectivity(&self, servers: &[usize], expected: Connectivity) -> Option<String> {
+        servers.iter().find_map(|server| {
+            let connectivity = self.nodes[*server].active_members()?.connectivity();
+            (connectivity != expected).then(|| {
+                format!(
+                    "{} reports its connectivity {connectivity:?}",
+                    name(*server)
+                )
+            })
+        })
+    }
+
+    fn quota_outside(&self, servers: &[usize], least: u32, most: u32) -> Option<String> {
+        servers.iter().find_map(|server| {
+            let now = self.nodes[*server].clock(self.now);
+            let usable = self.shared(*server)?.budgets().first()?.usable(now);
+            (usable < least || usable > most)
+                .then(|| format!("{} may use {usable}, of at least {least}", name(*server)))
+        })
+    }
+
+    fn in_flight(&self, servers: &[usize]) -> u32 {
+        let budgets = servers
+            .iter()
+            .filter_map(|server| self.shared(*server)?.budgets().first());
+        budgets.map(Budget::in_use).sum()
+    }
+}
+
+impl SimulatedFleet {
+    /// Servers that run, but for those whose name another server has taken over.
+    fn present(&self) -> Vec<usize> {
+        let has_own_name = |members: &Membership| {
+            members.member_state(&members.local_identity().name) != Some(MemberState::Down)
+        };
+        (0..self.nodes.len())
+            .filter(|server| {
+                self.nodes[*server]
+                    .active_members()
+                    .is_some_and(has_own_name)
+            })
+            .collect()
+    }
+
     /// That a server holds some member suspect.
     fn suspect(&self, server: usize) -> Option<String> {
         let view = self.members(server)?.view();
