--- a/crates/upstream/src/backend_group.rs
+++ b/crates/upstream/src/backend_group.rs
@@ -9,9 +9,9 @@
 use crate::backend_state::State;
 use crate::events::BackendEvent;
 use crate::gossip::reports::ReceivedReports;
-use crate::hedging::HedgeTimer;
+use crate::hedge::delay_estimator::HedgeDelayEstimator;
 use crate::outlier::OutlierEvidence;
-use crate::retry_budget::RetryBudget;
+use crate::retry::budget::RetryBudget;
 use crate::selection::{Candidate, ZoneAwareSelector};
 use crate::settings::Settings;
 use madderbay::interface::HandlerId;
@@ -66,7 +66,7 @@
     /// Latency of a typical backend, in seconds.
     typical_latency: Option<f64>,
     retry_budget: RetryBudget,
-    hedge_timer: HedgeTimer,
+    hedge_delay_estimator: HedgeDelayEstimator,
 }
 
 impl BackendGroup {
@@ -80,7 +80,7 @@
             panic: false,
             typical_latency: None,
             retry_budget: RetryBudget::new(now, retry_ratio),
-            hedge_timer: HedgeTimer::new(now),
+            hedge_delay_estimator: HedgeDelayEstimator::new(now),
         }
     }
 
@@ -111,8 +111,8 @@
         &mut self.retry_budget
     }
 
-    pub(crate) fn hedge_timer_mut(&mut self) -> &mut HedgeTimer {
-        &mut self.hedge_timer
+    pub(crate) fn hedge_delay_estimator_mut(&mut self) -> &mut HedgeDelayEstimator {
+        &mut self.hedge_delay_estimator
     }
 
     /// Judges all backends anew: ejects outliers and rebuilds the selector. `all` is the table of backends.
@@ -124,7 +124,7 @@
         rng: &mut Rand64,
         events: &mut Vec<BackendEvent>,
     ) {
-        self.hedge_timer.evaluate_if_due(now);
+        self.hedge_delay_estimator.evaluate_if_due(now);
         let baseline = self.measure_latency(now, all);
         let mut assessed = self.assess(now, all, context, baseline, events);
         self.update_panic(all, assessed.outliers, events);
--- a/crates/upstream/src/gossip.rs
+++ b/crates/upstream/src/gossip.rs
@@ -9,7 +9,7 @@
 
 use crate::backend_state::State;
 use crate::call_counts::CallCounts;
-use crate::retry_budget::AttemptCounts;
+use crate::retry::budget::AttemptCounts;
 use codec::{BackendReport, GossipDecodeError, GossipMessage};
 use compact_str::CompactString;
 use madderbay::time::{Duration, Timestamp};
--- a/crates/upstream/src/hedging.rs
+++ b/crates/upstream/src/hedge/delay_estimator.rs
@@ -1,6 +1,6 @@
 //! When a hedge is due: after a high percentile of the recent latencies of a group of backends.
 //!
-//! [`HedgeTimer`] owns the latencies. Whether a call may be hedged, and whether the retry budget allows it, is decided
+//! [`HedgeDelayEstimator`] owns the latencies. Whether a call may be hedged, and whether the retry budget allows it, is decided
 //! elsewhere.
 
 use hdrhistogram::Histogram;
@@ -24,7 +24,7 @@
 const SIGNIFICANT_DIGITS: u8 = 2;
 
 /// Recent latencies of a group, and the delay of a hedge that follows from them.
-pub(crate) struct HedgeTimer {
+pub(crate) struct HedgeDelayEstimator {
     current: Histogram<u64>,
     previous: Histogram<u64>,
     window_began: Timestamp,
@@ -32,14 +32,14 @@
     delay: Option<Duration>,
 }
 
-impl HedgeTimer {
-    /// A timer without latencies, and so without hedges.
-    pub(crate) fn new(now: Timestamp) -> HedgeTimer {
+impl HedgeDelayEstimator {
+    /// An estimator without latencies, and so without hedges.
+    pub(crate) fn new(now: Timestamp) -> HedgeDelayEstimator {
         let histogram = || {
             Histogram::new_with_bounds(1, MAX_LATENCY_UNITS, SIGNIFICANT_DIGITS)
                 .expect("constant bounds are valid")
         };
-        HedgeTimer {
+        HedgeDelayEstimator {
             current: histogram(),
             previous: histogram(),
             window_began: now,
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -9,7 +9,7 @@
 //! | --- | --- |
 //! | selection | `selection`, `backend_group` |
 //! | outlier detection, ejection, slow start | `outlier`, `backend`, `slow_start` |
-//! | retries and hedges | `retry_budget`, `hedging` |
+//! | retries and hedges | `retry`, `hedge` |
 //! | gossip of judgements | `gossip` |
 //!
 //! ```
@@ -48,11 +48,11 @@
 mod events;
 mod fleet_stack;
 mod gossip;
-mod hedging;
+mod hedge;
 mod manager;
 mod outlier;
 mod registry;
-mod retry_budget;
+mod retry;
 /// Selection of one of several backends.
 pub mod selection;
 mod settings;
--- a/crates/upstream/src/manager.rs
+++ b/crates/upstream/src/manager.rs
@@ -148,7 +148,7 @@
         }
         let group = self.registry.group_mut(attempt.handler)?;
         if group.has_alternatives() {
-            group.hedge_timer_mut().delay(now)
+            group.hedge_delay_estimator_mut().delay(now)
         } else {
             None
         }
--- a/crates/upstream/src/registry.rs
+++ b/crates/upstream/src/registry.rs
@@ -11,7 +11,7 @@
 use crate::events::BackendEvent;
 use crate::gossip::LocalObservation;
 use crate::outlier;
-use crate::retry_budget::AttemptCounts;
+use crate::retry::budget::AttemptCounts;
 use crate::settings::BackendSettings;
 use crate::status::BackendStatus;
 use madderbay::interface::HandlerId;
@@ -293,7 +293,7 @@
         let latency = now - attempt.started_at;
         let outcome = outlier::outcome_after_wait(outcome, latency, typical_latency);
         if outcome == AttemptOutcome::Success {
-            group.hedge_timer_mut().record(latency);
+            group.hedge_delay_estimator_mut().record(latency);
         }
         let slow = outlier::is_slow_call(latency, typical_latency);
         match backend.record(now, attempt.started_at, outcome, slow, || rng.rand_float()) {
--- /dev/null
+++ b/crates/upstream/src/retry.rs
@@ -0,0 +1,3 @@
+//! Retries: the budget that bounds them.
+
+pub(crate) mod budget;
