--- a/src/interface.rs
+++ b/src/interface.rs
@@ -259,6 +259,14 @@
     AlreadyEnded,
 }
 
+impl Outcome {
+    /// Whether the run or call may have run, wholly or in part. If so, only an idempotent one may be sent again;
+    /// one that was rejected or never sent surely has not run.
+    pub fn may_have_run(self) -> bool {
+        !matches!(self, Outcome::Rejected | Outcome::Unreachable)
+    }
+}
+
 /// The server's gauges, as far as they were sent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
