--- a/crates/server/src/core/backend_selector.rs
+++ b/crates/server/src/core/backend_selector.rs
@@ -6,21 +6,52 @@
 use madderbay::interface::{Handler, HandlerId};
 use madderbay::time::Duration;
 use madderbay_settings::Settings;
-use madderbay_upstream::{AttemptOutcome, RetryKind, UpstreamAttempt};
+use madderbay_upstream::{
+    AttemptOutcome, FailedCall, HedgeCandidate, HedgeRefusal, RetryRefusal, UpstreamAttempt,
+};
 use std::rc::Rc;
 
 /// Whoever knows the backends and their health. Times are its own.
 pub trait BackendSelector {
     /// Selects a backend for the call of a handler; `None` if its calls go to the catalogue.
     fn pick(&self, handler: HandlerId) -> Option<UpstreamAttempt>;
-    /// Selects a backend for a further attempt; `None` if the retry budget or the backends allow none.
-    fn retry(&self, former: &UpstreamAttempt, kind: RetryKind) -> Option<UpstreamAttempt>;
+    /// Begins a retry of a call, at once and at another backend than the former attempt.
+    ///
+    /// # Errors
+    /// Why the call gets no retry.
+    fn retry(
+        &self,
+        former: &UpstreamAttempt,
+        call: FailedCall,
+    ) -> Result<UpstreamAttempt, RetryRefusal>;
+    /// Begins a retry of a call after the backoff that the decision module has waited for.
+    ///
+    /// # Errors
+    /// Why the call gets no retry.
+    fn retry_after_backoff(
+        &self,
+        former: &UpstreamAttempt,
+    ) -> Result<UpstreamAttempt, RetryRefusal>;
+    /// The time from the first attempt of a call until its hedge is due.
+    ///
+    /// # Errors
+    /// Why the call gets no hedge.
+    fn hedge_delay(
+        &self,
+        first: &UpstreamAttempt,
+        call: HedgeCandidate,
+    ) -> Result<Duration, HedgeRefusal>;
+    /// Begins the hedge of a call that is due, `time_left` before the deadline of the call.
+    ///
+    /// # Errors
+    /// Why the call gets no hedge.
+    fn hedge(
+        &self,
+        in_flight: &UpstreamAttempt,
+        time_left: Duration,
+    ) -> Result<UpstreamAttempt, HedgeRefusal>;
     /// An attempt ended.
     fn finish(&self, attempt: &UpstreamAttempt, outcome: AttemptOutcome);
-    /// The time after which a hedge beside this attempt is worth its price.
-    fn hedge_delay(&self, attempt: &UpstreamAttempt) -> Option<Duration>;
-    /// The least time that a further attempt needs.
-    fn typical_latency(&self, attempt: &UpstreamAttempt) -> Duration;
     /// The counters of the backends, a line each.
     fn counters(&self) -> String;
 }
--- a/crates/server/src/core/dispatch.rs
+++ b/crates/server/src/core/dispatch.rs
@@ -9,7 +9,9 @@
 use madderbay::interface::Outcome;
 use madderbay::time::{Duration, Timestamp};
 use madderbay_concurrency::limit::Completion;
-use madderbay_upstream::{AttemptOutcome, RetryKind, UpstreamAttempt};
+use madderbay_upstream::{
+    AttemptOutcome, FailedCall, HedgeCandidate, RetryRefusal, UpstreamAttempt,
+};
 
 /// Where a call goes.
 pub(super) enum CallTarget {
@@ -19,11 +21,6 @@
     Backend(UpstreamAttempt),
 }
 
-/// A call that was made before can't be made again.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the retry budget or the backends allow no further attempt")]
-pub(super) struct RetryNotAllowed;
-
 /// How an attempt ended, on which upstream connection.
 #[derive(Clone, Copy)]
 pub(super) struct AttemptEnd {
@@ -66,15 +63,16 @@
     /// catalogue.
     ///
     /// # Errors
-    /// The same call was made before, and no retry is allowed.
-    pub(super) fn select_target(&self, id: u64) -> Result<CallTarget, RetryNotAllowed> {
+    /// The same call was made before, and gets no retry.
+    pub(super) fn select_target(&self, id: u64) -> Result<CallTarget, RetryRefusal> {
         let (Some(selector), Some(request)) = (self.backends.selector(), self.requests.get(id))
         else {
             return Ok(CallTarget::Catalogue);
         };
         if let Some(former) = request.call.former_attempt() {
-            let retry = selector.retry(former, RetryKind::AfterBackoff);
-            return retry.map(CallTarget::Backend).ok_or(RetryNotAllowed);
+            return selector
+                .retry_after_backoff(former)
+                .map(CallTarget::Backend);
         }
         let first = selector.pick(request.handler);
         Ok(first.map_or(CallTarget::Catalogue, CallTarget::Backend))
@@ -109,20 +107,15 @@
         }
     }
 
-    /// The time after which an attempt may be hedged; `None` for a handler that is not idempotent, under a quota
-    /// of the fleet, and where it would come too late.
-    fn hedge_delay(
-        &self,
-        id: u64,
-        attempt: &UpstreamAttempt,
-        timeout: Duration,
-    ) -> Option<Duration> {
+    /// The time after which the first attempt of a call is hedged, if it is.
+    fn hedge_delay(&self, id: u64, first: &UpstreamAttempt, timeout: Duration) -> Option<Duration> {
         let handler = self.requests.get(id)?.handler;
-        if self.limits.has_quotas() || !self.backends.is_idempotent(handler) {
-            return None;
-        }
-        let delay = self.backends.selector()?.hedge_delay(attempt);
-        delay.filter(|delay| *delay < timeout)
+        let call = HedgeCandidate {
+            is_idempotent: self.backends.is_idempotent(handler),
+            is_under_quota: self.limits.has_quotas(),
+            timeout,
+        };
+        self.backends.selector()?.hedge_delay(first, call).ok()
     }
 
     /// Sets the deadline at which a call is hedged.
@@ -191,8 +184,7 @@
         self.end_attempts(id, outcome);
     }
 
-    /// Makes another attempt of a call at once: only if the former one surely never ran or may run twice, and
-    /// only if there is time for it.
+    /// Retries a call at once at another backend, if the retry policy allows it.
     fn retry(
         &mut self,
         id: u64,
@@ -204,24 +196,22 @@
             return CallProgress::Ended;
         };
         let deadline = request.call.deadline();
-        let remaining = deadline.map_or(Duration::ZERO, |deadline| deadline - self.now);
-        let may_repeat = outcome.never_executed() || self.backends.is_idempotent(request.handler);
-        if !may_repeat
-            || remaining <= selector.typical_latency(former)
-            || remaining == Duration::ZERO
-        {
-            return CallProgress::Ended;
-        }
-        match selector.retry(former, RetryKind::OtherBackend) {
-            Some(attempt) => {
-                self.send_attempt(id, attempt, remaining);
+        let time_left = deadline.map_or(Duration::ZERO, |deadline| deadline - self.now);
+        let call = FailedCall {
+            outcome,
+            is_idempotent: self.backends.is_idempotent(request.handler),
+            time_left,
+        };
+        match selector.retry(former, call) {
+            Ok(attempt) => {
+                self.send_attempt(id, attempt, time_left);
                 CallProgress::Continues
             }
-            None => CallProgress::Ended,
+            Err(_) => CallProgress::Ended,
         }
     }
 
-    /// A call is out for longer than nearly all others: hedges its one attempt, if there is time for that.
+    /// The hedge of a call is due: sends it if only the first attempt is out, and the hedge policy allows it.
     pub(super) fn hedge_deadline_reached(&mut self, now: Timestamp, id: u64) {
         self.now = now;
         let Some(request) = self.requests.get_mut(id) else {
@@ -235,11 +225,9 @@
         ) else {
             return;
         };
-        let remaining = deadline - now;
-        if remaining > selector.typical_latency(&only.attempt)
-            && let Some(hedge) = selector.retry(&only.attempt, RetryKind::Hedge)
-        {
-            self.send_attempt(id, hedge, remaining);
+        let time_left = deadline - now;
+        if let Ok(hedge) = selector.hedge(&only.attempt, time_left) {
+            self.send_attempt(id, hedge, time_left);
         }
     }
 
--- a/crates/server/src/fleet/backends.rs
+++ b/crates/server/src/fleet/backends.rs
@@ -10,7 +10,10 @@
 use crate::support::metrics::Lines;
 use madderbay::interface::HandlerId;
 use madderbay::time::{Duration, Timestamp};
-use madderbay_upstream::{AttemptOutcome, RetryKind, UpstreamAttempt, UpstreamManager};
+use madderbay_upstream::{
+    AttemptOutcome, FailedCall, HedgeCandidate, HedgeRefusal, RetryRefusal, UpstreamAttempt,
+    UpstreamManager,
+};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration as StdDuration;
@@ -75,22 +78,44 @@
         self.manager.borrow_mut().pick(self.now(), handler)
     }
 
-    fn retry(&self, former: &UpstreamAttempt, kind: RetryKind) -> Option<UpstreamAttempt> {
-        self.manager.borrow_mut().retry(self.now(), former, kind)
+    fn retry(
+        &self,
+        former: &UpstreamAttempt,
+        call: FailedCall,
+    ) -> Result<UpstreamAttempt, RetryRefusal> {
+        self.manager.borrow_mut().retry(self.now(), former, call)
     }
 
-    fn finish(&self, attempt: &UpstreamAttempt, outcome: AttemptOutcome) {
-        self.manager
-            .borrow_mut()
-            .finish(self.now(), attempt, outcome);
+    fn retry_after_backoff(
+        &self,
+        former: &UpstreamAttempt,
+    ) -> Result<UpstreamAttempt, RetryRefusal> {
+        let mut manager = self.manager.borrow_mut();
+        manager.retry_after_backoff(self.now(), former)
+    }
+
+    fn hedge_delay(
+        &self,
+        first: &UpstreamAttempt,
+        call: HedgeCandidate,
+    ) -> Result<Duration, HedgeRefusal> {
+        let mut manager = self.manager.borrow_mut();
+        manager.hedge_delay(self.now(), first, call)
     }
 
-    fn hedge_delay(&self, attempt: &UpstreamAttempt) -> Option<Duration> {
-        self.manager.borrow_mut().hedge_delay(self.now(), attempt)
+    fn hedge(
+        &self,
+        in_flight: &UpstreamAttempt,
+        time_left: Duration,
+    ) -> Result<UpstreamAttempt, HedgeRefusal> {
+        let mut manager = self.manager.borrow_mut();
+        manager.hedge(self.now(), in_flight, time_left)
     }
 
-    fn typical_latency(&self, attempt: &UpstreamAttempt) -> Duration {
-        self.manager.borrow().typical_latency(attempt)
+    fn finish(&self, attempt: &UpstreamAttempt, outcome: AttemptOutcome) {
+        self.manager
+            .borrow_mut()
+            .finish(self.now(), attempt, outcome);
     }
 
     fn counters(&self) -> String {
--- a/crates/testkit/src/backend_simulation/calls.rs
+++ b/crates/testkit/src/backend_simulation/calls.rs
@@ -4,10 +4,16 @@
 use super::{BACKEND_DELAY, BackendSimulation, Event, RoutingPolicy};
 use madderbay::interface::HandlerId;
 use madderbay::time::{Duration, Timestamp};
-use madderbay_upstream::{AttemptOutcome, RetryKind, UpstreamAttempt};
+use madderbay_upstream::{
+    AttemptOutcome, FailedCall, HedgeCandidate, RetryPolicy, UpstreamAttempt,
+};
 
 /// Retries of a call under [`RoutingPolicy::LeastInHand`].
 const MAX_PLAIN_RETRIES: u32 = 2;
+/// Under it a retry needs some time and no more: it follows no latencies.
+const PLAIN_RETRY_POLICY: RetryPolicy = RetryPolicy {
+    typical_latency: Duration::ZERO,
+};
 /// The handler of all calls.
 const HANDLER: HandlerId = HandlerId::new(0);
 
@@ -69,11 +75,14 @@
             RoutingPolicy::Shared | RoutingPolicy::Alone => {
                 let upstream = &mut self.nodes[server].upstream;
                 let ticket = upstream.pick(now, HANDLER).expect("there are backends");
-                let hedge_delay = upstream
-                    .hedge_delay(now, &ticket)
-                    .filter(|delay| self.setup.replayable && *delay < timeout);
+                let candidate = HedgeCandidate {
+                    is_idempotent: self.setup.replayable,
+                    is_under_quota: false,
+                    timeout,
+                };
+                let hedge_delay = upstream.hedge_delay(now, &ticket, candidate);
                 self.attempt(id, Target::picked(ticket));
-                if let Some(delay) = hedge_delay {
+                if let Ok(delay) = hedge_delay {
                     self.push(now + delay, Event::HedgeDue { call: id });
                 }
             }
@@ -148,15 +157,13 @@
         if !call.attempts.is_empty() {
             return;
         }
-        let remaining = (call.began + self.setup.patience) - self.now;
-        let may_retry = outcome.never_executed() || self.setup.replayable;
-        let target = if may_retry && remaining != Duration::ZERO {
-            let retries = call.retries;
-            self.pick_for_retry(&attempt, remaining, retries)
-        } else {
-            None
+        let failed = FailedCall {
+            outcome,
+            is_idempotent: self.setup.replayable,
+            time_left: self.time_left(call),
         };
-        match target {
+        let retries = call.retries;
+        match self.pick_for_retry(&attempt, failed, retries) {
             Some(target) => {
                 self.last_row().again += 1;
                 let call = self.calls.get_mut(&attempt.call).expect("in flight");
@@ -167,24 +174,27 @@
         }
     }
 
+    /// The time until the deadline of a call.
+    fn time_left(&self, call: &Call) -> Duration {
+        (call.began + self.setup.patience) - self.now
+    }
+
     /// Picks a backend for a retry; `None` if the policy allows no retry.
     fn pick_for_retry(
         &mut self,
-        failed: &Attempt,
-        remaining: Duration,
+        former: &Attempt,
+        call: FailedCall,
         retries: u32,
     ) -> Option<Target> {
-        match (self.setup.way, &failed.ticket) {
+        match (self.setup.way, &former.ticket) {
             (RoutingPolicy::Shared | RoutingPolicy::Alone, Some(ticket)) => {
-                let upstream = &mut self.nodes[failed.server].upstream;
-                if remaining <= upstream.typical_latency(ticket) {
-                    return None;
-                }
-                let retry = upstream.retry(self.now, ticket, RetryKind::OtherBackend);
-                retry.map(Target::picked)
+                let upstream = &mut self.nodes[former.server].upstream;
+                let retry = upstream.retry(self.now, ticket, call);
+                retry.ok().map(Target::picked)
             }
             (RoutingPolicy::LeastInHand, _) if retries < MAX_PLAIN_RETRIES => {
-                let backend = self.pick_plainly(failed.server, Some(failed.backend));
+                PLAIN_RETRY_POLICY.check(call).ok()?;
+                let backend = self.pick_plainly(former.server, Some(former.backend));
                 Some(Target::plain(backend))
             }
             _ => None,
@@ -219,8 +229,9 @@
         let Some(ticket) = first.and_then(|attempt| attempt.ticket.clone()) else {
             return;
         };
+        let time_left = self.time_left(call);
         let upstream = &mut self.nodes[call.server].upstream;
-        if let Some(hedge) = upstream.retry(self.now, &ticket, RetryKind::Hedge) {
+        if let Ok(hedge) = upstream.hedge(self.now, &ticket, time_left) {
             self.last_row().again += 1;
             self.attempt(id, Target::picked(hedge));
         }
--- a/crates/upstream/src/attempt.rs
+++ b/crates/upstream/src/attempt.rs
@@ -1,20 +1,9 @@
-//! One attempt of a call: where it went, why it was made, and how it ended.
+//! One attempt of a call: where it went, and how it ended.
 
 use madderbay::interface::HandlerId;
 use madderbay::time::Timestamp;
 use std::net::SocketAddr;
 
-/// Why a call has one more attempt.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RetryKind {
-    /// A retry at once, at another backend.
-    OtherBackend,
-    /// A hedge: sent while the attempt before it is still in flight.
-    Hedge,
-    /// A retry after a backoff, at another backend if there is one.
-    AfterBackoff,
-}
-
 /// One attempt that is in flight at a backend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamAttempt {
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -59,13 +59,15 @@
 mod slow_start;
 mod status;
 
-pub use attempt::{AttemptOutcome, RetryKind, UpstreamAttempt};
+pub use attempt::{AttemptOutcome, UpstreamAttempt};
 pub use backend_id::BackendId;
 pub use backend_state::State;
 pub use events::BackendEvent;
 pub use fleet_stack::FleetStack;
 pub use gossip::codec::{BackendReport, GossipDecodeError, GossipMessage, name_hash};
+pub use hedge::policy::{HedgeCandidate, HedgeRefusal};
 pub use manager::UpstreamManager;
 pub use outlier::OutlierEvidence;
+pub use retry::policy::{FailedCall, RetryPolicy, RetryRefusal};
 pub use settings::{BackendSettings, Settings};
 pub use status::{BackendStatus, Totals};
--- a/crates/upstream/src/manager.rs
+++ b/crates/upstream/src/manager.rs
@@ -5,13 +5,16 @@
 //! datagrams, time and a seed; it gives attempts, datagrams, events and the time of its next timeout. It never does
 //! I/O, and never reads a clock.
 
-use crate::attempt::{AttemptOutcome, RetryKind, UpstreamAttempt};
+use crate::attempt::{AttemptOutcome, UpstreamAttempt};
 use crate::backend_group::{BackendGroup, EvaluationContext};
 use crate::backend_id::BackendId;
 use crate::backend_state::State;
 use crate::events::{BackendEvent, EventQueue};
 use crate::gossip::Gossip;
+use crate::hedge;
+use crate::hedge::policy::{HedgeCandidate, HedgePolicy, HedgeRefusal};
 use crate::registry::{BackendRegistry, Finished};
+use crate::retry::policy::{FailedCall, RetryPolicy, RetryRefusal, RetryTarget};
 use crate::settings::{BackendSettings, Settings};
 use crate::status::{BackendStatus, Totals};
 use compact_str::CompactString;
@@ -93,41 +96,101 @@
         Some(self.begin_attempt(now, handler, backend))
     }
 
-    /// One more attempt of a call, after or beside a former one; nothing where there is no other backend for it, or the
-    /// retry budget does not allow it.
+    /// Retries a call at once, at another backend than its former attempt. The retry budget is spent last.
+    ///
+    /// # Errors
+    /// Why there is no retry; then nothing was sent and nothing spent.
     pub fn retry(
         &mut self,
         now: Timestamp,
         former: &UpstreamAttempt,
-        kind: RetryKind,
-    ) -> Option<UpstreamAttempt> {
-        let needs_other_backend = kind != RetryKind::AfterBackoff;
-        let group = self.registry.group(former.handler)?;
-        if needs_other_backend && !group.has_alternatives()
-            || kind == RetryKind::Hedge && !self.settings.hedging
-        {
-            return None;
-        }
+        call: FailedCall,
+    ) -> Result<UpstreamAttempt, RetryRefusal> {
+        self.retry_policy(former).check(call)?;
+        self.begin_further_attempt(now, former, RetryTarget::OtherBackend)
+    }
+
+    /// Retries a call after a backoff, at another backend if there is one in selection. Whoever waited for the backoff
+    /// has decided that the call may run again and that there is time for it.
+    ///
+    /// # Errors
+    /// [`RetryRefusal::NoBackends`] or [`RetryRefusal::BudgetSpent`].
+    pub fn retry_after_backoff(
+        &mut self,
+        now: Timestamp,
+        former: &UpstreamAttempt,
+    ) -> Result<UpstreamAttempt, RetryRefusal> {
+        self.begin_further_attempt(now, former, RetryTarget::AnyBackend)
+    }
+
+    /// Hedges a call whose hedge is due, `time_left` before its deadline, at another backend than its attempt in
+    /// flight. The retry budget is spent last.
+    ///
+    /// # Errors
+    /// Why there is no hedge; then nothing was sent and nothing spent.
+    pub fn hedge(
+        &mut self,
+        now: Timestamp,
+        in_flight: &UpstreamAttempt,
+        time_left: Duration,
+    ) -> Result<UpstreamAttempt, HedgeRefusal> {
+        self.retry_policy(in_flight).check_time_left(time_left)?;
+        self.hedge_policy().check_enabled()?;
+        let hedge = self.begin_further_attempt(now, in_flight, RetryTarget::OtherBackend)?;
+        self.totals.hedges += 1;
+        Ok(hedge)
+    }
+
+    /// Picks a backend for a further attempt of a call, spends one retry and begins the attempt.
+    fn begin_further_attempt(
+        &mut self,
+        now: Timestamp,
+        former: &UpstreamAttempt,
+        target: RetryTarget,
+    ) -> Result<UpstreamAttempt, RetryRefusal> {
+        let handler = former.handler;
+        let group = self.registry.group(handler);
+        let group = group.ok_or(RetryRefusal::NoBackends)?;
+        target.check_group(group.has_alternatives())?;
         let avoid = BackendId::new(former.backend);
-        let backend = self
+        let picked = self
             .registry
-            .pick(now, former.handler, Some(avoid), &mut self.rng)?;
-        // All others may be out of selection.
-        if needs_other_backend && backend == avoid {
-            return None;
-        }
-        if !self
-            .registry
-            .group_mut(former.handler)?
-            .retry_budget_mut()
-            .try_spend(now)
-        {
+            .pick(now, handler, Some(avoid), &mut self.rng)
+            .ok_or(RetryRefusal::NoBackends)?;
+        target.check_picked(avoid, picked)?;
+        self.spend_retry(now, handler)?;
+        Ok(self.begin_attempt(now, handler, picked))
+    }
+
+    /// Takes one retry from the budget of the group that serves a handler.
+    fn spend_retry(&mut self, now: Timestamp, handler: HandlerId) -> Result<(), RetryRefusal> {
+        let group = self.registry.group_mut(handler);
+        let group = group.ok_or(RetryRefusal::NoBackends)?;
+        if !group.retry_budget_mut().try_spend(now) {
             self.totals.retries_over_budget += 1;
-            return None;
+            return Err(RetryRefusal::BudgetSpent);
         }
         self.totals.retries += 1;
-        self.totals.hedges += u64::from(kind == RetryKind::Hedge);
-        Some(self.begin_attempt(now, former.handler, backend))
+        Ok(())
+    }
+
+    fn retry_policy(&self, attempt: &UpstreamAttempt) -> RetryPolicy {
+        RetryPolicy {
+            typical_latency: self.typical_latency(attempt.handler),
+        }
+    }
+
+    fn hedge_policy(&self) -> HedgePolicy {
+        HedgePolicy {
+            is_enabled: self.settings.hedging,
+        }
+    }
+
+    /// How long a call of a handler typically takes; zero where that is not known.
+    fn typical_latency(&self, handler: HandlerId) -> Duration {
+        let group = self.registry.group(handler);
+        let seconds = group.and_then(BackendGroup::typical_latency);
+        seconds.map_or(Duration::ZERO, Duration::from_secs_f64)
     }
 
     fn begin_attempt(
@@ -141,25 +204,22 @@
             .begin_attempt(now, handler, backend, self.last_attempt_id)
     }
 
-    /// How long after its start an idempotent call is worth a hedge; nothing where it gets none.
-    pub fn hedge_delay(&mut self, now: Timestamp, attempt: &UpstreamAttempt) -> Option<Duration> {
-        if !self.settings.hedging {
-            return None;
-        }
-        let group = self.registry.group_mut(attempt.handler)?;
-        if group.has_alternatives() {
-            group.hedge_delay_estimator_mut().delay(now)
-        } else {
-            None
-        }
-    }
-
-    /// How long a call of the attempt's group typically takes; zero where that is not known. A retry with less time than
-    /// this is not worth making.
-    pub fn typical_latency(&self, attempt: &UpstreamAttempt) -> Duration {
-        let group = self.registry.group(attempt.handler);
-        let seconds = group.and_then(BackendGroup::typical_latency);
-        seconds.map_or(Duration::ZERO, Duration::from_secs_f64)
+    /// The time from the first attempt of a call until its hedge is due.
+    ///
+    /// # Errors
+    /// Why the call gets no hedge.
+    pub fn hedge_delay(
+        &mut self,
+        now: Timestamp,
+        first: &UpstreamAttempt,
+        call: HedgeCandidate,
+    ) -> Result<Duration, HedgeRefusal> {
+        self.hedge_policy().check_call(call)?;
+        let group = self.registry.group_mut(first.handler);
+        let group = group.ok_or(RetryRefusal::NoBackends)?;
+        RetryTarget::OtherBackend.check_group(group.has_alternatives())?;
+        let estimate = group.hedge_delay_estimator_mut().delay(now);
+        hedge::policy::hedge_delay(estimate, call.timeout)
     }
 
     /// An attempt ended. Its outcome counts for or against the backend.
--- a/crates/upstream/tests/arbitrary_events.rs
+++ b/crates/upstream/tests/arbitrary_events.rs
@@ -5,7 +5,7 @@
 use madderbay::time::{Duration, Timestamp};
 use madderbay_membership::MAX_SUBSYSTEM_PAYLOAD_BYTES;
 use madderbay_upstream::{
-    AttemptOutcome, BackendSettings, BackendStatus, RetryKind, Settings, State, UpstreamAttempt,
+    AttemptOutcome, BackendSettings, BackendStatus, FailedCall, Settings, State, UpstreamAttempt,
     UpstreamManager,
 };
 use proptest::prelude::*;
@@ -26,11 +26,21 @@
     AttemptOutcome::Cancelled,
 ];
 
-const RETRY_KINDS: [RetryKind; 3] = [
-    RetryKind::OtherBackend,
-    RetryKind::Hedge,
-    RetryKind::AfterBackoff,
+/// A further attempt of a call.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum FurtherAttempt {
+    RetryAtOnce,
+    Hedge,
+    RetryAfterBackoff,
+}
+
+const FURTHER_ATTEMPTS: [FurtherAttempt; 3] = [
+    FurtherAttempt::RetryAtOnce,
+    FurtherAttempt::Hedge,
+    FurtherAttempt::RetryAfterBackoff,
 ];
+/// Time that a call has left for a further attempt: longer than any call can take here.
+const TIME_LEFT: Duration = Duration::from_millis(3_600_000);
 
 fn zone(n: usize) -> &'static str {
     ["north", "south"][n % 2]
@@ -122,15 +132,37 @@
 
     fn retry(&mut self, n: usize) -> Result<(), TestCaseError> {
         let former = self.in_flight[n % self.in_flight.len()].clone();
-        let kind = RETRY_KINDS[n % RETRY_KINDS.len()];
-        if let Some(attempt) = self.upstream.retry(self.now, &former, kind) {
+        let further = FURTHER_ATTEMPTS[n % FURTHER_ATTEMPTS.len()];
+        if let Some(attempt) = self.begin_further_attempt(&former, further) {
             let goes_elsewhere = attempt.backend != former.backend;
-            prop_assert!(goes_elsewhere || kind == RetryKind::AfterBackoff);
+            prop_assert!(goes_elsewhere || further == FurtherAttempt::RetryAfterBackoff);
             self.in_flight.push(attempt);
         }
         Ok(())
     }
 
+    fn begin_further_attempt(
+        &mut self,
+        former: &UpstreamAttempt,
+        further: FurtherAttempt,
+    ) -> Option<UpstreamAttempt> {
+        let upstream = &mut self.upstream;
+        match further {
+            FurtherAttempt::RetryAtOnce => {
+                let call = FailedCall {
+                    outcome: AttemptOutcome::Rejected,
+                    is_idempotent: true,
+                    time_left: TIME_LEFT,
+                };
+                upstream.retry(self.now, former, call).ok()
+            }
+            FurtherAttempt::Hedge => upstream.hedge(self.now, former, TIME_LEFT).ok(),
+            FurtherAttempt::RetryAfterBackoff => {
+                upstream.retry_after_backoff(self.now, former).ok()
+            }
+        }
+    }
+
     fn finish(&mut self, n: usize) {
         let attempt = self.in_flight.swap_remove(n % self.in_flight.len());
         let outcome = OUTCOMES[n % OUTCOMES.len()];
--- /dev/null
+++ b/crates/upstream/tests/further_attempts.rs
@@ -0,0 +1,279 @@
+//! Retries and hedges of the manager of the backends: each reason of a refusal, and each further attempt that is
+//! allowed. What a refusal leaves untouched is checked with it.
+
+use madderbay::interface::HandlerId;
+use madderbay::time::{Duration, Timestamp};
+use madderbay_upstream::{
+    AttemptOutcome, BackendSettings, FailedCall, HedgeCandidate, HedgeRefusal, RetryRefusal,
+    Settings, UpstreamAttempt, UpstreamManager,
+};
+
+const HANDLER: HandlerId = HandlerId::new(0);
+const CALL_LATENCY: Duration = Duration::from_millis(20);
+const SECOND: Duration = Duration::from_millis(1_000);
+/// Calls after which latencies are known and retries are saved up.
+const WARM_UP_CALLS: u64 = 200;
+
+fn backend(n: u16) -> BackendSettings {
+    BackendSettings {
+        name: format!("b{n}").as_str().into(),
+        address: ([127, 0, 0, 1], 7_000 + n).into(),
+        zone: "north".into(),
+        weight: 1.0,
+        handlers: vec![HANDLER],
+    }
+}
+
+/// A manager of some backends, and the time.
+struct Scenario {
+    now: Timestamp,
+    settings: Settings,
+    upstream: UpstreamManager,
+}
+
+impl Scenario {
+    fn new(backends: u16, settings: Settings) -> Scenario {
+        let now = Timestamp::from_micros(5_000_000);
+        let backends = (0..backends).map(backend).collect();
+        Scenario {
+            now,
+            upstream: UpstreamManager::new(now, 3, settings.clone(), backends),
+            settings,
+        }
+    }
+
+    /// The same after calls that have all succeeded.
+    fn warmed_up(backends: u16, settings: Settings) -> Scenario {
+        let mut scenario = Scenario::new(backends, settings);
+        for _ in 0..WARM_UP_CALLS {
+            let attempt = scenario.pick();
+            scenario.now = scenario.now + CALL_LATENCY;
+            scenario.finish(&attempt, AttemptOutcome::Success);
+            scenario.upstream.handle_timeout(scenario.now);
+        }
+        scenario
+    }
+
+    fn pick(&mut self) -> UpstreamAttempt {
+        self.upstream.pick(self.now, HANDLER).expect("a backend")
+    }
+
+    fn finish(&mut self, attempt: &UpstreamAttempt, outcome: AttemptOutcome) {
+        self.upstream.finish(self.now, attempt, outcome);
+    }
+
+    fn retry(
+        &mut self,
+        former: &UpstreamAttempt,
+        call: FailedCall,
+    ) -> Result<UpstreamAttempt, RetryRefusal> {
+        self.upstream.retry(self.now, former, call)
+    }
+
+    fn hedge(
+        &mut self,
+        first: &UpstreamAttempt,
+        left: Duration,
+    ) -> Result<UpstreamAttempt, HedgeRefusal> {
+        self.upstream.hedge(self.now, first, left)
+    }
+
+    fn hedge_delay(&mut self, call: HedgeCandidate) -> Result<Duration, HedgeRefusal> {
+        let first = self.pick();
+        let delay = self.upstream.hedge_delay(self.now, &first, call);
+        self.finish(&first, AttemptOutcome::Cancelled);
+        delay
+    }
+
+    /// Retries and hedges so far, and those that the budget did not allow.
+    fn counted(&self) -> (u64, u64, u64) {
+        let totals = self.upstream.totals();
+        (totals.retries, totals.hedges, totals.retries_over_budget)
+    }
+}
+
+/// A call that was rejected and may be retried.
+const REJECTED: FailedCall = FailedCall {
+    outcome: AttemptOutcome::Rejected,
+    is_idempotent: false,
+    time_left: SECOND,
+};
+const IDEMPOTENT: HedgeCandidate = HedgeCandidate {
+    is_idempotent: true,
+    is_under_quota: false,
+    timeout: SECOND,
+};
+
+#[test]
+fn retry_goes_to_another_backend_and_spends_one_retry() {
+    let mut scenario = Scenario::warmed_up(4, Settings::default());
+    let first = scenario.pick();
+    let retry = scenario.retry(&first, REJECTED).expect("a retry");
+    assert_ne!(retry.backend, first.backend);
+    assert_eq!(scenario.counted(), (1, 0, 0));
+}
+
+#[test]
+fn call_that_may_have_run_is_not_retried_and_spends_nothing() {
+    let mut scenario = Scenario::warmed_up(4, Settings::default());
+    let first = scenario.pick();
+    let call = FailedCall {
+        outcome: AttemptOutcome::Failed,
+        ..REJECTED
+    };
+    assert_eq!(scenario.retry(&first, call), Err(RetryRefusal::MayHaveRun));
+    assert_eq!(scenario.counted(), (0, 0, 0));
+}
+
+#[test]
+fn retry_needs_more_time_than_a_call_typically_takes() {
+    let mut scenario = Scenario::warmed_up(4, Settings::default());
+    let first = scenario.pick();
+    let late = FailedCall {
+        time_left: CALL_LATENCY.mul_f64(0.9),
+        ..REJECTED
+    };
+    assert_eq!(scenario.retry(&first, late), Err(RetryRefusal::NoTimeLeft));
+    let in_time = FailedCall {
+        time_left: CALL_LATENCY.mul_f64(1.1),
+        ..REJECTED
+    };
+    assert!(scenario.retry(&first, in_time).is_ok());
+}
+
+#[test]
+fn only_backend_is_called_again_after_a_backoff_alone() {
+    let mut scenario = Scenario::warmed_up(1, Settings::default());
+    let first = scenario.pick();
+    assert_eq!(
+        scenario.retry(&first, REJECTED),
+        Err(RetryRefusal::NoOtherBackend)
+    );
+    assert_eq!(scenario.counted(), (0, 0, 0));
+    let retry = scenario.upstream.retry_after_backoff(scenario.now, &first);
+    assert_eq!(retry.expect("a retry").backend, first.backend);
+    assert_eq!(scenario.counted(), (1, 0, 0));
+}
+
+#[test]
+fn retries_end_with_the_budget() {
+    let mut scenario = Scenario::warmed_up(4, Settings::default());
+    let first = scenario.pick();
+    let allowed = (0..WARM_UP_CALLS)
+        .take_while(|_| scenario.retry(&first, REJECTED).is_ok())
+        .count();
+    assert!(allowed > 0);
+    assert_eq!(scenario.counted(), (allowed as u64, 0, 1));
+    let after_backoff = scenario.upstream.retry_after_backoff(scenario.now, &first);
+    assert_eq!(after_backoff, Err(RetryRefusal::BudgetSpent));
+    let hedge = scenario.hedge(&first, SECOND);
+    assert_eq!(
+        hedge,
+        Err(HedgeRefusal::NoAttempt(RetryRefusal::BudgetSpent))
+    );
+    assert_eq!(scenario.counted(), (allowed as u64, 0, 3));
+}
+
+#[test]
+fn call_whose_backends_were_removed_gets_no_further_attempt() {
+    let mut scenario = Scenario::warmed_up(4, Settings::default());
+    let first = scenario.pick();
+    let settings = scenario.settings.clone();
+    scenario.upstream.reload(scenario.now, settings, vec![]);
+    assert_eq!(
+        scenario.retry(&first, REJECTED),
+        Err(RetryRefusal::NoBackends)
+    );
+    let after_backoff = scenario.upstream.retry_after_backoff(scenario.now, &first);
+    assert_eq!(after_backoff, Err(RetryRefusal::NoBackends));
+    let hedge = scenario.hedge(&first, SECOND);
+    assert_eq!(
+        hedge,
+        Err(HedgeRefusal::NoAttempt(RetryRefusal::NoBackends))
+    );
+}
+
+#[test]
+fn hedge_goes_to_another_backend_and_counts_as_a_retry() {
+    let mut scenario = Scenario::warmed_up(4, Settings::default());
+    let delay = scenario.hedge_delay(IDEMPOTENT).expect("a hedge");
+    assert!(delay >= CALL_LATENCY, "{delay:?}");
+    let first = scenario.pick();
+    let hedge = scenario.hedge(&first, SECOND).expect("a hedge");
+    assert_ne!(hedge.backend, first.backend);
+    assert_eq!(scenario.counted(), (1, 1, 0));
+}
+
+#[test]
+fn hedge_without_enough_time_is_refused_when_it_is_due() {
+    let mut scenario = Scenario::warmed_up(4, Settings::default());
+    let first = scenario.pick();
+    let late = CALL_LATENCY.mul_f64(0.9);
+    assert_eq!(
+        scenario.hedge(&first, late),
+        Err(HedgeRefusal::NoAttempt(RetryRefusal::NoTimeLeft))
+    );
+    assert_eq!(scenario.counted(), (0, 0, 0));
+}
+
+#[test]
+fn call_gets_no_hedge_for_reasons_of_its_own() {
+    let mut scenario = Scenario::warmed_up(4, Settings::default());
+    let refusals = [
+        (
+            HedgeCandidate {
+                is_under_quota: true,
+                ..IDEMPOTENT
+            },
+            HedgeRefusal::UnderQuota,
+        ),
+        (
+            HedgeCandidate {
+                is_idempotent: false,
+                ..IDEMPOTENT
+            },
+            HedgeRefusal::NotIdempotent,
+        ),
+        (
+            HedgeCandidate {
+                timeout: CALL_LATENCY.mul_f64(0.5),
+                ..IDEMPOTENT
+            },
+            HedgeRefusal::DueAfterTimeout,
+        ),
+    ];
+    for (call, refusal) in refusals {
+        assert_eq!(scenario.hedge_delay(call), Err(refusal));
+    }
+}
+
+#[test]
+fn operator_switches_hedges_off() {
+    let settings = Settings {
+        hedging: false,
+        ..Settings::default()
+    };
+    let mut scenario = Scenario::warmed_up(4, settings);
+    assert_eq!(
+        scenario.hedge_delay(IDEMPOTENT),
+        Err(HedgeRefusal::Disabled)
+    );
+    let first = scenario.pick();
+    assert_eq!(scenario.hedge(&first, SECOND), Err(HedgeRefusal::Disabled));
+    assert!(scenario.retry(&first, REJECTED).is_ok());
+    assert_eq!(scenario.counted(), (1, 0, 0));
+}
+
+#[test]
+fn hedges_need_another_backend_and_known_latencies() {
+    let mut alone = Scenario::warmed_up(1, Settings::default());
+    assert_eq!(
+        alone.hedge_delay(IDEMPOTENT),
+        Err(HedgeRefusal::NoAttempt(RetryRefusal::NoOtherBackend))
+    );
+    let mut new = Scenario::new(4, Settings::default());
+    assert_eq!(
+        new.hedge_delay(IDEMPOTENT),
+        Err(HedgeRefusal::LatencyUnknown)
+    );
+}
--- a/crates/upstream/tests/gossip_compatibility.rs
+++ b/crates/upstream/tests/gossip_compatibility.rs
@@ -4,7 +4,7 @@
 use madderbay::interface::HandlerId;
 use madderbay::time::{Duration, Timestamp};
 use madderbay_upstream::{
-    AttemptOutcome, BackendReport, BackendSettings, GossipMessage, RetryKind, Settings,
+    AttemptOutcome, BackendReport, BackendSettings, FailedCall, GossipMessage, Settings,
     UpstreamManager, name_hash,
 };
 
@@ -16,6 +16,9 @@
 const MOST_REPORTS: &[u8] = include_bytes!("data/most_reports.bin");
 const ALL_FIELDS: &[u8] = include_bytes!("data/all_fields.bin");
 
+/// Time that a failed call has left: far more than a call takes.
+const CALL_TIME_LEFT: Duration = Duration::from_millis(1_000);
+
 fn at(ms: u64) -> Timestamp {
     Timestamp::from_micros(1_000_000 + ms * 1_000)
 }
@@ -60,8 +63,13 @@
         let outcome = outcome(attempt.backend, ms);
         let ended = at(ms) + Duration::from_millis(5);
         upstream.finish(ended, &attempt, outcome);
+        let call = FailedCall {
+            outcome,
+            is_idempotent: false,
+            time_left: CALL_TIME_LEFT,
+        };
         if outcome == AttemptOutcome::Rejected
-            && let Some(retry) = upstream.retry(ended, &attempt, RetryKind::OtherBackend)
+            && let Ok(retry) = upstream.retry(ended, &attempt, call)
         {
             let ended = at(ms) + Duration::from_millis(9);
             upstream.finish(ended, &retry, AttemptOutcome::Success);
