--- a/crates/upstream/src/attempt.rs
+++ b/crates/upstream/src/attempt.rs
@@ -1,5 +1,6 @@
 //! One attempt of a call: where it went, and how it ended.
 
+use crate::backend_id::BackendId;
 use madderbay::interface::HandlerId;
 use madderbay::time::Timestamp;
 use std::net::SocketAddr;
@@ -7,8 +8,8 @@
 /// One attempt that is in flight at a backend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamAttempt {
-    /// Index of the backend, as in [`BackendId::index`](crate::BackendId::index).
-    pub backend: usize,
+    /// The backend, in the table of the manager that began the attempt.
+    pub backend: BackendId,
     /// Where the backend listens.
     pub address: SocketAddr,
     /// When the attempt was made.
--- a/crates/upstream/src/backend_group.rs
+++ b/crates/upstream/src/backend_group.rs
@@ -7,6 +7,7 @@
 use crate::backend::Backend;
 use crate::backend_id::BackendId;
 use crate::backend_state::State;
+use crate::backend_table::BackendTable;
 use crate::events::BackendEvent;
 use crate::gossip::reports::ReceivedReports;
 use crate::hedge::delay_estimator::HedgeDelayEstimator;
@@ -119,7 +120,7 @@
     pub(crate) fn evaluate(
         &mut self,
         now: Timestamp,
-        all: &mut [Backend],
+        all: &mut BackendTable,
         context: &EvaluationContext,
         rng: &mut Rand64,
         events: &mut Vec<BackendEvent>,
@@ -145,11 +146,8 @@
 
     /// Takes the median latency of the backends as the typical one. Returns it, in seconds, where it rests on more than
     /// one backend and so can be a baseline for them.
-    fn measure_latency(&mut self, now: Timestamp, all: &[Backend]) -> Option<f64> {
-        let known = self
-            .backends
-            .iter()
-            .filter_map(|id| all[id.index()].latency(now));
+    fn measure_latency(&mut self, now: Timestamp, all: &BackendTable) -> Option<f64> {
+        let known = self.backends.iter().filter_map(|id| all[*id].latency(now));
         let mut latencies: Vec<f64> = known.collect();
         latencies.sort_by(f64::total_cmp);
         // Of an even number the quicker one in the middle, so that one slow of two is not the baseline.
@@ -162,7 +160,7 @@
     fn assess(
         &self,
         now: Timestamp,
-        all: &mut [Backend],
+        all: &mut BackendTable,
         context: &EvaluationContext,
         baseline: Option<f64>,
         events: &mut Vec<BackendEvent>,
@@ -176,7 +174,7 @@
             outliers: 0,
         };
         for id in &self.backends {
-            let backend = &mut all[id.index()];
+            let backend = &mut all[*id];
             events.extend(backend.advance(now));
             let reports = context.reports.summary(now, backend.name_hash());
             backend.set_reports(reports, return_spread);
@@ -195,11 +193,16 @@
         assessed
     }
 
-    fn update_panic(&mut self, all: &[Backend], outliers: usize, events: &mut Vec<BackendEvent>) {
+    fn update_panic(
+        &mut self,
+        all: &BackendTable,
+        outliers: usize,
+        events: &mut Vec<BackendEvent>,
+    ) {
         let backends = self.backends.len();
         let panic = backends > 1 && outliers as f64 > PANIC_FRACTION * backends as f64;
         if std::mem::replace(&mut self.panic, panic) != panic {
-            let name = all[self.backends[0].index()].name();
+            let name = all[self.backends[0]].name();
             events.push(BackendEvent::PanicModeChanged {
                 name,
                 active: panic,
@@ -212,13 +215,13 @@
     fn rebuild_selector(
         &mut self,
         now: Timestamp,
-        all: &[Backend],
+        all: &BackendTable,
         settings: &Settings,
         assessed: &[Assessment],
     ) {
-        let trust = trust_by_backend(all.len(), assessed);
+        let trust = trust_by_backend(all.slots(), assessed);
         let candidate = |id: &BackendId| {
-            let backend = &all[id.index()];
+            let backend = &all[*id];
             let weight = if self.panic {
                 backend.settings().weight
             } else {
@@ -233,12 +236,12 @@
         let candidates: Vec<Candidate> = self.backends.iter().map(candidate).collect();
         let local = candidates.iter().filter(|candidate| candidate.is_local);
         let configured_local_weight: f64 = local
-            .map(|candidate| all[candidate.backend.index()].settings().weight)
+            .map(|candidate| all[candidate.backend].settings().weight)
             .sum();
         let min_local_fraction = settings.min_local_fraction;
         self.selector =
             ZoneAwareSelector::new(&candidates, configured_local_weight, min_local_fraction);
-        let is_probing = |id: &BackendId| all[id.index()].state() == State::Probing;
+        let is_probing = |id: &BackendId| all[*id].state() == State::Probing;
         self.probing = self.backends.iter().copied().filter(is_probing).collect();
     }
 
@@ -246,7 +249,7 @@
     pub(crate) fn pick(
         &mut self,
         now: Timestamp,
-        all: &[Backend],
+        all: &BackendTable,
         avoid: Option<BackendId>,
         rng: &mut Rand64,
     ) -> Option<BackendId> {
@@ -256,17 +259,17 @@
             return Some(probed);
         }
         let default_latency = self.typical_latency.unwrap_or(DEFAULT_LATENCY);
-        let cost = |id: BackendId| all[id.index()].cost(default_latency);
+        let cost = |id: BackendId| all[id].cost(default_latency);
         let picked = self.selector.pick(avoid, rng, cost);
         picked.or_else(|| self.backends.first().copied())
     }
 
     /// A backend that is due for a probe, wherever it stands. It gets a single call.
-    fn take_probe(&mut self, now: Timestamp, all: &[Backend]) -> Option<BackendId> {
+    fn take_probe(&mut self, now: Timestamp, all: &BackendTable) -> Option<BackendId> {
         let due = self
             .probing
             .iter()
-            .position(|id| all[id.index()].accepts_probe(now))?;
+            .position(|id| all[*id].accepts_probe(now))?;
         Some(self.probing.remove(due))
     }
 }
@@ -274,7 +277,7 @@
 /// Ejects outliers, the most suspected first, up to the limit of backends out of selection.
 fn eject_outliers(
     now: Timestamp,
-    all: &mut [Backend],
+    all: &mut BackendTable,
     assessed: &mut GroupAssessment,
     max_out_of_selection: usize,
     rng: &mut Rand64,
@@ -292,7 +295,7 @@
             break;
         }
         assessed.out_of_selection += 1;
-        let backend = &mut all[backend.index()];
+        let backend = &mut all[*backend];
         backend.eject(now, rng.rand_float());
         events.push(BackendEvent::Ejected {
             name: backend.name(),
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -7,7 +7,8 @@
 //!
 //! | part | files |
 //! | --- | --- |
-//! | selection | `selection`, `backend_group` |
+//! | the table of backends and their groups | `registry`, `backend_table`, `backend_group` |
+//! | selection | `selection` |
 //! | outlier detection, ejection, slow start | `outlier`, `backend`, `slow_start` |
 //! | retries and hedges | `retry`, `hedge` |
 //! | gossip of judgements | `gossip` |
@@ -15,7 +16,9 @@
 //! ```
 //! use madderbay::interface::HandlerId;
 //! use madderbay::time::{Duration, Timestamp};
-//! use madderbay_upstream::{AttemptOutcome, BackendSettings, Settings, State, UpstreamManager};
+//! use madderbay_upstream::{
+//!     AttemptOutcome, BackendId, BackendSettings, Settings, State, UpstreamManager,
+//! };
 //! let backend = |n: u16| BackendSettings {
 //!     name: format!("book-{n}").as_str().into(),
 //!     address: ([127, 0, 0, 1], 7_700 + n).into(),
@@ -31,7 +34,7 @@
 //!     let now = at(step * 10);
 //!     upstream.handle_timeout(now);
 //!     let attempt = upstream.pick(now, HandlerId::new(0)).unwrap();
-//!     let failed = attempt.backend == 2;
+//!     let failed = attempt.backend == BackendId::new(2);
 //!     let outcome = if failed { AttemptOutcome::Failed } else { AttemptOutcome::Success };
 //!     upstream.finish(now + Duration::from_millis(5), &attempt, outcome);
 //! }
@@ -44,6 +47,7 @@
 mod backend_group;
 mod backend_id;
 mod backend_state;
+mod backend_table;
 mod call_counts;
 mod events;
 mod fleet_stack;
--- a/crates/upstream/src/manager.rs
+++ b/crates/upstream/src/manager.rs
@@ -82,7 +82,7 @@
 
     /// The first attempt of a call of a handler; nothing where the handler has no backends.
     pub fn pick(&mut self, now: Timestamp, handler: HandlerId) -> Option<UpstreamAttempt> {
-        self.registry.group_index(handler)?;
+        self.registry.group(handler)?;
         // An evaluation that is due comes before the choice, whoever drives this manager.
         if now >= self.next_evaluation {
             self.evaluate(now);
@@ -152,12 +152,10 @@
         let group = self.registry.group(handler);
         let group = group.ok_or(RetryRefusal::NoBackends)?;
         target.check_group(group.has_alternatives())?;
-        let avoid = BackendId::new(former.backend);
-        let picked = self
-            .registry
-            .pick(now, handler, Some(avoid), &mut self.rng)
-            .ok_or(RetryRefusal::NoBackends)?;
-        target.check_picked(avoid, picked)?;
+        let avoid = Some(former.backend);
+        let picked = self.registry.pick(now, handler, avoid, &mut self.rng);
+        let picked = picked.ok_or(RetryRefusal::NoBackends)?;
+        target.check_picked(former.backend, picked)?;
         self.spend_retry(now, handler)?;
         Ok(self.begin_attempt(now, handler, picked))
     }
@@ -366,9 +364,9 @@
         self.gossip.reports().len()
     }
 
-    /// The index of the group that serves a handler; nothing where the handler has no backends.
-    pub fn group_of(&self, handler: HandlerId) -> Option<usize> {
-        self.registry.group_index(handler)
+    /// Whether any backend serves a handler.
+    pub fn has_backends(&self, handler: HandlerId) -> bool {
+        self.registry.group(handler).is_some()
     }
 
     /// The handlers of each group, and how many backends it has.
--- a/crates/upstream/src/registry.rs
+++ b/crates/upstream/src/registry.rs
@@ -8,6 +8,7 @@
 use crate::backend_group::{BackendGroup, EvaluationContext};
 use crate::backend_id::BackendId;
 use crate::backend_state::State;
+use crate::backend_table::BackendTable;
 use crate::events::BackendEvent;
 use crate::gossip::LocalObservation;
 use crate::outlier;
@@ -38,8 +39,9 @@
 /// All backends of one server.
 #[derive(Default)]
 pub(crate) struct BackendRegistry {
-    backends: Vec<Backend>,
+    backends: BackendTable,
     groups: Vec<BackendGroup>,
+    /// Index in `groups` of the group that serves a handler.
     group_by_handler: HashMap<HandlerId, usize>,
     /// Hashes of the names of the configured backends.
     name_hashes: HashSet<u32>,
@@ -76,19 +78,12 @@
 
     fn remove_unlisted(&mut self, listed: &[BackendSettings]) -> Vec<BackendEvent> {
         let mut events = vec![];
-        for backend in self
-            .backends
-            .iter_mut()
-            .filter(|backend| !backend.is_removed())
-        {
-            if !listed
-                .iter()
-                .any(|settings| settings.is_same_backend(backend.settings()))
-            {
+        for backend in self.backends.configured_mut() {
+            let is_same = |settings: &BackendSettings| settings.is_same_backend(backend.settings());
+            if !listed.iter().any(is_same) {
                 backend.remove();
-                let name = backend.name();
                 events.push(BackendEvent::ConfigurationChanged {
-                    name,
+                    name: backend.name(),
                     present: false,
                 });
             }
@@ -102,16 +97,12 @@
         settings: BackendSettings,
         events: &mut Vec<BackendEvent>,
     ) -> BackendId {
-        let is_same = |backend: &Backend| {
-            !backend.is_removed() && backend.settings().is_same_backend(&settings)
-        };
-        if let Some(index) = self.backends.iter().position(is_same) {
-            self.backends[index].set_settings(settings);
-            return BackendId::new(index);
+        if let Some(id) = self.backends.find(&settings) {
+            self.backends[id].set_settings(settings);
+            return id;
         }
-        let name = settings.name.clone();
         events.push(BackendEvent::ConfigurationChanged {
-            name,
+            name: settings.name.clone(),
             present: true,
         });
         // Beside others its caches may be cold, and all servers begin to use it at the same time.
@@ -120,22 +111,7 @@
         } else {
             State::SlowStart
         };
-        self.insert(Backend::new(now, settings, state))
-    }
-
-    /// Puts a backend into a free slot, or into a new one.
-    fn insert(&mut self, backend: Backend) -> BackendId {
-        let index = match self.backends.iter().position(Backend::is_replaceable) {
-            Some(free) => {
-                self.backends[free] = backend;
-                free
-            }
-            None => {
-                self.backends.push(backend);
-                self.backends.len() - 1
-            }
-        };
-        BackendId::new(index)
+        self.backends.insert(Backend::new(now, settings, state))
     }
 
     /// Sets the groups in the order of the list. A group with the same handlers as before is that group.
@@ -158,8 +134,7 @@
             self.group_by_handler
                 .extend(group.handlers().iter().map(|handler| (*handler, index)));
         }
-        let configured = self.backends.iter().filter(|backend| !backend.is_removed());
-        self.name_hashes = configured.map(Backend::name_hash).collect();
+        self.name_hashes = self.backends.configured().map(Backend::name_hash).collect();
     }
 
     /// Sets the retry ratio of all groups.
@@ -176,20 +151,16 @@
         &self.name_hashes
     }
 
-    /// The index of the group that serves a handler.
-    pub(crate) fn group_index(&self, handler: HandlerId) -> Option<usize> {
-        self.group_by_handler.get(&handler).copied()
-    }
-
     /// The group that serves a handler.
     pub(crate) fn group(&self, handler: HandlerId) -> Option<&BackendGroup> {
-        self.group_index(handler).map(|index| &self.groups[index])
+        let index = self.group_by_handler.get(&handler)?;
+        Some(&self.groups[*index])
     }
 
     /// The group that serves a handler, to be changed.
     pub(crate) fn group_mut(&mut self, handler: HandlerId) -> Option<&mut BackendGroup> {
-        self.group_index(handler)
-            .map(|index| &mut self.groups[index])
+        let index = self.group_by_handler.get(&handler)?;
+        Some(&mut self.groups[*index])
     }
 
     /// All groups.
@@ -199,30 +170,27 @@
 
     /// The state of each configured backend, group by group.
     pub(crate) fn states(&self) -> impl Iterator<Item = State> {
-        self.configured().map(Backend::state)
+        self.by_group().map(Backend::state)
     }
 
     /// Each configured backend as it stands, group by group.
     pub(crate) fn statuses(&self, now: Timestamp) -> Vec<BackendStatus> {
-        self.configured()
-            .map(|backend| backend.status(now))
-            .collect()
+        self.by_group().map(|backend| backend.status(now)).collect()
     }
 
-    fn configured(&self) -> impl Iterator<Item = &Backend> {
+    fn by_group(&self) -> impl Iterator<Item = &Backend> {
         self.groups
             .iter()
             .flat_map(BackendGroup::backends)
-            .map(|id| &self.backends[id.index()])
+            .map(|id| &self.backends[*id])
     }
 
     /// What this server sees of each configured backend, in the order of the table.
     pub(crate) fn observations(&mut self, now: Timestamp) -> Vec<LocalObservation> {
-        let configured = self
-            .backends
-            .iter_mut()
-            .filter(|backend| !backend.is_removed());
-        configured.map(|backend| backend.observation(now)).collect()
+        self.backends
+            .configured_mut()
+            .map(|backend| backend.observation(now))
+            .collect()
     }
 
     /// Recent attempts of all groups.
@@ -258,13 +226,11 @@
         backend: BackendId,
         id: u64,
     ) -> UpstreamAttempt {
-        let index = backend.index();
-        let backend = &mut self.backends[index];
-        backend.begin_attempt(now, id);
-        let address = backend.address();
+        let target = &mut self.backends[backend];
+        target.begin_attempt(now, id);
         UpstreamAttempt {
-            backend: index,
-            address,
+            backend,
+            address: target.address(),
             started_at: now,
             handler,
             id,
--- a/crates/upstream/tests/arbitrary_events.rs
+++ b/crates/upstream/tests/arbitrary_events.rs
@@ -124,7 +124,7 @@
     fn pick(&mut self, n: usize) -> Result<(), TestCaseError> {
         let handler = HandlerId::new(n % HANDLERS);
         let picked = self.upstream.pick(self.now, handler);
-        let has_backends = handler.index() < 2 && self.upstream.group_of(handler).is_some();
+        let has_backends = handler.index() < 2 && self.upstream.has_backends(handler);
         prop_assert_eq!(picked.is_some(), has_backends);
         self.in_flight.extend(picked);
         Ok(())
--- a/crates/upstream/tests/gossip_compatibility.rs
+++ b/crates/upstream/tests/gossip_compatibility.rs
@@ -4,7 +4,7 @@
 use madderbay::interface::HandlerId;
 use madderbay::time::{Duration, Timestamp};
 use madderbay_upstream::{
-    AttemptOutcome, BackendReport, BackendSettings, FailedCall, GossipMessage, Settings,
+    AttemptOutcome, BackendId, BackendReport, BackendSettings, FailedCall, GossipMessage, Settings,
     UpstreamManager, name_hash,
 };
 
@@ -51,7 +51,7 @@
 fn last_payload(
     upstream: &mut UpstreamManager,
     millis: u64,
-    outcome: impl Fn(usize, u64) -> AttemptOutcome,
+    outcome: impl Fn(BackendId, u64) -> AttemptOutcome,
 ) -> Vec<u8> {
     let mut last = vec![];
     for ms in (0..millis).step_by(10) {
@@ -79,9 +79,12 @@
 }
 
 /// The outcomes of a fleet in which one backend gives `wrong` until a time in milliseconds.
-fn one_backend_until(wrong: AttemptOutcome, until: u64) -> impl Fn(usize, u64) -> AttemptOutcome {
+fn one_backend_until(
+    wrong: AttemptOutcome,
+    until: u64,
+) -> impl Fn(BackendId, u64) -> AttemptOutcome {
     move |backend, ms| {
-        if backend == 2 && ms < until {
+        if backend == BackendId::new(2) && ms < until {
             wrong
         } else {
             AttemptOutcome::Success
