--- a/crates/testkit/examples/routes/cases.rs
+++ b/crates/testkit/examples/routes/cases.rs
@@ -1,21 +1,24 @@
 //! The faults that are simulated.
 
-use madderbay_testkit::backend_simulation::{BackendFault, BackendSimulation};
+use madderbay_testkit::backend_simulation::{
+    BackendFault, BackendSimulation, SimulatedBackendId, SimulatedServerId, ZoneCut,
+};
 
 /// Begins a fault, or ends it.
 pub(crate) type SetFault = fn(&mut BackendSimulation, bool);
 
 /// The backend with the fault, where one of them has it.
-pub(crate) const FAULTY: usize = 1;
-const HEALTHY: BackendFault = BackendFault::Slow(1.0);
-const TEN_TIMES_SLOWER: BackendFault = BackendFault::Slow(10.0);
+pub(crate) const FAULTY: SimulatedBackendId = SimulatedBackendId::new(1);
+/// The server with a fault, where one of them has it.
+const FAULTY_SERVER: SimulatedServerId = SimulatedServerId::new(0);
+const TEN_TIMES_SLOWER: BackendFault = BackendFault::Slow { factor: 10.0 };
 
 pub(crate) const CASES: [(&str, SetFault); 10] = [
     ("one 10 times slower", |simulation, on| {
         set_one(simulation, TEN_TIMES_SLOWER, on);
     }),
     ("one fails at once", |simulation, on| {
-        set_one(simulation, BackendFault::Fails, on);
+        set_one(simulation, BackendFault::Failing, on);
     }),
     ("one never answers", |simulation, on| {
         set_one(simulation, BackendFault::Silent, on);
@@ -24,19 +27,25 @@
         set_one(simulation, BackendFault::Down, on);
     }),
     ("cut between a zone and one", |simulation, on| {
-        simulation.cuts = if on { vec![(1, FAULTY)] } else { vec![] };
+        let cut = ZoneCut {
+            zone: 1,
+            backend: FAULTY,
+        };
+        simulation.set_zone_cuts(if on { vec![cut] } else { vec![] });
     }),
     ("one server finds all bad", |simulation, on| {
-        simulation.cut_off(0, on);
+        simulation.set_cut_off(FAULTY_SERVER, on);
     }),
     ("one lies of three", |simulation, on| {
-        simulation.lies(0, if on { vec![1, 4, 7] } else { vec![] });
+        let reported: &[usize] = if on { &[1, 4, 7] } else { &[] };
+        let reported = reported.iter().copied().map(SimulatedBackendId::new);
+        simulation.set_falsely_reported(FAULTY_SERVER, reported.collect());
     }),
     ("all 10 times slower", |simulation, on| {
         set_all(simulation, TEN_TIMES_SLOWER, on);
     }),
     ("all fail", |simulation, on| {
-        set_all(simulation, BackendFault::Fails, on);
+        set_all(simulation, BackendFault::Failing, on);
     }),
     ("all never answer", |simulation, on| {
         set_all(simulation, BackendFault::Silent, on);
@@ -49,11 +58,11 @@
 }
 
 fn set_one(simulation: &mut BackendSimulation, fault: BackendFault, on: bool) {
-    simulation.mode(FAULTY, if on { fault } else { HEALTHY });
+    simulation.set_backend_fault(FAULTY, if on { fault } else { BackendFault::HEALTHY });
 }
 
 fn set_all(simulation: &mut BackendSimulation, fault: BackendFault, on: bool) {
-    for backend in 0..simulation.setup.backends {
-        simulation.mode(backend, if on { fault } else { HEALTHY });
+    for backend in simulation.backends() {
+        simulation.set_backend_fault(backend, if on { fault } else { BackendFault::HEALTHY });
     }
 }
--- a/crates/testkit/examples/routes/real.rs
+++ b/crates/testkit/examples/routes/real.rs
@@ -124,7 +124,7 @@
                 scope.spawn(move || target.measure(&load_of(server), |_| ()))
             });
             let loads: Vec<_> = loads.collect();
-            let calls = play_fault(&backends[FAULTY], fault);
+            let calls = play_fault(&backends[FAULTY.index()], fault);
             (join_loads(loads), calls)
         });
         let cpu_ms = (fleet.cpu() - cpu_before) * 1e3 / load.records.len() as f64;
--- a/crates/testkit/examples/routes/simulated.rs
+++ b/crates/testkit/examples/routes/simulated.rs
@@ -6,9 +6,9 @@
 use madderbay_testkit::measurement::report::{median, table_head};
 
 const POLICIES: [(RoutingPolicy, &str); 4] = [
-    (RoutingPolicy::Shared, "shared"),
-    (RoutingPolicy::Alone, "own alone"),
-    (RoutingPolicy::LeastInHand, "least in hand, repeats"),
+    (RoutingPolicy::ManagerWithGossip, "shared"),
+    (RoutingPolicy::ManagerWithoutGossip, "own alone"),
+    (RoutingPolicy::LeastInFlight, "least in hand, repeats"),
     (RoutingPolicy::RoundRobin, "round robin"),
 ];
 /// When the fault begins, when it is over, and the end, in milliseconds.
@@ -123,37 +123,37 @@
     seed: u64,
 ) -> RunResult {
     let setup = BackendFleetSetup {
-        way: policy,
+        routing: policy,
         zones: if servers >= 3 { 3 } else { 1 },
-        rate: rate(servers, backends),
-        ..BackendFleetSetup::of(servers, backends)
+        calls_per_second: rate(servers, backends),
+        ..BackendFleetSetup::new(servers, backends)
     };
     let mut simulation = BackendSimulation::new(setup, seed);
     simulation.run(Duration::from_millis(CALM_MS));
-    simulation.times.clear();
+    simulation.clear_latencies();
     set_fault(&mut simulation, true);
     simulation.run(Duration::from_millis(OVER_MS - CALM_MS));
-    let slowest_ms = simulation.slowest();
+    let slowest_ms = simulation.slowest_ms();
     set_fault(&mut simulation, false);
     simulation.run(Duration::from_millis(END_MS - OVER_MS));
     // The traffic without the fault is the measure; with few calls it is chance what a second has.
-    let fair = simulation.part(FAULTY, SECOND_MS, CALM_MS);
+    let fair = simulation.traffic_fraction(FAULTY, SECOND_MS..CALM_MS);
     let secs = |ms: Option<u64>| ms.map_or(f64::INFINITY, |ms| ms as f64 / 1e3);
-    let off = simulation.until(FAULTY, CALM_MS, true, fair * AVOIDED_PART);
-    let back = simulation.until(FAULTY, OVER_MS, false, fair * BACK_PART);
-    let others = (0..backends).filter(|backend| *backend != FAULTY);
+    let off = simulation.millis_until_traffic_below(FAULTY, CALM_MS, fair * AVOIDED_PART);
+    let back = simulation.millis_until_traffic_at_least(FAULTY, OVER_MS, fair * BACK_PART);
+    let others = simulation.backends().filter(|backend| *backend != FAULTY);
     let peak = (OVER_MS..END_MS - SECOND_MS)
         .step_by(100)
-        .map(|ms| simulation.part(FAULTY, ms, ms + SECOND_MS) / fair)
+        .map(|ms| simulation.traffic_fraction(FAULTY, ms..ms + SECOND_MS) / fair)
         .fold(0.0, f64::max);
     RunResult {
-        success: simulation.kept(CALM_MS, OVER_MS),
+        success: simulation.success_rate(CALM_MS..OVER_MS),
         slowest_ms,
         off_secs: secs(off),
         back_secs: secs(back),
-        attempts: simulation.load(CALM_MS + SECOND_MS, OVER_MS),
+        attempts: simulation.attempts_per_call(CALM_MS + SECOND_MS..OVER_MS),
         wrongly_ejected: others
-            .map(|backend| simulation.out(backend, CALM_MS, OVER_MS))
+            .map(|backend| simulation.ejected_seconds(backend, CALM_MS..OVER_MS))
             .sum(),
         peak,
     }
@@ -165,7 +165,7 @@
     let (case, set_fault) = cases
         .find(|(name, _)| name.contains(case))
         .unwrap_or(CASES[0]);
-    let mut simulation = BackendSimulation::new(BackendFleetSetup::of(12, 10), seed);
+    let mut simulation = BackendSimulation::new(BackendFleetSetup::new(12, 10), seed);
     simulation.run(Duration::from_millis(CALM_MS));
     set_fault(&mut simulation, true);
     simulation.run(Duration::from_millis(OVER_MS - CALM_MS));
@@ -177,11 +177,13 @@
         println!(
             "{:3} s: kept {:.3}, part of it {:.3}, left out by {:.1}, load {:.2}",
             from / SECOND_MS,
-            simulation.kept(from, to),
-            simulation.part(FAULTY, from, to),
-            simulation.out(FAULTY, from, to),
-            simulation.load(from, to)
+            simulation.success_rate(from..to),
+            simulation.traffic_fraction(FAULTY, from..to),
+            simulation.ejected_seconds(FAULTY, from..to),
+            simulation.attempts_per_call(from..to)
         );
     }
-    simulation.log.iter().for_each(|line| println!("{line}"));
+    for entry in simulation.log() {
+        println!("{entry}");
+    }
 }
--- a/crates/testkit/src/backend_simulation/backends.rs
+++ b/crates/testkit/src/backend_simulation/backends.rs
@@ -1,55 +1,63 @@
 //! What backends do with the attempts that reach them.
+//!
+//! [`SimulatedBackend`] owns its queue and the slots in use. It never selects a backend and knows no
+//! retries.
 
-use super::{BACKEND_DELAY, BackendFault, BackendSimulation, Event};
+use super::ids::SimulatedBackendId;
+use super::{BACKEND_DELAY, BackendFault, BackendSimulation, Event, ZoneCut};
 use madderbay::time::Duration;
 use madderbay_upstream::AttemptOutcome;
 use std::collections::VecDeque;
 
 /// The part of a call's mean time that each call takes at least; the rest is drawn.
-const FIXED_WORK: f64 = 0.5;
+const FIXED_WORK_FRACTION: f64 = 0.5;
 
 /// One backend.
-pub(super) struct Backend {
+pub(super) struct SimulatedBackend {
     pub(super) fault: BackendFault,
     /// Attempts that wait for a slot.
     queue: VecDeque<u64>,
     /// Slots in use. An attempt that was given up keeps its slot until its work is done.
-    busy: usize,
+    slots_in_use: usize,
 }
 
-impl Backend {
-    pub(super) fn new() -> Backend {
-        Backend {
-            fault: BackendFault::Slow(1.0),
+impl SimulatedBackend {
+    pub(super) fn new() -> SimulatedBackend {
+        SimulatedBackend {
+            fault: BackendFault::HEALTHY,
             queue: VecDeque::new(),
-            busy: 0,
+            slots_in_use: 0,
         }
     }
 }
 
 impl BackendSimulation {
-    /// An attempt reaches its backend, unless it was given up or a cut is in between.
+    /// An attempt reaches its backend, unless it was given up or a fault is in between.
     pub(super) fn attempt_arrives(&mut self, id: u64) {
         let Some(attempt) = self.attempts.get(&id) else {
             return;
         };
-        let index = attempt.backend;
-        let node = &self.nodes[attempt.server];
-        if node.cut_off || self.cuts.contains(&(node.zone, index)) {
+        let backend_id = attempt.backend;
+        let server = &self.servers[attempt.server.index()];
+        let cut = ZoneCut {
+            zone: server.zone,
+            backend: backend_id,
+        };
+        if server.is_cut_off || self.zone_cuts.contains(&cut) {
             return;
         }
-        self.last_row().at[index] += 1;
-        let backend = &mut self.backends[index];
+        self.last_row().attempts_by_backend[backend_id.index()] += 1;
+        let backend = &mut self.backends[backend_id.index()];
         match backend.fault {
             BackendFault::Silent => {}
             BackendFault::Down => self.reply(id, AttemptOutcome::NotConnected),
-            BackendFault::Fails => self.reply(id, AttemptOutcome::Failed),
-            BackendFault::Slow(_) if backend.busy >= self.setup.slots => {
+            BackendFault::Failing => self.reply(id, AttemptOutcome::Failed),
+            BackendFault::Slow { .. } if backend.slots_in_use >= self.setup.backend_concurrency => {
                 backend.queue.push_back(id);
             }
-            BackendFault::Slow(times) => {
-                backend.busy += 1;
-                self.work(id, times);
+            BackendFault::Slow { factor } => {
+                backend.slots_in_use += 1;
+                self.begin_work(id, factor);
             }
         }
     }
@@ -60,52 +68,57 @@
         self.push(at, Event::AttemptEnds { attempt, outcome });
     }
 
-    /// A backend begins to work on an attempt, and takes this many times as long as usual.
-    fn work(&mut self, id: u64, times: f64) {
-        let mean = self.setup.call.as_secs_f64() * times;
-        let took = mean * FIXED_WORK + self.draw(mean * (1.0 - FIXED_WORK));
+    /// A backend begins to work on an attempt, and takes `factor` times as long as usual.
+    fn begin_work(&mut self, id: u64, factor: f64) {
+        let mean_seconds = self.setup.mean_call_time.as_secs_f64() * factor;
+        let drawn_seconds = self.draw_exponential(mean_seconds * (1.0 - FIXED_WORK_FRACTION));
+        let seconds = mean_seconds * FIXED_WORK_FRACTION + drawn_seconds;
         if let Some(attempt) = self.attempts.get(&id) {
-            let worked = Event::AttemptWorked {
+            let work_ends = Event::WorkEnds {
                 attempt: id,
                 backend: attempt.backend,
             };
-            self.push(self.now + Duration::from_secs_f64(took), worked);
+            self.push(self.now + Duration::from_secs_f64(seconds), work_ends);
         }
     }
 
     /// The work on an attempt is done, and its slot is free for the next one.
-    pub(super) fn attempt_worked(&mut self, id: u64, backend: usize) {
-        let BackendFault::Slow(times) = self.backends[backend].fault else {
+    pub(super) fn work_ends(&mut self, id: u64, backend: SimulatedBackendId) {
+        let BackendFault::Slow { factor } = self.backends[backend.index()].fault else {
             return;
         };
         if self.attempts.contains_key(&id) {
             self.reply(id, AttemptOutcome::Success);
         }
-        self.work_on_next(backend, times);
+        self.begin_next(backend, factor);
     }
 
     /// Frees a slot, and gives it to the next attempt in the queue that was not given up.
-    fn work_on_next(&mut self, index: usize, times: f64) {
-        let backend = &mut self.backends[index];
-        backend.busy = backend.busy.saturating_sub(1);
+    fn begin_next(&mut self, backend: SimulatedBackendId, factor: f64) {
+        let backend = &mut self.backends[backend.index()];
+        backend.slots_in_use = backend.slots_in_use.saturating_sub(1);
         while let Some(next) = backend.queue.pop_front() {
             if self.attempts.contains_key(&next) {
-                backend.busy += 1;
-                self.work(next, times);
+                backend.slots_in_use += 1;
+                self.begin_work(next, factor);
                 return;
             }
         }
     }
 
     /// All attempts at a backend are disconnected.
-    pub(super) fn disconnect(&mut self, index: usize) {
-        let here = self.attempts.iter().filter(|(_, a)| a.backend == index);
-        let mut lost: Vec<u64> = here.map(|(id, _)| *id).collect();
-        lost.sort_unstable();
-        for id in lost {
+    pub(super) fn disconnect(&mut self, backend: SimulatedBackendId) {
+        let at_backend = self
+            .attempts
+            .iter()
+            .filter(|(_, attempt)| attempt.backend == backend);
+        let mut disconnected: Vec<u64> = at_backend.map(|(id, _)| *id).collect();
+        disconnected.sort_unstable();
+        for id in disconnected {
             self.reply(id, AttemptOutcome::Disconnected);
         }
-        self.backends[index].queue.clear();
-        self.backends[index].busy = 0;
+        let backend = &mut self.backends[backend.index()];
+        backend.queue.clear();
+        backend.slots_in_use = 0;
     }
 }
--- a/crates/testkit/src/backend_simulation/calls.rs
+++ b/crates/testkit/src/backend_simulation/calls.rs
@@ -1,141 +1,91 @@
 //! The calls of the servers: their attempts, retries and hedges, until they succeed or end.
+//!
+//! Which backend an attempt goes to, and whether there is a retry, is asked of
+//! [`routing`](super::routing) and of the server's upstream manager.
 
-use super::setup::backend_index;
-use super::{BACKEND_DELAY, BackendSimulation, Event, RoutingPolicy};
-use madderbay::interface::HandlerId;
+use super::ids::{SimulatedBackendId, SimulatedServerId};
+use super::routing::Target;
+use super::{BACKEND_DELAY, BackendSimulation, Event};
 use madderbay::time::{Duration, Timestamp};
-use madderbay_upstream::{
-    AttemptOutcome, FailedCall, HedgeCandidate, RetryPolicy, UpstreamAttempt,
-};
-
-/// Retries of a call under [`RoutingPolicy::LeastInHand`].
-const MAX_PLAIN_RETRIES: u32 = 2;
-/// Under it a retry needs some time and no more: it follows no latencies.
-const PLAIN_RETRY_POLICY: RetryPolicy = RetryPolicy {
-    typical_latency: Duration::ZERO,
-};
-/// The handler of all calls.
-const HANDLER: HandlerId = HandlerId::new(0);
+use madderbay_upstream::{AttemptOutcome, FailedCall, HedgeCandidate, UpstreamAttempt};
 
 /// One attempt in flight.
 pub(super) struct Attempt {
     call: u64,
-    pub(super) server: usize,
-    pub(super) backend: usize,
-    /// The upstream manager's record of it, if it was picked by one.
-    ticket: Option<UpstreamAttempt>,
+    pub(super) server: SimulatedServerId,
+    pub(super) backend: SimulatedBackendId,
+    /// The attempt as the server's upstream manager knows it, if that picked the backend.
+    pub(super) upstream_attempt: Option<UpstreamAttempt>,
 }
 
 /// One call in flight.
 pub(super) struct Call {
-    server: usize,
-    began: Timestamp,
+    server: SimulatedServerId,
+    started_at: Timestamp,
     /// Its attempts in flight.
     attempts: Vec<u64>,
     retries: u32,
 }
 
-/// Where an attempt goes.
-struct Target {
-    backend: usize,
-    ticket: Option<UpstreamAttempt>,
-}
-
-impl Target {
-    fn picked(ticket: UpstreamAttempt) -> Target {
-        Target {
-            backend: backend_index(ticket.address),
-            ticket: Some(ticket),
-        }
-    }
-
-    fn plain(backend: usize) -> Target {
-        Target {
-            backend,
-            ticket: None,
-        }
-    }
-}
-
 impl BackendSimulation {
     /// A call arrives at a server, which makes its first attempt.
-    pub(super) fn call_arrives(&mut self, server: usize) {
-        let (id, now) = (self.new_id(), self.now);
+    pub(super) fn call_arrives(&mut self, server: SimulatedServerId) {
+        let id = self.new_id();
         let call = Call {
             server,
-            began: now,
+            started_at: self.now,
             attempts: vec![],
             retries: 0,
         };
         self.calls.insert(id, call);
-        self.last_row().firsts += 1;
-        let timeout = self.setup.patience;
-        self.push(now + timeout, Event::CallTimesOut { call: id });
-        match self.setup.way {
-            RoutingPolicy::Shared | RoutingPolicy::Alone => {
-                let upstream = &mut self.nodes[server].upstream;
-                let ticket = upstream.pick(now, HANDLER).expect("there are backends");
-                let candidate = HedgeCandidate {
-                    is_idempotent: self.setup.replayable,
-                    is_under_quota: false,
-                    timeout,
-                };
-                let hedge_delay = upstream.hedge_delay(now, &ticket, candidate);
-                self.attempt(id, Target::picked(ticket));
-                if let Ok(delay) = hedge_delay {
-                    self.push(now + delay, Event::HedgeDue { call: id });
-                }
-            }
-            RoutingPolicy::RoundRobin | RoutingPolicy::LeastInHand => {
-                let backend = self.pick_plainly(server, None);
-                self.attempt(id, Target::plain(backend));
-            }
+        self.last_row().first_attempts += 1;
+        let deadline = self.now + self.setup.timeout;
+        self.push(deadline, Event::CallTimesOut { call: id });
+        let target = self.pick_first(server);
+        let hedge_delay = self.hedge_delay(server, &target);
+        self.send_attempt(id, target);
+        if let Some(delay) = hedge_delay {
+            self.push(self.now + delay, Event::HedgeDue { call: id });
         }
     }
 
-    /// Picks a backend by one of the plain policies.
-    fn pick_plainly(&mut self, server: usize, avoid: Option<usize>) -> usize {
-        let backends = self.setup.backends;
-        let node = &mut self.nodes[server];
-        if self.setup.way == RoutingPolicy::RoundRobin {
-            node.last_used = (node.last_used + 1) % backends;
-            return node.last_used;
-        }
-        let first = (self.random.rand_float() * backends as f64) as usize;
-        (0..backends)
-            .map(|offset| (first + offset) % backends)
-            .filter(|backend| Some(*backend) != avoid)
-            .min_by_key(|backend| node.in_flight[*backend])
-            .unwrap_or(0)
+    /// The time after which the first attempt of a call is hedged, if it is.
+    fn hedge_delay(&mut self, server: SimulatedServerId, first: &Target) -> Option<Duration> {
+        let first = first.upstream_attempt.as_ref()?;
+        let call = HedgeCandidate {
+            is_idempotent: self.setup.is_idempotent,
+            is_under_quota: false,
+            timeout: self.setup.timeout,
+        };
+        let upstream = &mut self.servers[server.index()].upstream;
+        upstream.hedge_delay(self.now, first, call).ok()
     }
 
     /// Sends an attempt of a call.
-    fn attempt(&mut self, call: u64, target: Target) {
+    fn send_attempt(&mut self, call_id: u64, target: Target) {
         let id = self.new_id();
-        let Target { backend, ticket } = target;
-        let of = self.calls.get_mut(&call).expect("in flight");
-        of.attempts.push(id);
-        let server = of.server;
-        self.nodes[server].in_flight[backend] += 1;
+        let call = self.calls.get_mut(&call_id).expect("in flight");
+        call.attempts.push(id);
         let attempt = Attempt {
-            call,
-            server,
-            backend,
-            ticket,
+            call: call_id,
+            server: call.server,
+            backend: target.backend,
+            upstream_attempt: target.upstream_attempt,
         };
+        self.servers[attempt.server.index()].in_flight[attempt.backend.index()] += 1;
         self.attempts.insert(id, attempt);
         let arrives = Event::AttemptArrives { attempt: id };
         self.push(self.now + BACKEND_DELAY, arrives);
     }
 
     /// The server lets go of an attempt and reports its outcome to the upstream manager.
-    fn finish(&mut self, id: u64, outcome: AttemptOutcome) -> Option<Attempt> {
+    fn finish_attempt(&mut self, id: u64, outcome: AttemptOutcome) -> Option<Attempt> {
         let attempt = self.attempts.remove(&id)?;
-        let node = &mut self.nodes[attempt.server];
-        let in_flight = &mut node.in_flight[attempt.backend];
+        let server = &mut self.servers[attempt.server.index()];
+        let in_flight = &mut server.in_flight[attempt.backend.index()];
         *in_flight = in_flight.saturating_sub(1);
-        if let Some(ticket) = &attempt.ticket {
-            node.upstream.finish(self.now, ticket, outcome);
+        if let Some(upstream_attempt) = &attempt.upstream_attempt {
+            server.upstream.finish(self.now, upstream_attempt, outcome);
         }
         if let Some(call) = self.calls.get_mut(&attempt.call) {
             call.attempts.retain(|other| *other != id);
@@ -145,95 +95,81 @@
 
     /// The outcome of an attempt reaches the server, unless that has given it up.
     pub(super) fn attempt_ends(&mut self, id: u64, outcome: AttemptOutcome) {
-        let Some(attempt) = self.finish(id, outcome) else {
+        let Some(attempt) = self.finish_attempt(id, outcome) else {
             return;
         };
         let Some(call) = self.calls.get(&attempt.call) else {
             return;
         };
         if outcome == AttemptOutcome::Success {
-            return self.call_succeeds(attempt.call, id);
+            self.call_succeeds(attempt.call, id);
+        } else if call.attempts.is_empty() {
+            self.retry_or_end(&attempt, outcome);
         }
-        if !call.attempts.is_empty() {
+    }
+
+    /// A call has no attempt in flight since one failed: retries it if the policy allows that, else
+    /// ends it.
+    fn retry_or_end(&mut self, former: &Attempt, outcome: AttemptOutcome) {
+        let Some(call) = self.calls.get(&former.call) else {
             return;
-        }
+        };
+        let retries = call.retries;
         let failed = FailedCall {
             outcome,
-            is_idempotent: self.setup.replayable,
+            is_idempotent: self.setup.is_idempotent,
             time_left: self.time_left(call),
         };
-        let retries = call.retries;
-        match self.pick_for_retry(&attempt, failed, retries) {
+        match self.pick_for_retry(former, failed, retries) {
             Some(target) => {
-                self.last_row().again += 1;
-                let call = self.calls.get_mut(&attempt.call).expect("in flight");
+                self.last_row().retries += 1;
+                let call = self.calls.get_mut(&former.call).expect("in flight");
                 call.retries += 1;
-                self.attempt(attempt.call, target);
+                self.send_attempt(former.call, target);
             }
-            None => self.call_ends(attempt.call),
+            None => self.call_ends(former.call),
         }
     }
 
     /// The time until the deadline of a call.
     fn time_left(&self, call: &Call) -> Duration {
-        (call.began + self.setup.patience) - self.now
-    }
-
-    /// Picks a backend for a retry; `None` if the policy allows no retry.
-    fn pick_for_retry(
-        &mut self,
-        former: &Attempt,
-        call: FailedCall,
-        retries: u32,
-    ) -> Option<Target> {
-        match (self.setup.way, &former.ticket) {
-            (RoutingPolicy::Shared | RoutingPolicy::Alone, Some(ticket)) => {
-                let upstream = &mut self.nodes[former.server].upstream;
-                let retry = upstream.retry(self.now, ticket, call);
-                retry.ok().map(Target::picked)
-            }
-            (RoutingPolicy::LeastInHand, _) if retries < MAX_PLAIN_RETRIES => {
-                PLAIN_RETRY_POLICY.check(call).ok()?;
-                let backend = self.pick_plainly(former.server, Some(former.backend));
-                Some(Target::plain(backend))
-            }
-            _ => None,
-        }
+        (call.started_at + self.setup.timeout) - self.now
     }
 
     /// A call succeeds by one of its attempts; earlier ones have lost to that one.
     fn call_succeeds(&mut self, id: u64, attempt: u64) {
         let call = &self.calls[&id];
-        let earlier = call.attempts.iter().copied();
-        let earlier: Vec<u64> = earlier.filter(|other| *other < attempt).collect();
-        let took = self.now - call.began;
-        let row = self.row_of(call.began);
-        self.rows[row].good += 1;
-        self.times.push(took.as_secs_f64() * 1e3);
+        let others = call.attempts.iter().copied();
+        let earlier: Vec<u64> = others.filter(|other| *other < attempt).collect();
+        let latency = self.now - call.started_at;
+        let row = self.row_at(call.started_at);
+        self.rows[row].succeeded += 1;
+        self.latencies_ms.push(latency.as_secs_f64() * 1e3);
         for other in earlier {
-            self.finish(other, AttemptOutcome::LostToHedge);
+            self.finish_attempt(other, AttemptOutcome::LostToHedge);
         }
         self.call_ends(id);
     }
 
-    /// Sends a hedge if the call still has its only attempt in flight and the upstream manager
-    /// allows it.
-    pub(super) fn hedge(&mut self, id: u64) {
+    /// The hedge of a call is due: sends it if only the first attempt is in flight and the upstream
+    /// manager allows it.
+    pub(super) fn hedge_due(&mut self, id: u64) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
-        let [first] = call.attempts[..] else {
+        let [only] = call.attempts[..] else {
             return;
         };
-        let first = self.attempts.get(&first);
-        let Some(ticket) = first.and_then(|attempt| attempt.ticket.clone()) else {
+        let time_left = self.time_left(call);
+        let server = call.server;
+        let only = self.attempts.get(&only);
+        let Some(in_flight) = only.and_then(|attempt| attempt.upstream_attempt.as_ref()) else {
             return;
         };
-        let time_left = self.time_left(call);
-        let upstream = &mut self.nodes[call.server].upstream;
-        if let Ok(hedge) = upstream.hedge(self.now, &ticket, time_left) {
-            self.last_row().again += 1;
-            self.attempt(id, Target::picked(hedge));
+        let upstream = &mut self.servers[server.index()].upstream;
+        if let Ok(hedge) = upstream.hedge(self.now, in_flight, time_left) {
+            self.last_row().retries += 1;
+            self.send_attempt(id, Target::picked(hedge));
         }
     }
 
@@ -243,7 +179,7 @@
             return;
         };
         for attempt in call.attempts.clone() {
-            self.finish(attempt, AttemptOutcome::TimedOut);
+            self.finish_attempt(attempt, AttemptOutcome::TimedOut);
         }
         self.call_ends(id);
     }
@@ -253,10 +189,10 @@
         let Some(call) = self.calls.remove(&id) else {
             return;
         };
-        let row = self.row_of(call.began);
+        let row = self.row_at(call.started_at);
         self.rows[row].calls += 1;
         for attempt in call.attempts {
-            self.finish(attempt, AttemptOutcome::Cancelled);
+            self.finish_attempt(attempt, AttemptOutcome::Cancelled);
         }
     }
 }
--- a/crates/testkit/src/backend_simulation/gossip.rs
+++ b/crates/testkit/src/backend_simulation/gossip.rs
@@ -1,71 +1,128 @@
 //! The timers of the servers, and what they report to each other about backends.
 
-use super::setup::{backend_name, server_index, server_name};
-use super::{BackendSimulation, Event, GOSSIP_DELAY};
+use super::ids::SimulatedServerId;
+use super::setup::{backend_name, server_name, server_of_name};
+use super::{BackendSimulation, Event, GOSSIP_DELAY, GossipPartition};
+use madderbay::time::Duration;
 use madderbay_upstream::{BackendEvent, BackendReport, GossipMessage, name_hash};
+use std::fmt;
 
-/// Lines that the log holds at most.
-const MAX_LOG_LINES: usize = 10_000;
-/// The part of its timers at which a server that lies sends false reports.
-const LIE_PART: f64 = 0.1;
-/// Failures in a false report.
-const FALSE_FAILURES: u16 = 8_000;
+/// Entries that the log holds at most.
+const MAX_LOG_ENTRIES: usize = 10_000;
+/// The probability that a server sends its false reports at one of its timers.
+const FALSE_REPORT_PROBABILITY: f64 = 0.1;
+/// Failures in a false report, in eighths of a call.
+const FALSELY_REPORTED_FAILURES: u16 = 8_000;
+
+/// What one server's upstream manager did. `Display` gives a line with the time in seconds.
+#[derive(Clone, Debug, PartialEq)]
+pub struct LogEntry {
+    /// The simulated time since the start.
+    pub at: Duration,
+    /// The server.
+    pub server: SimulatedServerId,
+    /// What its upstream manager did.
+    pub event: BackendEvent,
+}
+
+impl fmt::Display for LogEntry {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        let seconds = self.at.as_secs_f64();
+        write!(
+            f,
+            "{seconds:8.2} {}: {}",
+            server_name(self.server),
+            self.event
+        )
+    }
+}
+
+/// A payload on its way to a server.
+struct Datagram {
+    to: SimulatedServerId,
+    bytes: Vec<u8>,
+}
 
 impl BackendSimulation {
     /// A server's upstream manager has its timeout; what it sends is on its way.
-    pub(super) fn timer_fired(&mut self, server: usize) {
-        let upstream = &mut self.nodes[server].upstream;
+    pub(super) fn timer_fired(&mut self, id: SimulatedServerId) {
+        let upstream = &mut self.servers[id.index()].upstream;
         upstream.handle_timeout(self.now);
-        let (sent, events) = (upstream.take_datagrams(), upstream.take_events());
+        let sent = upstream.take_datagrams();
+        let events = upstream.take_events();
         for event in events {
-            self.log_event(server, &event);
+            self.log_event(id, event);
         }
-        let mut datagrams: Vec<(usize, Vec<u8>)> = sent
+        let mut datagrams: Vec<Datagram> = sent
             .into_iter()
-            .map(|(to, bytes)| (server_index(&to), bytes))
+            .map(|(to, bytes)| Datagram {
+                to: server_of_name(&to),
+                bytes,
+            })
             .collect();
-        if !self.nodes[server].lies.is_empty() && self.random.rand_float() < LIE_PART {
-            let bytes = self.false_report(server).encode();
-            let others = (0..self.nodes.len()).filter(|to| *to != server);
-            datagrams.extend(others.map(|to| (to, bytes.clone())));
+        datagrams.extend(self.draw_false_reports(id));
+        for datagram in datagrams {
+            self.send_gossip(id, datagram);
         }
-        let incarnation = self.nodes[server].incarnation;
-        for (to, bytes) in datagrams {
-            if to < self.nodes.len() && !self.partitioned(server, to) {
-                let gossip = Event::Gossip {
-                    from: server,
-                    to,
-                    incarnation,
-                    bytes,
-                };
-                self.push(self.now + GOSSIP_DELAY, gossip);
-            }
+    }
+
+    /// What a server that sends false reports sends at this timer.
+    fn draw_false_reports(&mut self, from: SimulatedServerId) -> Vec<Datagram> {
+        let reports_falsely = !self.servers[from.index()].falsely_reported.is_empty();
+        if !reports_falsely || self.random.rand_float() >= FALSE_REPORT_PROBABILITY {
+            return vec![];
         }
+        let bytes = self.false_report(from).encode();
+        SimulatedServerId::first(self.servers.len())
+            .filter(|to| *to != from)
+            .map(|to| Datagram {
+                to,
+                bytes: bytes.clone(),
+            })
+            .collect()
     }
 
-    fn log_event(&mut self, server: usize, event: &BackendEvent) {
+    fn send_gossip(&mut self, from: SimulatedServerId, Datagram { to, bytes }: Datagram) {
+        if to.index() < self.servers.len() && !self.is_partitioned(from, to) {
+            let gossip = Event::Gossip {
+                from,
+                to,
+                incarnation: self.servers[from.index()].incarnation,
+                bytes,
+            };
+            self.push(self.now + GOSSIP_DELAY, gossip);
+        }
+    }
+
+    fn log_event(&mut self, server: SimulatedServerId, event: BackendEvent) {
         self.ejections += u64::from(matches!(event, BackendEvent::Ejected { .. }));
-        if self.log.len() < MAX_LOG_LINES {
-            let secs = self.at().as_secs_f64();
-            self.log
-                .push(format!("{secs:8.2} {}: {event}", server_name(server)));
+        if self.log.len() < MAX_LOG_ENTRIES {
+            self.log.push(LogEntry {
+                at: self.elapsed(),
+                server,
+                event,
+            });
         }
     }
 
     /// Whether datagrams from one server to another are lost.
-    fn partitioned(&self, from: usize, to: usize) -> bool {
+    fn is_partitioned(&self, from: SimulatedServerId, to: SimulatedServerId) -> bool {
         let middle = self.setup.servers / 2;
-        self.deaf || self.split && (from < middle) != (to < middle)
+        match self.gossip_partition {
+            GossipPartition::None => false,
+            GossipPartition::Halves => (from.index() < middle) != (to.index() < middle),
+            GossipPartition::Isolated => true,
+        }
     }
 
     /// A report that all calls to certain backends fail.
-    fn false_report(&self, server: usize) -> GossipMessage {
-        let backends = self.nodes[server].lies.iter();
+    fn false_report(&self, from: SimulatedServerId) -> GossipMessage {
+        let backends = self.servers[from.index()].falsely_reported.iter();
         let reports: Vec<BackendReport> = backends
             .map(|backend| BackendReport {
                 name_hash: name_hash(&backend_name(*backend)),
                 successes: 0,
-                failures: FALSE_FAILURES,
+                failures: FALSELY_REPORTED_FAILURES,
                 age_ms: 0,
             })
             .collect();
--- a/crates/testkit/src/backend_simulation/mod.rs
+++ b/crates/testkit/src/backend_simulation/mod.rs
@@ -19,57 +19,51 @@
 
 mod backends;
 mod calls;
+mod faults;
 mod gossip;
+mod ids;
+mod routing;
 mod rows;
+mod servers;
 mod setup;
 
-pub use rows::{ROW, Row};
-pub use setup::{BackendFault, BackendFleetSetup, RoutingPolicy};
+pub use faults::{BackendFault, GossipPartition, ZoneCut};
+pub use gossip::LogEntry;
+pub use ids::{SimulatedBackendId, SimulatedServerId};
+pub use rows::Row;
+pub use setup::{BackendFleetSetup, RoutingPolicy};
 
-use self::backends::Backend;
+use self::backends::SimulatedBackend;
 use self::calls::{Attempt, Call};
-use self::setup::{backend_settings, server_name, zone_name};
+use self::rows::ROW;
+use self::servers::SimulatedServer;
+use self::setup::server_name;
 use crate::event_queue::EventQueue;
 use madderbay::time::{Duration, Timestamp};
-use madderbay_upstream::{AttemptOutcome, UpstreamManager};
+use madderbay_upstream::AttemptOutcome;
 use oorandom::Rand64;
 use std::collections::HashMap;
 
 /// The simulated time at the start.
 const START: Timestamp = Timestamp::from_micros(10_000_000);
-/// What a message between a server and a backend takes each way.
+/// What a message between a server and a backend takes in each direction.
 const BACKEND_DELAY: Duration = Duration::from_millis(1);
 /// What a datagram between two servers takes.
 const GOSSIP_DELAY: Duration = Duration::from_millis(2);
 /// The time between two timeouts of a server's upstream manager.
 const TIMER_INTERVAL: Duration = Duration::from_millis(20);
 
-/// One server.
-struct Node {
-    zone: usize,
-    upstream: UpstreamManager,
-    /// Attempts in flight to each backend.
-    in_flight: Vec<u32>,
-    /// The backend that round robin has used last.
-    last_used: usize,
-    /// Nothing that it sends reaches any backend.
-    cut_off: bool,
-    /// Backends of which it reports that all calls fail.
-    lies: Vec<usize>,
-    incarnation: u64,
-}
-
 /// What happens at a point in simulated time.
 enum Event {
     CallArrives {
-        server: usize,
+        server: SimulatedServerId,
     },
     AttemptArrives {
         attempt: u64,
     },
-    AttemptWorked {
+    WorkEnds {
         attempt: u64,
-        backend: usize,
+        backend: SimulatedBackendId,
     },
     AttemptEnds {
         attempt: u64,
@@ -82,11 +76,11 @@
         call: u64,
     },
     Timer {
-        server: usize,
+        server: SimulatedServerId,
     },
     Gossip {
-        from: usize,
-        to: usize,
+        from: SimulatedServerId,
+        to: SimulatedServerId,
         /// The sender's.
         incarnation: u64,
         bytes: Vec<u8>,
@@ -95,157 +89,95 @@
 
 /// Simulated servers before simulated backends, with faults.
 pub struct BackendSimulation {
-    /// How it is set up; the rate may change while it runs.
-    pub setup: BackendFleetSetup,
+    /// How it is set up; the rate of calls may change while it runs.
+    setup: BackendFleetSetup,
     now: Timestamp,
     random: Rand64,
-    nodes: Vec<Node>,
-    backends: Vec<Backend>,
+    servers: Vec<SimulatedServer>,
+    backends: Vec<SimulatedBackend>,
+    /// Attempts in flight, by id.
     attempts: HashMap<u64, Attempt>,
+    /// Calls in flight, by id.
     calls: HashMap<u64, Call>,
-    /// The last number that a call or an attempt got.
+    /// The last id that a call or an attempt got.
     last_id: u64,
     events: EventQueue<Timestamp, Event>,
-    /// Fault: pairs of a zone and a backend that it does not reach.
-    pub cuts: Vec<(usize, usize)>,
-    /// Fault: the servers of the first half and the others receive nothing from each other.
-    pub split: bool,
-    /// Fault: servers receive nothing from each other.
-    pub deaf: bool,
+    zone_cuts: Vec<ZoneCut>,
+    gossip_partition: GossipPartition,
     /// What was seen, a row for each [`ROW`] of time.
-    pub rows: Vec<Row>,
-    /// The response times of successful calls since this was last cleared, in milliseconds.
-    pub times: Vec<f64>,
-    /// Ejections of backends, of all servers together.
-    pub ejections: u64,
-    /// What the servers did, a line each; the first 10,000.
-    pub log: Vec<String>,
+    rows: Vec<Row>,
+    /// The latencies of successful calls since this was last cleared, in milliseconds.
+    latencies_ms: Vec<f64>,
+    ejections: u64,
+    log: Vec<LogEntry>,
 }
 
 impl BackendSimulation {
     /// A simulation whose servers know each other and to which calls arrive from the start.
     pub fn new(setup: BackendFleetSetup, seed: u64) -> BackendSimulation {
         let mut random = Rand64::new(u128::from(seed) + 1);
-        let nodes = (0..setup.servers).map(|server| Node::new(server, &setup, random.rand_u64()));
-        let nodes: Vec<Node> = nodes.collect();
+        let servers = SimulatedServerId::first(setup.servers)
+            .map(|server| SimulatedServer::new(server, &setup, random.rand_u64()))
+            .collect();
         let mut simulation = BackendSimulation {
             now: START,
-            nodes,
-            backends: (0..setup.backends).map(|_| Backend::new()).collect(),
+            servers,
+            backends: (0..setup.backends)
+                .map(|_| SimulatedBackend::new())
+                .collect(),
             attempts: HashMap::new(),
             calls: HashMap::new(),
             last_id: 0,
             events: EventQueue::new(),
-            cuts: vec![],
-            split: false,
-            deaf: false,
+            zone_cuts: vec![],
+            gossip_partition: GossipPartition::None,
             rows: vec![],
-            times: vec![],
+            latencies_ms: vec![],
             ejections: 0,
             log: vec![],
             random,
             setup,
         };
-        for server in 0..simulation.setup.servers {
-            simulation.introduce(server);
-            let first = simulation.draw(1.0 / simulation.setup.rate);
-            let first = START + Duration::from_secs_f64(first);
-            simulation.push(first, Event::CallArrives { server });
-            let timer = START + TIMER_INTERVAL.mul_f64(simulation.random.rand_float());
-            simulation.push(timer, Event::Timer { server });
+        for server in SimulatedServerId::first(simulation.setup.servers) {
+            simulation.start_server(server);
         }
         simulation.begin_row();
         simulation
     }
 
-    /// All others hold a server to be active, in its present incarnation.
-    fn introduce(&mut self, server: usize) {
-        let (incarnation, zone) = (
-            self.nodes[server].incarnation,
-            zone_name(self.nodes[server].zone),
-        );
-        let others = self.nodes.iter_mut().enumerate();
-        for (_, node) in others.filter(|(other, _)| *other != server) {
-            node.upstream
-                .update_peer(&server_name(server), incarnation, &zone, true);
-        }
+    /// Introduces a server to the others, and schedules its first call and its first timer.
+    fn start_server(&mut self, server: SimulatedServerId) {
+        self.introduce(server);
+        let first_call = self.draw_time_to_next_call();
+        self.push(START + first_call, Event::CallArrives { server });
+        let first_timer = TIMER_INTERVAL.mul_f64(self.random.rand_float());
+        self.push(START + first_timer, Event::Timer { server });
     }
 
     /// Draws from the exponential distribution with this mean.
-    fn draw(&mut self, mean: f64) -> f64 {
+    fn draw_exponential(&mut self, mean: f64) -> f64 {
         -(1.0 - self.random.rand_float()).ln() * mean
     }
 
+    /// Draws the time until the next call arrives at a server.
+    fn draw_time_to_next_call(&mut self) -> Duration {
+        let mean_seconds = 1.0 / self.setup.calls_per_second;
+        Duration::from_secs_f64(self.draw_exponential(mean_seconds))
+    }
+
     fn push(&mut self, at: Timestamp, event: Event) {
         self.events.push(at, event);
     }
 
-    /// A number for a call or an attempt, larger than all before.
+    /// An id for a call or an attempt, larger than all before.
     fn new_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
     }
 
-    /// Fault: what a backend does from here on. Calls in flight at one that is down or fails are
-    /// disconnected.
-    pub fn mode(&mut self, backend: usize, mode: BackendFault) {
-        self.backends[backend].fault = mode;
-        if matches!(mode, BackendFault::Down | BackendFault::Fails) {
-            self.disconnect(backend);
-        }
-    }
-
-    /// Fault: whether nothing that a server sends reaches any backend.
-    pub fn cut_off(&mut self, server: usize, cut: bool) {
-        self.nodes[server].cut_off = cut;
-    }
-
-    /// Fault: backends of which a server reports to the others that all calls fail.
-    pub fn lies(&mut self, server: usize, of: Vec<usize>) {
-        self.nodes[server].lies = of;
-    }
-
-    /// A server begins another incarnation without any knowledge of the backends.
-    pub fn restart(&mut self, who: usize) {
-        let seed = self.random.rand_u64();
-        let zone = self.nodes[who].zone;
-        let mut upstream = UpstreamManager::new(
-            self.now,
-            seed,
-            self.setup.settings_in(zone),
-            self.setup.all_backends(),
-        );
-        for (other, node) in self.nodes.iter().enumerate() {
-            if other != who {
-                let zone = zone_name(node.zone);
-                upstream.update_peer(&server_name(other), node.incarnation, &zone, true);
-            }
-        }
-        self.nodes[who].upstream = upstream;
-        self.nodes[who].incarnation += 1;
-        self.introduce(who);
-    }
-
-    /// All servers reload with these backends.
-    pub fn reload(&mut self, which: &[usize]) {
-        for node in &mut self.nodes {
-            let backends = which
-                .iter()
-                .map(|backend| backend_settings(*backend, self.setup.zones))
-                .collect();
-            let settings = self.setup.settings_in(node.zone);
-            node.upstream.reload(self.now, settings, backends);
-        }
-    }
-
-    /// From here on this many calls a second arrive at each server.
-    pub fn rate(&mut self, rate: f64) {
-        self.setup.rate = rate;
-    }
-
     /// Lets simulated time pass.
-    pub fn run(&mut self, span: Duration) {
-        let end = self.now + span;
+    pub fn run(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while let Some((at, event)) = self.events.pop_until(end) {
             self.now = at;
             while self.now >= START + ROW.mul_f64(self.rows.len() as f64) {
@@ -257,23 +189,37 @@
     }
 
     /// The simulated time since the start.
-    pub fn at(&self) -> Duration {
+    pub fn elapsed(&self) -> Duration {
         self.now - START
     }
 
+    /// All backends.
+    pub fn backends(&self) -> impl Iterator<Item = SimulatedBackendId> + use<> {
+        SimulatedBackendId::first(self.setup.backends)
+    }
+
+    /// Ejections of backends so far, of all servers together.
+    pub fn ejections(&self) -> u64 {
+        self.ejections
+    }
+
+    /// What the servers' upstream managers did: the first 10,000 entries.
+    pub fn log(&self) -> &[LogEntry] {
+        &self.log
+    }
+
     fn handle(&mut self, event: Event) {
         match event {
             Event::CallArrives { server } => {
-                let next = self.draw(1.0 / self.setup.rate);
-                let next = self.now + Duration::from_secs_f64(next);
+                let next = self.now + self.draw_time_to_next_call();
                 self.push(next, Event::CallArrives { server });
                 self.call_arrives(server);
             }
             Event::AttemptArrives { attempt } => self.attempt_arrives(attempt),
-            Event::AttemptWorked { attempt, backend } => self.attempt_worked(attempt, backend),
+            Event::WorkEnds { attempt, backend } => self.work_ends(attempt, backend),
             Event::AttemptEnds { attempt, outcome } => self.attempt_ends(attempt, outcome),
             Event::CallTimesOut { call } => self.call_times_out(call),
-            Event::HedgeDue { call } => self.hedge(call),
+            Event::HedgeDue { call } => self.hedge_due(call),
             Event::Timer { server } => {
                 self.push(self.now + TIMER_INTERVAL, Event::Timer { server });
                 self.timer_fired(server);
@@ -284,27 +230,12 @@
                 incarnation,
                 bytes,
             } => {
-                if self.nodes[from].incarnation == incarnation {
-                    let upstream = &mut self.nodes[to].upstream;
+                // What a former incarnation of the sender has sent is lost.
+                if self.servers[from.index()].incarnation == incarnation {
+                    let upstream = &mut self.servers[to.index()].upstream;
                     upstream.handle_datagram(self.now, &server_name(from), &bytes);
                 }
             }
         }
     }
 }
-
-impl Node {
-    fn new(server: usize, setup: &BackendFleetSetup, seed: u64) -> Node {
-        let zone = server % setup.zones;
-        let settings = setup.settings_in(zone);
-        Node {
-            zone,
-            upstream: UpstreamManager::new(START, seed, settings, setup.all_backends()),
-            in_flight: vec![0; setup.backends],
-            last_used: server,
-            cut_off: false,
-            lies: vec![],
-            incarnation: 1,
-        }
-    }
-}
--- a/crates/upstream/tests/simulated_fleet.rs
+++ b/crates/upstream/tests/simulated_fleet.rs
@@ -3,122 +3,135 @@
 
 use madderbay::time::Duration;
 use madderbay_testkit::backend_simulation::{
-    BackendFault, BackendFleetSetup, BackendSimulation, RoutingPolicy,
+    BackendFault, BackendFleetSetup, BackendSimulation, GossipPartition, LogEntry, RoutingPolicy,
+    SimulatedBackendId, SimulatedServerId, ZoneCut,
 };
 use madderbay_upstream::Settings;
 use std::ops::Range;
 
 const SEEDS: Range<u64> = 0..4;
-const HEALTHY: BackendFault = BackendFault::Slow(1.0);
-const TEN_TIMES_SLOWER: BackendFault = BackendFault::Slow(10.0);
+const TEN_TIMES_SLOWER: BackendFault = BackendFault::Slow { factor: 10.0 };
 /// The backend with a fault, where one of them has it.
-const FAULTY: usize = 3;
+const FAULTY: SimulatedBackendId = SimulatedBackendId::new(3);
 
 /// A simulated fleet. Times are in milliseconds since the start.
 struct Fleet {
-    world: BackendSimulation,
+    simulation: BackendSimulation,
 }
 
 impl Fleet {
     /// A fleet that has run for five seconds without failures and ejections.
     fn stable(setup: BackendFleetSetup, seed: u64) -> Fleet {
-        let world = BackendSimulation::new(setup, seed);
-        let mut fleet = Fleet { world };
+        let simulation = BackendSimulation::new(setup, seed);
+        let mut fleet = Fleet { simulation };
         fleet.run(5_000);
         let success = fleet.success_rate(1_000..5_000);
         assert!(success > 0.995, "{success}");
-        assert_eq!(fleet.world.ejections, 0, "{:?}", fleet.world.log);
+        let simulation = &fleet.simulation;
+        assert_eq!(simulation.ejections(), 0, "{:?}", simulation.log());
         fleet
     }
 
     /// Twelve servers and ten backends.
     fn standard(seed: u64) -> Fleet {
-        Fleet::stable(BackendFleetSetup::of(12, 10), seed)
+        Fleet::stable(BackendFleetSetup::new(12, 10), seed)
     }
 
     fn run(&mut self, millis: u64) {
-        self.world.run(Duration::from_millis(millis));
+        self.simulation.run(Duration::from_millis(millis));
     }
 
-    fn set_mode(&mut self, backends: Range<usize>, mode: BackendFault) {
-        for backend in backends {
-            self.world.mode(backend, mode);
+    /// Sets what the first backends do.
+    fn set_faults(&mut self, backends: usize, fault: BackendFault) {
+        for backend in SimulatedBackendId::first(backends) {
+            self.simulation.set_backend_fault(backend, fault);
         }
     }
 
-    fn set_faulty(&mut self, mode: BackendFault) {
-        self.world.mode(FAULTY, mode);
+    /// Sets what the one faulty backend does.
+    fn set_fault(&mut self, fault: BackendFault) {
+        self.simulation.set_backend_fault(FAULTY, fault);
+    }
+
+    /// All servers reload with these backends.
+    fn reload(&mut self, backends: Range<usize>) {
+        let backends: Vec<_> = backends.map(SimulatedBackendId::new).collect();
+        self.simulation.reload(&backends);
     }
 
     /// The fraction of the calls that succeeded.
     fn success_rate(&self, time: Range<u64>) -> f64 {
-        self.world.kept(time.start, time.end)
+        self.simulation.success_rate(time)
     }
 
     /// Attempts for each first attempt.
     fn attempts_per_call(&self, time: Range<u64>) -> f64 {
-        self.world.load(time.start, time.end)
+        self.simulation.attempts_per_call(time)
     }
 
     /// The fraction of all attempts that reached a backend.
-    fn traffic(&self, backend: usize, time: Range<u64>) -> f64 {
-        self.world.part(backend, time.start, time.end)
+    fn traffic(&self, backend: SimulatedBackendId, time: Range<u64>) -> f64 {
+        self.simulation.traffic_fraction(backend, time)
     }
 
     /// After how long a backend's traffic of a second is under a bound.
-    fn time_until_under(&self, backend: usize, from: u64, bound: f64) -> Option<u64> {
-        self.world.until(backend, from, true, bound)
+    fn time_until_under(&self, backend: SimulatedBackendId, from: u64, bound: f64) -> Option<u64> {
+        self.simulation
+            .millis_until_traffic_below(backend, from, bound)
     }
 
     /// After how long a backend's traffic of a second is at least a bound.
-    fn time_until_over(&self, backend: usize, from: u64, bound: f64) -> Option<u64> {
-        self.world.until(backend, from, false, bound)
+    fn time_until_over(&self, backend: SimulatedBackendId, from: u64, bound: f64) -> Option<u64> {
+        self.simulation
+            .millis_until_traffic_at_least(backend, from, bound)
     }
 
     /// For how long a backend was out of selection, in seconds, summed over the servers.
-    fn ejected_seconds(&self, backend: usize, time: Range<u64>) -> f64 {
-        self.world.out(backend, time.start, time.end)
+    fn ejected_seconds(&self, backend: SimulatedBackendId, time: Range<u64>) -> f64 {
+        self.simulation.ejected_seconds(backend, time)
     }
 
     /// The most attempts that reached a backend in a tenth of a second.
-    fn peak_attempts(&self, backend: usize, time: Range<u64>) -> u32 {
-        let rows = self.world.between(time.start, time.end);
-        rows.iter().map(|row| row.at[backend]).max().unwrap_or(0)
+    fn peak_attempts(&self, backend: SimulatedBackendId, time: Range<u64>) -> u32 {
+        let rows = self.simulation.rows(time).iter();
+        rows.map(|row| row.attempts_by_backend[backend.index()])
+            .max()
+            .unwrap_or(0)
     }
 }
 
 /// One of ten backends is faulty: traffic leaves it within seconds, few calls fail, and it returns once repaired.
 #[test]
 fn traffic_leaves_a_faulty_backend_and_returns_after_repair() {
-    for mode in [
+    for fault in [
         TEN_TIMES_SLOWER,
-        BackendFault::Fails,
+        BackendFault::Failing,
         BackendFault::Silent,
         BackendFault::Down,
     ] {
         for seed in SEEDS {
             let mut fleet = Fleet::standard(seed);
-            fleet.set_faulty(mode);
+            fleet.set_fault(fault);
             fleet.run(10_000);
             // Only probes are left. Slowness shows only in a comparison of several calls.
-            let limit = match mode {
-                BackendFault::Slow(_) => 3_000,
+            let limit = match fault {
+                BackendFault::Slow { .. } => 3_000,
                 BackendFault::Silent => 1_500,
-                BackendFault::Fails | BackendFault::Down => 1_000,
+                BackendFault::Failing | BackendFault::Down => 1_000,
             };
             let left = fleet.time_until_under(FAULTY, 5_000, 0.04);
             assert!(
                 left.is_some_and(|millis| millis <= limit),
-                "{mode:?} seed {seed}: left after {left:?}"
+                "{fault:?} seed {seed}: left after {left:?}"
             );
             let success = fleet.success_rate(5_000..15_000);
-            assert!(success > 0.985, "{mode:?} seed {seed}: {success:.3}");
-            fleet.set_faulty(HEALTHY);
+            assert!(success > 0.985, "{fault:?} seed {seed}: {success:.3}");
+            fleet.set_fault(BackendFault::HEALTHY);
             fleet.run(30_000);
             let returned = fleet.time_until_over(FAULTY, 15_000, 0.06);
             assert!(
                 returned.is_some_and(|millis| millis < 20_000),
-                "{mode:?} seed {seed}: returned after {returned:?}"
+                "{fault:?} seed {seed}: returned after {returned:?}"
             );
         }
     }
@@ -128,20 +141,20 @@
 #[test]
 fn gossip_finds_a_fault_with_few_calls() {
     for seed in SEEDS {
-        let result = |way| {
+        let result = |routing| {
             let setup = BackendFleetSetup {
-                rate: 5.0,
-                way,
-                ..BackendFleetSetup::of(60, 10)
+                calls_per_second: 5.0,
+                routing,
+                ..BackendFleetSetup::new(60, 10)
             };
             let mut fleet = Fleet::stable(setup, seed);
-            fleet.set_faulty(BackendFault::Fails);
+            fleet.set_fault(BackendFault::Failing);
             fleet.run(5_000);
             let left = fleet.time_until_under(FAULTY, 5_000, 0.03);
             (left, fleet.traffic(FAULTY, 6_000..10_000))
         };
-        let (left_with_gossip, traffic_with_gossip) = result(RoutingPolicy::Shared);
-        let (left_alone, traffic_alone) = result(RoutingPolicy::Alone);
+        let (left_with_gossip, traffic_with_gossip) = result(RoutingPolicy::ManagerWithGossip);
+        let (left_alone, traffic_alone) = result(RoutingPolicy::ManagerWithoutGossip);
         assert!(
             left_with_gossip.is_some_and(|millis| millis <= 2_000),
             "seed {seed}: {left_with_gossip:?}"
@@ -166,16 +179,20 @@
         let setup = BackendFleetSetup {
             zones: 3,
             settings,
-            ..BackendFleetSetup::of(18, 6)
+            ..BackendFleetSetup::new(18, 6)
         };
         let mut fleet = Fleet::stable(setup, seed);
         // The zone reaches none of its own backends, so that its calls go to the other zones.
-        fleet.world.cuts = vec![(0, 0), (0, 3)];
+        let cuts = [0, 3].map(|index| ZoneCut {
+            zone: 0,
+            backend: SimulatedBackendId::new(index),
+        });
+        fleet.simulation.set_zone_cuts(cuts.to_vec());
         fleet.run(15_000);
         let success = fleet.success_rate(6_000..20_000);
         assert!(success > 0.97, "seed {seed}: {success:.3}");
         // Only the six servers of that zone ejected it.
-        let ejected = fleet.ejected_seconds(0, 6_000..20_000);
+        let ejected = fleet.ejected_seconds(SimulatedBackendId::new(0), 6_000..20_000);
         assert!(
             ejected < 6.0 * 14.0 * 1.05,
             "seed {seed}: {ejected:.0} server-seconds without b0"
@@ -189,10 +206,17 @@
 fn reports_of_isolated_or_lying_servers_eject_nothing() {
     for seed in SEEDS {
         let mut fleet = Fleet::standard(seed);
-        fleet.world.cut_off(0, true);
-        fleet.world.lies(5, vec![2, 3, 4]);
+        let simulation = &mut fleet.simulation;
+        simulation.set_cut_off(SimulatedServerId::new(0), true);
+        let falsely_reported = [2, 3, 4].map(SimulatedBackendId::new).to_vec();
+        simulation.set_falsely_reported(SimulatedServerId::new(5), falsely_reported);
         fleet.run(15_000);
-        let log = &fleet.world.log;
+        let log: Vec<String> = fleet
+            .simulation
+            .log()
+            .iter()
+            .map(LogEntry::to_string)
+            .collect();
         let by_others = |line: &&String| line.contains("ejected for") && !line.contains(" n1:");
         assert_eq!(
             log.iter().filter(by_others).count(),
@@ -205,7 +229,7 @@
             "seed {seed}: {success:.3} with one of twelve cut off"
         );
         // A backend that is falsely reported keeps more than half of its traffic.
-        let traffic = fleet.traffic(3, 8_000..20_000);
+        let traffic = fleet.traffic(FAULTY, 8_000..20_000);
         assert!(traffic > 0.05, "seed {seed}: {traffic:.3}");
     }
 }
@@ -214,9 +238,9 @@
 fn nothing_is_ejected_for_long_when_all_backends_are_slow() {
     for seed in SEEDS {
         let mut fleet = Fleet::standard(seed);
-        fleet.set_mode(0..10, TEN_TIMES_SLOWER);
+        fleet.set_faults(10, TEN_TIMES_SLOWER);
         fleet.run(10_000);
-        let ejected: f64 = (0..10)
+        let ejected: f64 = SimulatedBackendId::first(10)
             .map(|backend| fleet.ejected_seconds(backend, 7_000..15_000))
             .sum();
         assert!(
@@ -231,23 +255,23 @@
 /// In a complete outage retries add a tenth of the load at most, and all backends return after it.
 #[test]
 fn retries_stay_within_budget_in_an_outage() {
-    for mode in [
-        BackendFault::Fails,
+    for fault in [
+        BackendFault::Failing,
         BackendFault::Down,
         BackendFault::Silent,
     ] {
         for seed in SEEDS {
             let mut fleet = Fleet::standard(seed);
-            fleet.set_mode(0..10, mode);
+            fleet.set_faults(10, fault);
             fleet.run(20_000);
             let load = fleet.attempts_per_call(6_000..25_000);
-            assert!(load <= 1.1, "{mode:?} seed {seed}: {load:.3}");
-            fleet.set_mode(0..10, HEALTHY);
+            assert!(load <= 1.1, "{fault:?} seed {seed}: {load:.3}");
+            fleet.set_faults(10, BackendFault::HEALTHY);
             fleet.run(15_000);
             let success = fleet.success_rate(28_000..40_000);
             assert!(
                 success > 0.99,
-                "{mode:?} seed {seed}: {success:.3} after it"
+                "{fault:?} seed {seed}: {success:.3} after it"
             );
         }
     }
@@ -259,14 +283,14 @@
     for seed in SEEDS {
         // Ten backends with four slots and 20 ms a call serve 2,000 calls a second.
         let setup = BackendFleetSetup {
-            slots: 4,
-            rate: 75.0,
-            ..BackendFleetSetup::of(12, 10)
+            backend_concurrency: 4,
+            calls_per_second: 75.0,
+            ..BackendFleetSetup::new(12, 10)
         };
         let mut fleet = Fleet::stable(setup, seed);
-        fleet.world.rate(500.0);
+        fleet.simulation.set_calls_per_second(500.0);
         fleet.run(5_000);
-        fleet.world.rate(75.0);
+        fleet.simulation.set_calls_per_second(75.0);
         fleet.run(10_000);
         let load = fleet.attempts_per_call(5_000..10_000);
         assert!(load <= 1.12, "{load:.3}");
@@ -281,9 +305,9 @@
     for seed in SEEDS {
         let mut fleet = Fleet::standard(seed);
         for _ in 0..15 {
-            fleet.set_faulty(BackendFault::Down);
+            fleet.set_fault(BackendFault::Down);
             fleet.run(1_000);
-            fleet.set_faulty(HEALTHY);
+            fleet.set_fault(BackendFault::HEALTHY);
             fleet.run(1_000);
         }
         let success = fleet.success_rate(7_000..35_000);
@@ -299,10 +323,13 @@
     for seed in SEEDS {
         let mut fleet = Fleet::standard(seed);
         for n in 0..10 {
-            fleet.world.mode(n, BackendFault::Down);
-            fleet.world.restart(n);
+            let (backend, server) = (SimulatedBackendId::new(n), SimulatedServerId::new(n));
+            let simulation = &mut fleet.simulation;
+            simulation.set_backend_fault(backend, BackendFault::Down);
+            simulation.restart(server);
             fleet.run(1_500);
-            fleet.world.mode(n, HEALTHY);
+            let simulation = &mut fleet.simulation;
+            simulation.set_backend_fault(backend, BackendFault::HEALTHY);
             fleet.run(500);
         }
         let success = fleet.success_rate(5_000..25_000);
@@ -313,20 +340,17 @@
 /// A backend is repaired while the fleet is split into halves, or while no server receives any gossip.
 #[test]
 fn repaired_backend_is_found_without_gossip() {
-    for isolated in [false, true] {
+    for partition in [GossipPartition::Halves, GossipPartition::Isolated] {
         for seed in SEEDS {
             let mut fleet = Fleet::standard(seed);
-            fleet.set_faulty(BackendFault::Fails);
+            fleet.set_fault(BackendFault::Failing);
             fleet.run(5_000);
-            (fleet.world.split, fleet.world.deaf) = (!isolated, isolated);
+            fleet.simulation.set_gossip_partition(partition);
             fleet.run(1_000);
-            fleet.set_faulty(HEALTHY);
+            fleet.set_fault(BackendFault::HEALTHY);
             fleet.run(35_000);
             let traffic = fleet.traffic(FAULTY, 38_000..46_000);
-            assert!(
-                traffic > 0.05,
-                "isolated {isolated} seed {seed}: {traffic:.3}"
-            );
+            assert!(traffic > 0.05, "{partition:?} seed {seed}: {traffic:.3}");
         }
     }
 }
@@ -335,13 +359,13 @@
 #[test]
 fn many_servers_return_to_a_backend_gradually() {
     let setup = BackendFleetSetup {
-        rate: 10.0,
-        ..BackendFleetSetup::of(300, 10)
+        calls_per_second: 10.0,
+        ..BackendFleetSetup::new(300, 10)
     };
     let mut fleet = Fleet::stable(setup, 7);
-    fleet.set_faulty(BackendFault::Fails);
+    fleet.set_fault(BackendFault::Failing);
     fleet.run(8_000);
-    fleet.set_faulty(HEALTHY);
+    fleet.set_fault(BackendFault::HEALTHY);
     fleet.run(30_000);
     let equal_share = 300.0 * 10.0 / 10.0 * 0.1;
     let peak = fleet.peak_attempts(FAULTY, 13_000..25_000);
@@ -359,18 +383,19 @@
 #[test]
 fn reload_under_load_loses_no_calls() {
     for seed in SEEDS {
-        let mut fleet = Fleet::stable(BackendFleetSetup::of(6, 12), seed);
-        fleet.world.reload(&[0, 1, 2, 3, 4, 5, 6, 7, 8, 9]);
+        let mut fleet = Fleet::stable(BackendFleetSetup::new(6, 12), seed);
+        fleet.reload(0..10);
         fleet.run(2_000);
-        fleet.world.reload(&[4, 5, 6, 7, 8, 9, 10, 11]);
+        fleet.reload(4..12);
         fleet.run(23_000);
         let success = fleet.success_rate(5_000..29_900);
         assert!(success > 0.999, "{success}");
-        assert_eq!(fleet.traffic(0, 7_200..30_000), 0.0);
-        assert_eq!(fleet.traffic(11, 5_200..6_900), 0.0);
-        let first = fleet.traffic(11, 7_000..8_000);
+        let (removed, added) = (SimulatedBackendId::new(0), SimulatedBackendId::new(11));
+        assert_eq!(fleet.traffic(removed, 7_200..30_000), 0.0);
+        assert_eq!(fleet.traffic(added, 5_200..6_900), 0.0);
+        let first = fleet.traffic(added, 7_000..8_000);
         assert!(first > 0.0 && first < 0.06, "{first}");
-        let later = fleet.traffic(11, 17_500..29_500);
+        let later = fleet.traffic(added, 17_500..29_500);
         assert!(later > 0.08, "{later}");
     }
 }
@@ -378,19 +403,19 @@
 /// Calls that may not run twice get a retry only where it is certain that they did not run.
 #[test]
 fn calls_that_are_not_idempotent_are_retried_only_if_never_executed() {
-    for (mode, is_retried) in [
-        (BackendFault::Fails, false),
+    for (fault, is_retried) in [
+        (BackendFault::Failing, false),
         (BackendFault::Silent, false),
         (BackendFault::Down, true),
     ] {
         let setup = BackendFleetSetup {
-            replayable: false,
-            ..BackendFleetSetup::of(12, 10)
+            is_idempotent: false,
+            ..BackendFleetSetup::new(12, 10)
         };
         let mut fleet = Fleet::stable(setup, 5);
-        fleet.set_mode(0..5, mode);
+        fleet.set_faults(5, fault);
         fleet.run(5_000);
         let load = fleet.attempts_per_call(5_500..10_000);
-        assert_eq!(load > 1.0, is_retried, "{mode:?}: {load:.3}");
+        assert_eq!(load > 1.0, is_retried, "{fault:?}: {load:.3}");
     }
 }
