--- a/crates/upstream/tests/arbitrary_events.rs
+++ b/crates/upstream/tests/arbitrary_events.rs
@@ -1,6 +1,8 @@
 //! Attempts, outcomes, gossip, peers and configurations in any order: no panic, tables within their bounds, and a
 //! backend for each call whose handler has any.
 
+mod common;
+
 use madderbay::interface::HandlerId;
 use madderbay::time::{Duration, Timestamp};
 use madderbay_membership::MAX_SUBSYSTEM_PAYLOAD_BYTES;
@@ -49,11 +51,10 @@
 /// Backends with even numbers serve handler 0, the others handler 1.
 fn backend(n: usize) -> BackendSettings {
     BackendSettings {
-        name: format!("b{n}").as_str().into(),
-        address: ([127, 0, 0, 1], 7_000 + n as u16).into(),
         zone: zone(n).into(),
         weight: 1.0 + n as f64,
         handlers: vec![HandlerId::new(n % 2)],
+        ..common::backend(n)
     }
 }
 
--- a/crates/upstream/tests/further_attempts.rs
+++ b/crates/upstream/tests/further_attempts.rs
@@ -1,27 +1,28 @@
 //! Retries and hedges of the manager of the backends: each reason of a refusal, and each further attempt that is
 //! allowed. What a refusal leaves untouched is checked with it.
 
-use madderbay::interface::HandlerId;
+mod common;
+
+use common::{HANDLER, backend};
 use madderbay::time::{Duration, Timestamp};
 use madderbay_upstream::{
-    AttemptOutcome, BackendSettings, FailedCall, HedgeCandidate, HedgeRefusal, RetryRefusal,
-    Settings, UpstreamAttempt, UpstreamManager,
+    AttemptOutcome, FailedCall, HedgeCandidate, HedgeRefusal, RetryRefusal, Settings,
+    UpstreamAttempt, UpstreamManager,
 };
 
-const HANDLER: HandlerId = HandlerId::new(0);
 const CALL_LATENCY: Duration = Duration::from_millis(20);
 const SECOND: Duration = Duration::from_millis(1_000);
 /// Calls after which latencies are known and retries are saved up.
 const WARM_UP_CALLS: u64 = 200;
 
-fn backend(n: u16) -> BackendSettings {
-    BackendSettings {
-        name: format!("b{n}").as_str().into(),
-        address: ([127, 0, 0, 1], 7_000 + n).into(),
-        zone: "north".into(),
-        weight: 1.0,
-        handlers: vec![HANDLER],
-    }
+/// What the manager has counted.
+#[derive(Debug, Default, PartialEq)]
+struct FurtherAttempts {
+    /// Retries and hedges.
+    retries: u64,
+    hedges: u64,
+    /// Those that the budget did not allow.
+    over_budget: u64,
 }
 
 /// A manager of some backends, and the time.
@@ -32,7 +33,7 @@
 }
 
 impl Scenario {
-    fn new(backends: u16, settings: Settings) -> Scenario {
+    fn new(backends: usize, settings: Settings) -> Scenario {
         let now = Timestamp::from_micros(5_000_000);
         let backends = (0..backends).map(backend).collect();
         Scenario {
@@ -43,7 +44,7 @@
     }
 
     /// The same after calls that have all succeeded.
-    fn warmed_up(backends: u16, settings: Settings) -> Scenario {
+    fn warmed_up(backends: usize, settings: Settings) -> Scenario {
         let mut scenario = Scenario::new(backends, settings);
         for _ in 0..WARM_UP_CALLS {
             let attempt = scenario.pick();
@@ -85,10 +86,13 @@
         delay
     }
 
-    /// Retries and hedges so far, and those that the budget did not allow.
-    fn counted(&self) -> (u64, u64, u64) {
+    fn further_attempts(&self) -> FurtherAttempts {
         let totals = self.upstream.totals();
-        (totals.retries, totals.hedges, totals.retries_over_budget)
+        FurtherAttempts {
+            retries: totals.retries,
+            hedges: totals.hedges,
+            over_budget: totals.retries_over_budget,
+        }
     }
 }
 
@@ -110,7 +114,13 @@
     let first = scenario.pick();
     let retry = scenario.retry(&first, REJECTED).expect("a retry");
     assert_ne!(retry.backend, first.backend);
-    assert_eq!(scenario.counted(), (1, 0, 0));
+    assert_eq!(
+        scenario.further_attempts(),
+        FurtherAttempts {
+            retries: 1,
+            ..FurtherAttempts::default()
+        }
+    );
 }
 
 #[test]
@@ -122,7 +132,7 @@
         ..REJECTED
     };
     assert_eq!(scenario.retry(&first, call), Err(RetryRefusal::MayHaveRun));
-    assert_eq!(scenario.counted(), (0, 0, 0));
+    assert_eq!(scenario.further_attempts(), FurtherAttempts::default());
 }
 
 #[test]
@@ -149,10 +159,16 @@
         scenario.retry(&first, REJECTED),
         Err(RetryRefusal::NoOtherBackend)
     );
-    assert_eq!(scenario.counted(), (0, 0, 0));
+    assert_eq!(scenario.further_attempts(), FurtherAttempts::default());
     let retry = scenario.upstream.retry_after_backoff(scenario.now, &first);
     assert_eq!(retry.expect("a retry").backend, first.backend);
-    assert_eq!(scenario.counted(), (1, 0, 0));
+    assert_eq!(
+        scenario.further_attempts(),
+        FurtherAttempts {
+            retries: 1,
+            ..FurtherAttempts::default()
+        }
+    );
 }
 
 #[test]
@@ -163,7 +179,14 @@
         .take_while(|_| scenario.retry(&first, REJECTED).is_ok())
         .count();
     assert!(allowed > 0);
-    assert_eq!(scenario.counted(), (allowed as u64, 0, 1));
+    assert_eq!(
+        scenario.further_attempts(),
+        FurtherAttempts {
+            retries: allowed as u64,
+            over_budget: 1,
+            ..FurtherAttempts::default()
+        }
+    );
     let after_backoff = scenario.upstream.retry_after_backoff(scenario.now, &first);
     assert_eq!(after_backoff, Err(RetryRefusal::BudgetSpent));
     let hedge = scenario.hedge(&first, SECOND);
@@ -171,7 +194,14 @@
         hedge,
         Err(HedgeRefusal::NoAttempt(RetryRefusal::BudgetSpent))
     );
-    assert_eq!(scenario.counted(), (allowed as u64, 0, 3));
+    assert_eq!(
+        scenario.further_attempts(),
+        FurtherAttempts {
+            retries: allowed as u64,
+            over_budget: 3,
+            ..FurtherAttempts::default()
+        }
+    );
 }
 
 #[test]
@@ -201,7 +231,14 @@
     let first = scenario.pick();
     let hedge = scenario.hedge(&first, SECOND).expect("a hedge");
     assert_ne!(hedge.backend, first.backend);
-    assert_eq!(scenario.counted(), (1, 1, 0));
+    assert_eq!(
+        scenario.further_attempts(),
+        FurtherAttempts {
+            retries: 1,
+            hedges: 1,
+            ..FurtherAttempts::default()
+        }
+    );
 }
 
 #[test]
@@ -213,7 +250,7 @@
         scenario.hedge(&first, late),
         Err(HedgeRefusal::NoAttempt(RetryRefusal::NoTimeLeft))
     );
-    assert_eq!(scenario.counted(), (0, 0, 0));
+    assert_eq!(scenario.further_attempts(), FurtherAttempts::default());
 }
 
 #[test]
@@ -261,7 +298,13 @@
     let first = scenario.pick();
     assert_eq!(scenario.hedge(&first, SECOND), Err(HedgeRefusal::Disabled));
     assert!(scenario.retry(&first, REJECTED).is_ok());
-    assert_eq!(scenario.counted(), (1, 0, 0));
+    assert_eq!(
+        scenario.further_attempts(),
+        FurtherAttempts {
+            retries: 1,
+            ..FurtherAttempts::default()
+        }
+    );
 }
 
 #[test]
--- a/crates/upstream/tests/gossip_compatibility.rs
+++ b/crates/upstream/tests/gossip_compatibility.rs
@@ -1,7 +1,9 @@
 //! Gossip payloads written by the version before the public names changed (`tests/data/*.bin`): they are read,
 //! written again to the same bytes, and sent again by a manager that is driven through the same events.
 
-use madderbay::interface::HandlerId;
+mod common;
+
+use common::HANDLER;
 use madderbay::time::{Duration, Timestamp};
 use madderbay_upstream::{
     AttemptOutcome, BackendId, BackendReport, BackendSettings, FailedCall, GossipMessage, Settings,
@@ -27,9 +29,7 @@
     BackendSettings {
         name: format!("book-{n}").as_str().into(),
         address: ([127, 0, 0, 1], 7_700 + n).into(),
-        zone: "north".into(),
-        weight: 1.0,
-        handlers: vec![HandlerId::new(0)],
+        ..common::backend(usize::from(n))
     }
 }
 
@@ -59,7 +59,7 @@
         if let Some((_, payload)) = upstream.take_datagrams().pop() {
             last = payload;
         }
-        let attempt = upstream.pick(at(ms), HandlerId::new(0)).expect("a backend");
+        let attempt = upstream.pick(at(ms), HANDLER).expect("a backend");
         let outcome = outcome(attempt.backend, ms);
         let ended = at(ms) + Duration::from_millis(5);
         upstream.finish(ended, &attempt, outcome);
--- a/crates/upstream/tests/simulated_fleet.rs
+++ b/crates/upstream/tests/simulated_fleet/main.rs
@@ -1,107 +1,21 @@
 //! Simulated fleets of servers before their backends, each case with several seeds: which backends are ejected, how
 //! soon, and which are not. `crates/server/tests/routes` has cases with real processes.
 
-use madderbay::time::Duration;
+mod fleet;
+
+use fleet::{FAULTY, Fleet};
 use madderbay_testkit::backend_simulation::{
-    BackendFault, BackendFleetSetup, BackendSimulation, GossipPartition, LogEntry, RoutingPolicy,
-    SimulatedBackendId, SimulatedServerId, ZoneCut,
+    BackendFault, BackendFleetSetup, GossipPartition, LogEntry, RoutingPolicy, SimulatedBackendId,
+    SimulatedServerId, ZoneCut,
 };
 use madderbay_upstream::{BackendEvent, Settings};
 use std::ops::Range;
 
 const SEEDS: Range<u64> = 0..4;
 const TEN_TIMES_SLOWER: BackendFault = BackendFault::Slow { factor: 10.0 };
-/// The backend with a fault, where one of them has it.
-const FAULTY: SimulatedBackendId = SimulatedBackendId::new(3);
 /// The server that reaches no backend, where one of them does not.
 const CUT_OFF_SERVER: SimulatedServerId = SimulatedServerId::new(0);
 
-/// A simulated fleet. Times are in milliseconds since the start.
-struct Fleet {
-    simulation: BackendSimulation,
-}
-
-impl Fleet {
-    /// A fleet that has run for five seconds without failures and ejections.
-    fn stable(setup: BackendFleetSetup, seed: u64) -> Fleet {
-        let simulation = BackendSimulation::new(setup, seed);
-        let mut fleet = Fleet { simulation };
-        fleet.run(5_000);
-        let success = fleet.success_rate(1_000..5_000);
-        assert!(success > 0.995, "{success}");
-        let simulation = &fleet.simulation;
-        assert_eq!(simulation.ejections(), 0, "{:?}", simulation.log());
-        fleet
-    }
-
-    /// Twelve servers and ten backends.
-    fn standard(seed: u64) -> Fleet {
-        Fleet::stable(BackendFleetSetup::new(12, 10), seed)
-    }
-
-    fn run(&mut self, millis: u64) {
-        self.simulation.run(Duration::from_millis(millis));
-    }
-
-    /// Sets what the first backends do.
-    fn set_faults(&mut self, backends: usize, fault: BackendFault) {
-        for backend in SimulatedBackendId::first(backends) {
-            self.simulation.set_backend_fault(backend, fault);
-        }
-    }
-
-    /// Sets what the one faulty backend does.
-    fn set_fault(&mut self, fault: BackendFault) {
-        self.simulation.set_backend_fault(FAULTY, fault);
-    }
-
-    /// All servers reload with these backends.
-    fn reload(&mut self, backends: Range<usize>) {
-        let backends: Vec<_> = backends.map(SimulatedBackendId::new).collect();
-        self.simulation.reload(&backends);
-    }
-
-    /// The fraction of the calls that succeeded.
-    fn success_rate(&self, time: Range<u64>) -> f64 {
-        self.simulation.success_rate(time)
-    }
-
-    /// Attempts for each first attempt.
-    fn attempts_per_call(&self, time: Range<u64>) -> f64 {
-        self.simulation.attempts_per_call(time)
-    }
-
-    /// The fraction of all attempts that reached a backend.
-    fn traffic(&self, backend: SimulatedBackendId, time: Range<u64>) -> f64 {
-        self.simulation.traffic_fraction(backend, time)
-    }
-
-    /// After how long a backend's traffic of a second is under a bound.
-    fn time_until_under(&self, backend: SimulatedBackendId, from: u64, bound: f64) -> Option<u64> {
-        self.simulation
-            .millis_until_traffic_below(backend, from, bound)
-    }
-
-    /// After how long a backend's traffic of a second is at least a bound.
-    fn time_until_over(&self, backend: SimulatedBackendId, from: u64, bound: f64) -> Option<u64> {
-        self.simulation
-            .millis_until_traffic_at_least(backend, from, bound)
-    }
-
-    /// For how long a backend was out of selection, in seconds, summed over the servers.
-    fn ejected_seconds(&self, backend: SimulatedBackendId, time: Range<u64>) -> f64 {
-        self.simulation.ejected_seconds(backend, time)
-    }
-
-    /// The most attempts that reached a backend in a tenth of a second.
-    fn peak_attempts(&self, backend: SimulatedBackendId, time: Range<u64>) -> u32 {
-        let rows = self.simulation.rows(time).iter();
-        rows.map(|row| row.attempts_by_backend[backend.index()])
-            .max()
-            .unwrap_or(0)
-    }
-}
-
 /// One of ten backends is faulty: traffic leaves it within seconds, few calls fail, and it returns once repaired.
 #[test]
 fn traffic_leaves_a_faulty_backend_and_returns_after_repair() {
--- a/crates/upstream/tests/slow_start.rs
+++ b/crates/upstream/tests/slow_start.rs
@@ -1,6 +1,8 @@
 //! A backend that is added may have cold caches: what all servers together send to it has to be little at first.
 
-use madderbay::interface::HandlerId;
+mod common;
+
+use common::{HANDLER, backend};
 use madderbay::time::{Duration, Timestamp};
 use madderbay_upstream::{AttemptOutcome, BackendSettings, Settings, State, UpstreamManager};
 
@@ -9,16 +11,6 @@
 /// How long a burst takes.
 const BURST: Duration = Duration::from_millis(100);
 
-fn backend(n: usize) -> BackendSettings {
-    BackendSettings {
-        name: format!("b{n}").as_str().into(),
-        address: ([127, 0, 0, 1], 7_000 + n as u16).into(),
-        zone: "north".into(),
-        weight: 1.0,
-        handlers: vec![HandlerId::new(0)],
-    }
-}
-
 /// Servers that have used four backends, and now get a fifth.
 fn servers_with_added_backend(count: u64, now: Timestamp) -> Vec<UpstreamManager> {
     let settings = Settings {
@@ -40,7 +32,7 @@
     for n in 0..CALLS_PER_BURST {
         let now = now + BURST.mul_f64(n as f64 / CALLS_PER_BURST as f64);
         for upstream in servers.iter_mut() {
-            let attempt = upstream.pick(now, HandlerId::new(0)).expect("a backend");
+            let attempt = upstream.pick(now, HANDLER).expect("a backend");
             calls += usize::from(attempt.address.port() == port);
             // Latencies differ, as real ones do: of two equal ones the same backend would always be cheaper.
             let latency = Duration::from_millis(3 + (n as u64 * 7 + calls as u64) % 5);
