--- a/crates/upstream/src/backend.rs
+++ b/crates/upstream/src/backend.rs
@@ -9,6 +9,7 @@
 use crate::gossip::LocalObservation;
 use crate::gossip::codec::name_hash;
 use crate::gossip::reports::ReportSummary;
+use crate::jitter;
 use crate::outlier::{self, CallHistory, OutlierEvidence};
 use crate::settings::BackendSettings;
 use crate::slow_start;
@@ -18,16 +19,18 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The first ejection takes this long, each further one twice as long as the one before, up to the maximum. Each is
-/// drawn from three to five quarters of that, so that servers that ejected together do not return together.
+/// The first ejection takes this long, each further one twice as long as the one before. Each is spread at random, so
+/// that servers that ejected together do not return together.
 const BASE_EJECTION_TIME: Duration = Duration::from_millis(2_000);
+/// Upper bound on an ejection before it is spread.
 const MAX_EJECTION_TIME: Duration = Duration::from_millis(60_000);
 /// Bound on the ejections that count, so that doubling cannot overflow.
 const MAX_COUNTED_EJECTIONS: u32 = 16;
 /// One ejection is forgotten for each such time without another.
 const EJECTION_FORGIVENESS: Duration = Duration::from_millis(30_000);
-/// Successful probes in a row that end the ejection, and the time between two probes.
+/// Successful probes in a row that end the ejection.
 const PROBES_TO_RETURN: u32 = 2;
+/// Time from the end of a probe until the next one may be sent.
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 /// Attempts in flight that are followed at one backend; a server runs fewer calls.
 const MAX_FOLLOWED_ATTEMPTS: usize = 100_000;
@@ -223,7 +226,7 @@
         let time = BASE_EJECTION_TIME.mul_f64(factor).min(MAX_EJECTION_TIME);
         self.enter(State::Ejected, now);
         self.return_position = random;
-        self.next_transition = now + time.mul_f64(0.75 + 0.5 * random);
+        self.next_transition = now + jitter::spread(time, random);
         self.successful_probes = 0;
     }
 
@@ -253,30 +256,31 @@
         }
     }
 
-    /// The evidence for and against it now; the typical latency of the group is in seconds.
+    /// The evidence for and against it now, beside the typical latency of its group.
     pub(crate) fn assess(
         &mut self,
         now: Timestamp,
-        typical_latency: Option<f64>,
+        typical_latency_seconds: Option<f64>,
     ) -> OutlierEvidence {
         self.history.decay(now);
-        let limit = outlier::overdue_time(typical_latency);
+        let limit = outlier::overdue_time(typical_latency_seconds);
         // Ids rise with time, so that the oldest attempts come first.
         let overdue = self
             .in_flight
             .values()
             .take_while(|began| now - **began > limit)
             .count();
-        let slowdown = outlier::slowdown(self.history.latency(now), typical_latency);
+        let slowdown =
+            outlier::slowdown(self.history.latency_seconds(now), typical_latency_seconds);
         let results = self.history.counts();
         let evidence = OutlierEvidence::new(results, overdue, slowdown, &self.reports);
         self.reported_results = evidence.reported_results(self.history.last_call_failed());
         evidence
     }
 
-    /// Recent mean latency in seconds, where enough calls succeeded.
-    pub(crate) fn latency(&self, now: Timestamp) -> Option<f64> {
-        self.history.latency(now)
+    /// Recent mean latency, where enough calls succeeded.
+    pub(crate) fn latency_seconds(&self, now: Timestamp) -> Option<f64> {
+        self.history.latency_seconds(now)
     }
 
     // --- selection
@@ -291,10 +295,13 @@
         self.settings.weight * fraction * self.reports.weight_fraction()
     }
 
-    /// What one more call would wait for, in seconds for each unit of weight. `default_latency` in seconds is taken
-    /// where no call succeeded recently.
-    pub(crate) fn cost(&self, default_latency: f64) -> f64 {
-        let latency = self.history.latency_estimate().unwrap_or(default_latency);
+    /// What one more call would wait for, in seconds for each unit of weight. `default_latency_seconds` is taken where
+    /// no call succeeded recently.
+    pub(crate) fn cost(&self, default_latency_seconds: f64) -> f64 {
+        let latency = self
+            .history
+            .latency_estimate_seconds()
+            .unwrap_or(default_latency_seconds);
         (self.in_flight.len() + 1) as f64 * latency / self.settings.weight
     }
 
@@ -333,7 +340,10 @@
             observed: results.successes + results.failures,
             failures: results.failures,
             in_flight: self.in_flight.len(),
-            typical_latency: self.history.latency_estimate().map(Duration::from_secs_f64),
+            typical_latency: self
+                .history
+                .latency_estimate_seconds()
+                .map(Duration::from_secs_f64),
             witnesses: self.reports.witnesses,
             gossip_failures: self.reports.failures,
         }
--- a/crates/upstream/src/backend_group.rs
+++ b/crates/upstream/src/backend_group.rs
@@ -26,11 +26,12 @@
 const SUSPECTED_WEIGHT_FRACTION: f64 = 0.1;
 /// Failures under which all backends of a group count as faultless.
 const FAULTLESS_FAILURES: f64 = 0.05;
-/// Latency assumed where no call of the group succeeded, in seconds.
-const DEFAULT_LATENCY: f64 = 0.02;
-/// A backend that others saw healthy is probed within a time that grows with the number of servers, up to the maximum:
-/// servers that ejected together do not return together.
+/// Latency assumed where no call of the group succeeded.
+const DEFAULT_LATENCY_SECONDS: f64 = 0.02;
+/// A backend that others saw healthy is probed within a time that grows by this with each peer, so that servers that
+/// ejected together do not return together.
 const RETURN_SPREAD_PER_PEER: Duration = Duration::from_millis(10);
+/// Upper bound on that time.
 const MAX_RETURN_SPREAD: Duration = Duration::from_millis(5_000);
 
 /// What an evaluation is given beside the backends.
@@ -64,8 +65,8 @@
     /// Backends that get single calls until they have proved healthy.
     probing: Vec<BackendId>,
     panic: bool,
-    /// Latency of a typical backend, in seconds.
-    typical_latency: Option<f64>,
+    /// Latency of a typical backend.
+    typical_latency_seconds: Option<f64>,
     retry_budget: RetryBudget,
     hedge_delay_estimator: HedgeDelayEstimator,
 }
@@ -79,7 +80,7 @@
             selector: ZoneAwareSelector::empty(),
             probing: vec![],
             panic: false,
-            typical_latency: None,
+            typical_latency_seconds: None,
             retry_budget: RetryBudget::new(now, retry_ratio),
             hedge_delay_estimator: HedgeDelayEstimator::new(now),
         }
@@ -103,9 +104,9 @@
         self.backends.len() > 1
     }
 
-    /// Latency of a typical backend, in seconds.
-    pub(crate) fn typical_latency(&self) -> Option<f64> {
-        self.typical_latency
+    /// Latency of a typical backend.
+    pub(crate) fn typical_latency_seconds(&self) -> Option<f64> {
+        self.typical_latency_seconds
     }
 
     pub(crate) fn retry_budget_mut(&mut self) -> &mut RetryBudget {
@@ -144,16 +145,19 @@
             .min(backends.saturating_sub(1))
     }
 
-    /// Takes the median latency of the backends as the typical one. Returns it, in seconds, where it rests on more than
+    /// Takes the median latency of the backends as the typical one. Returns it where it rests on more than
     /// one backend and so can be a baseline for them.
     fn measure_latency(&mut self, now: Timestamp, all: &BackendTable) -> Option<f64> {
-        let known = self.backends.iter().filter_map(|id| all[*id].latency(now));
+        let known = self
+            .backends
+            .iter()
+            .filter_map(|id| all[*id].latency_seconds(now));
         let mut latencies: Vec<f64> = known.collect();
         latencies.sort_by(f64::total_cmp);
         // Of an even number the quicker one in the middle, so that one slow of two is not the baseline.
         let median = latencies.len().saturating_sub(1) / 2;
-        self.typical_latency = latencies.get(median).copied();
-        self.typical_latency.filter(|_| latencies.len() > 1)
+        self.typical_latency_seconds = latencies.get(median).copied();
+        self.typical_latency_seconds.filter(|_| latencies.len() > 1)
     }
 
     /// Brings all backends up to date and collects the evidence on those in selection.
@@ -258,8 +262,10 @@
         {
             return Some(probed);
         }
-        let default_latency = self.typical_latency.unwrap_or(DEFAULT_LATENCY);
-        let cost = |id: BackendId| all[id].cost(default_latency);
+        let default_latency_seconds = self
+            .typical_latency_seconds
+            .unwrap_or(DEFAULT_LATENCY_SECONDS);
+        let cost = |id: BackendId| all[id].cost(default_latency_seconds);
         let picked = self.selector.pick(avoid, rng, cost);
         picked.or_else(|| self.backends.first().copied())
     }
--- a/crates/upstream/src/gossip.rs
+++ b/crates/upstream/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip of judgements: what this server tells a few others of the backends it uses, and what it learns from them.
+//! Gossip of judgements: what this server reports to a few others of the backends it uses, and what they report to it.
 //!
 //! [`Gossip`] owns the peers, their reports and the schedule. It is given payloads, time and random numbers, and what
 //! the registry observed; it gives payloads to send. It never passes on what others reported, and never judges a
@@ -9,6 +9,7 @@
 
 use crate::backend_state::State;
 use crate::call_counts::CallCounts;
+use crate::jitter;
 use crate::retry::budget::AttemptCounts;
 use codec::{BackendReport, GossipDecodeError, GossipMessage};
 use compact_str::CompactString;
@@ -18,12 +19,13 @@
 use reports::{Observation, ReceivedReports, Witness};
 use std::collections::{BTreeMap, HashSet};
 
-/// Mean time between two rounds; each is drawn from three to five quarters of it.
+/// Mean time between two rounds; each is spread at random.
 const ROUND_INTERVAL: Duration = Duration::from_millis(250);
 /// Peers that get a payload in a round.
 const MAX_RECIPIENTS: usize = 8;
-/// A failed call brings the next round forward to this, but not closer to the last round than the minimum.
+/// The next round follows a failed call within this time, as far as the minimum interval allows.
 const DELAY_AFTER_FAILURE: Duration = Duration::from_millis(20);
+/// Least time between two rounds.
 const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(100);
 /// Fewer successes or failures than this are not reported.
 const MIN_REPORTED_CALLS: f64 = 0.3;
@@ -35,8 +37,9 @@
 const MAX_REPORTS: usize = 80;
 /// For how long a peer's numbers of attempts count.
 const MAX_ATTEMPTS_AGE: Duration = Duration::from_millis(5_000);
-/// A peer that finds more than this fraction of its backends faulty is not credible, from so many backends on.
+/// A peer that finds more than this fraction of its backends faulty is not credible.
 const MAX_CREDIBLE_FRACTION: f64 = 0.5;
+/// Backends that a peer must have seen before it can be found not credible.
 const MIN_BACKENDS_TO_DOUBT_PEER: u16 = 3;
 
 /// Why a payload was rejected.
@@ -245,12 +248,12 @@
 
     /// Begins a round and schedules the next one, by a random number from 0 to 1.
     pub(crate) fn begin_round(&mut self, now: Timestamp, random: f64) {
-        self.next_round = now + ROUND_INTERVAL.mul_f64(0.75 + 0.5 * random);
+        self.next_round = now + jitter::spread(ROUND_INTERVAL, random);
         self.last_round = now;
     }
 
-    /// Brings the next round forward, after a failed call.
-    pub(crate) fn hurry(&mut self, now: Timestamp) {
+    /// Brings the next round forward after a failed call.
+    pub(crate) fn bring_round_forward(&mut self, now: Timestamp) {
         let soon = (now + DELAY_AFTER_FAILURE).max(self.last_round + MIN_ROUND_INTERVAL);
         self.next_round = self.next_round.min(soon);
     }
--- a/crates/upstream/src/gossip/reports.rs
+++ b/crates/upstream/src/gossip/reports.rs
@@ -1,6 +1,6 @@
 //! The reports of other servers on backends, and what they weigh together.
 //!
-//! A witness reports only what it saw itself, so that no rumour confirms itself. A witness that finds most backends
+//! A witness reports only what it saw itself, so that no report comes back as a confirmation of itself. A witness that finds most backends
 //! faulty is not credible. The witnesses of one zone weigh little more than one of them, since they may share a broken
 //! link. Reports lose their weight with age. [`ReceivedReports`] owns the reports; it never judges a backend.
 
@@ -12,17 +12,24 @@
 const MAX_REPORT_AGE: Duration = Duration::from_millis(5_000);
 /// Witnesses stored for one backend: the latest.
 const MAX_WITNESSES: usize = 64;
-/// Upper bound on the weight of a zone's reports, in failures; a single witness weighs half of it.
+/// Upper bound on the weight of a zone's reports, in failures.
 const MAX_ZONE_FAILURES: f64 = 2.0;
+/// Fraction of what is missing to that bound which is still missing after one more witness: a single one weighs half
+/// of it, each further one half of the rest.
+const REMAINDER_PER_WITNESS: f64 = 0.5;
 /// Upper bound on the weight of all zones, in failures.
 const MAX_REPORTED_FAILURES: f64 = 4.0;
-/// A zone reports against a backend from this fraction of its witnesses, and from this weight in failures.
+/// A zone reports against a backend from this fraction of its reports on.
 const MIN_ZONE_FRACTION: f64 = 0.5;
+/// A zone reports against a backend from this weight of its reports on, in failures.
 const MIN_ZONE_FAILURES: f64 = 0.9 * 0.5;
+/// How strongly reports reduce the weight of a backend, by the square of what they weigh in failures.
+const WEIGHT_REDUCTION: f64 = 2.0;
 /// Calls of unknown result that are assumed beside those that a witness reports.
 const ASSUMED_CALLS: f64 = 0.5;
-/// A witness saw a backend healthy where it reports so many successes, and fewer failures than this.
+/// Successes from which a witness saw a backend healthy, where it reports hardly any failures.
 const MIN_HEALTHY_SUCCESSES: f64 = 0.9;
+/// Failures from which a witness did not see a backend healthy.
 const MAX_HEALTHY_FAILURES: f64 = 0.3;
 /// A backend counts as seen healthy only while reports against it weigh less than this, in failures.
 const MAX_FAILURES_IF_HEALTHY: f64 = 0.4;
@@ -95,7 +102,7 @@
 impl ReportSummary {
     /// The fraction of a backend's weight that the reports leave, 0 to 1.
     pub(crate) fn weight_fraction(&self) -> f64 {
-        1.0 / (1.0 + 2.0 * self.failures * self.failures)
+        1.0 / (1.0 + WEIGHT_REDUCTION * self.failures * self.failures)
     }
 }
 
@@ -120,7 +127,9 @@
 
     /// What the zone's reports weigh, in failures.
     fn failures(&self) -> f64 {
-        MAX_ZONE_FAILURES * (1.0 - 0.5f64.powf(self.against)) * self.fraction_against()
+        MAX_ZONE_FAILURES
+            * (1.0 - REMAINDER_PER_WITNESS.powf(self.against))
+            * self.fraction_against()
     }
 
     fn is_against(&self) -> bool {
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -53,6 +53,7 @@
 mod fleet_stack;
 mod gossip;
 mod hedge;
+mod jitter;
 mod manager;
 mod outlier;
 mod registry;
--- a/crates/upstream/src/manager.rs
+++ b/crates/upstream/src/manager.rs
@@ -187,7 +187,7 @@
     /// How long a call of a handler typically takes; zero where that is not known.
     fn typical_latency(&self, handler: HandlerId) -> Duration {
         let group = self.registry.group(handler);
-        let seconds = group.and_then(BackendGroup::typical_latency);
+        let seconds = group.and_then(BackendGroup::typical_latency_seconds);
         seconds.map_or(Duration::ZERO, Duration::from_secs_f64)
     }
 
@@ -229,16 +229,16 @@
             Finished::Nothing => {}
             Finished::Probe(event) => {
                 self.record_events(event);
-                self.hurry_evaluation(now);
+                self.bring_evaluation_forward(now);
             }
             Finished::Failure => {
-                self.hurry_evaluation(now);
-                self.gossip.hurry(now);
+                self.bring_evaluation_forward(now);
+                self.gossip.bring_round_forward(now);
             }
         }
     }
 
-    fn hurry_evaluation(&mut self, now: Timestamp) {
+    fn bring_evaluation_forward(&mut self, now: Timestamp) {
         self.next_evaluation = self
             .next_evaluation
             .min(now + EVALUATION_DELAY_AFTER_FAILURE);
--- a/crates/upstream/src/outlier.rs
+++ b/crates/upstream/src/outlier.rs
@@ -14,8 +14,9 @@
 use madderbay::time::Duration;
 use std::fmt;
 
-/// An attempt is overdue after so many times the typical latency of the group, and not before the minimum.
+/// An attempt is overdue after so many times the typical latency of the group.
 const OVERDUE_LATENCY_FACTOR: f64 = 8.0;
+/// An attempt is never overdue before this time.
 const MIN_OVERDUE_TIME: Duration = Duration::from_millis(250);
 /// An attempt that was given up before this fraction of the overdue time shows nothing.
 const MIN_WAIT_FRACTION: f64 = 0.3;
@@ -29,17 +30,20 @@
 const ASSUMED_CALLS: f64 = 0.5;
 /// The same where only this server's own results count.
 const ASSUMED_CALLS_OWN: f64 = 1.0;
-/// Own failures needed for an ejection: without confirming reports; with some.
+/// Own failures needed for an ejection without confirming reports.
 const MIN_FAILURES_UNCONFIRMED: f64 = 2.5;
+/// Own failures needed for an ejection with confirming reports.
 const MIN_FAILURES_CONFIRMED: f64 = 0.7;
 /// Reported failures that confirm a failure of one's own.
 const CONFIRMING_REPORTED_FAILURES: f64 = 0.9;
-/// Reported failures, and zones that agree, that decide without any failure of one's own.
+/// Reported failures that decide without any failure of one's own, where enough zones agree.
 const DECISIVE_REPORTED_FAILURES: f64 = 3.0;
+/// Zones that have to agree for that.
 const DECISIVE_ZONES: usize = 2;
-/// Own results that overrule all reports: so many recent successes, with fewer failures than this.
+/// Own recent successes that overrule all reports, where there are hardly any failures.
 const OVERRULING_SUCCESSES: f64 = 2.0;
-const OVERRULED_FAILURES: f64 = 0.5;
+/// Own failures from which successes no longer overrule the reports.
+const MAX_OVERRULING_FAILURES: f64 = 0.5;
 /// Fraction of the successes that is reported to others when the last call failed: they show little of the present.
 const OUTDATED_SUCCESS_FRACTION: f64 = 0.3;
 
@@ -63,7 +67,8 @@
 }
 
 impl OutlierEvidence {
-    /// Evidence from a backend's own results and the reports on it; the latencies are in seconds.
+    /// Evidence from a backend's own results and the reports on it. `slowdown` is its latency in multiples of the
+    /// typical one, where it is slow.
     pub(crate) fn new(
         results: CallCounts,
         overdue: usize,
@@ -79,7 +84,7 @@
         }
         let overrules_reports = slowdown.is_none()
             && successes >= OVERRULING_SUCCESSES
-            && failures < OVERRULED_FAILURES;
+            && failures < MAX_OVERRULING_FAILURES;
         OutlierEvidence {
             successes,
             failures,
@@ -158,34 +163,38 @@
     }
 }
 
-/// How long an attempt may be in flight until it counts as a failure; the typical latency is in seconds.
-pub(crate) fn overdue_time(typical_latency: Option<f64>) -> Duration {
-    typical_latency.map_or(MIN_OVERDUE_TIME, |seconds| {
+/// How long an attempt may be in flight until it counts as a failure, by the typical latency of the group.
+pub(crate) fn overdue_time(typical_latency_seconds: Option<f64>) -> Duration {
+    typical_latency_seconds.map_or(MIN_OVERDUE_TIME, |seconds| {
         Duration::from_secs_f64(seconds * OVERDUE_LATENCY_FACTOR).max(MIN_OVERDUE_TIME)
     })
 }
 
-/// Whether one call was slow; the typical latency of the group is in seconds.
-pub(crate) fn is_slow_call(latency: Duration, typical_latency: Option<f64>) -> bool {
-    typical_latency.is_some_and(|typical| latency.as_secs_f64() > SLOW_LATENCY_FACTOR * typical)
+/// Whether one call was slow beside the typical latency of the group.
+pub(crate) fn is_slow_call(latency: Duration, typical_latency_seconds: Option<f64>) -> bool {
+    typical_latency_seconds
+        .is_some_and(|typical| latency.as_secs_f64() > SLOW_LATENCY_FACTOR * typical)
 }
 
-/// By what factor a backend is slower than its group, where it is slow; both latencies are in seconds.
-pub(crate) fn slowdown(own_latency: Option<f64>, typical_latency: Option<f64>) -> Option<f64> {
-    match (own_latency, typical_latency) {
+/// By what factor a backend is slower than its group, where it is slow.
+pub(crate) fn slowdown(
+    own_latency_seconds: Option<f64>,
+    typical_latency_seconds: Option<f64>,
+) -> Option<f64> {
+    match (own_latency_seconds, typical_latency_seconds) {
         (Some(own), Some(typical)) if own > SLOW_LATENCY_FACTOR * typical => Some(own / typical),
         _ => None,
     }
 }
 
 /// What an outcome shows, given the wait for it: a timeout after a short wait shows nothing, and a cancellation after a
-/// long one shows that no reply came. The typical latency of the group is in seconds.
+/// long one shows that no reply came.
 pub(crate) fn outcome_after_wait(
     outcome: AttemptOutcome,
     waited: Duration,
-    typical_latency: Option<f64>,
+    typical_latency_seconds: Option<f64>,
 ) -> AttemptOutcome {
-    let overdue = overdue_time(typical_latency);
+    let overdue = overdue_time(typical_latency_seconds);
     match outcome {
         AttemptOutcome::TimedOut if waited < overdue.mul_f64(MIN_WAIT_FRACTION) => {
             AttemptOutcome::Cancelled
--- a/crates/upstream/src/outlier/call_history.rs
+++ b/crates/upstream/src/outlier/call_history.rs
@@ -4,12 +4,14 @@
 use crate::call_counts::CallCounts;
 use madderbay::time::{Duration, Timestamp};
 
-/// Time constants of the decay. Failures count long enough that one a second adds up, and short enough that a repaired
-/// backend is trusted again. Successes count shorter: they show little of the present.
+/// Time constant of the decay of failures: long enough that one a second adds up, and short enough that a repaired
+/// backend is trusted again.
 const FAILURE_DECAY: Duration = Duration::from_millis(5_000);
+/// Time constant of the decay of successes; they count shorter, since they show little of the present.
 const SUCCESS_DECAY: Duration = Duration::from_millis(2_000);
-/// Fraction of the successes that still counts after each consecutive failure, and how many failures are considered.
+/// Fraction of the successes that still counts after each consecutive failure.
 const SUCCESSES_AFTER_FAILURE: f64 = 0.6;
+/// Consecutive failures beyond which successes count no less.
 const MAX_CONSECUTIVE_FAILURES: i32 = 6;
 /// What a failed attempt counts.
 const FAILURE_WEIGHT: f64 = 1.0;
@@ -17,8 +19,9 @@
 const SLOW_CALL_WEIGHT: f64 = 0.5;
 /// Weight of the newest call in the mean latency, which so covers the last five or so.
 const LATENCY_SMOOTHING: f64 = 0.3;
-/// The mean latency needs more successful calls than this, the last of them no longer ago than the age.
+/// The mean latency needs more successful calls than this.
 const MIN_LATENCY_SAMPLES: f64 = 2.5;
+/// Time after the last successful call from which the mean latency says nothing.
 const MAX_LATENCY_AGE: Duration = Duration::from_millis(10_000);
 
 /// The recent results of one backend.
@@ -79,13 +82,13 @@
         self.consecutive_failures > 0
     }
 
-    /// Recent mean latency of successful calls, in seconds, where there were enough of them.
-    pub(crate) fn latency(&self, now: Timestamp) -> Option<f64> {
+    /// Recent mean latency of successful calls, where there were enough of them.
+    pub(crate) fn latency_seconds(&self, now: Timestamp) -> Option<f64> {
         self.latency.reliable(now)
     }
 
     /// The same, however few calls it rests on.
-    pub(crate) fn latency_estimate(&self) -> Option<f64> {
+    pub(crate) fn latency_estimate_seconds(&self) -> Option<f64> {
         self.latency.estimate()
     }
 
--- a/crates/upstream/src/outlier/call_history/tests.rs
+++ b/crates/upstream/src/outlier/call_history/tests.rs
@@ -24,10 +24,12 @@
 fn latency_needs_several_successes() {
     let mut history = CallHistory::default();
     for ms in [1, 2, 3] {
-        assert_eq!(history.latency(at(ms)), None);
+        assert_eq!(history.latency_seconds(at(ms)), None);
         history.record(at(ms), AttemptOutcome::Success, LATENCY, false);
     }
-    let latency = history.latency(at(3)).expect("three calls succeeded");
+    let latency = history
+        .latency_seconds(at(3))
+        .expect("three calls succeeded");
     assert!((latency - 0.02).abs() < 1e-9);
 }
 
@@ -42,7 +44,7 @@
         latency,
         ..CallHistory::default()
     };
-    assert_eq!(history.latency(at(10_004)), None);
+    assert_eq!(history.latency_seconds(at(10_004)), None);
 }
 
 #[test]
--- a/crates/upstream/src/registry.rs
+++ b/crates/upstream/src/registry.rs
@@ -255,13 +255,13 @@
             return Finished::Nothing;
         };
         let group = &mut self.groups[*index];
-        let typical_latency = group.typical_latency();
+        let typical_latency_seconds = group.typical_latency_seconds();
         let latency = now - attempt.started_at;
-        let outcome = outlier::outcome_after_wait(outcome, latency, typical_latency);
+        let outcome = outlier::outcome_after_wait(outcome, latency, typical_latency_seconds);
         if outcome == AttemptOutcome::Success {
             group.hedge_delay_estimator_mut().record(latency);
         }
-        let slow = outlier::is_slow_call(latency, typical_latency);
+        let slow = outlier::is_slow_call(latency, typical_latency_seconds);
         match backend.record(now, attempt.started_at, outcome, slow, || rng.rand_float()) {
             Recorded::Probed(event) => Finished::Probe(event),
             Recorded::Counted if outcome.is_failure() => Finished::Failure,
