--- a/crates/server/tests/log_lines/events.rs
+++ b/crates/server/tests/log_lines/events.rs
@@ -7,7 +7,7 @@
     MembershipEvent,
 };
 use madderbay_quota::{BudgetEvent, ChangeCause};
-use madderbay_upstream::{BackendEvent, OutlierEvidence, State};
+use madderbay_upstream::{BackendEvent, BackendState, OutlierEvidence};
 use std::net::SocketAddr;
 
 fn membership_events() -> Vec<String> {
@@ -115,10 +115,10 @@
         ejected(0, 0, None),
         ejected(5, 2, None),
         ejected(5, 0, Some(6.0)),
-        changed(State::Ejected, State::Probing),
-        changed(State::Probing, State::Ejected),
-        changed(State::Probing, State::SlowStart),
-        changed(State::SlowStart, State::Active),
+        changed(BackendState::Ejected, BackendState::Probing),
+        changed(BackendState::Probing, BackendState::Ejected),
+        changed(BackendState::Probing, BackendState::SlowStart),
+        changed(BackendState::SlowStart, BackendState::Active),
         panic_mode(true),
         panic_mode(false),
         configured(true),
--- a/crates/simulation/src/simulation/sampling.rs
+++ b/crates/simulation/src/simulation/sampling.rs
@@ -5,7 +5,7 @@
 use crate::fault::ServerId;
 use crate::node::Process;
 use madderbay_membership::MemberState;
-use madderbay_upstream::State;
+use madderbay_upstream::BackendState;
 use std::collections::BTreeMap;
 
 /// The views of the fleet that the servers hold.
@@ -70,6 +70,7 @@
         return 0;
     };
     let manager = backends.manager().borrow();
-    let is_ejected = |state: &State| matches!(state, State::Ejected | State::Probing);
+    let is_ejected =
+        |state: &BackendState| matches!(state, BackendState::Ejected | BackendState::Probing);
     manager.backend_states().filter(is_ejected).count() as u32
 }
--- a/crates/simulation/src/simulation/turn.rs
+++ b/crates/simulation/src/simulation/turn.rs
@@ -5,7 +5,7 @@
 use crate::fault::ServerId;
 use crate::network::{self, LOCAL_DELAY};
 use crate::report::BackendTransition;
-use madderbay_upstream::{BackendEvent, State};
+use madderbay_upstream::{BackendEvent, BackendState};
 use std::net::SocketAddr;
 
 impl Simulation {
@@ -95,7 +95,7 @@
     match event {
         BackendEvent::Ejected { .. } => Some(BackendTransition::Ejected),
         BackendEvent::StateChanged {
-            to: State::SlowStart,
+            to: BackendState::SlowStart,
             ..
         } => Some(BackendTransition::Readmitted),
         _ => None,
--- a/crates/testkit/src/backend_simulation/rows.rs
+++ b/crates/testkit/src/backend_simulation/rows.rs
@@ -4,7 +4,7 @@
 use super::ids::SimulatedBackendId;
 use super::{BackendFleetSetup, BackendSimulation, START};
 use madderbay::time::{Duration, Timestamp};
-use madderbay_upstream::State;
+use madderbay_upstream::BackendState;
 use std::ops::Range;
 
 /// The time that a row is about.
@@ -48,7 +48,10 @@
         for server in &self.servers {
             let states = server.upstream.backend_states();
             for (ejected, state) in row.ejected_by_backend.iter_mut().zip(states) {
-                *ejected += u32::from(matches!(state, State::Ejected | State::Probing));
+                *ejected += u32::from(matches!(
+                    state,
+                    BackendState::Ejected | BackendState::Probing
+                ));
             }
         }
         self.rows.push(row);
--- a/crates/upstream/src/backend.rs
+++ b/crates/upstream/src/backend.rs
@@ -3,7 +3,7 @@
 //! [`Backend`] owns the transitions between the states; when to eject it is decided by its group.
 
 use crate::attempt::AttemptOutcome;
-use crate::backend_state::State;
+use crate::backend_state::BackendState;
 use crate::call_counts::CallCounts;
 use crate::events::BackendEvent;
 use crate::gossip::LocalObservation;
@@ -49,7 +49,7 @@
 pub(crate) struct Backend {
     settings: BackendSettings,
     name_hash: u32,
-    state: State,
+    state: BackendState,
     /// When the state began, or when an ejection was last forgotten in it.
     state_since: Timestamp,
     /// When the ejection ends, or the next probe may be made.
@@ -71,7 +71,7 @@
 
 impl Backend {
     /// A backend without any results.
-    pub(crate) fn new(now: Timestamp, settings: BackendSettings, state: State) -> Backend {
+    pub(crate) fn new(now: Timestamp, settings: BackendSettings, state: BackendState) -> Backend {
         Backend {
             name_hash: name_hash(&settings.name),
             settings,
@@ -150,16 +150,16 @@
         random: impl FnOnce() -> f64,
     ) -> Recorded {
         // What began before the ejection shows nothing of the present.
-        let is_outdated = self.state == State::Probing && started_at < self.state_since;
-        if self.state == State::Ejected || is_outdated {
+        let is_outdated = self.state == BackendState::Probing && started_at < self.state_since;
+        if self.state == BackendState::Ejected || is_outdated {
             return Recorded::Ignored;
         }
         self.history.record(now, outcome, now - started_at, slow);
-        if self.state != State::Probing {
+        if self.state != BackendState::Probing {
             return Recorded::Counted;
         }
         self.record_probe(now, outcome, slow, random());
-        Recorded::Probed(self.state_change_from(State::Probing))
+        Recorded::Probed(self.state_change_from(BackendState::Probing))
     }
 
     fn record_probe(&mut self, now: Timestamp, outcome: AttemptOutcome, slow: bool, random: f64) {
@@ -168,7 +168,7 @@
             AttemptOutcome::Success if !slow => {
                 self.successful_probes += 1;
                 if self.successful_probes >= PROBES_TO_RETURN {
-                    self.enter(State::SlowStart, now);
+                    self.enter(BackendState::SlowStart, now);
                 }
             }
             AttemptOutcome::Rejected | AttemptOutcome::Cancelled => {}
@@ -178,17 +178,17 @@
 
     // --- state
 
-    pub(crate) fn state(&self) -> State {
+    pub(crate) fn state(&self) -> BackendState {
         self.state
     }
 
-    fn enter(&mut self, state: State, now: Timestamp) {
+    fn enter(&mut self, state: BackendState, now: Timestamp) {
         self.state = state;
         self.state_since = now;
     }
 
     /// The event of a change from a former state, where it is another one now.
-    fn state_change_from(&self, from: State) -> Option<BackendEvent> {
+    fn state_change_from(&self, from: BackendState) -> Option<BackendEvent> {
         (self.state != from).then(|| BackendEvent::StateChanged {
             name: self.name(),
             from,
@@ -201,16 +201,16 @@
         let before = self.state;
         let elapsed = now - self.state_since;
         match self.state {
-            State::Ejected if now >= self.next_transition => {
-                self.enter(State::Probing, now);
+            BackendState::Ejected if now >= self.next_transition => {
+                self.enter(BackendState::Probing, now);
                 self.next_transition = now;
                 self.successful_probes = 0;
                 self.history.clear();
             }
-            State::SlowStart if elapsed >= slow_start::SLOW_START_WINDOW => {
-                self.enter(State::Active, now);
+            BackendState::SlowStart if elapsed >= slow_start::SLOW_START_WINDOW => {
+                self.enter(BackendState::Active, now);
             }
-            State::Active if self.ejections > 0 && elapsed >= EJECTION_FORGIVENESS => {
+            BackendState::Active if self.ejections > 0 && elapsed >= EJECTION_FORGIVENESS => {
                 self.ejections -= 1;
                 self.state_since = now;
             }
@@ -224,7 +224,7 @@
         self.ejections = (self.ejections + 1).min(MAX_COUNTED_EJECTIONS);
         let factor = f64::from(1u32 << (self.ejections - 1));
         let time = BASE_EJECTION_TIME.mul_f64(factor).min(MAX_EJECTION_TIME);
-        self.enter(State::Ejected, now);
+        self.enter(BackendState::Ejected, now);
         self.return_position = random;
         self.next_transition = now + jitter::spread(time, random);
         self.successful_probes = 0;
@@ -237,7 +237,9 @@
 
     /// Whether a probe may be sent now.
     pub(crate) fn accepts_probe(&self, now: Timestamp) -> bool {
-        self.state == State::Probing && self.in_flight.is_empty() && now >= self.next_transition
+        self.state == BackendState::Probing
+            && self.in_flight.is_empty()
+            && now >= self.next_transition
     }
 
     // --- judgement
@@ -250,7 +252,7 @@
             .reports
             .seen_healthy_at
             .filter(|at| *at > self.state_since);
-        if let (State::Ejected, Some(at)) = (self.state, seen_healthy) {
+        if let (BackendState::Ejected, Some(at)) = (self.state, seen_healthy) {
             let probe_at = at + return_spread.mul_f64(self.return_position);
             self.next_transition = self.next_transition.min(probe_at);
         }
@@ -288,9 +290,9 @@
     /// Its present weight: what the operator set, reduced in slow start and by reports against it.
     pub(crate) fn weight(&self, now: Timestamp) -> f64 {
         let fraction = match self.state {
-            State::Active => 1.0,
-            State::SlowStart => slow_start::weight_fraction(now - self.state_since),
-            State::Ejected | State::Probing => return 0.0,
+            BackendState::Active => 1.0,
+            BackendState::SlowStart => slow_start::weight_fraction(now - self.state_since),
+            BackendState::Ejected | BackendState::Probing => return 0.0,
         };
         self.settings.weight * fraction * self.reports.weight_fraction()
     }
@@ -309,7 +311,7 @@
 
     /// What this server reports of it. An ejected backend is reported by its last failures, while these are recent.
     pub(crate) fn observation(&mut self, now: Timestamp) -> LocalObservation {
-        let calls = if self.state == State::Ejected {
+        let calls = if self.state == BackendState::Ejected {
             self.history.decay(now);
             CallCounts {
                 successes: 0.0,
--- a/crates/upstream/src/backend_group.rs
+++ b/crates/upstream/src/backend_group.rs
@@ -6,7 +6,7 @@
 
 use crate::backend::Backend;
 use crate::backend_id::BackendId;
-use crate::backend_state::State;
+use crate::backend_state::BackendState;
 use crate::backend_table::BackendTable;
 use crate::events::BackendEvent;
 use crate::gossip::reports::ReceivedReports;
@@ -245,7 +245,7 @@
         let min_local_fraction = settings.min_local_fraction;
         self.selector =
             ZoneAwareSelector::new(&candidates, configured_local_weight, min_local_fraction);
-        let is_probing = |id: &BackendId| all[*id].state() == State::Probing;
+        let is_probing = |id: &BackendId| all[*id].state() == BackendState::Probing;
         self.probing = self.backends.iter().copied().filter(is_probing).collect();
     }
 
--- a/crates/upstream/src/events.rs
+++ b/crates/upstream/src/events.rs
@@ -1,6 +1,6 @@
 //! Changes of backends that are worth a line in the log, and the bounded list that holds them until they are taken.
 
-use crate::backend_state::State;
+use crate::backend_state::BackendState;
 use crate::outlier::OutlierEvidence;
 use compact_str::CompactString;
 use madderbay::time::Duration;
@@ -26,9 +26,9 @@
         /// Name of the backend.
         name: CompactString,
         /// The state before.
-        from: State,
+        from: BackendState,
         /// The state now.
-        to: State,
+        to: BackendState,
     },
     /// More than half of a group looks faulty, or no longer does. Nobody is ejected in panic mode.
     PanicModeChanged {
--- a/crates/upstream/src/events/tests.rs
+++ b/crates/upstream/src/events/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn state_change(from: State, to: State) -> String {
+fn state_change(from: BackendState, to: BackendState) -> String {
     let name = "b1".into();
     BackendEvent::StateChanged { name, from, to }.to_string()
 }
@@ -47,11 +47,11 @@
 #[test]
 fn state_lines_name_both_states() {
     assert_eq!(
-        state_change(State::Ejected, State::Probing),
+        state_change(BackendState::Ejected, BackendState::Probing),
         "backend probing, name=b1, from=ejected"
     );
     assert_eq!(
-        state_change(State::SlowStart, State::Active),
+        state_change(BackendState::SlowStart, BackendState::Active),
         "backend active, name=b1, from=slow-start"
     );
 }
--- a/crates/upstream/src/fleet_stack.rs
+++ b/crates/upstream/src/fleet_stack.rs
@@ -1,8 +1,8 @@
 //! The protocols between the servers of a fleet, driven as one: membership, and over it quotas and upstream backends.
 //! The server and the simulations drive the very same stack.
 //!
-//! [`FleetStack`] owns the order in which the parts act. It is given datagrams and time; it gives datagrams and the time
-//! of its next timeout. It never does I/O.
+//! [`FleetStack`] owns the order in which the parts act. It is given datagrams and time; it gives datagrams and the
+//! time of its next timeout. It never does I/O.
 
 use crate::manager::UpstreamManager;
 use compact_str::CompactString;
--- a/crates/upstream/src/gossip.rs
+++ b/crates/upstream/src/gossip.rs
@@ -7,7 +7,7 @@
 pub(crate) mod codec;
 pub(crate) mod reports;
 
-use crate::backend_state::State;
+use crate::backend_state::BackendState;
 use crate::call_counts::CallCounts;
 use crate::jitter;
 use crate::retry::budget::AttemptCounts;
@@ -54,7 +54,7 @@
 /// What this server saw of one backend.
 pub(crate) struct LocalObservation {
     pub(crate) name_hash: u32,
-    pub(crate) state: State,
+    pub(crate) state: BackendState,
     pub(crate) calls: CallCounts,
     /// What the reports of others on it weigh, in failures.
     pub(crate) reported_failures: f64,
@@ -63,7 +63,7 @@
 impl LocalObservation {
     /// Whether any recent call was seen.
     fn is_seen(&self) -> bool {
-        self.state == State::Ejected
+        self.state == BackendState::Ejected
             || self.calls.successes + self.calls.failures > MIN_REPORTED_CALLS
     }
 
@@ -72,14 +72,14 @@
             successes,
             failures,
         } = self.calls;
-        self.state == State::Ejected || failures > successes && failures > MIN_REPORTED_CALLS
+        self.state == BackendState::Ejected || failures > successes && failures > MIN_REPORTED_CALLS
     }
 
     /// Whether others should know: it failed here, or it succeeded here after failing here or elsewhere.
     fn is_worth_reporting(&self) -> bool {
         let succeeded = self.calls.successes > MIN_REPORTED_CALLS;
         let is_disputed = self.reported_failures > MIN_DISPUTED_FAILURES;
-        let has_returned = self.state == State::SlowStart;
+        let has_returned = self.state == BackendState::SlowStart;
         self.calls.failures > MIN_REPORTED_CALLS || succeeded && (is_disputed || has_returned)
     }
 
--- a/crates/upstream/src/gossip/reports.rs
+++ b/crates/upstream/src/gossip/reports.rs
@@ -1,8 +1,9 @@
 //! The reports of other servers on backends, and what they weigh together.
 //!
-//! A witness reports only what it saw itself, so that no report comes back as a confirmation of itself. A witness that finds most backends
-//! faulty is not credible. The witnesses of one zone weigh little more than one of them, since they may share a broken
-//! link. Reports lose their weight with age. [`ReceivedReports`] owns the reports; it never judges a backend.
+//! A witness reports only what it saw itself, so that no report comes back as a confirmation of itself. A witness that
+//! finds most backends faulty is not credible. The witnesses of one zone weigh little more than one of them, since they
+//! may share a broken link. Reports lose their weight with age. [`ReceivedReports`] owns the reports; it never judges a
+//! backend.
 
 use compact_str::CompactString;
 use madderbay::time::{Duration, Timestamp};
--- a/crates/upstream/src/hedge/delay_estimator.rs
+++ b/crates/upstream/src/hedge/delay_estimator.rs
@@ -1,7 +1,7 @@
 //! When a hedge is due: after a high percentile of the recent latencies of a group of backends.
 //!
-//! [`HedgeDelayEstimator`] owns the latencies. Whether a call may be hedged, and whether the retry budget allows it, is decided
-//! elsewhere.
+//! [`HedgeDelayEstimator`] owns the latencies and is given each one of a successful call. It never decides whether a
+//! call is hedged: that is [`crate::hedge::policy`].
 
 use hdrhistogram::Histogram;
 use madderbay::time::{Duration, Timestamp};
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -17,7 +17,7 @@
 //! use madderbay::interface::HandlerId;
 //! use madderbay::time::{Duration, Timestamp};
 //! use madderbay_upstream::{
-//!     AttemptOutcome, BackendId, BackendSettings, Settings, State, UpstreamManager,
+//!     AttemptOutcome, BackendId, BackendSettings, BackendState, Settings, UpstreamManager,
 //! };
 //! let backend = |n: u16| BackendSettings {
 //!     name: format!("book-{n}").as_str().into(),
@@ -29,7 +29,7 @@
 //! let set = Settings { zone: "north".into(), ..Settings::default() };
 //! let at = |ms: u64| Timestamp::from_micros(1_000_000 + ms * 1_000);
 //! let mut upstream = UpstreamManager::new(at(0), 7, set, (1..=4).map(backend).collect());
-//! // One of four fails whatever it is asked: it is left out, and the others have its calls.
+//! // One of four fails all its calls: it is ejected, and the others get them.
 //! for step in 0..200 {
 //!     let now = at(step * 10);
 //!     upstream.handle_timeout(now);
@@ -38,8 +38,9 @@
 //!     let outcome = if failed { AttemptOutcome::Failed } else { AttemptOutcome::Success };
 //!     upstream.finish(now + Duration::from_millis(5), &attempt, outcome);
 //! }
-//! let states: Vec<State> = upstream.backend_statuses(at(2_000)).iter().map(|v| v.state).collect();
-//! assert_eq!(states, [State::Active, State::Active, State::Ejected, State::Active]);
+//! use BackendState::{Active, Ejected};
+//! let states: Vec<BackendState> = upstream.backend_states().collect();
+//! assert_eq!(states, [Active, Active, Ejected, Active]);
 //! ```
 
 mod attempt;
@@ -66,7 +67,7 @@
 
 pub use attempt::{AttemptOutcome, UpstreamAttempt};
 pub use backend_id::BackendId;
-pub use backend_state::State;
+pub use backend_state::BackendState;
 pub use events::BackendEvent;
 pub use fleet_stack::FleetStack;
 pub use gossip::codec::{BackendReport, GossipDecodeError, GossipMessage, name_hash};
--- a/crates/upstream/src/manager.rs
+++ b/crates/upstream/src/manager.rs
@@ -8,7 +8,7 @@
 use crate::attempt::{AttemptOutcome, UpstreamAttempt};
 use crate::backend_group::{BackendGroup, EvaluationContext};
 use crate::backend_id::BackendId;
-use crate::backend_state::State;
+use crate::backend_state::BackendState;
 use crate::events::{BackendEvent, EventQueue};
 use crate::gossip::Gossip;
 use crate::hedge;
@@ -378,7 +378,7 @@
     }
 
     /// The state of each backend, in the order of [`backend_statuses`](Self::backend_statuses).
-    pub fn backend_states(&self) -> impl Iterator<Item = State> {
+    pub fn backend_states(&self) -> impl Iterator<Item = BackendState> {
         self.registry.states()
     }
 
--- a/crates/upstream/src/registry.rs
+++ b/crates/upstream/src/registry.rs
@@ -7,7 +7,7 @@
 use crate::backend::{Backend, Recorded};
 use crate::backend_group::{BackendGroup, EvaluationContext};
 use crate::backend_id::BackendId;
-use crate::backend_state::State;
+use crate::backend_state::BackendState;
 use crate::backend_table::BackendTable;
 use crate::events::BackendEvent;
 use crate::gossip::LocalObservation;
@@ -107,9 +107,9 @@
         });
         // Beside others its caches may be cold, and all servers begin to use it at the same time.
         let state = if self.groups.is_empty() {
-            State::Active
+            BackendState::Active
         } else {
-            State::SlowStart
+            BackendState::SlowStart
         };
         self.backends.insert(Backend::new(now, settings, state))
     }
@@ -169,7 +169,7 @@
     }
 
     /// The state of each configured backend, group by group.
-    pub(crate) fn states(&self) -> impl Iterator<Item = State> {
+    pub(crate) fn states(&self) -> impl Iterator<Item = BackendState> {
         self.by_group().map(Backend::state)
     }
 
--- a/crates/upstream/src/status.rs
+++ b/crates/upstream/src/status.rs
@@ -1,6 +1,6 @@
 //! What is shown of backends and counted, for operators and tests.
 
-use crate::backend_state::State;
+use crate::backend_state::BackendState;
 use compact_str::CompactString;
 use madderbay::time::Duration;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
     /// Its zone.
     pub zone: CompactString,
     /// Its state.
-    pub state: State,
+    pub state: BackendState,
     /// Its weight in selection as a fraction of the weight that the operator set, 0 to 1.
     pub weight: f64,
     /// Recent successes and failures seen by this server; older ones count less.
--- a/crates/upstream/tests/arbitrary_events.rs
+++ b/crates/upstream/tests/arbitrary_events.rs
@@ -7,8 +7,8 @@
 use madderbay::time::{Duration, Timestamp};
 use madderbay_membership::MAX_SUBSYSTEM_PAYLOAD_BYTES;
 use madderbay_upstream::{
-    AttemptOutcome, BackendSettings, BackendStatus, FailedCall, Settings, State, UpstreamAttempt,
-    UpstreamManager,
+    AttemptOutcome, BackendSettings, BackendState, BackendStatus, FailedCall, Settings,
+    UpstreamAttempt, UpstreamManager,
 };
 use proptest::prelude::*;
 
@@ -201,7 +201,7 @@
         let statuses = self.upstream.backend_statuses(self.now);
         for (handlers, backends) in self.upstream.groups() {
             let out_of_selection = statuses.iter().filter(|status| {
-                let is_out = matches!(status.state, State::Ejected | State::Probing);
+                let is_out = matches!(status.state, BackendState::Ejected | BackendState::Probing);
                 is_out && handlers.contains(&handler_of(status))
             });
             let some_are_left = out_of_selection.count() < backends;
--- a/crates/upstream/tests/slow_start.rs
+++ b/crates/upstream/tests/slow_start.rs
@@ -4,7 +4,9 @@
 
 use common::{HANDLER, backend};
 use madderbay::time::{Duration, Timestamp};
-use madderbay_upstream::{AttemptOutcome, BackendSettings, Settings, State, UpstreamManager};
+use madderbay_upstream::{
+    AttemptOutcome, BackendSettings, BackendState, Settings, UpstreamManager,
+};
 
 /// Calls that each server makes in one burst.
 const CALLS_PER_BURST: usize = 50;
@@ -64,7 +66,11 @@
             }
             upstream.handle_timeout(late);
             let statuses = upstream.backend_statuses(late);
-            assert!(statuses.iter().all(|status| status.state == State::Active));
+            assert!(
+                statuses
+                    .iter()
+                    .all(|status| status.state == BackendState::Active)
+            );
         }
         let calls = calls_of_burst(7_004, &mut servers, late) as f64;
         assert!(
