--- /dev/null
+++ b/crates/upstream/src/manager/attempts.rs
@@ -0,0 +1,175 @@
+//! The attempts of calls: which backend each goes to, whether a call gets a further one, and what follows from its end.
+//!
+//! The policies decide ([`crate::retry`], [`crate::hedge`]); the registry picks; this carries out and counts. The order
+//! is: policy, backend, budget. A refusal before the pick draws no random number, one before the budget spends nothing.
+
+use super::UpstreamManager;
+use crate::attempt::{AttemptOutcome, UpstreamAttempt};
+use crate::backend_group::BackendGroup;
+use crate::backend_id::BackendId;
+use crate::hedge;
+use crate::hedge::policy::{HedgeCandidate, HedgePolicy, HedgeRefusal};
+use crate::registry::Finished;
+use crate::retry::policy::{FailedCall, RetryPolicy, RetryRefusal, RetryTarget};
+use madderbay::interface::HandlerId;
+use madderbay::time::{Duration, Timestamp};
+
+impl UpstreamManager {
+    /// The first attempt of a call of a handler; nothing where the handler has no backends.
+    pub fn pick(&mut self, now: Timestamp, handler: HandlerId) -> Option<UpstreamAttempt> {
+        self.registry.group(handler)?;
+        // An evaluation that is due comes before the choice, whoever drives this manager.
+        if now >= self.next_evaluation {
+            self.evaluate(now);
+        }
+        let backend = self.registry.pick(now, handler, None, &mut self.rng)?;
+        self.registry
+            .group_mut(handler)?
+            .retry_budget_mut()
+            .record_first_attempt(now);
+        self.totals.first_attempts += 1;
+        Some(self.begin_attempt(now, handler, backend))
+    }
+
+    /// Retries a call at once, at another backend than its former attempt. The retry budget is spent last.
+    ///
+    /// # Errors
+    /// Why there is no retry; then no attempt begins and nothing is spent.
+    pub fn retry(
+        &mut self,
+        now: Timestamp,
+        former: &UpstreamAttempt,
+        call: FailedCall,
+    ) -> Result<UpstreamAttempt, RetryRefusal> {
+        self.retry_policy(former).check(call)?;
+        self.begin_further_attempt(now, former, RetryTarget::OtherBackend)
+    }
+
+    /// Retries a call after a backoff, at another backend if there is one in selection. Whoever waited for the backoff
+    /// has decided that the call may run again and that there is time for it.
+    ///
+    /// # Errors
+    /// [`RetryRefusal::NoBackends`] or [`RetryRefusal::BudgetSpent`].
+    pub fn retry_after_backoff(
+        &mut self,
+        now: Timestamp,
+        former: &UpstreamAttempt,
+    ) -> Result<UpstreamAttempt, RetryRefusal> {
+        self.begin_further_attempt(now, former, RetryTarget::AnyBackend)
+    }
+
+    /// The time from the first attempt of a call until its hedge is due.
+    ///
+    /// # Errors
+    /// Why the call gets no hedge.
+    pub fn hedge_delay(
+        &mut self,
+        now: Timestamp,
+        first: &UpstreamAttempt,
+        call: HedgeCandidate,
+    ) -> Result<Duration, HedgeRefusal> {
+        self.hedge_policy().check_call(call)?;
+        let group = self.registry.group_mut(first.handler);
+        let group = group.ok_or(RetryRefusal::NoBackends)?;
+        RetryTarget::OtherBackend.check_group(group.has_alternatives())?;
+        let estimate = group.hedge_delay_estimator_mut().delay(now);
+        hedge::policy::hedge_delay(estimate, call.timeout)
+    }
+
+    /// Hedges a call whose hedge is due, `time_left` before its deadline, at another backend than its attempt in
+    /// flight. The retry budget is spent last.
+    ///
+    /// # Errors
+    /// Why there is no hedge; then no attempt begins and nothing is spent.
+    pub fn hedge(
+        &mut self,
+        now: Timestamp,
+        in_flight: &UpstreamAttempt,
+        time_left: Duration,
+    ) -> Result<UpstreamAttempt, HedgeRefusal> {
+        self.retry_policy(in_flight).check_time_left(time_left)?;
+        self.hedge_policy().check_enabled()?;
+        let hedge = self.begin_further_attempt(now, in_flight, RetryTarget::OtherBackend)?;
+        self.totals.hedges += 1;
+        Ok(hedge)
+    }
+
+    /// An attempt ended. Its outcome counts for or against the backend.
+    pub fn finish(&mut self, now: Timestamp, attempt: &UpstreamAttempt, outcome: AttemptOutcome) {
+        match self
+            .registry
+            .finish_attempt(now, attempt, outcome, &mut self.rng)
+        {
+            Finished::Nothing => {}
+            Finished::Probe(event) => {
+                self.record_events(event);
+                self.bring_evaluation_forward(now);
+            }
+            Finished::Failure => {
+                self.bring_evaluation_forward(now);
+                self.gossip.bring_round_forward(now);
+            }
+        }
+    }
+
+    /// Picks a backend for a further attempt of a call, spends one retry and begins the attempt.
+    fn begin_further_attempt(
+        &mut self,
+        now: Timestamp,
+        former: &UpstreamAttempt,
+        target: RetryTarget,
+    ) -> Result<UpstreamAttempt, RetryRefusal> {
+        let handler = former.handler;
+        let group = self.registry.group(handler);
+        let group = group.ok_or(RetryRefusal::NoBackends)?;
+        target.check_group(group.has_alternatives())?;
+        let avoid = Some(former.backend);
+        let picked = self.registry.pick(now, handler, avoid, &mut self.rng);
+        let picked = picked.ok_or(RetryRefusal::NoBackends)?;
+        target.check_picked(former.backend, picked)?;
+        self.spend_retry(now, handler)?;
+        Ok(self.begin_attempt(now, handler, picked))
+    }
+
+    /// Takes one retry from the budget of the group that serves a handler.
+    fn spend_retry(&mut self, now: Timestamp, handler: HandlerId) -> Result<(), RetryRefusal> {
+        let group = self.registry.group_mut(handler);
+        let group = group.ok_or(RetryRefusal::NoBackends)?;
+        if !group.retry_budget_mut().try_spend(now) {
+            self.totals.retries_over_budget += 1;
+            return Err(RetryRefusal::BudgetSpent);
+        }
+        self.totals.retries += 1;
+        Ok(())
+    }
+
+    fn retry_policy(&self, attempt: &UpstreamAttempt) -> RetryPolicy {
+        RetryPolicy {
+            typical_latency: self.typical_latency(attempt.handler),
+        }
+    }
+
+    fn hedge_policy(&self) -> HedgePolicy {
+        HedgePolicy {
+            is_enabled: self.settings.hedging,
+        }
+    }
+
+    /// How long a call of a handler typically takes; zero where that is not known.
+    fn typical_latency(&self, handler: HandlerId) -> Duration {
+        let group = self.registry.group(handler);
+        let seconds = group.and_then(BackendGroup::typical_latency_seconds);
+        seconds.map_or(Duration::ZERO, Duration::from_secs_f64)
+    }
+
+    fn begin_attempt(
+        &mut self,
+        now: Timestamp,
+        handler: HandlerId,
+        backend: BackendId,
+    ) -> UpstreamAttempt {
+        self.last_attempt_id += 1;
+        self.registry
+            .begin_attempt(now, handler, backend, self.last_attempt_id)
+    }
+}
