--- a/crates/server/src/core/backend_selector.rs
+++ b/crates/server/src/core/backend_selector.rs
@@ -11,7 +11,7 @@
 };
 use std::rc::Rc;
 
-/// Whoever knows the backends and their health. Times are its own.
+/// Selects backends for calls, judges them by the outcomes, and allows retries and hedges. It reads a clock of its own.
 pub trait BackendSelector {
     /// Selects a backend for the call of a handler; `None` if its calls go to the catalogue.
     fn pick(&self, handler: HandlerId) -> Option<UpstreamAttempt>;
@@ -50,7 +50,7 @@
         in_flight: &UpstreamAttempt,
         time_left: Duration,
     ) -> Result<UpstreamAttempt, HedgeRefusal>;
-    /// An attempt ended.
+    /// An attempt ended. Its outcome counts for or against the backend.
     fn finish(&self, attempt: &UpstreamAttempt, outcome: AttemptOutcome);
     /// The counters of the backends, a line each.
     fn counters(&self) -> String;
--- a/crates/upstream/src/backend_group.rs
+++ b/crates/upstream/src/backend_group.rs
@@ -117,24 +117,24 @@
         &mut self.hedge_delay_estimator
     }
 
-    /// Judges all backends anew: ejects outliers and rebuilds the selector. `all` is the table of backends.
+    /// Judges all backends anew: ejects outliers and rebuilds the selector. `table` has the backends.
     pub(crate) fn evaluate(
         &mut self,
         now: Timestamp,
-        all: &mut BackendTable,
+        table: &mut BackendTable,
         context: &EvaluationContext,
         rng: &mut Rand64,
         events: &mut Vec<BackendEvent>,
     ) {
         self.hedge_delay_estimator.evaluate_if_due(now);
-        let baseline = self.measure_latency(now, all);
-        let mut assessed = self.assess(now, all, context, baseline, events);
-        self.update_panic(all, assessed.outliers, events);
+        let baseline = self.measure_latency(now, table);
+        let mut assessed = self.assess(now, table, context, baseline, events);
+        self.update_panic(table, assessed.outliers, events);
         if !self.panic {
             let limit = self.max_out_of_selection(context.settings.max_ejected_fraction);
-            eject_outliers(now, all, &mut assessed, limit, rng, events);
+            eject_outliers(now, table, &mut assessed, limit, rng, events);
         }
-        self.rebuild_selector(now, all, context.settings, &assessed.selectable);
+        self.rebuild_selector(now, table, context.settings, &assessed.selectable);
     }
 
     /// The most backends that may be out of selection: a fraction, one of two in any case, and never all.
@@ -147,11 +147,11 @@
 
     /// Takes the median latency of the backends as the typical one. Returns it where it rests on more than
     /// one backend and so can be a baseline for them.
-    fn measure_latency(&mut self, now: Timestamp, all: &BackendTable) -> Option<f64> {
+    fn measure_latency(&mut self, now: Timestamp, table: &BackendTable) -> Option<f64> {
         let known = self
             .backends
             .iter()
-            .filter_map(|id| all[*id].latency_seconds(now));
+            .filter_map(|id| table[*id].latency_seconds(now));
         let mut latencies: Vec<f64> = known.collect();
         latencies.sort_by(f64::total_cmp);
         // Of an even number the quicker one in the middle, so that one slow of two is not the baseline.
@@ -164,7 +164,7 @@
     fn assess(
         &self,
         now: Timestamp,
-        all: &mut BackendTable,
+        table: &mut BackendTable,
         context: &EvaluationContext,
         baseline: Option<f64>,
         events: &mut Vec<BackendEvent>,
@@ -178,7 +178,7 @@
             outliers: 0,
         };
         for id in &self.backends {
-            let backend = &mut all[*id];
+            let backend = &mut table[*id];
             events.extend(backend.advance(now));
             let reports = context.reports.summary(now, backend.name_hash());
             backend.set_reports(reports, return_spread);
@@ -199,14 +199,14 @@
 
     fn update_panic(
         &mut self,
-        all: &BackendTable,
+        table: &BackendTable,
         outliers: usize,
         events: &mut Vec<BackendEvent>,
     ) {
         let backends = self.backends.len();
         let panic = backends > 1 && outliers as f64 > PANIC_FRACTION * backends as f64;
         if std::mem::replace(&mut self.panic, panic) != panic {
-            let name = all[self.backends[0]].name();
+            let name = table[self.backends[0]].name();
             events.push(BackendEvent::PanicModeChanged {
                 name,
                 active: panic,
@@ -219,13 +219,13 @@
     fn rebuild_selector(
         &mut self,
         now: Timestamp,
-        all: &BackendTable,
+        table: &BackendTable,
         settings: &Settings,
         assessed: &[Assessment],
     ) {
-        let trust = trust_by_backend(all.slots(), assessed);
+        let trust = trust_by_backend(table.slots(), assessed);
         let candidate = |id: &BackendId| {
-            let backend = &all[*id];
+            let backend = &table[*id];
             let weight = if self.panic {
                 backend.settings().weight
             } else {
@@ -240,12 +240,12 @@
         let candidates: Vec<Candidate> = self.backends.iter().map(candidate).collect();
         let local = candidates.iter().filter(|candidate| candidate.is_local);
         let configured_local_weight: f64 = local
-            .map(|candidate| all[candidate.backend].settings().weight)
+            .map(|candidate| table[candidate.backend].settings().weight)
             .sum();
         let min_local_fraction = settings.min_local_fraction;
         self.selector =
             ZoneAwareSelector::new(&candidates, configured_local_weight, min_local_fraction);
-        let is_probing = |id: &BackendId| all[*id].state() == BackendState::Probing;
+        let is_probing = |id: &BackendId| table[*id].state() == BackendState::Probing;
         self.probing = self.backends.iter().copied().filter(is_probing).collect();
     }
 
@@ -253,29 +253,29 @@
     pub(crate) fn pick(
         &mut self,
         now: Timestamp,
-        all: &BackendTable,
+        table: &BackendTable,
         avoid: Option<BackendId>,
         rng: &mut Rand64,
     ) -> Option<BackendId> {
         if avoid.is_none()
-            && let Some(probed) = self.take_probe(now, all)
+            && let Some(probed) = self.take_probe(now, table)
         {
             return Some(probed);
         }
         let default_latency_seconds = self
             .typical_latency_seconds
             .unwrap_or(DEFAULT_LATENCY_SECONDS);
-        let cost = |id: BackendId| all[id].cost(default_latency_seconds);
+        let cost = |id: BackendId| table[id].cost(default_latency_seconds);
         let picked = self.selector.pick(avoid, rng, cost);
         picked.or_else(|| self.backends.first().copied())
     }
 
     /// A backend that is due for a probe, wherever it stands. It gets a single call.
-    fn take_probe(&mut self, now: Timestamp, all: &BackendTable) -> Option<BackendId> {
+    fn take_probe(&mut self, now: Timestamp, table: &BackendTable) -> Option<BackendId> {
         let due = self
             .probing
             .iter()
-            .position(|id| all[*id].accepts_probe(now))?;
+            .position(|id| table[*id].accepts_probe(now))?;
         Some(self.probing.remove(due))
     }
 }
@@ -283,7 +283,7 @@
 /// Ejects outliers, the most suspected first, up to the limit of backends out of selection.
 fn eject_outliers(
     now: Timestamp,
-    all: &mut BackendTable,
+    table: &mut BackendTable,
     assessed: &mut GroupAssessment,
     max_out_of_selection: usize,
     rng: &mut Rand64,
@@ -301,7 +301,7 @@
             break;
         }
         assessed.out_of_selection += 1;
-        let backend = &mut all[*backend];
+        let backend = &mut table[*backend];
         backend.eject(now, rng.rand_float());
         events.push(BackendEvent::Ejected {
             name: backend.name(),
