--- a/crates/testkit/examples/routes/simulated.rs
+++ b/crates/testkit/examples/routes/simulated.rs
@@ -140,7 +140,7 @@
     let fair = simulation.traffic_fraction(FAULTY, SECOND_MS..CALM_MS);
     let secs = |ms: Option<u64>| ms.map_or(f64::INFINITY, |ms| ms as f64 / 1e3);
     let off = simulation.millis_until_traffic_below(FAULTY, CALM_MS, fair * AVOIDED_PART);
-    let back = simulation.millis_until_traffic_at_least(FAULTY, OVER_MS, fair * BACK_PART);
+    let back = simulation.millis_until_traffic_reaches(FAULTY, OVER_MS, fair * BACK_PART);
     let others = simulation.backends().filter(|backend| *backend != FAULTY);
     let peak = (OVER_MS..END_MS - SECOND_MS)
         .step_by(100)
--- a/crates/testkit/src/backend_simulation/rows.rs
+++ b/crates/testkit/src/backend_simulation/rows.rs
@@ -110,7 +110,7 @@
 
     /// After how many milliseconds from a time on a backend's traffic fraction of a second is at
     /// least a bound. `None` if it never is.
-    pub fn millis_until_traffic_at_least(
+    pub fn millis_until_traffic_reaches(
         &self,
         backend: SimulatedBackendId,
         from_ms: u64,
--- a/crates/upstream/tests/further_attempts.rs
+++ b/crates/upstream/tests/further_attempts.rs
@@ -16,7 +16,7 @@
 const WARM_UP_CALLS: u64 = 200;
 
 /// What the manager has counted.
-#[derive(Debug, Default, PartialEq)]
+#[derive(Debug, PartialEq)]
 struct FurtherAttempts {
     /// Retries and hedges.
     retries: u64,
@@ -25,6 +25,22 @@
     over_budget: u64,
 }
 
+impl FurtherAttempts {
+    const NONE: FurtherAttempts = FurtherAttempts {
+        retries: 0,
+        hedges: 0,
+        over_budget: 0,
+    };
+
+    /// So many retries, none of them a hedge.
+    fn retries(retries: u64) -> FurtherAttempts {
+        FurtherAttempts {
+            retries,
+            ..FurtherAttempts::NONE
+        }
+    }
+}
+
 /// A manager of some backends, and the time.
 struct Scenario {
     now: Timestamp,
@@ -55,6 +71,13 @@
         scenario
     }
 
+    /// The same with four backends, and the first attempt of one more call.
+    fn with_first_attempt() -> (Scenario, UpstreamAttempt) {
+        let mut scenario = Scenario::warmed_up(4, Settings::default());
+        let first = scenario.pick();
+        (scenario, first)
+    }
+
     fn pick(&mut self) -> UpstreamAttempt {
         self.upstream.pick(self.now, HANDLER).expect("a backend")
     }
@@ -110,35 +133,26 @@
 
 #[test]
 fn retry_goes_to_another_backend_and_spends_one_retry() {
-    let mut scenario = Scenario::warmed_up(4, Settings::default());
-    let first = scenario.pick();
+    let (mut scenario, first) = Scenario::with_first_attempt();
     let retry = scenario.retry(&first, REJECTED).expect("a retry");
     assert_ne!(retry.backend, first.backend);
-    assert_eq!(
-        scenario.further_attempts(),
-        FurtherAttempts {
-            retries: 1,
-            ..FurtherAttempts::default()
-        }
-    );
+    assert_eq!(scenario.further_attempts(), FurtherAttempts::retries(1));
 }
 
 #[test]
 fn call_that_may_have_run_is_not_retried_and_spends_nothing() {
-    let mut scenario = Scenario::warmed_up(4, Settings::default());
-    let first = scenario.pick();
+    let (mut scenario, first) = Scenario::with_first_attempt();
     let call = FailedCall {
         outcome: AttemptOutcome::Failed,
         ..REJECTED
     };
     assert_eq!(scenario.retry(&first, call), Err(RetryRefusal::MayHaveRun));
-    assert_eq!(scenario.further_attempts(), FurtherAttempts::default());
+    assert_eq!(scenario.further_attempts(), FurtherAttempts::NONE);
 }
 
 #[test]
 fn retry_needs_more_time_than_a_call_typically_takes() {
-    let mut scenario = Scenario::warmed_up(4, Settings::default());
-    let first = scenario.pick();
+    let (mut scenario, first) = Scenario::with_first_attempt();
     let late = FailedCall {
         time_left: CALL_LATENCY.mul_f64(0.9),
         ..REJECTED
@@ -159,32 +173,25 @@
         scenario.retry(&first, REJECTED),
         Err(RetryRefusal::NoOtherBackend)
     );
-    assert_eq!(scenario.further_attempts(), FurtherAttempts::default());
+    assert_eq!(scenario.further_attempts(), FurtherAttempts::NONE);
     let retry = scenario.upstream.retry_after_backoff(scenario.now, &first);
     assert_eq!(retry.expect("a retry").backend, first.backend);
-    assert_eq!(
-        scenario.further_attempts(),
-        FurtherAttempts {
-            retries: 1,
-            ..FurtherAttempts::default()
-        }
-    );
+    assert_eq!(scenario.further_attempts(), FurtherAttempts::retries(1));
 }
 
 #[test]
 fn retries_end_with_the_budget() {
-    let mut scenario = Scenario::warmed_up(4, Settings::default());
-    let first = scenario.pick();
-    let allowed = (0..WARM_UP_CALLS)
-        .take_while(|_| scenario.retry(&first, REJECTED).is_ok())
-        .count();
+    let (mut scenario, first) = Scenario::with_first_attempt();
+    let mut allowed = 0;
+    while scenario.retry(&first, REJECTED).is_ok() {
+        allowed += 1;
+    }
     assert!(allowed > 0);
     assert_eq!(
         scenario.further_attempts(),
         FurtherAttempts {
-            retries: allowed as u64,
             over_budget: 1,
-            ..FurtherAttempts::default()
+            ..FurtherAttempts::retries(allowed)
         }
     );
     let after_backoff = scenario.upstream.retry_after_backoff(scenario.now, &first);
@@ -197,17 +204,15 @@
     assert_eq!(
         scenario.further_attempts(),
         FurtherAttempts {
-            retries: allowed as u64,
             over_budget: 3,
-            ..FurtherAttempts::default()
+            ..FurtherAttempts::retries(allowed)
         }
     );
 }
 
 #[test]
 fn call_whose_backends_were_removed_gets_no_further_attempt() {
-    let mut scenario = Scenario::warmed_up(4, Settings::default());
-    let first = scenario.pick();
+    let (mut scenario, first) = Scenario::with_first_attempt();
     let settings = scenario.settings.clone();
     scenario.upstream.reload(scenario.now, settings, vec![]);
     assert_eq!(
@@ -236,50 +241,42 @@
         FurtherAttempts {
             retries: 1,
             hedges: 1,
-            ..FurtherAttempts::default()
+            ..FurtherAttempts::NONE
         }
     );
 }
 
 #[test]
 fn hedge_without_enough_time_is_refused_when_it_is_due() {
-    let mut scenario = Scenario::warmed_up(4, Settings::default());
-    let first = scenario.pick();
+    let (mut scenario, first) = Scenario::with_first_attempt();
     let late = CALL_LATENCY.mul_f64(0.9);
     assert_eq!(
         scenario.hedge(&first, late),
         Err(HedgeRefusal::NoAttempt(RetryRefusal::NoTimeLeft))
     );
-    assert_eq!(scenario.further_attempts(), FurtherAttempts::default());
+    assert_eq!(scenario.further_attempts(), FurtherAttempts::NONE);
 }
 
 #[test]
 fn call_gets_no_hedge_for_reasons_of_its_own() {
     let mut scenario = Scenario::warmed_up(4, Settings::default());
-    let refusals = [
-        (
-            HedgeCandidate {
-                is_under_quota: true,
-                ..IDEMPOTENT
-            },
-            HedgeRefusal::UnderQuota,
-        ),
-        (
-            HedgeCandidate {
-                is_idempotent: false,
-                ..IDEMPOTENT
-            },
-            HedgeRefusal::NotIdempotent,
-        ),
-        (
-            HedgeCandidate {
-                timeout: CALL_LATENCY.mul_f64(0.5),
-                ..IDEMPOTENT
-            },
-            HedgeRefusal::DueAfterTimeout,
-        ),
-    ];
-    for (call, refusal) in refusals {
+    let under_quota = HedgeCandidate {
+        is_under_quota: true,
+        ..IDEMPOTENT
+    };
+    let not_idempotent = HedgeCandidate {
+        is_idempotent: false,
+        ..IDEMPOTENT
+    };
+    let short = HedgeCandidate {
+        timeout: CALL_LATENCY.mul_f64(0.5),
+        ..IDEMPOTENT
+    };
+    for (call, refusal) in [
+        (under_quota, HedgeRefusal::UnderQuota),
+        (not_idempotent, HedgeRefusal::NotIdempotent),
+        (short, HedgeRefusal::DueAfterTimeout),
+    ] {
         assert_eq!(scenario.hedge_delay(call), Err(refusal));
     }
 }
@@ -298,13 +295,7 @@
     let first = scenario.pick();
     assert_eq!(scenario.hedge(&first, SECOND), Err(HedgeRefusal::Disabled));
     assert!(scenario.retry(&first, REJECTED).is_ok());
-    assert_eq!(
-        scenario.further_attempts(),
-        FurtherAttempts {
-            retries: 1,
-            ..FurtherAttempts::default()
-        }
-    );
+    assert_eq!(scenario.further_attempts(), FurtherAttempts::retries(1));
 }
 
 #[test]
--- a/crates/upstream/tests/simulated_fleet/fleet.rs
+++ b/crates/upstream/tests/simulated_fleet/fleet.rs
@@ -69,28 +69,6 @@
         self.simulation.traffic_fraction(backend, time)
     }
 
-    /// After how long a backend's traffic of a second is under a bound.
-    pub(crate) fn time_until_under(
-        &self,
-        backend: SimulatedBackendId,
-        from: u64,
-        bound: f64,
-    ) -> Option<u64> {
-        self.simulation
-            .millis_until_traffic_below(backend, from, bound)
-    }
-
-    /// After how long a backend's traffic of a second is at least a bound.
-    pub(crate) fn time_until_over(
-        &self,
-        backend: SimulatedBackendId,
-        from: u64,
-        bound: f64,
-    ) -> Option<u64> {
-        self.simulation
-            .millis_until_traffic_at_least(backend, from, bound)
-    }
-
     /// For how long a backend was out of selection, in seconds, summed over the servers.
     pub(crate) fn ejected_seconds(&self, backend: SimulatedBackendId, time: Range<u64>) -> f64 {
         self.simulation.ejected_seconds(backend, time)
--- a/crates/upstream/tests/simulated_fleet/main.rs
+++ b/crates/upstream/tests/simulated_fleet/main.rs
@@ -35,7 +35,9 @@
                 BackendFault::Silent => 1_500,
                 BackendFault::Failing | BackendFault::Down => 1_000,
             };
-            let left = fleet.time_until_under(FAULTY, 5_000, 0.04);
+            let left = fleet
+                .simulation
+                .millis_until_traffic_below(FAULTY, 5_000, 0.04);
             assert!(
                 left.is_some_and(|millis| millis <= limit),
                 "{fault:?} seed {seed}: left after {left:?}"
@@ -44,7 +46,9 @@
             assert!(success > 0.985, "{fault:?} seed {seed}: {success:.3}");
             fleet.set_fault(BackendFault::HEALTHY);
             fleet.run(30_000);
-            let returned = fleet.time_until_over(FAULTY, 15_000, 0.06);
+            let returned = fleet
+                .simulation
+                .millis_until_traffic_reaches(FAULTY, 15_000, 0.06);
             assert!(
                 returned.is_some_and(|millis| millis < 20_000),
                 "{fault:?} seed {seed}: returned after {returned:?}"
@@ -66,7 +70,9 @@
             let mut fleet = Fleet::stable(setup, seed);
             fleet.set_fault(BackendFault::Failing);
             fleet.run(5_000);
-            let left = fleet.time_until_under(FAULTY, 5_000, 0.03);
+            let left = fleet
+                .simulation
+                .millis_until_traffic_below(FAULTY, 5_000, 0.03);
             (left, fleet.traffic(FAULTY, 6_000..10_000))
         };
         let (left_with_gossip, traffic_with_gossip) = result(RoutingPolicy::ManagerWithGossip);
