--- a/crates/testkit/examples/backends/real.rs
+++ b/crates/testkit/examples/backends/real.rs
@@ -131,7 +131,7 @@
                 scope.spawn(move || target.measure(&load_of(server), |_| ()))
             });
             let loads: Vec<_> = loads.collect();
-            let calls = play_fault(&backends[FAULTY], fault);
+            let calls = play_fault(&backends[FAULTY.index()], fault);
             (join_loads(loads), calls)
         });
         let cpu_ms = cpu_ms_per_request(fleet.cpu() - cpu_before, load.records.len());
--- a/crates/upstream/src/backend.rs
+++ b/crates/upstream/src/backend.rs
@@ -3,12 +3,13 @@
 //! [`Backend`] owns the transitions between the states; when to eject it is decided by its group.
 
 use crate::attempt::AttemptOutcome;
-use crate::backend_state::State;
+use crate::backend_state::BackendState;
 use crate::call_counts::CallCounts;
 use crate::events::BackendEvent;
 use crate::gossip::LocalObservation;
 use crate::gossip::codec::name_hash;
 use crate::gossip::reports::ReportSummary;
+use crate::jitter;
 use crate::outlier::{self, CallHistory, OutlierEvidence};
 use crate::settings::BackendSettings;
 use crate::slow_start;
@@ -18,16 +19,18 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The first ejection takes this long, each further one twice as long as the one before, up to the maximum. Each is
-/// drawn from three to five quarters of that, so that servers that ejected together do not return together.
+/// The first ejection takes this long, each further one twice as long as the one before. Each is spread at random, so
+/// that servers that ejected together do not return together.
 const BASE_EJECTION_TIME: Duration = Duration::from_millis(2_000);
+/// Upper bound on an ejection before it is spread.
 const MAX_EJECTION_TIME: Duration = Duration::from_millis(60_000);
 /// Bound on the ejections that count, so that doubling cannot overflow.
 const MAX_COUNTED_EJECTIONS: u32 = 16;
 /// One ejection is forgotten for each such time without another.
 const EJECTION_FORGIVENESS: Duration = Duration::from_millis(30_000);
-/// Successful probes in a row that end the ejection, and the time between two probes.
+/// Successful probes in a row that end the ejection.
 const PROBES_TO_RETURN: u32 = 2;
+/// Time from the end of a probe until the next one may be sent.
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 /// Attempts in flight that are followed at one backend; a server runs fewer calls.
 const MAX_FOLLOWED_ATTEMPTS: usize = 100_000;
@@ -46,7 +49,7 @@
 pub(crate) struct Backend {
     settings: BackendSettings,
     name_hash: u32,
-    state: State,
+    state: BackendState,
     /// When the state began, or when an ejection was last forgotten in it.
     state_since: Timestamp,
     /// When the ejection ends, or the next probe may be made.
@@ -68,7 +71,7 @@
 
 impl Backend {
     /// A backend without any results.
-    pub(crate) fn new(now: Timestamp, settings: BackendSettings, state: State) -> Backend {
+    pub(crate) fn new(now: Timestamp, settings: BackendSettings, state: BackendState) -> Backend {
         Backend {
             name_hash: name_hash(&settings.name),
             settings,
@@ -147,16 +150,16 @@
         random: impl FnOnce() -> f64,
     ) -> Recorded {
         // What began before the ejection shows nothing of the present.
-        let is_outdated = self.state == State::Probing && started_at < self.state_since;
-        if self.state == State::Ejected || is_outdated {
+        let is_outdated = self.state == BackendState::Probing && started_at < self.state_since;
+        if self.state == BackendState::Ejected || is_outdated {
             return Recorded::Ignored;
         }
         self.history.record(now, outcome, now - started_at, slow);
-        if self.state != State::Probing {
+        if self.state != BackendState::Probing {
             return Recorded::Counted;
         }
         self.record_probe(now, outcome, slow, random());
-        Recorded::Probed(self.state_change_from(State::Probing))
+        Recorded::Probed(self.state_change_from(BackendState::Probing))
     }
 
     fn record_probe(&mut self, now: Timestamp, outcome: AttemptOutcome, slow: bool, random: f64) {
@@ -165,7 +168,7 @@
             AttemptOutcome::Success if !slow => {
                 self.successful_probes += 1;
                 if self.successful_probes >= PROBES_TO_RETURN {
-                    self.enter(State::SlowStart, now);
+                    self.enter(BackendState::SlowStart, now);
                 }
             }
             AttemptOutcome::Rejected | AttemptOutcome::Cancelled => {}
@@ -175,17 +178,17 @@
 
     // --- state
 
-    pub(crate) fn state(&self) -> State {
+    pub(crate) fn state(&self) -> BackendState {
         self.state
     }
 
-    fn enter(&mut self, state: State, now: Timestamp) {
+    fn enter(&mut self, state: BackendState, now: Timestamp) {
         self.state = state;
         self.state_since = now;
     }
 
     /// The event of a change from a former state, where it is another one now.
-    fn state_change_from(&self, from: State) -> Option<BackendEvent> {
+    fn state_change_from(&self, from: BackendState) -> Option<BackendEvent> {
         (self.state != from).then(|| BackendEvent::StateChanged {
             name: self.name(),
             from,
@@ -198,16 +201,16 @@
         let before = self.state;
         let elapsed = now - self.state_since;
         match self.state {
-            State::Ejected if now >= self.next_transition => {
-                self.enter(State::Probing, now);
+            BackendState::Ejected if now >= self.next_transition => {
+                self.enter(BackendState::Probing, now);
                 self.next_transition = now;
                 self.successful_probes = 0;
                 self.history.clear();
             }
-            State::SlowStart if elapsed >= slow_start::SLOW_START_WINDOW => {
-                self.enter(State::Active, now);
+            BackendState::SlowStart if elapsed >= slow_start::SLOW_START_WINDOW => {
+                self.enter(BackendState::Active, now);
             }
-            State::Active if self.ejections > 0 && elapsed >= EJECTION_FORGIVENESS => {
+            BackendState::Active if self.ejections > 0 && elapsed >= EJECTION_FORGIVENESS => {
                 self.ejections -= 1;
                 self.state_since = now;
             }
@@ -221,9 +224,9 @@
         self.ejections = (self.ejections + 1).min(MAX_COUNTED_EJECTIONS);
         let factor = f64::from(1u32 << (self.ejections - 1));
         let time = BASE_EJECTION_TIME.mul_f64(factor).min(MAX_EJECTION_TIME);
-        self.enter(State::Ejected, now);
+        self.enter(BackendState::Ejected, now);
         self.return_position = random;
-        self.next_transition = now + time.mul_f64(0.75 + 0.5 * random);
+        self.next_transition = now + jitter::spread(time, random);
         self.successful_probes = 0;
     }
 
@@ -234,7 +237,9 @@
 
     /// Whether a probe may be sent now.
     pub(crate) fn accepts_probe(&self, now: Timestamp) -> bool {
-        self.state == State::Probing && self.in_flight.is_empty() && now >= self.next_transition
+        self.state == BackendState::Probing
+            && self.in_flight.is_empty()
+            && now >= self.next_transition
     }
 
     // --- judgement
@@ -247,36 +252,37 @@
             .reports
             .seen_healthy_at
             .filter(|at| *at > self.state_since);
-        if let (State::Ejected, Some(at)) = (self.state, seen_healthy) {
+        if let (BackendState::Ejected, Some(at)) = (self.state, seen_healthy) {
             let probe_at = at + return_spread.mul_f64(self.return_position);
             self.next_transition = self.next_transition.min(probe_at);
         }
     }
 
-    /// The evidence for and against it now; the typical latency of the group is in seconds.
+    /// The evidence for and against it now, beside the typical latency of its group.
     pub(crate) fn assess(
         &mut self,
         now: Timestamp,
-        typical_latency: Option<f64>,
+        typical_latency_seconds: Option<f64>,
     ) -> OutlierEvidence {
         self.history.decay(now);
-        let limit = outlier::overdue_time(typical_latency);
+        let limit = outlier::overdue_time(typical_latency_seconds);
         // Ids rise with time, so that the oldest attempts come first.
         let overdue = self
             .in_flight
             .values()
             .take_while(|began| now - **began > limit)
             .count();
-        let slowdown = outlier::slowdown(self.history.latency(now), typical_latency);
+        let slowdown =
+            outlier::slowdown(self.history.latency_seconds(now), typical_latency_seconds);
         let results = self.history.counts();
         let evidence = OutlierEvidence::new(results, overdue, slowdown, &self.reports);
         self.reported_results = evidence.reported_results(self.history.last_call_failed());
         evidence
     }
 
-    /// Recent mean latency in seconds, where enough calls succeeded.
-    pub(crate) fn latency(&self, now: Timestamp) -> Option<f64> {
-        self.history.latency(now)
+    /// Recent mean latency, where enough calls succeeded.
+    pub(crate) fn latency_seconds(&self, now: Timestamp) -> Option<f64> {
+        self.history.latency_seconds(now)
     }
 
     // --- selection
@@ -284,17 +290,20 @@
     /// Its present weight: what the operator set, reduced in slow start and by reports against it.
     pub(crate) fn weight(&self, now: Timestamp) -> f64 {
         let fraction = match self.state {
-            State::Active => 1.0,
-            State::SlowStart => slow_start::weight_fraction(now - self.state_since),
-            State::Ejected | State::Probing => return 0.0,
+            BackendState::Active => 1.0,
+            BackendState::SlowStart => slow_start::weight_fraction(now - self.state_since),
+            BackendState::Ejected | BackendState::Probing => return 0.0,
         };
         self.settings.weight * fraction * self.reports.weight_fraction()
     }
 
-    /// What one more call would wait for, in seconds for each unit of weight. `default_latency` in seconds is taken
-    /// where no call succeeded recently.
-    pub(crate) fn cost(&self, default_latency: f64) -> f64 {
-        let latency = self.history.latency_estimate().unwrap_or(default_latency);
+    /// What one more call would wait for, in seconds for each unit of weight. `default_latency_seconds` is taken where
+    /// no call succeeded recently.
+    pub(crate) fn cost(&self, default_latency_seconds: f64) -> f64 {
+        let latency = self
+            .history
+            .latency_estimate_seconds()
+            .unwrap_or(default_latency_seconds);
         (self.in_flight.len() + 1) as f64 * latency / self.settings.weight
     }
 
@@ -302,7 +311,7 @@
 
     /// What this server reports of it. An ejected backend is reported by its last failures, while these are recent.
     pub(crate) fn observation(&mut self, now: Timestamp) -> LocalObservation {
-        let calls = if self.state == State::Ejected {
+        let calls = if self.state == BackendState::Ejected {
             self.history.decay(now);
             CallCounts {
                 successes: 0.0,
@@ -333,7 +342,10 @@
             observed: results.successes + results.failures,
             failures: results.failures,
             in_flight: self.in_flight.len(),
-            typical_latency: self.history.latency_estimate().map(Duration::from_secs_f64),
+            typical_latency: self
+                .history
+                .latency_estimate_seconds()
+                .map(Duration::from_secs_f64),
             witnesses: self.reports.witnesses,
             gossip_failures: self.reports.failures,
         }
--- a/crates/upstream/src/backend_group.rs
+++ b/crates/upstream/src/backend_group.rs
@@ -6,12 +6,13 @@
 
 use crate::backend::Backend;
 use crate::backend_id::BackendId;
-use crate::backend_state::State;
+use crate::backend_state::BackendState;
+use crate::backend_table::BackendTable;
 use crate::events::BackendEvent;
 use crate::gossip::reports::ReceivedReports;
-use crate::hedging::HedgeTimer;
+use crate::hedge::delay_estimator::HedgeDelayEstimator;
 use crate::outlier::OutlierEvidence;
-use crate::retry_budget::RetryBudget;
+use crate::retry::budget::RetryBudget;
 use crate::selection::{Candidate, ZoneAwareSelector};
 use crate::settings::Settings;
 use madderbay::interface::HandlerId;
@@ -25,11 +26,12 @@
 const SUSPECTED_WEIGHT_FRACTION: f64 = 0.1;
 /// Failures under which all backends of a group count as faultless.
 const FAULTLESS_FAILURES: f64 = 0.05;
-/// Latency assumed where no call of the group succeeded, in seconds.
-const DEFAULT_LATENCY: f64 = 0.02;
-/// A backend that others saw healthy is probed within a time that grows with the number of servers, up to the maximum:
-/// servers that ejected together do not return together.
+/// Latency assumed where no call of the group succeeded.
+const DEFAULT_LATENCY_SECONDS: f64 = 0.02;
+/// A backend that others saw healthy is probed within a time that grows by this with each peer, so that servers that
+/// ejected together do not return together.
 const RETURN_SPREAD_PER_PEER: Duration = Duration::from_millis(10);
+/// Upper bound on that time.
 const MAX_RETURN_SPREAD: Duration = Duration::from_millis(5_000);
 
 /// What an evaluation is given beside the backends.
@@ -63,10 +65,10 @@
     /// Backends that get single calls until they have proved healthy.
     probing: Vec<BackendId>,
     panic: bool,
-    /// Latency of a typical backend, in seconds.
-    typical_latency: Option<f64>,
+    /// Latency of a typical backend.
+    typical_latency_seconds: Option<f64>,
     retry_budget: RetryBudget,
-    hedge_timer: HedgeTimer,
+    hedge_delay_estimator: HedgeDelayEstimator,
 }
 
 impl BackendGroup {
@@ -78,9 +80,9 @@
             selector: ZoneAwareSelector::empty(),
             probing: vec![],
             panic: false,
-            typical_latency: None,
+            typical_latency_seconds: None,
             retry_budget: RetryBudget::new(now, retry_ratio),
-            hedge_timer: HedgeTimer::new(now),
+            hedge_delay_estimator: HedgeDelayEstimator::new(now),
         }
     }
 
@@ -102,37 +104,37 @@
         self.backends.len() > 1
     }
 
-    /// Latency of a typical backend, in seconds.
-    pub(crate) fn typical_latency(&self) -> Option<f64> {
-        self.typical_latency
+    /// Latency of a typical backend.
+    pub(crate) fn typical_latency_seconds(&self) -> Option<f64> {
+        self.typical_latency_seconds
     }
 
     pub(crate) fn retry_budget_mut(&mut self) -> &mut RetryBudget {
         &mut self.retry_budget
     }
 
-    pub(crate) fn hedge_timer_mut(&mut self) -> &mut HedgeTimer {
-        &mut self.hedge_timer
+    pub(crate) fn hedge_delay_estimator_mut(&mut self) -> &mut HedgeDelayEstimator {
+        &mut self.hedge_delay_estimator
     }
 
-    /// Judges all backends anew: ejects outliers and rebuilds the selector. `all` is the table of backends.
+    /// Judges all backends anew: ejects outliers and rebuilds the selector. `table` has the backends.
     pub(crate) fn evaluate(
         &mut self,
         now: Timestamp,
-        all: &mut [Backend],
+        table: &mut BackendTable,
         context: &EvaluationContext,
         rng: &mut Rand64,
         events: &mut Vec<BackendEvent>,
     ) {
-        self.hedge_timer.evaluate_if_due(now);
-        let baseline = self.measure_latency(now, all);
-        let mut assessed = self.assess(now, all, context, baseline, events);
-        self.update_panic(all, assessed.outliers, events);
+        self.hedge_delay_estimator.evaluate_if_due(now);
+        let baseline = self.measure_latency(now, table);
+        let mut assessed = self.assess(now, table, context, baseline, events);
+        self.update_panic(table, assessed.outliers, events);
         if !self.panic {
             let limit = self.max_out_of_selection(context.settings.max_ejected_fraction);
-            eject_outliers(now, all, &mut assessed, limit, rng, events);
+            eject_outliers(now, table, &mut assessed, limit, rng, events);
         }
-        self.rebuild_selector(now, all, context.settings, &assessed.selectable);
+        self.rebuild_selector(now, table, context.settings, &assessed.selectable);
     }
 
     /// The most backends that may be out of selection: a fraction, one of two in any case, and never all.
@@ -143,26 +145,26 @@
             .min(backends.saturating_sub(1))
     }
 
-    /// Takes the median latency of the backends as the typical one. Returns it, in seconds, where it rests on more than
+    /// Takes the median latency of the backends as the typical one. Returns it where it rests on more than
     /// one backend and so can be a baseline for them.
-    fn measure_latency(&mut self, now: Timestamp, all: &[Backend]) -> Option<f64> {
+    fn measure_latency(&mut self, now: Timestamp, table: &BackendTable) -> Option<f64> {
         let known = self
             .backends
             .iter()
-            .filter_map(|id| all[id.index()].latency(now));
+            .filter_map(|id| table[*id].latency_seconds(now));
         let mut latencies: Vec<f64> = known.collect();
         latencies.sort_by(f64::total_cmp);
         // Of an even number the quicker one in the middle, so that one slow of two is not the baseline.
         let median = latencies.len().saturating_sub(1) / 2;
-        self.typical_latency = latencies.get(median).copied();
-        self.typical_latency.filter(|_| latencies.len() > 1)
+        self.typical_latency_seconds = latencies.get(median).copied();
+        self.typical_latency_seconds.filter(|_| latencies.len() > 1)
     }
 
     /// Brings all backends up to date and collects the evidence on those in selection.
     fn assess(
         &self,
         now: Timestamp,
-        all: &mut [Backend],
+        table: &mut BackendTable,
         context: &EvaluationContext,
         baseline: Option<f64>,
         events: &mut Vec<BackendEvent>,
@@ -176,7 +178,7 @@
             outliers: 0,
         };
         for id in &self.backends {
-            let backend = &mut all[id.index()];
+            let backend = &mut table[*id];
             events.extend(backend.advance(now));
             let reports = context.reports.summary(now, backend.name_hash());
             backend.set_reports(reports, return_spread);
@@ -195,11 +197,16 @@
         assessed
     }
 
-    fn update_panic(&mut self, all: &[Backend], outliers: usize, events: &mut Vec<BackendEvent>) {
+    fn update_panic(
+        &mut self,
+        table: &BackendTable,
+        outliers: usize,
+        events: &mut Vec<BackendEvent>,
+    ) {
         let backends = self.backends.len();
         let panic = backends > 1 && outliers as f64 > PANIC_FRACTION * backends as f64;
         if std::mem::replace(&mut self.panic, panic) != panic {
-            let name = all[self.backends[0].index()].name();
+            let name = table[self.backends[0]].name();
             events.push(BackendEvent::PanicModeChanged {
                 name,
                 active: panic,
@@ -212,13 +219,13 @@
     fn rebuild_selector(
         &mut self,
         now: Timestamp,
-        all: &[Backend],
+        table: &BackendTable,
         settings: &Settings,
         assessed: &[Assessment],
     ) {
-        let trust = trust_by_backend(all.len(), assessed);
+        let trust = trust_by_backend(table.slots(), assessed);
         let candidate = |id: &BackendId| {
-            let backend = &all[id.index()];
+            let backend = &table[*id];
             let weight = if self.panic {
                 backend.settings().weight
             } else {
@@ -233,12 +240,12 @@
         let candidates: Vec<Candidate> = self.backends.iter().map(candidate).collect();
         let local = candidates.iter().filter(|candidate| candidate.is_local);
         let configured_local_weight: f64 = local
-            .map(|candidate| all[candidate.backend.index()].settings().weight)
+            .map(|candidate| table[candidate.backend].settings().weight)
             .sum();
         let min_local_fraction = settings.min_local_fraction;
         self.selector =
             ZoneAwareSelector::new(&candidates, configured_local_weight, min_local_fraction);
-        let is_probing = |id: &BackendId| all[id.index()].state() == State::Probing;
+        let is_probing = |id: &BackendId| table[*id].state() == BackendState::Probing;
         self.probing = self.backends.iter().copied().filter(is_probing).collect();
     }
 
@@ -246,27 +253,29 @@
     pub(crate) fn pick(
         &mut self,
         now: Timestamp,
-        all: &[Backend],
+        table: &BackendTable,
         avoid: Option<BackendId>,
         rng: &mut Rand64,
     ) -> Option<BackendId> {
         if avoid.is_none()
-            && let Some(probed) = self.take_probe(now, all)
+            && let Some(probed) = self.take_probe(now, table)
         {
             return Some(probed);
         }
-        let default_latency = self.typical_latency.unwrap_or(DEFAULT_LATENCY);
-        let cost = |id: BackendId| all[id.index()].cost(default_latency);
+        let default_latency_seconds = self
+            .typical_latency_seconds
+            .unwrap_or(DEFAULT_LATENCY_SECONDS);
+        let cost = |id: BackendId| table[id].cost(default_latency_seconds);
         let picked = self.selector.pick(avoid, rng, cost);
         picked.or_else(|| self.backends.first().copied())
     }
 
     /// A backend that is due for a probe, wherever it stands. It gets a single call.
-    fn take_probe(&mut self, now: Timestamp, all: &[Backend]) -> Option<BackendId> {
+    fn take_probe(&mut self, now: Timestamp, table: &BackendTable) -> Option<BackendId> {
         let due = self
             .probing
             .iter()
-            .position(|id| all[id.index()].accepts_probe(now))?;
+            .position(|id| table[*id].accepts_probe(now))?;
         Some(self.probing.remove(due))
     }
 }
@@ -274,7 +283,7 @@
 /// Ejects outliers, the most suspected first, up to the limit of backends out of selection.
 fn eject_outliers(
     now: Timestamp,
-    all: &mut [Backend],
+    table: &mut BackendTable,
     assessed: &mut GroupAssessment,
     max_out_of_selection: usize,
     rng: &mut Rand64,
@@ -292,7 +301,7 @@
             break;
         }
         assessed.out_of_selection += 1;
-        let backend = &mut all[backend.index()];
+        let backend = &mut table[*backend];
         backend.eject(now, rng.rand_float());
         events.push(BackendEvent::Ejected {
             name: backend.name(),
--- a/crates/upstream/src/manager.rs
+++ b/crates/upstream/src/manager.rs
@@ -3,15 +3,15 @@
 //!
 //! [`UpstreamManager`] owns the parts and the schedule. It is given calls and their outcomes, the view of the fleet,
 //! datagrams, time and a seed; it gives attempts, datagrams, events and the time of its next timeout. It never does
-//! I/O, and never reads a clock.
+//! I/O, and never reads a clock. Its attempts are in [`attempts`].
 
-use crate::attempt::{AttemptOutcome, RetryKind, UpstreamAttempt};
-use crate::backend_group::{BackendGroup, EvaluationContext};
-use crate::backend_id::BackendId;
-use crate::backend_state::State;
+mod attempts;
+
+use crate::backend_group::EvaluationContext;
+use crate::backend_state::BackendState;
 use crate::events::{BackendEvent, EventQueue};
 use crate::gossip::Gossip;
-use crate::registry::{BackendRegistry, Finished};
+use crate::registry::BackendRegistry;
 use crate::settings::{BackendSettings, Settings};
 use crate::status::{BackendStatus, Totals};
 use compact_str::CompactString;
@@ -75,125 +75,6 @@
         self.evaluate(now);
     }
 
-    // --- attempts
-
-    /// The first attempt of a call of a handler; nothing where the handler has no backends.
-    pub fn pick(&mut self, now: Timestamp, handler: HandlerId) -> Option<UpstreamAttempt> {
-        self.registry.group_index(handler)?;
-        // An evaluation that is due comes before the choice, whoever drives this manager.
-        if now >= self.next_evaluation {
-            self.evaluate(now);
-        }
-        let backend = self.registry.pick(now, handler, None, &mut self.rng)?;
-        self.registry
-            .group_mut(handler)?
-            .retry_budget_mut()
-            .record_first_attempt(now);
-        self.totals.first_attempts += 1;
-        Some(self.begin_attempt(now, handler, backend))
-    }
-
-    /// One more attempt of a call, after or beside a former one; nothing where there is no other backend for it, or the
-    /// retry budget does not allow it.
-    pub fn retry(
-        &mut self,
-        now: Timestamp,
-        former: &UpstreamAttempt,
-        kind: RetryKind,
-    ) -> Option<UpstreamAttempt> {
-        let needs_other_backend = kind != RetryKind::AfterBackoff;
-        let group = self.registry.group(former.handler)?;
-        if needs_other_backend && !group.has_alternatives()
-            || kind == RetryKind::Hedge && !self.settings.hedging
-        {
-            return None;
-        }
-        let avoid = BackendId::new(former.backend);
-        let backend = self
-            .registry
-            .pick(now, former.handler, Some(avoid), &mut self.rng)?;
-        // All others may be out of selection.
-        if needs_other_backend && backend == avoid {
-            return None;
-        }
-        if !self
-            .registry
-            .group_mut(former.handler)?
-            .retry_budget_mut()
-            .try_spend(now)
-        {
-            self.totals.retries_over_budget += 1;
-            return None;
-        }
-        self.totals.retries += 1;
-        self.totals.hedges += u64::from(kind == RetryKind::Hedge);
-        Some(self.begin_attempt(now, former.handler, backend))
-    }
-
-    fn begin_attempt(
-        &mut self,
-        now: Timestamp,
-        handler: HandlerId,
-        backend: BackendId,
-    ) -> UpstreamAttempt {
-        self.last_attempt_id += 1;
-        self.registry
-            .begin_attempt(now, handler, backend, self.last_attempt_id)
-    }
-
-    /// How long after its start an idempotent call is worth a hedge; nothing where it gets none.
-    pub fn hedge_delay(&mut self, now: Timestamp, attempt: &UpstreamAttempt) -> Option<Duration> {
-        if !self.settings.hedging {
-            return None;
-        }
-        let group = self.registry.group_mut(attempt.handler)?;
-        if group.has_alternatives() {
-            group.hedge_timer_mut().delay(now)
-        } else {
-            None
-        }
-    }
-
-    /// How long a call of the attempt's group typically takes; zero where that is not known. A retry with less time than
-    /// this is not worth making.
-    pub fn typical_latency(&self, attempt: &UpstreamAttempt) -> Duration {
-        let group = self.registry.group(attempt.handler);
-        let seconds = group.and_then(BackendGroup::typical_latency);
-        seconds.map_or(Duration::ZERO, Duration::from_secs_f64)
-    }
-
-    /// An attempt ended. Its outcome counts for or against the backend.
-    pub fn finish(&mut self, now: Timestamp, attempt: &UpstreamAttempt, outcome: AttemptOutcome) {
-        match self
-            .registry
-            .finish_attempt(now, attempt, outcome, &mut self.rng)
-        {
-            Finished::Nothing => {}
-            Finished::Probe(event) => {
-                self.record_events(event);
-                self.hurry_evaluation(now);
-            }
-            Finished::Failure => {
-                self.hurry_evaluation(now);
-                self.gossip.hurry(now);
-            }
-        }
-    }
-
-    fn hurry_evaluation(&mut self, now: Timestamp) {
-        self.next_evaluation = self
-            .next_evaluation
-            .min(now + EVALUATION_DELAY_AFTER_FAILURE);
-    }
-
-    fn record_events(&mut self, events: impl IntoIterator<Item = BackendEvent>) {
-        for event in events {
-            if !self.events.push(event) {
-                self.totals.events_dropped += 1;
-            }
-        }
-    }
-
     // --- timeouts
 
     /// When [`handle_timeout`](Self::handle_timeout) is due next.
@@ -223,6 +104,20 @@
         self.settings.gossip && self.gossip.active_peers() > 0
     }
 
+    fn bring_evaluation_forward(&mut self, now: Timestamp) {
+        self.next_evaluation = self
+            .next_evaluation
+            .min(now + EVALUATION_DELAY_AFTER_FAILURE);
+    }
+
+    fn record_events(&mut self, events: impl IntoIterator<Item = BackendEvent>) {
+        for event in events {
+            if !self.events.push(event) {
+                self.totals.events_dropped += 1;
+            }
+        }
+    }
+
     fn evaluate(&mut self, now: Timestamp) {
         self.next_evaluation = now + EVALUATION_INTERVAL;
         self.gossip.prune(now, self.registry.name_hashes());
@@ -306,9 +201,9 @@
         self.gossip.reports().len()
     }
 
-    /// The index of the group that serves a handler; nothing where the handler has no backends.
-    pub fn group_of(&self, handler: HandlerId) -> Option<usize> {
-        self.registry.group_index(handler)
+    /// Whether any backend serves a handler.
+    pub fn has_backends(&self, handler: HandlerId) -> bool {
+        self.registry.group(handler).is_some()
     }
 
     /// The handlers of each group, and how many backends it has.
@@ -320,7 +215,7 @@
     }
 
     /// The state of each backend, in the order of [`backend_statuses`](Self::backend_statuses).
-    pub fn backend_states(&self) -> impl Iterator<Item = State> {
+    pub fn backend_states(&self) -> impl Iterator<Item = BackendState> {
         self.registry.states()
     }
 
--- a/crates/upstream/tests/arbitrary_events.rs
+++ b/crates/upstream/tests/arbitrary_events.rs
@@ -1,12 +1,14 @@
 //! Attempts, outcomes, gossip, peers and configurations in any order: no panic, tables within their bounds, and a
 //! backend for each call whose handler has any.
 
+mod common;
+
 use madderbay::interface::HandlerId;
 use madderbay::time::{Duration, Timestamp};
 use madderbay_membership::MAX_SUBSYSTEM_PAYLOAD_BYTES;
 use madderbay_upstream::{
-    AttemptOutcome, BackendSettings, BackendStatus, RetryKind, Settings, State, UpstreamAttempt,
-    UpstreamManager,
+    AttemptOutcome, BackendSettings, BackendState, BackendStatus, FailedCall, Settings,
+    UpstreamAttempt, UpstreamManager,
 };
 use proptest::prelude::*;
 
@@ -26,11 +28,21 @@
     AttemptOutcome::Cancelled,
 ];
 
-const RETRY_KINDS: [RetryKind; 3] = [
-    RetryKind::OtherBackend,
-    RetryKind::Hedge,
-    RetryKind::AfterBackoff,
+/// A further attempt of a call.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum FurtherAttempt {
+    RetryAtOnce,
+    Hedge,
+    RetryAfterBackoff,
+}
+
+const FURTHER_ATTEMPTS: [FurtherAttempt; 3] = [
+    FurtherAttempt::RetryAtOnce,
+    FurtherAttempt::Hedge,
+    FurtherAttempt::RetryAfterBackoff,
 ];
+/// Time that a call has left for a further attempt: longer than any call can take here.
+const TIME_LEFT: Duration = Duration::from_millis(3_600_000);
 
 fn zone(n: usize) -> &'static str {
     ["north", "south"][n % 2]
@@ -39,11 +51,10 @@
 /// Backends with even numbers serve handler 0, the others handler 1.
 fn backend(n: usize) -> BackendSettings {
     BackendSettings {
-        name: format!("b{n}").as_str().into(),
-        address: ([127, 0, 0, 1], 7_000 + n as u16).into(),
         zone: zone(n).into(),
         weight: 1.0 + n as f64,
         handlers: vec![HandlerId::new(n % 2)],
+        ..common::backend(n)
     }
 }
 
@@ -114,7 +125,7 @@
     fn pick(&mut self, n: usize) -> Result<(), TestCaseError> {
         let handler = HandlerId::new(n % HANDLERS);
         let picked = self.upstream.pick(self.now, handler);
-        let has_backends = handler.index() < 2 && self.upstream.group_of(handler).is_some();
+        let has_backends = handler.index() < 2 && self.upstream.has_backends(handler);
         prop_assert_eq!(picked.is_some(), has_backends);
         self.in_flight.extend(picked);
         Ok(())
@@ -122,15 +133,37 @@
 
     fn retry(&mut self, n: usize) -> Result<(), TestCaseError> {
         let former = self.in_flight[n % self.in_flight.len()].clone();
-        let kind = RETRY_KINDS[n % RETRY_KINDS.len()];
-        if let Some(attempt) = self.upstream.retry(self.now, &former, kind) {
+        let further = FURTHER_ATTEMPTS[n % FURTHER_ATTEMPTS.len()];
+        if let Some(attempt) = self.begin_further_attempt(&former, further) {
             let goes_elsewhere = attempt.backend != former.backend;
-            prop_assert!(goes_elsewhere || kind == RetryKind::AfterBackoff);
+            prop_assert!(goes_elsewhere || further == FurtherAttempt::RetryAfterBackoff);
             self.in_flight.push(attempt);
         }
         Ok(())
     }
 
+    fn begin_further_attempt(
+        &mut self,
+        former: &UpstreamAttempt,
+        further: FurtherAttempt,
+    ) -> Option<UpstreamAttempt> {
+        let upstream = &mut self.upstream;
+        match further {
+            FurtherAttempt::RetryAtOnce => {
+                let call = FailedCall {
+                    outcome: AttemptOutcome::Rejected,
+                    is_idempotent: true,
+                    time_left: TIME_LEFT,
+                };
+                upstream.retry(self.now, former, call).ok()
+            }
+            FurtherAttempt::Hedge => upstream.hedge(self.now, former, TIME_LEFT).ok(),
+            FurtherAttempt::RetryAfterBackoff => {
+                upstream.retry_after_backoff(self.now, former).ok()
+            }
+        }
+    }
+
     fn finish(&mut self, n: usize) {
         let attempt = self.in_flight.swap_remove(n % self.in_flight.len());
         let outcome = OUTCOMES[n % OUTCOMES.len()];
@@ -168,7 +201,7 @@
         let statuses = self.upstream.backend_statuses(self.now);
         for (handlers, backends) in self.upstream.groups() {
             let out_of_selection = statuses.iter().filter(|status| {
-                let is_out = matches!(status.state, State::Ejected | State::Probing);
+                let is_out = matches!(status.state, BackendState::Ejected | BackendState::Probing);
                 is_out && handlers.contains(&handler_of(status))
             });
             let some_are_left = out_of_selection.count() < backends;
--- a/crates/upstream/tests/gossip_compatibility.rs
+++ b/crates/upstream/tests/gossip_compatibility.rs
@@ -1,10 +1,12 @@
 //! Gossip payloads written by the version before the public names changed (`tests/data/*.bin`): they are read,
 //! written again to the same bytes, and sent again by a manager that is driven through the same events.
 
-use madderbay::interface::HandlerId;
+mod common;
+
+use common::HANDLER;
 use madderbay::time::{Duration, Timestamp};
 use madderbay_upstream::{
-    AttemptOutcome, BackendReport, BackendSettings, GossipMessage, RetryKind, Settings,
+    AttemptOutcome, BackendId, BackendReport, BackendSettings, FailedCall, GossipMessage, Settings,
     UpstreamManager, name_hash,
 };
 
@@ -16,6 +18,9 @@
 const MOST_REPORTS: &[u8] = include_bytes!("data/most_reports.bin");
 const ALL_FIELDS: &[u8] = include_bytes!("data/all_fields.bin");
 
+/// Time that a failed call has left: far more than a call takes.
+const CALL_TIME_LEFT: Duration = Duration::from_millis(1_000);
+
 fn at(ms: u64) -> Timestamp {
     Timestamp::from_micros(1_000_000 + ms * 1_000)
 }
@@ -24,9 +29,7 @@
     BackendSettings {
         name: format!("book-{n}").as_str().into(),
         address: ([127, 0, 0, 1], 7_700 + n).into(),
-        zone: "north".into(),
-        weight: 1.0,
-        handlers: vec![HandlerId::new(0)],
+        ..common::backend(usize::from(n))
     }
 }
 
@@ -48,7 +51,7 @@
 fn last_payload(
     upstream: &mut UpstreamManager,
     millis: u64,
-    outcome: impl Fn(usize, u64) -> AttemptOutcome,
+    outcome: impl Fn(BackendId, u64) -> AttemptOutcome,
 ) -> Vec<u8> {
     let mut last = vec![];
     for ms in (0..millis).step_by(10) {
@@ -56,12 +59,17 @@
         if let Some((_, payload)) = upstream.take_datagrams().pop() {
             last = payload;
         }
-        let attempt = upstream.pick(at(ms), HandlerId::new(0)).expect("a backend");
+        let attempt = upstream.pick(at(ms), HANDLER).expect("a backend");
         let outcome = outcome(attempt.backend, ms);
         let ended = at(ms) + Duration::from_millis(5);
         upstream.finish(ended, &attempt, outcome);
+        let call = FailedCall {
+            outcome,
+            is_idempotent: false,
+            time_left: CALL_TIME_LEFT,
+        };
         if outcome == AttemptOutcome::Rejected
-            && let Some(retry) = upstream.retry(ended, &attempt, RetryKind::OtherBackend)
+            && let Ok(retry) = upstream.retry(ended, &attempt, call)
         {
             let ended = at(ms) + Duration::from_millis(9);
             upstream.finish(ended, &retry, AttemptOutcome::Success);
@@ -71,9 +79,12 @@
 }
 
 /// The outcomes of a fleet in which one backend gives `wrong` until a time in milliseconds.
-fn one_backend_until(wrong: AttemptOutcome, until: u64) -> impl Fn(usize, u64) -> AttemptOutcome {
+fn one_backend_until(
+    wrong: AttemptOutcome,
+    until: u64,
+) -> impl Fn(BackendId, u64) -> AttemptOutcome {
     move |backend, ms| {
-        if backend == 2 && ms < until {
+        if backend == BackendId::new(2) && ms < until {
             wrong
         } else {
             AttemptOutcome::Success
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -260,7 +260,8 @@
 }
 
 impl Outcome {
-    /// Whether a run or a call with this outcome may have had its effect, so that a second one might double it.
+    /// Whether the run or call may have run, wholly or in part. If so, only an idempotent one may be sent again;
+    /// one that was rejected or never sent surely has not run.
     pub fn may_have_run(self) -> bool {
         !matches!(self, Outcome::Rejected | Outcome::Unreachable)
     }
