--- a/src/abandoned_calls.rs
+++ b/src/abandoned_calls.rs
@@ -1,7 +1,7 @@
 //! Upstream calls that were given up on and may still run.
 //!
 //! A caller that stops waiting does not end the call: it occupies the upstream until its lifetime is over.
-//! [`AbandonedCalls`] owns the end of each and is given the time. What an occupied place means is decided by whoever
+//! [`AbandonedCalls`](crate::abandoned_calls::AbandonedCalls) owns the end of each and is given the time. What an occupied place means is decided by whoever
 //! counts calls: the decision module, a concurrency limit, or a quota.
 
 use crate::time::{Duration, Timestamp};
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1,8 +1,8 @@
 //! The decision module: which requests one server starts, queues, rejects or fails, and which upstream calls it makes.
 //!
-//! A [`Decider`] makes the decisions of one server incarnation. It is given each event with its time and, after the
-//! last event of a batch, [`Decider::settle`]. Its decisions go out through [`Actions`]. It reads no clock and no
-//! socket; equal seeds and events give equal decisions.
+//! A [`Decider`](crate::decide::Decider) makes the decisions of one server incarnation. It is given each event with its
+//! time and, after the last event of a batch, [`settle`](crate::decide::Decider::settle). Its decisions go out through
+//! [`Actions`](crate::interface::Actions). It reads no clock and no socket; equal seeds and events give equal decisions.
 //!
 //! Each rule is in a file of its own, as a type with private state or as a function. It answers with a decision and
 //! acts on nothing:
@@ -20,8 +20,8 @@
 //! | `load_report`, `idle_connections` | what clients are told |
 //!
 //! The steps carry the decisions out: `arrivals`, `starts`, `calls`, `answers`, `expired_timers`, `control_loops` and
-//! `client_advice`. They are methods of [`Decider`], which owns the rules and passes to each what it needs. `docs/decisions.md` lists all rules with their
-//! inputs and answers.
+//! `client_advice`. They are methods of [`Decider`](crate::decide::Decider), which owns the rules and passes to each
+//! what it needs. `docs/decisions.md` lists all rules with their inputs and answers.
 
 mod admission;
 mod answers;
