--- a/crates/server/src/core/actions.rs
+++ b/crates/server/src/core/actions.rs
@@ -2,6 +2,9 @@
 //!
 //! Is given: the id of a request and what is to be done about it. An action on a request that is not in flight
 //! any more has no effect. Decides nothing: what can't be done is reported back as a deferred event.
+//!
+//! The core calls some of them itself: `arrivals` rejects what comes before the engine is up or over the limit on
+//! connections, and `upstream_events` gives up what a lost link or a declined command has ended.
 
 use super::deadlines::Deadline;
 use super::executor::ActionExecutor;
@@ -46,7 +49,7 @@
         let handler = request.handler;
         if let Some(key) = request.key {
             let runs = &mut self.idempotent_runs;
-            match runs.run_started(self.now, id, key, request.name) {
+            match runs.begin_run(self.now, id, key, request.name) {
                 Ok(RunRelease::Now) => {}
                 Ok(RunRelease::OnceDurable) => request.commands.hold_back(),
                 Err(_) => return self.deferred_events.run_not_sent(id),
@@ -118,7 +121,7 @@
     }
 
     fn remove_key(&mut self, id: u64) {
-        self.idempotent_runs.remove_held_by(id);
+        self.idempotent_runs.remove_key_of_newest_attempt(id);
     }
 
     fn join_attempt(&mut self, id: u64) {
--- a/crates/server/src/core/answers.rs
+++ b/crates/server/src/core/answers.rs
@@ -129,7 +129,7 @@
         }
         if let Some(key) = key {
             self.idempotent_runs.record_not_run(self.now, key);
-            self.idempotent_runs.remove_held_by(id);
+            self.idempotent_runs.remove_key_of_newest_attempt(id);
         }
     }
 
--- a/crates/server/src/core/arrivals.rs
+++ b/crates/server/src/core/arrivals.rs
@@ -163,7 +163,7 @@
         }
         self.enter_request(now, recipient, &request);
         if !self.is_deciding() {
-            // Nothing can run before the engine is up.
+            // Nothing can run before the engine is up, and there is no decision module yet that could be told.
             self.executor.reject(arrival.id, Duration::ZERO, false);
         } else if self.is_over_limit(connection) && arrival.retry_of == 0 {
             // A retry with an idempotency key is admitted: it shares the outcome of the first attempt.
@@ -234,7 +234,8 @@
         self.executor.request_settled(id);
     }
 
-    /// Answers a request with an error and reports its client gone, so that the decision module gives it up.
+    /// Answers a request with an error. The decision module is told that its client is gone, which is how it gives up a
+    /// request that was answered without it.
     pub(super) fn fail_request(&mut self, now: Timestamp, id: u64) {
         self.executor.now = now;
         self.executor.fail(id);
--- a/crates/server/src/core/concurrency_limits.rs
+++ b/crates/server/src/core/concurrency_limits.rs
@@ -1,7 +1,7 @@
 //! Concurrency limits by pool: the plan of them, from the operator file and the platform's settings, and their
 //! counters.
 //!
-//! It owns no state; the limits are in a [`ConcurrencyLimiter`], which the core owns.
+//! It owns no state; the limits are in a `ConcurrencyLimiter`, which the core owns.
 
 use crate::core::handler_names::{HandlerResolver, UnknownHandlers};
 use crate::support::metrics::Lines;
--- a/crates/server/src/core/dispatch.rs
+++ b/crates/server/src/core/dispatch.rs
@@ -40,7 +40,7 @@
             Outcome::Rejected => AttemptOutcome::Rejected,
             Outcome::Failed => AttemptOutcome::Failed,
             Outcome::TimedOut => AttemptOutcome::TimedOut,
-            // No run waited for it, or the backend was not reached.
+            // The upstream server itself says that no run waits for the call: that shows nothing about the backend.
             Outcome::Unreachable if self.replied => AttemptOutcome::Cancelled,
             Outcome::Unreachable => AttemptOutcome::NotConnected,
             Outcome::Disconnected => AttemptOutcome::Disconnected,
@@ -54,7 +54,7 @@
 pub(super) enum CallProgress {
     /// Another attempt of it is out.
     Continues,
-    /// It is over.
+    /// It is over. So is a call that has no attempt at a backend: one to the catalogue, or of a request that has ended.
     Ended,
 }
 
--- a/crates/server/src/core/idempotent_runs.rs
+++ b/crates/server/src/core/idempotent_runs.rs
@@ -126,8 +126,8 @@
     }
 
     /// Removes the key whose newest attempt has this id: a further attempt of it is a new request.
-    pub(super) fn remove_held_by(&mut self, id: u64) {
-        self.table.remove_held_by(id);
+    pub(super) fn remove_key_of_newest_attempt(&mut self, id: u64) {
+        self.table.remove_key_of_newest_attempt(id);
     }
 
     /// Joins an attempt to the run of its key.
@@ -142,7 +142,7 @@
     ///
     /// # Errors
     /// Where no intent can be recorded now.
-    pub(super) fn run_started(
+    pub(super) fn begin_run(
         &mut self,
         now: Timestamp,
         id: u64,
--- a/crates/server/src/core/idempotent_runs/tests.rs
+++ b/crates/server/src/core/idempotent_runs/tests.rs
@@ -46,7 +46,7 @@
 
 /// Starts the run of [`KEY`].
 fn start(runs: &mut IdempotentRuns) -> RunRelease {
-    runs.run_started(now(), 1, KEY, ATTEMPT)
+    runs.begin_run(now(), 1, KEY, ATTEMPT)
         .expect("an intent can be recorded")
 }
 
--- a/crates/server/src/core/in_flight.rs
+++ b/crates/server/src/core/in_flight.rs
@@ -20,7 +20,7 @@
 /// not know it: where requests carry no timeout, its deadline of a request is the handler's timeout after the request
 /// reached the machine. A handler with a shorter timeout than this so has a durable answer that may leave later than
 /// the module's deadline, one with a longer timeout an answer that is given up earlier.
-const DEFAULT_TIMEOUT: Duration = Duration::from_millis(2_000);
+const DEFAULT_DURABLE_ANSWER_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// A request that was read.
 pub(super) struct InFlightRequest {
@@ -60,7 +60,7 @@
         let timeout = if request.arrival.timeout > Duration::ZERO {
             request.arrival.timeout
         } else {
-            DEFAULT_TIMEOUT
+            DEFAULT_DURABLE_ANSWER_TIMEOUT
         };
         InFlightRequest {
             name: request.name,
--- a/crates/server/src/core/mod.rs
+++ b/crates/server/src/core/mod.rs
@@ -2,15 +2,15 @@
 //! no socket and no clock, is given the time with each event, and writes into outboxes.
 //!
 //! What happens arrives in `arrivals` (load balancers), `upstream_events` (engine, catalogue, backends),
-//! `stored_results` (the disk) and `turns` (time); each hands it to the decision module in [`event_loop`].
+//! `stored_results` (the disk) and `turns` (time); each hands it to the decision module in `event_loop`.
 //! The module's `actions` are carried out by the `executor`: `answers` to clients, `engine_commands` to the
 //! engine, and `dispatch` of calls to catalogue and backends.
 //!
 //! Each piece of state has one owner: `in_flight` the requests, with the `run_commands` and the `upstream_call`
 //! of each; `downstream_answers` the downstream connections, with the `server_status` that answers carry;
-//! `engine_commands` the link to the engine; `idempotent_runs` the idempotency keys, with the queue of [`durability`];
+//! `engine_commands` the link to the engine; `idempotent_runs` the idempotency keys, with the queue of `durability`;
 //! `deadlines` what is due, with the tick; `deferred_events` what the decision module is told after it has acted;
-//! `request_limits` the operator's limits, which follow each request as a `request_observer`; [`backend_selector`] the
+//! `request_limits` the operator's limits, which follow each request as a `request_observer`; `backend_selector` the
 //! choice among backends.
 
 // A module whose own page links to its items has no line here: with one, those links would be resolved from here.
@@ -19,6 +19,7 @@
 mod arrivals;
 /// The choice among backends, as the core asks for it.
 pub mod backend_selector;
+/// Concurrency limits by pool, from the operator file.
 pub mod concurrency_limits;
 mod deadlines;
 mod deferred_events;
@@ -34,6 +35,7 @@
 pub mod handler_names;
 mod idempotent_runs;
 mod in_flight;
+/// Quotas of the fleet, as the core meets them.
 pub mod quota_gate;
 mod request_limits;
 mod request_observer;
--- a/crates/server/src/core/quota_gate.rs
+++ b/crates/server/src/core/quota_gate.rs
@@ -1,8 +1,8 @@
 //! Quotas of the fleet as the core meets them: which requests stand under which budget, the demand for calls that
 //! they add up to, and the ceilings for the decisions.
 //!
-//! [`QuotaGate`] owns the requests by stage and the calls that were abandoned and may go on upstream. It is given
-//! every change of a request as a `RequestObserver`. What this server may use, it asks of a [`QuotaSource`]; it
+//! `QuotaGate` owns the requests by stage and the calls that were abandoned and may go on upstream. It is given
+//! every change of a request as a `RequestObserver`. What this server may use, it asks of a `QuotaSource`; it
 //! never knows of leases or of other servers.
 
 mod demand;
--- a/crates/server/src/core/upstream_events.rs
+++ b/crates/server/src/core/upstream_events.rs
@@ -237,7 +237,9 @@
         self.executor.reject(id, Duration::ZERO, false);
         self.executor.answer_once_durable(id, outcome, None);
         self.remove_ended_run(now, id, outcome, Duration::ZERO, None);
-        self.executor.idempotent_runs.remove_held_by(id);
+        self.executor
+            .idempotent_runs
+            .remove_key_of_newest_attempt(id);
     }
 }
 
--- a/crates/server/src/downstream/idempotency_table.rs
+++ b/crates/server/src/downstream/idempotency_table.rs
@@ -168,7 +168,7 @@
     }
 
     /// Removes the key whose newest attempt has this id.
-    pub fn remove_held_by(&mut self, id: u64) {
+    pub fn remove_key_of_newest_attempt(&mut self, id: u64) {
         let Some(key) = self.keys_by_holder.get(&id).copied() else {
             return;
         };
--- a/crates/server/src/downstream/mod.rs
+++ b/crates/server/src/downstream/mod.rs
@@ -1,8 +1,8 @@
 //! What faces load balancers and other clients: connections, JSON-RPC in both directions, the validation of
 //! requests, and the registry that lists this server.
 //!
-//! A request passes [`listener`], [`json_rpc`], [`request_validation`] and then the core, which answers through
-//! [`connections`] and [`response`]. Nothing here decides a request.
+//! A request passes `listener`, `json_rpc`, `request_validation` and then the core, which answers through
+//! `connections` and `response`. Nothing here decides a request.
 
 mod connection;
 /// Which connections are open and where an answer goes.
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -30,10 +30,13 @@
 //!   socket.
 //! - [`support`] is used by all: clock, configuration, JSON, log and counters.
 
+/// Owns the decision module and carries out its actions.
 pub mod core;
+/// Faces load balancers and other clients.
 pub mod downstream;
 /// Talks with other servers and answers operators.
 pub mod fleet;
 /// Used by all the others.
 pub mod support;
+/// Reaches what this server calls.
 pub mod upstream;
--- a/crates/server/src/shutdown.rs
+++ b/crates/server/src/shutdown.rs
@@ -23,7 +23,7 @@
 
 /// Drains the server and takes it out of the fleet; operators' signals are served meanwhile.
 pub(crate) async fn run(server: &Server, signals: &mut OperatorSignals) {
-    let mut drain = Drain::begin(server);
+    let mut drain = DrainProgress::begin(server);
     tokio::select! {
         () = drain.finish(server) => {}
         () = signals.serve(server) => {}
@@ -34,7 +34,7 @@
 }
 
 /// The progress of a drain.
-struct Drain {
+struct DrainProgress {
     began: Timestamp,
     /// Time between the signal and the kill.
     stop: StdDuration,
@@ -46,9 +46,9 @@
     is_ending: bool,
 }
 
-impl Drain {
+impl DrainProgress {
     /// Notifies the fleet, and the load balancers through the core.
-    fn begin(server: &Server) -> Drain {
+    fn begin(server: &Server) -> DrainProgress {
         let began = server.clock().now();
         let stop = server.reloadable().stop_timeout();
         log::info!("server: draining, remaining_ms={}", stop.as_millis());
@@ -61,7 +61,7 @@
         server.core().borrow_mut().drain(began, last_answer);
         let grace = server.config().settings.rules.drain_grace;
         let grace = StdDuration::from_micros(grace.as_micros());
-        Drain {
+        DrainProgress {
             began,
             stop,
             listen_for: grace.min(stop.saturating_sub(LAST_ANSWERS)),
--- a/crates/server/tests/routes/support.rs
+++ b/crates/server/tests/routes/support.rs
@@ -12,7 +12,7 @@
 use madderbay_testkit::fleet::processes::{BackendReport, ProcessFleet};
 use madderbay_testkit::fleet::script::{Condition, Fleet, FleetSetup};
 use madderbay_testkit::gate::Gate;
-use madderbay_testkit::load_balancer::{Load, RequestKind, RequestRecord, rule_violations};
+use madderbay_testkit::load_balancer::{KindId, Load, RequestKind, RequestRecord, rule_violations};
 use std::collections::HashMap;
 use std::fmt;
 use std::net::SocketAddr;
@@ -36,10 +36,10 @@
 const ANSWER_TARGET: StdDuration = StdDuration::from_secs(2);
 /// How long the clients wait for an answer.
 const CLIENT_TIMEOUT_MS: u64 = 3_000;
-/// Index of the handler with an idempotency key, among [`request_kinds`].
-const BOOK: usize = 1;
-/// Index of the other handler.
-const SEARCH: usize = 0;
+/// The kind with an idempotency key, of [`request_kinds`].
+const BOOK: KindId = KindId::new(1);
+/// The other kind.
+const SEARCH: KindId = KindId::new(0);
 
 /// How a server judges its backends, by name: the state, the fraction of its weight, and recent failures of its calls.
 pub(crate) type BackendStates = HashMap<String, BackendReport>;
@@ -272,7 +272,7 @@
             *calls.entry(name).or_default() += n;
         }
     }
-    let bookings = records.iter().filter(|r| r.handler == BOOK);
+    let bookings = records.iter().filter(|r| r.kind == BOOK);
     let twice: Vec<&str> = bookings
         .map(|r| r.name.as_str())
         .filter(|name| calls.get(*name).copied().unwrap_or(0) > 1)
@@ -280,9 +280,9 @@
     assert!(twice.is_empty(), "called twice: {twice:?}");
 }
 
-/// The fraction of a handler's requests that were answered in time.
-fn answered_in_time(records: &[RequestRecord], handler: usize) -> f64 {
-    let of: Vec<&RequestRecord> = records.iter().filter(|r| r.handler == handler).collect();
+/// The fraction of the requests of a kind that were answered in time.
+fn answered_in_time(records: &[RequestRecord], kind: KindId) -> f64 {
+    let of: Vec<&RequestRecord> = records.iter().filter(|r| r.kind == kind).collect();
     let in_time = of.iter().filter(|r| r.in_time(ANSWER_TARGET)).count();
     in_time as f64 / of.len().max(1) as f64
 }
--- a/crates/server/tests/shared/counters.rs
+++ b/crates/server/tests/shared/counters.rs
@@ -9,7 +9,7 @@
 use madderbay_testkit::engine::HandlerWork;
 use madderbay_testkit::fleet::processes::ProcessFleet;
 use madderbay_testkit::fleet::script::{Action, Fleet, FleetSetup};
-use madderbay_testkit::load_balancer::RequestRecord;
+use madderbay_testkit::load_balancer::{KindId, RequestRecord};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration as StdDuration;
 
@@ -166,8 +166,8 @@
         records
     });
     TenantOutcomes {
-        acme: outcome(&records, 0),
-        zenith: outcome(&records, 1),
+        acme: outcome(&records, KindId::new(0)),
+        zenith: outcome(&records, KindId::new(1)),
     }
 }
 
@@ -183,9 +183,9 @@
 
 /// What became of the requests of one kind from the fourth second on: a window has passed by then, and all counts
 /// have spread.
-fn outcome(records: &[RequestRecord], kind: usize) -> TenantOutcome {
+fn outcome(records: &[RequestRecord], kind: KindId) -> TenantOutcome {
     const SPREAD: StdDuration = StdDuration::from_secs(4);
-    let is_late = |r: &&RequestRecord| r.handler == kind && r.sent > SPREAD;
+    let is_late = |r: &&RequestRecord| r.kind == kind && r.sent > SPREAD;
     let late: Vec<&RequestRecord> = records.iter().filter(is_late).collect();
     let completed = late.iter().filter(|r| is_completed(r)).count();
     TenantOutcome {
--- a/crates/testkit/examples/backends/real.rs
+++ b/crates/testkit/examples/backends/real.rs
@@ -6,11 +6,11 @@
 use madderbay_testkit::engine::HandlerWork;
 use madderbay_testkit::fleet::processes::ProcessFleet;
 use madderbay_testkit::fleet::script::{Condition, Fleet, FleetSetup};
-use madderbay_testkit::load_balancer::{Load, RequestKind, RequestRecord, latencies};
-use madderbay_testkit::measurement::fleets::{release_binary, start_all};
-use madderbay_testkit::measurement::loads::{
-    LoadResult, LoadTarget, goodput, join_loads, request_kind,
+use madderbay_testkit::load_balancer::{
+    KindId, Load, RequestKind, RequestRecord, goodput, latencies,
 };
+use madderbay_testkit::measurement::fleets::{release_binary, start_all};
+use madderbay_testkit::measurement::loads::{LoadResult, LoadTarget, join_loads, request_kind};
 use madderbay_testkit::measurement::report::{cpu_ms_per_request, table_head};
 use madderbay_testkit::measurement::settings;
 use std::ops::Range;
@@ -154,8 +154,8 @@
             |ms: Option<u64>| ms.map_or("never".into(), |ms| format!("{:.1}", ms as f64 / 1e3));
         format!(
             "{:.3}, {:.3} | {} | {} | {} | {:.2} | {}",
-            goodput(&self.load.records, &kinds(), 0, FAULT),
-            goodput(&self.load.records, &kinds(), 1, FAULT),
+            goodput(&self.load.records, &kinds(), KindId::new(0), FAULT),
+            goodput(&self.load.records, &kinds(), KindId::new(1), FAULT),
             self.p99_of_searches_ms(),
             secs(off),
             secs(back),
@@ -169,7 +169,7 @@
         let during_fault = self.load.records.iter();
         let during_fault = during_fault.filter(|record| FAULT.contains(&record.sent));
         let records: Vec<RequestRecord> = during_fault.cloned().collect();
-        latencies(&records, 0).value_at_quantile(0.99)
+        latencies(&records, KindId::new(0)).value_at_quantile(0.99)
     }
 
     /// Calls that have reached the faulty backend by a time.
--- a/crates/testkit/examples/durable_results/cost.rs
+++ b/crates/testkit/examples/durable_results/cost.rs
@@ -1,7 +1,7 @@
 //! What durable results cost at several rates: response times, writes and processor time.
 
 use crate::site::Site;
-use madderbay_testkit::load_balancer::{Answer, Load, RequestRecord, latencies};
+use madderbay_testkit::load_balancer::{Answer, KindId, Load, RequestRecord, latencies};
 use madderbay_testkit::measurement::loads::{LoadTarget, request_kind};
 use madderbay_testkit::measurement::report::cpu_ms_per_request;
 use std::sync::mpsc::Receiver;
@@ -45,7 +45,7 @@
     let secs = began.elapsed().as_secs_f64();
     let violations = target.violations(&load, &records);
     server.signal("-TERM");
-    let times = latencies(&records, 0);
+    let times = latencies(&records, KindId::new(0));
     println!(
         "{:8} {rate:5} a second: {} of {} completed; p50, p95, p99 {}, {}, {} ms; {:.0} writes a second; \
          CPU a request {cpu_ms:.2} ms; invariants violated {}",
--- a/crates/testkit/examples/membership/processes.rs
+++ b/crates/testkit/examples/membership/processes.rs
@@ -5,7 +5,7 @@
 use madderbay_testkit::engine::{Engine, HandlerWork};
 use madderbay_testkit::fleet::processes::ProcessFleet;
 use madderbay_testkit::fleet::script::{Action, FleetSetup};
-use madderbay_testkit::load_balancer::{Load, RequestRecord, latencies};
+use madderbay_testkit::load_balancer::{KindId, Load, RequestRecord, latencies};
 use madderbay_testkit::measurement::fleets::{act, release_binary, start_all};
 use madderbay_testkit::measurement::loads::{LoadTarget, request_kind};
 use madderbay_testkit::measurement::report::{cpu_ms_per_request, table_head};
@@ -112,8 +112,10 @@
         let cpu_before = server.cpu();
         let records = load_under_flood(&fleet, datagrams_per_second);
         let cpu = server.cpu() - cpu_before;
-        let mut all = latencies(&records, 0);
-        (1..3).for_each(|handler| all.add(latencies(&records, handler)).expect("added"));
+        let mut all = latencies(&records, KindId::new(0));
+        for kind in (1..3).map(KindId::new) {
+            all.add(latencies(&records, kind)).expect("added");
+        }
         println!(
             "| {datagrams_per_second} | {}, {} | {:.2} | {:.1} |",
             all.value_at_quantile(0.5),
--- a/crates/testkit/examples/pools/limits.rs
+++ b/crates/testkit/examples/pools/limits.rs
@@ -2,8 +2,8 @@
 //! flight upstream, and how far the limit swings. Work takes 20 to 40 ms.
 
 use madderbay_testkit::engine::HandlerWork;
-use madderbay_testkit::load_balancer::{Answer, RequestKind, latencies};
-use madderbay_testkit::measurement::loads::{goodput, request_kind};
+use madderbay_testkit::load_balancer::{Answer, KindId, RequestKind, goodput, latencies};
+use madderbay_testkit::measurement::loads::request_kind;
 use madderbay_testkit::measurement::report::{Violations, median};
 use madderbay_testkit::measurement::seeds::run_seeds;
 use madderbay_testkit::measurement::trips::{
@@ -86,8 +86,8 @@
     let results = run_seeds(1..seeds + 1, RUNS_AT_A_TIME, |seed| {
         Measured::new(operator, true, seed)
     });
-    for (handler, kind) in kinds().iter().enumerate() {
-        print_handler(handler, &kind.handler, &results);
+    for (index, kind) in kinds().iter().enumerate() {
+        print_kind(KindId::new(index), &kind.handler, &results);
     }
     print_calls(&results);
     // One at a time, since their processor time is compared.
@@ -104,10 +104,10 @@
     }
 }
 
-/// Prints the figures of one handler.
-fn print_handler(handler: usize, name: &str, results: &[Measured]) {
+/// Prints the figures of one kind of request.
+fn print_kind(kind: KindId, name: &str, results: &[Measured]) {
     let goodput =
-        |time: Range<Duration>| range(results, |measured| measured.goodput(handler, time.clone()));
+        |time: Range<Duration>| range(results, |measured| measured.goodput(kind, time.clone()));
     println!(
         "{name:12} goodput in calm {}, during the fault {}, in its first second {}, after it {}",
         goodput(BEFORE_FAULT),
@@ -115,9 +115,8 @@
         goodput(FAULT.start..FAULT.start + FIRST_SECOND),
         goodput(AFTER_FAULT),
     );
-    let answered = |is_like: fn(&Answer) -> bool| {
-        range(results, |measured| measured.answered(handler, is_like))
-    };
+    let answered =
+        |is_like: fn(&Answer) -> bool| range(results, |measured| measured.answered(kind, is_like));
     println!(
         "{:12} during the fault completed {}, rejected {}, failed {}",
         "",
@@ -128,7 +127,7 @@
     println!(
         "{:12} p99 of those completed {} ms",
         "",
-        range(results, |measured| measured.p99_ms(handler))
+        range(results, |measured| measured.p99_ms(kind))
     );
 }
 
@@ -208,8 +207,8 @@
         }
     }
 
-    fn goodput(&self, handler: usize, time: Range<Duration>) -> f64 {
-        goodput(&self.run.records, &kinds(), handler, time)
+    fn goodput(&self, kind: KindId, time: Range<Duration>) -> f64 {
+        goodput(&self.run.records, &kinds(), kind, time)
     }
 
     /// The goodput of all handlers over the whole run.
@@ -218,15 +217,15 @@
         let kinds = kinds();
         let in_time = records
             .iter()
-            .filter(|record| record.in_time(kinds[record.handler].latency_objective));
+            .filter(|record| record.in_time(kinds[record.kind.index()].latency_objective));
         in_time.count() as f64 / records.len() as f64
     }
 
     /// A handler's requests during the fault whose first answer is like this.
-    fn answered(&self, handler: usize, is_like: fn(&Answer) -> bool) -> f64 {
+    fn answered(&self, kind: KindId, is_like: fn(&Answer) -> bool) -> f64 {
         let records = self.run.records.iter();
         let during_fault =
-            records.filter(|record| record.handler == handler && FAULT.contains(&record.sent));
+            records.filter(|record| record.kind == kind && FAULT.contains(&record.sent));
         let answered = during_fault.filter(|record| {
             let first = record.answers.first();
             first.is_some_and(|(answer, _)| is_like(answer))
@@ -235,8 +234,8 @@
     }
 
     /// The 99th percentile of a handler's response times, in milliseconds.
-    fn p99_ms(&self, handler: usize) -> f64 {
-        latencies(&self.run.records, handler).value_at_quantile(0.99) as f64
+    fn p99_ms(&self, kind: KindId) -> f64 {
+        latencies(&self.run.records, kind).value_at_quantile(0.99) as f64
     }
 
     /// The most calls in flight during a time.
--- a/crates/testkit/examples/pools/quotas.rs
+++ b/crates/testkit/examples/pools/quotas.rs
@@ -1,7 +1,7 @@
 //! Pools with quotas upstream from too small to ten times too large. 30 trip-searches, 40
 //! fare-quotes and 20 seat-books arrive in a second.
 
-use madderbay_testkit::measurement::loads::goodput;
+use madderbay_testkit::load_balancer::{KindId, goodput};
 use madderbay_testkit::measurement::report::median;
 use madderbay_testkit::measurement::seeds::run_seeds;
 use madderbay_testkit::measurement::settings;
@@ -87,7 +87,9 @@
         };
         let run = scenario.run();
         let goodput_of_handlers = |time: Range<Duration>| {
-            [0, 1, 2].map(|handler| goodput(&run.records, &kinds(), handler, time.clone()))
+            [0, 1, 2]
+                .map(KindId::new)
+                .map(|kind| goodput(&run.records, &kinds(), kind, time.clone()))
         };
         let goodput_during_fault = goodput_of_handlers(FAULT);
         let goodput_after_fault = goodput_of_handlers(AFTER_FAULT);
--- a/crates/testkit/examples/quotas/slow_catalogue.rs
+++ b/crates/testkit/examples/quotas/slow_catalogue.rs
@@ -6,9 +6,9 @@
 use madderbay_testkit::catalogue::Catalogue;
 use madderbay_testkit::fleet::processes::ProcessFleet;
 use madderbay_testkit::fleet::script::Condition;
-use madderbay_testkit::load_balancer::Load;
+use madderbay_testkit::load_balancer::{KindId, Load, goodput};
 use madderbay_testkit::measurement::fleets::{release_binary, start_all, wait_until};
-use madderbay_testkit::measurement::loads::{LoadResult, LoadTarget, goodput, join_loads};
+use madderbay_testkit::measurement::loads::{LoadResult, LoadTarget, join_loads};
 use madderbay_testkit::measurement::report::{cpu_ms_per_request, table_head};
 use madderbay_testkit::measurement::settings;
 use madderbay_testkit::measurement::trips::{
@@ -53,7 +53,8 @@
     let result = run_loads(&fleet, &catalogue);
     let goodput_of_handlers = |time: Range<StdDuration>| {
         [0, 1, 2]
-            .map(|handler| goodput(&result.records, &kinds(), handler, time.clone()))
+            .map(KindId::new)
+            .map(|kind| goodput(&result.records, &kinds(), kind, time.clone()))
             .map(|goodput| format!("{goodput:.2}"))
             .join(", ")
     };
--- a/crates/testkit/src/load_balancer.rs
+++ b/crates/testkit/src/load_balancer.rs
@@ -15,7 +15,7 @@
 
 mod outcomes;
 
-pub use outcomes::{kept, latencies, rule_violations};
+pub use outcomes::{goodput, latencies, rule_violations};
 
 use crate::unix_ms;
 use base64::Engine as _;
@@ -59,6 +59,22 @@
 /// The requests a second from each time on.
 pub type Rates = Vec<(Duration, f64)>;
 
+/// Index of a kind of request in a load.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct KindId(usize);
+
+impl KindId {
+    /// The kind at an index of the load's kinds.
+    pub const fn new(index: usize) -> KindId {
+        KindId(index)
+    }
+
+    /// The index among the load's kinds.
+    pub const fn index(self) -> usize {
+        self.0
+    }
+}
+
 /// What a request was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
@@ -73,8 +89,8 @@
 /// One request and what became of it.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
-    /// The index of its kind.
-    pub handler: usize,
+    /// Its kind.
+    pub kind: KindId,
     /// The name by which the engine learns of its answer.
     pub name: String,
     /// The body of its run, base64; no other request has the same.
@@ -172,19 +188,19 @@
         rates.find(|rate| rate.0 <= at).map_or(1.0, |rate| rate.1)
     }
 
-    /// The index of the kind that a number from 0 to 1 draws.
-    fn draw_kind(&self, drawn: f64) -> usize {
+    /// The kind that a number from 0 to 1 draws.
+    fn draw_kind(&self, drawn: f64) -> KindId {
         let mut rest = drawn * self.kinds.iter().map(|kind| kind.weight).sum::<f64>();
         let kind = self.kinds.iter().position(|kind| {
             rest -= kind.weight;
             rest < 0.0
         });
-        kind.unwrap_or(self.kinds.len() - 1)
+        KindId(kind.unwrap_or(self.kinds.len() - 1))
     }
 
     /// A request as it is sent.
-    fn line(&self, id: u64, handler: usize, name: &str, body: &str) -> String {
-        let kind = &self.kinds[handler];
+    fn line(&self, id: u64, kind: KindId, name: &str, body: &str) -> String {
+        let kind = &self.kinds[kind.index()];
         let key = if kind.idempotency_key {
             format!("\"replay\":\"{name}{name}\",")
         } else {
@@ -301,14 +317,14 @@
         connection.open += 1;
         connection.last_id += 1;
         let id = connection.last_id;
-        let handler = self.load.draw_kind(self.random.rand_float());
+        let kind = self.load.draw_kind(self.random.rand_float());
         let name = format!("{:016x}", self.random.rand_u64());
         let body = BASE64.encode(&name);
-        let line = self.load.line(id, handler, &name, &body);
+        let line = self.load.line(id, kind, &name, &body);
         let _ = connection.stream.write_all(line.as_bytes());
         self.by_id.insert((index, id), self.records.len());
         self.records.push(RequestRecord {
-            handler,
+            kind,
             name,
             body,
             sent: self.began.elapsed(),
--- a/crates/testkit/src/load_balancer/outcomes.rs
+++ b/crates/testkit/src/load_balancer/outcomes.rs
@@ -1,34 +1,33 @@
 //! Figures and checks of what became of requests.
 
-use super::{Answer, RequestKind, RequestRecord};
+use super::{Answer, KindId, RequestKind, RequestRecord};
 use hdrhistogram::Histogram;
 use std::collections::HashMap;
+use std::ops::Range;
 use std::time::Duration;
 
-/// Of the requests of a handler that were sent in a time: how many, and the part that got a result
-/// within the latency objective.
-pub fn kept(
+/// The goodput of a kind of request: the fraction of those sent in a time since the beginning of the load that got a
+/// result within their latency objective; 0 if none was sent.
+pub fn goodput(
     records: &[RequestRecord],
     kinds: &[RequestKind],
-    handler: usize,
-    from: Duration,
-    to: Duration,
-) -> (usize, f64) {
-    let target = kinds[handler].latency_objective;
-    let sent = || {
-        records
-            .iter()
-            .filter(|record| record.handler == handler && (from..to).contains(&record.sent))
-    };
-    let count = sent().count();
-    let kept = sent().filter(|record| record.in_time(target)).count();
-    (count, kept as f64 / count.max(1) as f64)
+    kind: KindId,
+    time: Range<Duration>,
+) -> f64 {
+    let objective = kinds[kind.index()].latency_objective;
+    let is_sent = |record: &&RequestRecord| record.kind == kind && time.contains(&record.sent);
+    let sent: Vec<&RequestRecord> = records.iter().filter(is_sent).collect();
+    let in_time = sent
+        .iter()
+        .filter(|record| record.in_time(objective))
+        .count();
+    in_time as f64 / sent.len().max(1) as f64
 }
 
-/// The times, in milliseconds, after which requests of a handler had their results.
-pub fn latencies(records: &[RequestRecord], handler: usize) -> Histogram<u64> {
+/// The times, in milliseconds, after which requests of a kind had their results.
+pub fn latencies(records: &[RequestRecord], kind: KindId) -> Histogram<u64> {
     let mut found = Histogram::new(3).expect("three digits");
-    for record in records.iter().filter(|record| record.handler == handler) {
+    for record in records.iter().filter(|record| record.kind == kind) {
         if let [(Answer::Completed, at)] = record.answers[..] {
             let _ = found.record(at.saturating_sub(record.sent).as_millis() as u64);
         }
@@ -50,7 +49,7 @@
         if record.answers.len() != 1 {
             found.push(format!("{name} got {} answers", record.answers.len()));
         }
-        if !kinds[record.handler].idempotency_key {
+        if !kinds[record.kind.index()].idempotency_key {
             continue;
         }
         let runs = bodies.get(&record.body).copied().unwrap_or(0);
--- a/crates/testkit/src/measurement/loads.rs
+++ b/crates/testkit/src/measurement/loads.rs
@@ -2,9 +2,8 @@
 
 use crate::engine::Engine;
 use crate::fleet::processes::ProcessFleet;
-use crate::load_balancer::{Load, RequestKind, RequestRecord, kept, rule_violations};
+use crate::load_balancer::{Load, RequestKind, RequestRecord, rule_violations};
 use std::net::SocketAddr;
-use std::ops::Range;
 use std::thread::ScopedJoinHandle;
 use std::time::Duration;
 
@@ -25,18 +24,6 @@
     }
 }
 
-/// The goodput of a handler: the fraction of its requests that were answered within their latency
-/// objective, of those that were sent in a time since the beginning of the load.
-pub fn goodput(
-    records: &[RequestRecord],
-    kinds: &[RequestKind],
-    handler: usize,
-    time: Range<Duration>,
-) -> f64 {
-    let (_, in_time) = kept(records, kinds, handler, time.start, time.end);
-    in_time
-}
-
 /// What became of a load or of several.
 #[derive(Default)]
 pub struct LoadResult {
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -13,7 +13,7 @@
 //! | `admission`, `tenant_quota` | which arrivals may start at all; what a request weighs |
 //! | `request_queue`, `feasibility` | in which order requests start; which queued ones are given up |
 //! | `concurrency_limit`, `supported_runs`, `memory_guard` | how many runs, and how much memory, may be in use |
-//! | `budget_controller`, `lq_reset`, `run_times` | the budget and the allowances |
+//! | `budget_controller`, `lq_reset`, `run_times`, `best_mean` | the budget and the allowances |
 //! | `call_policy`, `call_account`, `waiting_calls` | upstream calls and their retries |
 //! | `rejection` | the Retry-After, and whether a retry elsewhere is of use |
 //! | `stall_detection` | hung servers, and control loops without completions |
@@ -241,7 +241,7 @@
 
     /// A run waits at an upstream call.
     pub fn on_call_needed(&mut self, now: Timestamp, id: u64, out: &mut dyn Actions) {
-        let is_running = |request: &Request| request.is_running() && !request.answered;
+        let is_running = |request: &Request| request.is_running() && !request.settled;
         if let Some(slot) = self.requests.find(id, is_running) {
             self.reach_call(now, slot, out);
         }
@@ -261,7 +261,8 @@
         }
     }
 
-    /// A run ended after the run time spent. Its outcome passes what it went through in reverse: call, budget, key.
+    /// A run ended after the run time spent: the call that it may have in flight is given up, its time is counted, and the
+    /// timer that forgets its key is set.
     pub fn on_run_ended(&mut self, now: Timestamp, id: u64, outcome: Outcome, spent: Duration) {
         let may_end = |request: &Request| !request.stage().awaits_start();
         let Some(slot) = self.requests.find(id, may_end) else {
@@ -278,7 +279,7 @@
             return;
         };
         if self.requests[slot].has_started() {
-            self.cancel_answered(slot, out);
+            self.cancel_settled(slot, out);
         } else {
             self.withdraw(now, slot, out);
         }
@@ -288,7 +289,7 @@
     pub fn drain(&mut self, now: Timestamp, left: Duration) {
         let drain = Drain::new(now, left);
         for (slot, request) in self.requests.iter_mut() {
-            request.deadline = request.deadline.min(drain.stop());
+            request.deadline = request.deadline.min(drain.last_deadline());
             request.objective = drain.limit_objective(request.objective);
             self.timers
                 .set(answer_by(request.deadline), Timer::Answer(slot));
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -84,14 +84,14 @@
 
     /// Rejects what is beyond the admitted fraction, the lowest weight first.
     ///
-    /// A server that fails its runs answers quickly, and so attracts traffic. It rejects as large a fraction as fails,
-    /// and probes with idempotent requests only.
+    /// A server that fails its runs answers quickly, and so attracts traffic. While it does, it rejects all but idempotent
+    /// requests, and of these as large a fraction as fails; the others probe whether runs still fail.
     pub(super) fn decide(
         &mut self,
         arrival: AdmissionInputs,
         random: &mut Rand64,
     ) -> AdmissionDecision {
-        // Drawn in any case: equal seeds and events give equal decisions whatever the branch.
+        // Drawn whatever the answer: the number and order of draws are part of the decisions.
         let tie_break = random.rand_float();
         let may_probe = self.may_probe(arrival, random);
         if self.is_failing() && !may_probe {
--- a/src/decide/answers.rs
+++ b/src/decide/answers.rs
@@ -8,7 +8,7 @@
 use crate::time::{Duration, Timestamp};
 use crate::timers::Timer;
 
-/// Time after which a run that is at a call, and whose answer is final, should have ended.
+/// Time after which a run that is at a call, and that nobody waits for, should have ended.
 const CALL_END_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// Time after which the cancellation of a run is repeated. It is lost where the cores are stalled.
 const CANCEL_REPEAT_INTERVAL: Duration = Duration::from_millis(300);
@@ -44,7 +44,7 @@
         let inputs = RejectionInputs {
             expected_wait_secs: self.expected_wait_secs(slot),
             is_past_objective: now > self.requests[slot].objective,
-            sends_to_others: self.admission.is_failing() || self.drain.is_some(),
+            others_do_better: self.admission.is_failing() || self.drain.is_some(),
             is_slow_alone: self.pace(now).is_slow_alone(),
         };
         self.rejections.decide(&inputs, &mut self.random)
@@ -110,20 +110,21 @@
         }
     }
 
-    /// Answers a request with an error; its run, if it has begun, is cancelled.
+    /// Answers a request with an error. Nobody waits for its run from here on.
     pub(super) fn fail(&mut self, slot: RequestSlot, out: &mut dyn Actions) {
         out.fail(self.requests[slot].id);
         if self.requests[slot].has_started() {
-            self.cancel_answered(slot, out);
+            self.cancel_settled(slot, out);
         } else {
             self.requests.remove(slot);
         }
     }
 
-    /// Cancels a run whose answer is final, if runs can be cancelled. One that is at a call ends by itself.
-    pub(super) fn cancel_answered(&mut self, slot: RequestSlot, out: &mut dyn Actions) {
+    /// Cancels a run that nobody waits for any more, if runs can be cancelled. One that is at an upstream call is not
+    /// cancelled: it ends by itself, or its place is given to others after a time.
+    pub(super) fn cancel_settled(&mut self, slot: RequestSlot, out: &mut dyn Actions) {
         let request = &mut self.requests[slot];
-        request.answered = true;
+        request.settled = true;
         if !request.is_running() {
             let due = self.last_tick + CALL_END_TIMEOUT;
             self.timers.set(due, Timer::CheckEnded(slot));
--- a/src/decide/arrivals.rs
+++ b/src/decide/arrivals.rs
@@ -29,7 +29,7 @@
             &self.handlers[arrival.handler.index()],
             &self.rules,
             self.objective_fraction,
-            self.drain.as_ref().map(Drain::stop),
+            self.drain.as_ref().map(Drain::last_deadline),
         );
         let request = Request::new(arrival, reached, objective, deadline);
         let slot = self.requests.add(request);
--- a/src/decide/call_account.rs
+++ b/src/decide/call_account.rs
@@ -155,6 +155,11 @@
         }
     }
 
+    /// A call in flight is given up by this server. How long it took says nothing.
+    pub(super) fn abandon_call(&mut self, now: Timestamp) {
+        self.finish_call(now, Outcome::Cancelled, Duration::ZERO);
+    }
+
     /// Whether the time of a call with this outcome counts. A timeout bounds the call time from below, except at a
     /// tier, where a machine may have gone silent.
     fn shows_call_time(&self, outcome: Outcome) -> bool {
--- a/src/decide/call_policy.rs
+++ b/src/decide/call_policy.rs
@@ -7,7 +7,8 @@
 use crate::interface::Outcome;
 use crate::time::{Duration, Timestamp};
 
-/// Pause before a failed call is made again; doubled with each failure of the request.
+/// Unit of the pause before a failed call is made again: doubled once for each failed call of the request, of whichever
+/// of its calls, so that the first pause is two units.
 const BACKOFF_UNIT: Duration = Duration::from_millis(40);
 /// Doublings of the backoff at the most.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
@@ -58,7 +59,8 @@
 /// Decides on the call that a run waits at.
 ///
 /// An optional call is skipped once the allowance is spent, where it would be late, and where the requests of higher
-/// weight need the capacity. A required call waits for capacity.
+/// weight need the capacity. A required call waits for capacity. One that would be late for a worthless answer fails its
+/// request, but only while other calls are in flight: else nobody makes better use of the capacity.
 pub(super) fn decide_call(
     now: Timestamp,
     call: &CallInputs,
--- a/src/decide/calls.rs
+++ b/src/decide/calls.rs
@@ -55,15 +55,21 @@
     /// Attempts the calls that wait for capacity.
     pub(super) fn attempt_waiting_calls(&mut self, now: Timestamp, out: &mut dyn Actions) {
         for slot in self.waiting_calls.take_latest_first() {
-            self.retry_call(now, slot, out);
+            self.attempt_call_if_waiting(now, slot, out);
         }
         self.waiting_calls.restore_order();
     }
 
-    /// Attempts a call once more if its run still waits at it and somebody waits for the answer.
-    pub(super) fn retry_call(&mut self, now: Timestamp, slot: RequestSlot, out: &mut dyn Actions) {
+    /// Attempts the call that a run waits at, after a backoff or for want of capacity, if the run still waits at it and
+    /// somebody waits for its answer.
+    pub(super) fn attempt_call_if_waiting(
+        &mut self,
+        now: Timestamp,
+        slot: RequestSlot,
+        out: &mut dyn Actions,
+    ) {
         let request = self.requests.get(slot);
-        if request.is_some_and(|request| request.stage() == Stage::AtCall && !request.answered) {
+        if request.is_some_and(|request| request.stage() == Stage::AtCall && !request.settled) {
             self.attempt_call(now, slot, out);
         }
     }
@@ -80,7 +86,7 @@
         let is_completed = outcome == Outcome::Completed;
         self.calls.finish_call(now, outcome, spent);
         self.requests.finish_call(slot, is_completed);
-        if is_completed || self.requests[slot].answered {
+        if is_completed || self.requests[slot].settled {
             return;
         }
         let failed = self.failed_call(slot, outcome);
@@ -109,8 +115,7 @@
     pub(super) fn abandon_call(&mut self, now: Timestamp, slot: RequestSlot) {
         let request: &Request = &self.requests[slot];
         if request.is_calling() {
-            let spent = now - request.started;
-            self.calls.finish_call(now, Outcome::Cancelled, spent);
+            self.calls.abandon_call(now);
         }
         self.waiting_calls.remove(slot);
     }
--- a/src/decide/control_loops.rs
+++ b/src/decide/control_loops.rs
@@ -23,12 +23,12 @@
             handler,
             work_hint,
             reached,
-            answered,
+            settled,
             call_skipped,
             ..
         } = self.requests[slot];
-        let has_answered = self.requests[slot].has_started() && !answered;
-        if !has_answered || !matches!(outcome, Outcome::Completed | Outcome::Failed) {
+        let counts_as_response = self.requests[slot].has_started() && !settled;
+        if !counts_as_response || !matches!(outcome, Outcome::Completed | Outcome::Failed) {
             return;
         }
         self.admission.record_run(outcome == Outcome::Failed);
--- a/src/decide/deadlines.rs
+++ b/src/decide/deadlines.rs
@@ -34,15 +34,15 @@
 
 impl RequestDeadlines {
     /// The instants of a request that is read now. Where requests carry no timeout, their handler's counts from the
-    /// arrival at the machine. The tier has `objective_fraction` of the handler's latency objective; `stop` is the
-    /// last instant of a graceful shutdown that has begun.
+    /// arrival at the machine. The tier has `objective_fraction` of the handler's latency objective; `last` is the
+    /// latest deadline that a graceful shutdown allows.
     pub(super) fn new(
         now: Timestamp,
         arrival: &Arrival,
         handler: &Handler,
         rules: &Rules,
         objective_fraction: f64,
-        stop: Option<Timestamp>,
+        last: Option<Timestamp>,
     ) -> RequestDeadlines {
         let reached = now.saturating_sub(arrival.read_delay);
         let client_deadline = if rules.requests_carry_timeout {
@@ -50,7 +50,7 @@
         } else {
             (reached + handler.timeout).max(now)
         };
-        let deadline = stop.map_or(client_deadline, |stop| client_deadline.min(stop));
+        let deadline = last.map_or(client_deadline, |last| client_deadline.min(last));
         let objective = reached + latency_objective(arrival, handler, objective_fraction);
         RequestDeadlines {
             reached,
--- a/src/decide/drain.rs
+++ b/src/decide/drain.rs
@@ -6,10 +6,13 @@
 use crate::time::{Duration, Timestamp};
 
 /// A graceful shutdown that has begun.
+///
+/// Two margins lie between the last answer and the stop of the process: no deadline is later than `ANSWER_MARGIN` before
+/// the stop, and each answer leaves as long again before its deadline.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Drain {
     began: Timestamp,
-    stop: Timestamp,
+    last_deadline: Timestamp,
 }
 
 impl Drain {
@@ -17,22 +20,23 @@
     pub(super) fn new(now: Timestamp, left: Duration) -> Drain {
         Drain {
             began: now,
-            stop: answer_by(now + left),
+            last_deadline: answer_by(now + left),
         }
     }
 
-    /// Whether a request that reached the machine at that time came after the grace period, and is rejected.
+    /// Whether a request that reached the machine at that time came after the grace period, and is rejected. The period
+    /// ends a margin early, so that what is admitted last is still answered within it.
     pub(super) fn is_too_late(&self, reached: Timestamp, grace: Duration) -> bool {
         reached > self.began + grace.saturating_sub(ANSWER_MARGIN)
     }
 
-    /// The last instant at which a client may wait for this server.
-    pub(super) fn stop(&self) -> Timestamp {
-        self.stop
+    /// The last instant at which a client may wait for this server: the latest deadline of any request.
+    pub(super) fn last_deadline(&self) -> Timestamp {
+        self.last_deadline
     }
 
     /// The latency objective of a request, early enough for its answer to leave before the stop.
     pub(super) fn limit_objective(&self, objective: Timestamp) -> Timestamp {
-        objective.min(answer_by(self.stop))
+        objective.min(answer_by(self.last_deadline))
     }
 }
--- a/src/decide/expired_timers.rs
+++ b/src/decide/expired_timers.rs
@@ -14,7 +14,7 @@
             Timer::ExpireKey(key) => self.keys.expire(now, key),
             Timer::ForgetKey(key) => self.keys.forget(key),
             Timer::Answer(slot) => self.answer_due(now, slot, out),
-            Timer::RetryCall(slot) => self.retry_call(now, slot, out),
+            Timer::RetryCall(slot) => self.attempt_call_if_waiting(now, slot, out),
             Timer::CheckEnded(slot) => self.check_ended(now, slot, out),
         }
     }
@@ -26,19 +26,19 @@
         };
         if request.stage().awaits_start() {
             self.reject(now, slot, out);
-        } else if !request.answered {
+        } else if !request.settled {
             self.fail(slot, out);
         }
     }
 
-    /// The run of an answered request should have ended: it is cancelled once more, or, where it hangs at a call, its
-    /// place is given to others.
+    /// A run that nobody waits for should have ended: it is cancelled once more, or, where it hangs at a call, its place
+    /// is given to others, though the engine may keep it.
     fn check_ended(&mut self, now: Timestamp, slot: RequestSlot, out: &mut dyn Actions) {
-        let Some(request) = self.requests.get(slot).filter(|request| request.answered) else {
+        let Some(request) = self.requests.get(slot).filter(|request| request.settled) else {
             return;
         };
         match request.stage() {
-            Stage::Running => self.cancel_answered(slot, out),
+            Stage::Running => self.cancel_settled(slot, out),
             Stage::AtCall | Stage::Calling => {
                 self.abandon_call(now, slot);
                 self.requests.release_run(slot);
--- a/src/decide/rejection.rs
+++ b/src/decide/rejection.rs
@@ -47,7 +47,7 @@
     /// Whether the latency objective of the request has passed.
     pub(super) is_past_objective: bool,
     /// Whether this server fails its runs or drains, so that others do better.
-    pub(super) sends_to_others: bool,
+    pub(super) others_do_better: bool,
     /// Whether this server is slow, though others may not be.
     pub(super) is_slow_alone: bool,
 }
@@ -134,13 +134,13 @@
     /// A rejection is final where the objective has passed, or where many retries show that other servers reject too.
     /// Where retries are not marked, those that a server slow by itself rejects prove nothing.
     fn kind(&self, inputs: &RejectionInputs, random: &mut Rand64) -> RejectionKind {
-        // Drawn in any case: equal seeds and events give equal decisions whatever the branch.
+        // Drawn whatever the answer: the number and order of draws are part of the decisions.
         let probability =
             FINAL_PROBABILITY_GAIN * (self.retry_fraction() - FINAL_ABOVE_RETRY_FRACTION);
         let is_drawn = random.rand_float() < probability;
         let retries_show_load = self.marks_retries || !inputs.is_slow_alone;
         let others_reject = is_drawn && retries_show_load;
-        if !inputs.sends_to_others && (inputs.is_past_objective || others_reject) {
+        if !inputs.others_do_better && (inputs.is_past_objective || others_reject) {
             RejectionKind::Final
         } else {
             RejectionKind::RetryElsewhere
--- a/src/decide/rejection/tests.rs
+++ b/src/decide/rejection/tests.rs
@@ -18,7 +18,7 @@
     RejectionInputs {
         expected_wait_secs: 0.5,
         is_past_objective: false,
-        sends_to_others: false,
+        others_do_better: false,
         is_slow_alone: false,
     }
 }
@@ -54,14 +54,14 @@
 }
 
 #[test]
-fn rejection_past_objective_is_final_unless_this_server_sends_to_others() {
+fn rejection_past_objective_is_final_unless_this_server_others_do_better() {
     let late = RejectionInputs {
         is_past_objective: true,
         ..inputs()
     };
     assert_eq!(kind(&policy(true), &late), RejectionKind::Final);
     let draining = RejectionInputs {
-        sends_to_others: true,
+        others_do_better: true,
         ..late
     };
     assert_eq!(
--- a/src/decide/waiting_calls.rs
+++ b/src/decide/waiting_calls.rs
@@ -1,6 +1,8 @@
 //! The runs that wait at an upstream call for capacity.
 //!
-//! Owns their order: the one that waits longest comes first. Makes no call.
+//! Owns their order, that of the begin of their waits. They are attempted in the reverse order: a call that has waited
+//! longest is the most likely to come too late, and would only take the capacity from one that is still in time. Makes no
+//! call.
 
 use crate::slots::RequestSlot;
 
@@ -24,8 +26,8 @@
         self.0.retain(|waiting| *waiting != slot);
     }
 
-    /// Takes all, to attempt each call: the latest first, which is in time, and so are those after it. Those that
-    /// still wait are pushed in this order again, and put right by [`WaitingCalls::restore_order`].
+    /// Takes all, to attempt each call, the one that began to wait last first. Those that still wait are pushed again in
+    /// that order, and put right by [`WaitingCalls::restore_order`].
     pub(super) fn take_latest_first(&mut self) -> Vec<RequestSlot> {
         let mut taken = std::mem::take(&mut self.0);
         taken.reverse();
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -289,7 +289,7 @@
 
 /// Where the decisions go; calls take effect in the order made. Identifiers are those of [`Arrival::id`].
 pub trait Actions {
-    /// Starts a queued request, or resumes a paused one.
+    /// Starts a queued request.
     fn start(&mut self, id: u64);
     /// Cancels a run.
     fn cancel(&mut self, id: u64);
--- a/src/request.rs
+++ b/src/request.rs
@@ -84,16 +84,16 @@
     pub(crate) allowance: Duration,
     /// Its run went on without an optional call.
     pub(crate) call_skipped: bool,
-    /// Its answer is final, or nobody waits for it.
-    pub(crate) answered: bool,
+    /// Its answer is final, or its client has gone: nobody waits for its run.
+    pub(crate) settled: bool,
     /// Attempts of its calls that failed.
     pub(crate) failed_calls: u32,
     /// Its idempotency key, if it has one.
     pub(crate) key: Option<KeySlot>,
     memory_kb: f64,
     stage: Stage,
-    /// It should have ended long ago, and counts as a run no more.
-    slot_released: bool,
+    /// Its run should have ended long ago, and counts no more.
+    place_released: bool,
 }
 
 impl Request {
@@ -328,8 +328,8 @@
     pub(crate) fn release_run(&mut self, slot: RequestSlot) {
         self.set_run_stage(slot, Stage::AtCall);
         let request = &mut self.requests[slot];
-        if !request.slot_released {
-            request.slot_released = true;
+        if !request.place_released {
+            request.place_released = true;
             self.running -= 1;
             self.handler_loads[request.handler.index()].runs -= 1;
         }
@@ -345,9 +345,9 @@
             return;
         }
         self.running_kb -= request.memory_kb;
-        self.running -= usize::from(!request.slot_released);
+        self.running -= usize::from(!request.place_released);
         let load = &mut self.handler_loads[request.handler.index()];
-        load.runs -= usize::from(!request.slot_released);
+        load.runs -= usize::from(!request.place_released);
         load.calls -= usize::from(request.stage == Stage::Calling);
     }
 }
--- a/src/timers.rs
+++ b/src/timers.rs
@@ -11,7 +11,7 @@
     Answer(RequestSlot),
     /// The request's call may be made again.
     RetryCall(RequestSlot),
-    /// The run of an answered request should have ended.
+    /// The run of a settled request should have ended.
     CheckEnded(RequestSlot),
     /// The key's stored entry expires.
     ExpireKey(KeySlot),
