--- a/crates/server/tests/known_red/main.rs
+++ b/crates/server/tests/known_red/main.rs
@@ -2,7 +2,7 @@
 
 mod repository;
 
-use repository::{LIST_CALL, Repository, ScriptRun, TWO_ENTRIES, TWO_TESTS};
+use repository::{LIST_CALL, Repository, ScriptRun, TWO_ENTRIES, TWO_TESTS, run_to_end};
 use std::fs;
 use std::process::Command;
 
@@ -216,11 +216,11 @@
     repository.write("Cargo.toml", manifest);
     fs::create_dir(repository.root.join("src")).expect("a folder");
     repository.write("src/lib.rs", REAL_LIBRARY);
-    let output = Command::new(repository.root.join(".ci/tests"))
-        .env("CARGO_TARGET_DIR", repository.root.join("target"))
-        .env("CARGO_NET_OFFLINE", "true")
-        .output()
-        .expect("the script runs");
+    let output = run_to_end(
+        Command::new(repository.root.join(".ci/tests"))
+            .env("CARGO_TARGET_DIR", repository.root.join("target"))
+            .env("CARGO_NET_OFFLINE", "true"),
+    );
     ScriptRun::new(&output, &repository.root)
 }
 
@@ -252,8 +252,8 @@
 /// The names of this program's own tests that are left with some arguments.
 fn own_tests(arguments: &[&str]) -> Vec<String> {
     let program = std::env::current_exe().expect("this program");
-    let output = Command::new(program).arg("--list").args(arguments).output();
-    let text = String::from_utf8(output.expect("it runs").stdout).expect("text");
+    let output = run_to_end(Command::new(program).arg("--list").args(arguments));
+    let text = String::from_utf8(output.stdout).expect("text");
     let names = text.lines().filter_map(|line| line.strip_suffix(": test"));
     names.map(String::from).collect()
 }
--- a/crates/server/tests/known_red/repository.rs
+++ b/crates/server/tests/known_red/repository.rs
@@ -3,8 +3,9 @@
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
-use std::process::{Command, Output};
+use std::process::{Command, Output, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
+use std::sync::{PoisonError, RwLock};
 
 /// Stands for `cargo`. Appends its arguments to `calls`; knows the tests in `tests`, of which those in `failing` fail and
 /// those in `ignored` are not run; can't list them where there is a file `broken`.
@@ -48,6 +49,21 @@
 pub(crate) const TWO_TESTS: &str = "budget::holds\nshutdown::drains\n";
 pub(crate) const LIST_CALL: &str = "[test][--workspace][--quiet][--][--list]";
 
+/// Read while executable files are written, and written while a process is started: a process that is started meanwhile
+/// has the files open too, until it runs its own program, and what is open for writing can't be run.
+static EXECUTABLES: RwLock<()> = RwLock::new(());
+
+/// Starts a process while no executable file is open, and waits for its end.
+pub(crate) fn run_to_end(command: &mut Command) -> Output {
+    command.stdout(Stdio::piped()).stderr(Stdio::piped());
+    let child = {
+        let _guard = EXECUTABLES.write().unwrap_or_else(PoisonError::into_inner);
+        command.spawn()
+    };
+    let child = child.expect("it starts");
+    child.wait_with_output().expect("it ends")
+}
+
 /// A repository with the script and a stub of `cargo`, removed when it is dropped.
 pub(crate) struct Repository {
     pub(crate) root: PathBuf,
@@ -62,6 +78,7 @@
         for folder in [".ci", "bin"] {
             fs::create_dir_all(root.join(folder)).expect("a folder");
         }
+        let _guard = EXECUTABLES.read().unwrap_or_else(PoisonError::into_inner);
         let script = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../.ci/tests");
         fs::copy(script, root.join(".ci/tests")).expect("the script");
         let repository = Repository { root };
@@ -95,14 +112,14 @@
     /// Runs the script, from another folder than the repository.
     pub(crate) fn run(&self) -> ScriptRun {
         let path = std::env::var("PATH").expect("a path");
-        let output = Command::new(self.root.join(".ci/tests"))
-            .env(
-                "PATH",
-                format!("{}:{path}", self.root.join("bin").display()),
-            )
-            .current_dir(std::env::temp_dir())
-            .output()
-            .expect("the script runs");
+        let output = run_to_end(
+            Command::new(self.root.join(".ci/tests"))
+                .env(
+                    "PATH",
+                    format!("{}:{path}", self.root.join("bin").display()),
+                )
+                .current_dir(std::env::temp_dir()),
+        );
         ScriptRun::new(&output, &self.root)
     }
 }
