--- a/crates/server/src/core/executor.rs
+++ b/crates/server/src/core/executor.rs
@@ -2,8 +2,8 @@
 //!
 //! Owns: the table of requests in flight, and one context each for what their runs, calls and answers go through: the
 //! engine link, the calls, the connections, the runs with an idempotency key, the deadlines. A context has its state to
-//! itself and is changed by its methods alone. Is given: the actions of the decision module,
-//! and what the event loop reports. Decides nothing; knows no socket and no clock.
+//! itself and is changed by its methods alone. Is given: the actions of the decision module, and what the event loop
+//! reports. Decides nothing; knows no socket and no clock.
 //!
 //! The steps are in files of their own: [`actions`](super::actions) has the actions, [`answers`](super::answers) the
 //! ways to an answer, [`dispatch`](super::dispatch) those to backends and catalogue.
--- a/crates/server/src/core/mod.rs
+++ b/crates/server/src/core/mod.rs
@@ -13,7 +13,6 @@
 //! `request_limits` the operator's limits, which follow each request as a `request_observer`; `backend_selector` the
 //! choice among backends.
 
-// A module whose own page links to its items has no line here: with one, those links would be resolved from here.
 mod actions;
 mod answers;
 mod arrivals;
--- a/crates/testkit/src/load_balancer.rs
+++ b/crates/testkit/src/load_balancer.rs
@@ -13,8 +13,10 @@
 //! None. A load may be ended early; a server that does not answer is waited for as long as the
 //! clients wait.
 
+mod kind_id;
 mod outcomes;
 
+pub use kind_id::KindId;
 pub use outcomes::{goodput, latencies, rule_violations};
 
 use crate::unix_ms;
@@ -59,22 +61,6 @@
 /// The requests a second from each time on.
 pub type Rates = Vec<(Duration, f64)>;
 
-/// Index of a kind of request in a load.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct KindId(usize);
-
-impl KindId {
-    /// The kind at an index of the load's kinds.
-    pub const fn new(index: usize) -> KindId {
-        KindId(index)
-    }
-
-    /// The index among the load's kinds.
-    pub const fn index(self) -> usize {
-        self.0
-    }
-}
-
 /// What a request was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
@@ -195,7 +181,7 @@
             rest -= kind.weight;
             rest < 0.0
         });
-        KindId(kind.unwrap_or(self.kinds.len() - 1))
+        KindId::new(kind.unwrap_or(self.kinds.len() - 1))
     }
 
     /// A request as it is sent.
