--- a/crates/concurrency/examples/ways/main.rs
+++ b/crates/concurrency/examples/ways/main.rs
@@ -42,7 +42,7 @@
         named(
             "slow x20, thrash",
             12.0,
-            slow(20.0).with(|s| s.thrash = 0.5),
+            slow(20.0).with(|s| s.overload_slowdown = 0.5),
         ),
         named("slow x20, noise", 12.0, slow(20.0).with(|s| s.spread = 1.0)),
         named(
@@ -55,7 +55,7 @@
         named(
             "wide share, thrash",
             40.0,
-            busy(7.0, 300.0).with(|s| s.thrash = 0.5),
+            busy(7.0, 300.0).with(|s| s.overload_slowdown = 0.5),
         ),
         named("silent", 12.0, Scenario::with_fault(Behavior::Silent)),
         NamedScenario {
@@ -73,21 +73,21 @@
     succeeded_after: f64,
     failed: f64,
     peak: f64,
-    swing: f64,
-    worst_swing: f64,
+    variation: f64,
+    worst_variation: f64,
 }
 
 impl Measures {
     fn add(&mut self, named: &NamedScenario, trace: &Trace) {
         let (from, to) = (named.fault_from_ms, named.fault_to_ms);
-        let swing = trace.swing(from + 3_000, to);
+        let variation = trace.limit_variation(from + 3_000, to);
         let seeds = SEEDS as f64;
         self.succeeded_in_fault += f64::from(trace.succeeded(from, to)) / seeds;
         self.succeeded_after += f64::from(trace.succeeded(to, to + 2_000)) / seeds;
         self.failed += f64::from(trace.failed(from, to)) / seeds;
         self.peak += trace.peak_in_flight(from, to) as f64 / seeds;
-        self.swing += swing / seeds;
-        self.worst_swing = self.worst_swing.max(swing);
+        self.variation += variation / seeds;
+        self.worst_variation = self.worst_variation.max(variation);
     }
 }
 
@@ -106,20 +106,20 @@
 
 fn main() {
     println!(
-        "world, way: done in the trouble and in the 2 s after | came to nothing | peak | swing 3 s on, worst"
+        "scenario, policy: succeeded in the fault, in the 2 s after | failed | peak | limit variation from 3 s on, worst"
     );
     for named in scenarios() {
         for (index, policy) in policies(named.max).iter().enumerate() {
             let Measures {
-                succeeded_in_fault: done,
-                succeeded_after: after,
+                succeeded_in_fault,
+                succeeded_after,
                 failed,
                 peak,
-                swing,
-                worst_swing: worst,
+                variation,
+                worst_variation,
             } = measure(&named, index);
             println!(
-                "{:18} {:9} {done:7.0} {after:5.0} |{failed:5.0} | {peak:4.1} |{swing:5.2} {worst:4.2}",
+                "{:18} {:9} {succeeded_in_fault:7.0} {succeeded_after:5.0} |{failed:5.0} | {peak:4.1} |{variation:5.2} {worst_variation:4.2}",
                 named.name, policy.name
             );
         }
--- a/crates/concurrency/src/ceilings.rs
+++ b/crates/concurrency/src/ceilings.rs
@@ -49,7 +49,11 @@
         let mut ceilings = vec![calls_only(&all, total_calls)];
         ceilings.extend(self.pool_ceilings(&upstreams));
         if let Some(reserve) = self.reserve {
-            ceilings.push(reserve.ceiling_of_others(self.handlers, self.workers, total_calls));
+            ceilings.push(reserve.ceiling_outside_reserve(
+                self.handlers,
+                self.workers,
+                total_calls,
+            ));
         }
         if upstreams.len() > 1 {
             let each = upstreams.iter();
@@ -89,8 +93,8 @@
         for upstream in upstreams {
             let demand = |pool| self.call_demand(pool, |h| upstream.handlers.contains(h));
             let demands: Vec<Demand> = self.pools.iter().map(demand).collect();
-            let found = fair_share::ceilings(upstream.allowed, &demands);
-            for (sum, calls) in ceilings.iter_mut().zip(found) {
+            let shares = fair_share::ceilings(upstream.allowed, &demands);
+            for (sum, calls) in ceilings.iter_mut().zip(shares) {
                 *sum = sum.saturating_add(calls);
             }
         }
@@ -122,7 +126,7 @@
         let just_skipped = load
             .call_skipped_at
             .is_some_and(|at| self.now < at + SKIPPED_CALL_DEMAND_PERIOD && self.now >= at);
-        let following = match load.calls {
+        let following = match load.call_requirement {
             CallRequirement::Required => load.running + load.queued,
             CallRequirement::Optional if just_skipped => load.running + 1,
             CallRequirement::Optional | CallRequirement::Never => 0,
@@ -134,22 +138,30 @@
     /// bound, and by weight its part of the remaining workers, which the cores execute.
     fn run_ceilings(&self, calls: &[usize]) -> Vec<usize> {
         let weight_sum: f64 = self.pools.iter().map(|p| p.weight).sum();
-        let at_calls: Vec<usize> = self.pools.iter().map(|p| self.runs_at_call(p)).collect();
-        let remaining = self.workers.saturating_sub(at_calls.iter().sum()).max(1);
+        let blocked_runs: Vec<usize> = self
+            .pools
+            .iter()
+            .map(|p| self.runs_blocked_on_calls(p))
+            .collect();
+        let remaining = self
+            .workers
+            .saturating_sub(blocked_runs.iter().sum())
+            .max(1);
         let demand = |(pool, calls): (&Pool, &usize)| self.run_demand(pool, *calls, weight_sum);
         let demands: Vec<Demand> = self.pools.iter().zip(calls).map(demand).collect();
-        let found = fair_share::ceilings(remaining, &demands);
-        at_calls
+        let shares = fair_share::ceilings(remaining, &demands);
+        blocked_runs
             .iter()
-            .zip(found)
-            .map(|(at_call, runs)| at_call + runs)
+            .zip(shares)
+            .map(|(blocked, runs)| blocked + runs)
             .collect()
     }
 
     /// What a pool demands of the workers that the cores execute. Runs that require a call are of
     /// no use beyond the calls that there are and the runs that the cores execute meanwhile.
     fn run_demand(&self, pool: &Pool, calls: usize, weight_sum: f64) -> Demand {
-        let required = |h: &HandlerId| self.handlers.get(*h).calls == CallRequirement::Required;
+        let required =
+            |h: &HandlerId| self.handlers.get(*h).call_requirement == CallRequirement::Required;
         let bound = if pool.handlers.iter().all(required) {
             let weight_sum = weight_sum.max(MIN_WEIGHT_SUM);
             let cores = (self.cores as f64 * pool.weight / weight_sum).ceil();
@@ -161,12 +173,13 @@
         Demand {
             weight: pool.weight,
             wanted: self.handlers.sum(&pool.handlers, |l| l.queued + l.running),
-            max: max_runs.saturating_sub(self.runs_at_call(pool)),
+            max: max_runs.saturating_sub(self.runs_blocked_on_calls(pool)),
         }
     }
 
-    fn runs_at_call(&self, pool: &Pool) -> usize {
-        self.handlers.sum(&pool.handlers, HandlerLoad::runs_at_call)
+    fn runs_blocked_on_calls(&self, pool: &Pool) -> usize {
+        self.handlers
+            .sum(&pool.handlers, HandlerLoad::runs_blocked_on_calls)
     }
 
     /// Expected interval between two starts of a pool whose requests are queued although workers
--- a/crates/concurrency/src/fair_share.rs
+++ b/crates/concurrency/src/fair_share.rs
@@ -24,14 +24,14 @@
 /// wants a permit gets one before another pool gets its second, as far as there are enough.
 pub fn allocate(total: usize, demands: &[Demand]) -> Vec<usize> {
     let mut allocated = vec![0; demands.len()];
-    let mut left = total;
+    let mut remaining = total;
     for weighted in [true, false] {
-        while left > 0 {
-            let Some(next) = next_recipient(demands, &allocated, weighted) else {
+        while remaining > 0 {
+            let Some(next) = next_pool_to_serve(demands, &allocated, weighted) else {
                 break;
             };
             allocated[next] += 1;
-            left -= 1;
+            remaining -= 1;
         }
     }
     allocated
@@ -39,8 +39,8 @@
 
 /// The pool whose allocation relative to its weight is the lowest after one more permit; pools
 /// without weight count alike.
-fn next_recipient(demands: &[Demand], allocated: &[usize], weighted: bool) -> Option<usize> {
-    let is_open = |pool: &usize| {
+fn next_pool_to_serve(demands: &[Demand], allocated: &[usize], weighted: bool) -> Option<usize> {
+    let wants_more = |pool: &usize| {
         let demand = &demands[*pool];
         (demand.weight > 0.0) == weighted && allocated[*pool] < demand.attainable()
     };
@@ -48,7 +48,7 @@
         let weight = if weighted { demands[pool].weight } else { 1.0 };
         (allocated[pool] + 1) as f64 / weight
     };
-    (0..demands.len()).filter(is_open).min_by(|a, b| {
+    (0..demands.len()).filter(wants_more).min_by(|a, b| {
         let has_permit = (allocated[*a] > 0).cmp(&(allocated[*b] > 0));
         has_permit.then(relative_after(*a).total_cmp(&relative_after(*b)))
     })
--- a/crates/concurrency/src/handlers.rs
+++ b/crates/concurrency/src/handlers.rs
@@ -13,7 +13,7 @@
 /// Counters of one handler.
 #[derive(Clone, Debug)]
 pub(crate) struct HandlerLoad {
-    pub(crate) calls: CallRequirement,
+    pub(crate) call_requirement: CallRequirement,
     pub(crate) queued: usize,
     pub(crate) running: usize,
     pub(crate) awaiting_call: usize,
@@ -27,9 +27,9 @@
 }
 
 impl HandlerLoad {
-    fn new(calls: CallRequirement) -> HandlerLoad {
+    fn new(call_requirement: CallRequirement) -> HandlerLoad {
         HandlerLoad {
-            calls,
+            call_requirement,
             queued: 0,
             running: 0,
             awaiting_call: 0,
@@ -41,7 +41,7 @@
     }
 
     /// Counter of a stage.
-    pub(crate) fn at_stage(&mut self, stage: RequestStage) -> &mut usize {
+    pub(crate) fn counter_mut(&mut self, stage: RequestStage) -> &mut usize {
         match stage {
             RequestStage::Queued => &mut self.queued,
             RequestStage::Running => &mut self.running,
@@ -55,12 +55,12 @@
     }
 
     /// Runs that use no core, because they wait for a call or its reply.
-    pub(crate) fn runs_at_call(&self) -> usize {
+    pub(crate) fn runs_blocked_on_calls(&self) -> usize {
         self.awaiting_call + self.calling
     }
 
     pub(crate) fn makes_calls(&self) -> bool {
-        self.calls != CallRequirement::Never
+        self.call_requirement != CallRequirement::Never
     }
 
     pub(crate) fn record_run(&mut self, duration_secs: f64) {
--- a/crates/concurrency/src/limit/probe.rs
+++ b/crates/concurrency/src/limit/probe.rs
@@ -187,7 +187,7 @@
         sample: &LatencySummary,
         queue: &QueueEstimate,
     ) -> bool {
-        self.follow_latency(now, sample.mean_secs);
+        self.adjust_required_evidence(now, sample.mean_secs);
         if queue.is_long() && now >= self.paused_until {
             self.evidence += 1 + u32::from(queue.is_very_long());
         } else {
@@ -197,7 +197,7 @@
     }
 
     /// Requires little evidence shortly after a shift of the latency, and more later.
-    fn follow_latency(&mut self, now: Timestamp, mean_secs: f64) {
+    fn adjust_required_evidence(&mut self, now: Timestamp, mean_secs: f64) {
         let reference = self.reference_latency_secs;
         let rose = mean_secs > LATENCY_SHIFT_FACTOR * reference;
         let fell = mean_secs * LATENCY_SHIFT_FACTOR < reference;
--- a/crates/concurrency/src/limiter.rs
+++ b/crates/concurrency/src/limiter.rs
@@ -4,7 +4,7 @@
 use crate::config::ConcurrencyConfig;
 use crate::handlers::HandlerLoad;
 use crate::limit::{Completion, LimitChanges};
-use crate::pool::{Pool, complete_pools};
+use crate::pool::{Pool, pools_with_default};
 use crate::request_stage::RequestStage;
 use crate::requests::RequestTable;
 use crate::reserve::ReserveState;
@@ -51,7 +51,7 @@
             requests: RequestTable::new(call_requirements),
             upstreams: UpstreamLimits::new(now, seed, &config, call_requirements),
             reserve: config.reserve.as_ref().map(|r| ReserveState::new(now, r)),
-            pools: complete_pools(config.pools, call_requirements),
+            pools: pools_with_default(config.pools, call_requirements),
             runs_recorded_at: now,
             ceilings: vec![],
             ceilings_computed_at: now,
--- a/crates/concurrency/src/pool.rs
+++ b/crates/concurrency/src/pool.rs
@@ -7,7 +7,7 @@
 use madderbay::time::Duration;
 
 /// Name of the pool of all handlers that belong to no configured pool.
-const REMAINING_POOL_NAME: &str = "rest";
+const DEFAULT_POOL_NAME: &str = "rest";
 /// Time constant of the moving average of a pool's runs: longer than several runs, shorter than any
 /// outage.
 const RECENT_RUNS_TIME_CONSTANT: Duration = Duration::from_millis(300);
@@ -49,7 +49,7 @@
 }
 
 /// The configured pools and, where a handler belongs to none, the remaining pool.
-pub(crate) fn complete_pools(
+pub(crate) fn pools_with_default(
     mut configs: Vec<PoolConfig>,
     call_requirements: &[CallRequirement],
 ) -> Vec<Pool> {
@@ -59,7 +59,7 @@
         .collect();
     if !others.is_empty() {
         configs.push(PoolConfig {
-            name: REMAINING_POOL_NAME.into(),
+            name: DEFAULT_POOL_NAME.into(),
             handlers: others,
             ..PoolConfig::default()
         });
--- a/crates/concurrency/src/requests.rs
+++ b/crates/concurrency/src/requests.rs
@@ -96,7 +96,7 @@
         }
         request.hung = false;
         request.stage = stage;
-        *self.handlers.get_mut(request.handler).at_stage(stage) += 1;
+        *self.handlers.get_mut(request.handler).counter_mut(stage) += 1;
         request
     }
 
@@ -109,7 +109,7 @@
         }
         let load = self.handlers.get_mut(request.handler);
         load.calling -= 1;
-        *load.at_stage(next) += 1;
+        *load.counter_mut(next) += 1;
         request.stage = next;
         Some(request)
     }
@@ -167,7 +167,7 @@
     let counter = if request.hung {
         &mut load.hung
     } else {
-        load.at_stage(request.stage)
+        load.counter_mut(request.stage)
     };
     *counter = counter.saturating_sub(1);
 }
--- a/crates/concurrency/src/reserve.rs
+++ b/crates/concurrency/src/reserve.rs
@@ -9,8 +9,8 @@
 use madderbay::interface::{Ceiling, HandlerId};
 use madderbay::time::{Duration, Timestamp};
 
-/// How often the cheapest handler is determined.
-const CHEAPEST_INTERVAL: Duration = Duration::from_millis(1_000);
+/// How often the shortest handler is determined.
+const OWNER_SELECTION_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Mean run of a handler, as a fraction of the owner's, below which it takes over the reserve.
 const TAKEOVER_FRACTION: f64 = 0.8;
 /// Mean run of a handler, as a multiple of the owners' shortest, up to which it may borrow the
@@ -20,7 +20,7 @@
 pub(crate) struct ReserveState {
     fraction: f64,
     /// Owned by the handler with the shortest runs, not by configured ones.
-    owner_is_cheapest: bool,
+    selects_owner_by_run_duration: bool,
     owners: Vec<HandlerId>,
     chosen_at: Timestamp,
 }
@@ -29,7 +29,7 @@
     pub(crate) fn new(now: Timestamp, config: &Reserve) -> ReserveState {
         ReserveState {
             fraction: config.fraction,
-            owner_is_cheapest: config.handlers.is_empty(),
+            selects_owner_by_run_duration: config.handlers.is_empty(),
             owners: config.handlers.clone(),
             chosen_at: now,
         }
@@ -41,46 +41,50 @@
 
     /// Determines the owner where it is the handler with the shortest runs.
     pub(crate) fn choose_owner(&mut self, now: Timestamp, handlers: &HandlerTable) {
-        let is_recent = now < self.chosen_at + CHEAPEST_INTERVAL && !self.owners.is_empty();
-        if !self.owner_is_cheapest || is_recent {
+        let is_recent = now < self.chosen_at + OWNER_SELECTION_INTERVAL && !self.owners.is_empty();
+        if !self.selects_owner_by_run_duration || is_recent {
             return;
         }
-        let cost = |handler: HandlerId| handlers.get(handler).mean_run_secs.unwrap_or(f64::MAX);
-        let cheapest = handlers.ids().min_by(|a, b| cost(*a).total_cmp(&cost(*b)));
-        let Some(cheapest) = cheapest else { return };
-        let owner_cost = self.owners.first().map_or(f64::INFINITY, |h| cost(*h));
-        if cost(cheapest) < TAKEOVER_FRACTION * owner_cost {
-            self.owners = vec![cheapest];
+        let mean_secs =
+            |handler: HandlerId| handlers.get(handler).mean_run_secs.unwrap_or(f64::MAX);
+        let shortest = handlers
+            .ids()
+            .min_by(|a, b| mean_secs(*a).total_cmp(&mean_secs(*b)));
+        let Some(shortest) = shortest else { return };
+        let owner_secs = self.owners.first().map_or(f64::INFINITY, |h| mean_secs(*h));
+        if mean_secs(shortest) < TAKEOVER_FRACTION * owner_secs {
+            self.owners = vec![shortest];
         }
         self.chosen_at = now;
     }
 
     /// The ceiling that keeps the reserve free of other handlers, except of those that return it
     /// within one run.
-    pub(crate) fn ceiling_of_others(
+    pub(crate) fn ceiling_outside_reserve(
         &self,
         handlers: &HandlerTable,
         workers: usize,
         calls: usize,
     ) -> Ceiling {
-        let is_bound = |h: &HandlerId| !self.owners.contains(h) && !self.may_borrow(handlers, *h);
-        let bound: Vec<HandlerId> = handlers.ids().filter(is_bound).collect();
+        let is_restricted =
+            |h: &HandlerId| !self.owners.contains(h) && !self.may_borrow(handlers, *h);
+        let restricted: Vec<HandlerId> = handlers.ids().filter(is_restricted).collect();
         let owners_call = self.owners.iter().any(|h| handlers.get(*h).makes_calls());
         let calls = if calls == UNLIMITED || !owners_call {
             calls
         } else {
-            calls - self.reserved_of(calls)
+            calls - self.reserved_part_of(calls)
         };
         Ceiling {
-            handlers: bound,
-            runs: workers - self.reserved_of(workers),
+            handlers: restricted,
+            runs: workers - self.reserved_part_of(workers),
             calls,
             start_interval: Duration::ZERO,
         }
     }
 
     /// Reserved part of a total: rounded up, but never all of it.
-    fn reserved_of(&self, total: usize) -> usize {
+    fn reserved_part_of(&self, total: usize) -> usize {
         let reserved = (self.fraction * total as f64).ceil() as usize;
         reserved.min(total.saturating_sub(1))
     }
--- a/crates/concurrency/src/upstream.rs
+++ b/crates/concurrency/src/upstream.rs
@@ -53,7 +53,7 @@
         config: &ConcurrencyConfig,
         call_requirements: &[CallRequirement],
     ) -> UpstreamLimits {
-        let limit_at = |(index, group): (usize, UpstreamGroup)| {
+        let create_limit = |(index, group): (usize, UpstreamGroup)| {
             let quota = config.call_quota.unwrap_or(0.0);
             let max = (quota * group.quota_fraction).max(MIN_CALL_LIMIT);
             let seed = seed + index as u64;
@@ -65,8 +65,8 @@
         };
         let limits = match config.call_quota {
             Some(_) => {
-                let groups = complete_groups(config, call_requirements).into_iter();
-                groups.enumerate().map(limit_at).collect()
+                let groups = groups_with_default(config, call_requirements).into_iter();
+                groups.enumerate().map(create_limit).collect()
             }
             None => vec![],
         };
@@ -154,7 +154,7 @@
 
 /// The configured groups and, where a handler in none of them makes calls, one more with the full
 /// quota.
-fn complete_groups(
+fn groups_with_default(
     config: &ConcurrencyConfig,
     call_requirements: &[CallRequirement],
 ) -> Vec<UpstreamGroup> {
--- a/crates/concurrency/tests/concurrency/adaptive_limit.rs
+++ b/crates/concurrency/tests/concurrency/adaptive_limit.rs
@@ -61,14 +61,14 @@
 #[test]
 fn reduces_concurrency_when_upstream_is_overloaded() {
     let scenario = Scenario {
-        thrash: 0.5,
+        overload_slowdown: 0.5,
         per_second: 300.0,
         ..Scenario::with_fault(Behavior::Slow(7.0))
     };
-    let done = compare(&scenario, 40.0, |trace| {
+    let throughput = compare(&scenario, 40.0, |trace| {
         f64::from(trace.succeeded(FAULT_MS, RECOVERY_MS))
     });
-    let Comparison { adaptive, fixed } = done;
+    let Comparison { adaptive, fixed } = throughput;
     assert!(
         adaptive > 1.5 * fixed,
         "{adaptive} calls, {fixed} at the fixed limit"
@@ -87,9 +87,9 @@
 /// approaches what the slots sustain, though the callers never have so many calls in flight, and no
 /// throughput is lost.
 #[test]
-fn reduces_far_too_high_maximum_to_sustained_concurrency() {
+fn lowers_limit_from_excessive_maximum_to_sustained_concurrency() {
     for max in [2.0, 6.0, 12.0, 40.0, 80.0] {
-        let (mut level, mut adaptive_done, mut fixed_done) = (0.0, 0.0, 0.0);
+        let (mut mean_limit, mut adaptive_succeeded, mut fixed_succeeded) = (0.0, 0.0, 0.0);
         for seed in 0..10 {
             let fault = Scenario::with_fault(Behavior::Slow(20.0));
             let scenario = Scenario {
@@ -99,19 +99,19 @@
                 ..fault
             };
             let trace = simulate(&scenario, &mut adaptive(max));
-            let late = trace.between(FAULT_MS + 3_000, RECOVERY_MS);
-            level += late.iter().map(|s| s.limit).sum::<f64>() / 500.0 / 10.0;
-            adaptive_done += f64::from(trace.succeeded(FAULT_MS, RECOVERY_MS));
+            let steady = trace.between(FAULT_MS + 3_000, RECOVERY_MS);
+            mean_limit += steady.iter().map(|s| s.limit).sum::<f64>() / 500.0 / 10.0;
+            adaptive_succeeded += f64::from(trace.succeeded(FAULT_MS, RECOVERY_MS));
             let fixed = simulate(&scenario, &mut FixedLimit(max.min(8.0)));
-            fixed_done += f64::from(fixed.succeeded(FAULT_MS, RECOVERY_MS));
+            fixed_succeeded += f64::from(fixed.succeeded(FAULT_MS, RECOVERY_MS));
         }
         assert!(
-            level <= 14.0 && level >= 0.8 * max.min(5.0),
-            "maximum {max}: {level:.1}"
+            mean_limit <= 14.0 && mean_limit >= 0.8 * max.min(5.0),
+            "maximum {max}: {mean_limit:.1}"
         );
         assert!(
-            adaptive_done > 0.85 * fixed_done,
-            "maximum {max}: {adaptive_done} calls, {fixed_done} by as many as there are slots"
+            adaptive_succeeded > 0.85 * fixed_succeeded,
+            "maximum {max}: {adaptive_succeeded} calls, {fixed_succeeded} by as many as there are slots"
         );
     }
 }
@@ -119,18 +119,18 @@
 /// After a recovery throughput within two seconds is what it would be without a limit, without a
 /// stampede.
 #[test]
-fn notices_recovery_within_two_seconds() {
+fn restores_throughput_within_two_seconds_of_recovery() {
     for behavior in [Behavior::Slow(20.0), Behavior::Failing, Behavior::Silent] {
         let scenario = Scenario::with_fault(behavior);
         let Comparison {
-            adaptive: adaptive_done,
+            adaptive: adaptive_succeeded,
             fixed,
         } = compare(&scenario, MAX_LIMIT, |trace| {
             f64::from(trace.succeeded(RECOVERY_MS, RECOVERY_MS + 2_000))
         });
         assert!(
-            adaptive_done > 0.9 * fixed,
-            "after {behavior:?}: {adaptive_done} of {fixed}"
+            adaptive_succeeded > 0.9 * fixed,
+            "after {behavior:?}: {adaptive_succeeded} of {fixed}"
         );
         for seed in 0..10 {
             let scenario = Scenario {
@@ -138,9 +138,9 @@
                 ..Scenario::with_fault(behavior)
             };
             let trace = simulate(&scenario, &mut adaptive(MAX_LIMIT));
-            let done = trace.succeeded(RECOVERY_MS, RECOVERY_MS + 2_000);
+            let succeeded = trace.succeeded(RECOVERY_MS, RECOVERY_MS + 2_000);
             let peak = trace.peak_in_flight(RECOVERY_MS, RECOVERY_MS + 2_000);
-            assert!(done > 0, "after {behavior:?}, seed {seed}");
+            assert!(succeeded > 0, "after {behavior:?}, seed {seed}");
             assert!(
                 peak <= MAX_LIMIT as usize + 8,
                 "stampede: {behavior:?}, seed {seed}"
@@ -181,8 +181,8 @@
 /// From three seconds after the start and the end of a fault the limit swings by less than a fifth,
 /// except for one probe in few of many scenarios.
 #[test]
-fn settles_within_three_seconds() {
-    let (mut late, mut periods) = (0, 0);
+fn limit_stabilizes_within_three_seconds() {
+    let (mut unstable, mut periods) = (0, 0);
     for seed in 0..24 {
         for factor in [2.0, 7.0, 20.0] {
             for slots in [4, 8, 11] {
@@ -193,15 +193,18 @@
                 };
                 let trace = simulate(&scenario, &mut adaptive(MAX_LIMIT));
                 periods += 2;
-                let during = trace.swing(FAULT_MS + 3_000, RECOVERY_MS);
-                let after = trace.swing(RECOVERY_MS + 3_000, 20_000);
-                for swing in [during, after] {
-                    late += u32::from(swing >= 0.2);
+                let during = trace.limit_variation(FAULT_MS + 3_000, RECOVERY_MS);
+                let after = trace.limit_variation(RECOVERY_MS + 3_000, 20_000);
+                for variation in [during, after] {
+                    unstable += u32::from(variation >= 0.2);
                     let case = format!("seed {seed}, {factor} times slower, {slots} slots");
-                    assert!(swing < 1.0, "{case}: {swing}");
+                    assert!(variation < 1.0, "{case}: {variation}");
                 }
             }
         }
     }
-    assert!(late * 16 < periods, "{late} of {periods} swing late");
+    assert!(
+        unstable * 16 < periods,
+        "limit unstable in {unstable} of {periods} periods"
+    );
 }
--- a/crates/concurrency/tests/concurrency/arbitrary_events.rs
+++ b/crates/concurrency/tests/concurrency/arbitrary_events.rs
@@ -1,6 +1,6 @@
 //! Invariants of the limiter after arbitrary events.
 
-use crate::support::{QUOTE, at, fixed_seed, limiter, reserve, three_pools};
+use crate::support::{QUOTE, at, limiter, property_test_config, reserve, three_pools};
 use madderbay::interface::HandlerId;
 use madderbay_concurrency::limit::Completion;
 use madderbay_concurrency::{ConcurrencyConfig, ConcurrencyLimiter, RequestStage};
@@ -72,7 +72,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed_seed(256))]
+    #![proptest_config(property_test_config(256))]
 
     /// Whatever happens, in whatever order and time: counters stay those of the known requests, and
     /// nothing is left once all requests finished.
--- a/crates/concurrency/tests/concurrency/fair_share.rs
+++ b/crates/concurrency/tests/concurrency/fair_share.rs
@@ -1,6 +1,6 @@
 //! Weighted max-min fair division.
 
-use crate::support::fixed_seed;
+use crate::support::property_test_config;
 use madderbay_concurrency::fair_share::{Demand, allocate, ceilings};
 use proptest::prelude::*;
 
@@ -46,7 +46,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed_seed(256))]
+    #![proptest_config(property_test_config(256))]
 
     /// No permit is allocated twice, none is left that a pool wants, and a pool that got less than
     /// another for its weight wanted no more, or no permit was left to even it out.
--- a/crates/concurrency/tests/concurrency/limit_edge_cases.rs
+++ b/crates/concurrency/tests/concurrency/limit_edge_cases.rs
@@ -1,7 +1,7 @@
 //! The adaptive limit, call by call: hanging calls, stalls of the process, the clock, and arbitrary
 //! events.
 
-use crate::support::fixed_seed;
+use crate::support::property_test_config;
 use madderbay::time::{Duration, Timestamp};
 use madderbay_concurrency::limit::{AdaptiveLimit, Completion};
 use proptest::prelude::*;
@@ -102,7 +102,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed_seed(200))]
+    #![proptest_config(property_test_config(200))]
 
     /// Whatever happens, and whatever the clock does: the limit stays within its bounds, the
     /// circuit breaker half-opens, and no more calls are allowed than the maximum and two while
--- a/crates/concurrency/tests/concurrency/pools.rs
+++ b/crates/concurrency/tests/concurrency/pools.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{
     BOOK, QUOTE, SEARCH, at, complete_runs, limiter, limiter_of_equal_pools, pool, pool_ceiling,
-    pool_ceiling_at, queue, start, three_pools,
+    pool_ceiling_at, queue_requests, start_runs, three_pools,
 };
 use madderbay::time::Duration;
 use madderbay_concurrency::{ConcurrencyConfig, RequestStage};
@@ -12,9 +12,9 @@
 #[test]
 fn frees_permits_of_hung_runs_after_two_seconds() {
     let mut limiter = limiter_of_equal_pools();
-    start(&mut limiter, 0, 1..11, BOOK);
+    start_runs(&mut limiter, 0, 1..11, BOOK);
     (1..11).for_each(|id| limiter.set_stage(at(10), id, BOOK, RequestStage::AwaitingCall));
-    queue(&mut limiter, 20..60, SEARCH);
+    queue_requests(&mut limiter, 20..60, SEARCH);
     assert_eq!(pool_ceiling(&mut limiter, 20, 12.0, SEARCH).runs, 2);
     (1..11).for_each(|id| limiter.request_answered(at(1_000), id));
     assert_eq!(pool_ceiling(&mut limiter, 2_999, 12.0, SEARCH).runs, 2);
@@ -28,13 +28,13 @@
 
 /// A pool borrows what another leaves idle, until the owner has requests.
 #[test]
-fn lends_idle_permits_until_the_owner_needs_them() {
+fn lends_idle_permits_until_owner_needs_them() {
     let mut limiter = limiter_of_equal_pools();
-    queue(&mut limiter, 0..30, QUOTE);
+    queue_requests(&mut limiter, 0..30, QUOTE);
     assert_eq!(pool_ceiling(&mut limiter, 1, 12.0, QUOTE).runs, 12);
-    start(&mut limiter, 1, 0..12, QUOTE);
+    start_runs(&mut limiter, 1, 0..12, QUOTE);
     assert_eq!(pool_ceiling(&mut limiter, 2, 12.0, QUOTE).runs, 12);
-    queue(&mut limiter, 100..130, SEARCH);
+    queue_requests(&mut limiter, 100..130, SEARCH);
     // From now on each run that ends makes way for a search, until each pool has half.
     assert_eq!(pool_ceiling(&mut limiter, 3, 12.0, SEARCH).runs, 6);
     assert_eq!(pool_ceiling(&mut limiter, 3, 12.0, QUOTE).runs, 6);
@@ -42,7 +42,7 @@
 
 /// Each pool has all permits while it is alone, and its part by weight otherwise.
 #[test]
-fn follows_pools_that_empty_and_fill_in_turn() {
+fn adjusts_ceilings_as_pools_empty_and_fill() {
     let pools = three_pools([1.0, 3.0, 0.0]);
     let mut limiter = limiter(ConcurrencyConfig {
         pools,
@@ -51,9 +51,9 @@
     for round in 0..20u64 {
         let searches = round * 1_000..round * 1_000 + 40;
         let quotes = round * 1_000 + 500..round * 1_000 + 540;
-        queue(&mut limiter, searches.clone(), SEARCH);
+        queue_requests(&mut limiter, searches.clone(), SEARCH);
         assert_eq!(pool_ceiling(&mut limiter, round, 16.0, SEARCH).runs, 16);
-        queue(&mut limiter, quotes.clone(), QUOTE);
+        queue_requests(&mut limiter, quotes.clone(), QUOTE);
         assert_eq!(pool_ceiling(&mut limiter, round, 16.0, SEARCH).runs, 4);
         assert_eq!(pool_ceiling(&mut limiter, round, 16.0, QUOTE).runs, 12);
         searches.for_each(|id| limiter.request_finished(at(round), id));
@@ -65,10 +65,10 @@
 
 /// Runs at calls take no part in the division of the cores, and are no more than the calls allow.
 #[test]
-fn runs_at_calls_leave_the_cores_to_other_pools() {
+fn runs_blocked_on_calls_leave_cores_to_other_pools() {
     let mut limiter = limiter_of_equal_pools();
-    queue(&mut limiter, 0..50, BOOK);
-    queue(&mut limiter, 100..150, QUOTE);
+    queue_requests(&mut limiter, 0..50, BOOK);
+    queue_requests(&mut limiter, 100..150, QUOTE);
     for id in 0..8 {
         limiter.set_stage(at(1), id, BOOK, RequestStage::Running);
         limiter.set_stage(at(1), id, BOOK, RequestStage::AwaitingCall);
@@ -83,32 +83,32 @@
 
 /// Optional calls yield to required ones, by the pools' weights for calls.
 #[test]
-fn divides_calls_by_their_own_weights() {
+fn divides_calls_by_call_weights() {
     let mut pools = three_pools([1.0; 3]);
     pools[SEARCH.index()].call_weight = 0.0;
     let mut limiter = limiter(ConcurrencyConfig {
         pools,
         ..ConcurrencyConfig::default()
     });
-    start(&mut limiter, 1, 0..4, SEARCH);
+    start_runs(&mut limiter, 1, 0..4, SEARCH);
     assert_eq!(pool_ceiling(&mut limiter, 1, 8.0, SEARCH).calls, 8);
-    queue(&mut limiter, 100..104, BOOK);
+    queue_requests(&mut limiter, 100..104, BOOK);
     assert_eq!(pool_ceiling(&mut limiter, 1, 8.0, SEARCH).calls, 4);
-    queue(&mut limiter, 104..120, BOOK);
+    queue_requests(&mut limiter, 104..120, BOOK);
     assert_eq!(pool_ceiling(&mut limiter, 1, 8.0, SEARCH).calls, 0);
     assert_eq!(pool_ceiling(&mut limiter, 1, 8.0, BOOK).calls, 8);
 }
 
 #[test]
-fn puts_handlers_in_no_pool_into_the_remaining_pool() {
+fn puts_unassigned_handlers_into_default_pool() {
     let config = |pools| ConcurrencyConfig {
         pools,
         ..ConcurrencyConfig::default()
     };
     let mut two = limiter(config(vec![pool("book", &[BOOK], 1.0)]));
-    queue(&mut two, 0..20, SEARCH);
-    queue(&mut two, 100..120, QUOTE);
-    queue(&mut two, 200..220, BOOK);
+    queue_requests(&mut two, 0..20, SEARCH);
+    queue_requests(&mut two, 100..120, QUOTE);
+    queue_requests(&mut two, 200..220, BOOK);
     let remaining = pool_ceiling_at(&mut two, 1, 8.0, 1);
     assert_eq!(
         (remaining.handlers, remaining.runs),
@@ -119,7 +119,7 @@
     // One worker: each pool may use it, and the decision module's limit decides.
     assert!((0..2).all(|pool| pool_ceiling_at(&mut two, 1, 1.0, pool).runs <= 1));
     let mut one = limiter(config(vec![pool("all", &[SEARCH, QUOTE, BOOK], 1.0)]));
-    queue(&mut one, 0..20, QUOTE);
+    queue_requests(&mut one, 0..20, QUOTE);
     assert_eq!(pool_ceiling_at(&mut one, 1, 8.0, 0).runs, 8);
 }
 
@@ -132,18 +132,18 @@
         pools,
         ..ConcurrencyConfig::default()
     });
-    queue(&mut limiter, 0..20, QUOTE);
-    queue(&mut limiter, 100..120, BOOK);
+    queue_requests(&mut limiter, 0..20, QUOTE);
+    queue_requests(&mut limiter, 100..120, BOOK);
     assert_eq!(pool_ceiling(&mut limiter, 1, 12.0, QUOTE).runs, 2);
     assert_eq!(pool_ceiling(&mut limiter, 1, 12.0, BOOK).calls, 3);
 }
 
 /// A pool that its ceilings delay reports the interval between two starts; any other reports none.
 #[test]
-fn reports_start_interval_where_ceilings_delay() {
+fn reports_start_interval_of_pool_delayed_by_ceilings() {
     let mut limiter = limiter_of_equal_pools();
     complete_runs(&mut limiter, BOOK, 800);
-    queue(&mut limiter, 0..20, BOOK);
+    queue_requests(&mut limiter, 0..20, BOOK);
     for id in 0..8 {
         limiter.set_stage(at(1), id, BOOK, RequestStage::Running);
         limiter.set_stage(at(1), id, BOOK, RequestStage::Calling);
--- a/crates/concurrency/tests/concurrency/reference_run/configs.rs
+++ b/crates/concurrency/tests/concurrency/reference_run/configs.rs
@@ -41,7 +41,7 @@
     }
 }
 
-fn changed(change: impl FnOnce(&mut ConcurrencyConfig)) -> ConcurrencyConfig {
+fn base_with(change: impl FnOnce(&mut ConcurrencyConfig)) -> ConcurrencyConfig {
     let mut config = base();
     change(&mut config);
     config
@@ -49,29 +49,29 @@
 
 /// The recorded configurations, by name.
 pub(super) fn configs() -> Vec<(&'static str, ConcurrencyConfig)> {
-    let rest = changed(|c| {
+    let default_pool = base_with(|c| {
         c.pools = vec![pool("c", &[BOOK], 0.5, 1.0)];
         c.reserve = reserve(&[QUOTE], 0.2);
     });
-    let fixed = changed(|c| (c.adaptive, c.pools) = (false, bounded_pools()));
-    let free = changed(|c| {
+    let fixed_limits = base_with(|c| (c.adaptive, c.pools) = (false, bounded_pools()));
+    let no_call_quota = base_with(|c| {
         (c.call_quota, c.pools) = (None, bounded_pools());
         c.reserve = reserve(&[SEARCH, QUOTE], 0.1);
     });
-    let groups = changed(|c| {
+    let groups = base_with(|c| {
         c.upstream_groups = vec![upstream_group(SEARCH, 0.4), upstream_group(BOOK, 0.6)];
         c.call_quota = Some(20.0);
     });
-    let group_and_others = changed(|c| {
+    let group_and_others = base_with(|c| {
         c.upstream_groups = vec![upstream_group(BOOK, 1.0)];
         c.reserve = reserve(&[BOOK], 0.2);
     });
     vec![
         ("plain", base()),
-        ("rest", rest),
-        ("cheapest", changed(|c| c.reserve = reserve(&[], 0.3))),
-        ("fixed", fixed),
-        ("free", free),
+        ("rest", default_pool),
+        ("cheapest", base_with(|c| c.reserve = reserve(&[], 0.3))),
+        ("fixed", fixed_limits),
+        ("free", no_call_quota),
         ("groups", groups),
         ("group-and-others", group_and_others),
     ]
--- a/crates/concurrency/tests/concurrency/reference_run/mod.rs
+++ b/crates/concurrency/tests/concurrency/reference_run/mod.rs
@@ -13,7 +13,7 @@
 use madderbay_concurrency::AdjustmentCause;
 
 /// Why writing a line does not fail.
-const WRITES_TO_STRING: &str = "writing to a string succeeds";
+const STRING_WRITE_SUCCEEDS: &str = "writing to a string succeeds";
 
 /// FNV-1a.
 struct Digest(u64);
@@ -43,7 +43,7 @@
     }
 }
 
-fn assert_same(replayed: &str, recorded: &str) {
+fn assert_same_lines(replayed: &str, recorded: &str) {
     for (number, (new, old)) in replayed.lines().zip(recorded.lines()).enumerate() {
         assert_eq!(new, old, "line {}", number + 1);
     }
--- a/crates/concurrency/tests/concurrency/reference_run/random_calls.rs
+++ b/crates/concurrency/tests/concurrency/reference_run/random_calls.rs
@@ -1,6 +1,6 @@
 //! The limit with random calls.
 
-use super::{Digest, WRITES_TO_STRING, assert_same, recorded_name};
+use super::{Digest, STRING_WRITE_SUCCEEDS, assert_same_lines, recorded_name};
 use crate::simulation::at;
 use madderbay::time::{Duration, Timestamp};
 use madderbay_concurrency::limit::{AdaptiveLimit, Completion, Permit};
@@ -35,9 +35,9 @@
     fn step(&mut self, phase: u64) {
         let draw = self.random.rand_float();
         if draw < 0.4 {
-            self.start();
+            self.start_call();
         } else if draw < 0.75 {
-            self.end(phase);
+            self.end_call(phase);
         } else if draw < 0.752 {
             self.limit
                 .set_max(self.max * (0.5 + self.random.rand_float()));
@@ -48,7 +48,7 @@
         }
     }
 
-    fn start(&mut self) {
+    fn start_call(&mut self) {
         if self.limit.in_flight() < self.limit.allowed_in_flight() {
             self.open.push(self.limit.acquire(self.now()));
         } else {
@@ -56,7 +56,7 @@
         }
     }
 
-    fn end(&mut self, phase: u64) {
+    fn end_call(&mut self, phase: u64) {
         if self.open.is_empty() {
             return;
         }
@@ -82,7 +82,7 @@
     for seed in 0..6 {
         let mut calls = RandomCalls::new(seed);
         let mut digest = Digest::new();
-        writeln!(text, "limit {seed} of {:?}", calls.max).expect(WRITES_TO_STRING);
+        writeln!(text, "limit {seed} of {:?}", calls.max).expect(STRING_WRITE_SUCCEEDS);
         for step in 0..6_000u64 {
             calls.step((step / 750) % 4);
             if let Some(change) = calls.limit.tick(calls.now()) {
@@ -90,14 +90,14 @@
                 let (cause, allowed) =
                     (recorded_name(change.cause), calls.limit.allowed_in_flight());
                 writeln!(text, "{step} {from:?} {limit:?} {cause} {allowed}")
-                    .expect(WRITES_TO_STRING);
+                    .expect(STRING_WRITE_SUCCEEDS);
             }
             digest.add(calls.limit.limit().to_bits());
             digest.add(calls.limit.minimum_latency_secs().map_or(0, f64::to_bits));
             digest.add(calls.limit.allowed_in_flight() as u64);
             digest.add(calls.limit.in_flight() as u64);
         }
-        writeln!(text, "end {:016x}", digest.0).expect(WRITES_TO_STRING);
+        writeln!(text, "end {:016x}", digest.0).expect(STRING_WRITE_SUCCEEDS);
     }
-    assert_same(&text, include_str!("data/limit_events.txt"));
+    assert_same_lines(&text, include_str!("data/limit_events.txt"));
 }
--- a/crates/concurrency/tests/concurrency/reference_run/random_requests.rs
+++ b/crates/concurrency/tests/concurrency/reference_run/random_requests.rs
@@ -1,7 +1,7 @@
 //! The limiter with random requests.
 
 use super::configs::configs;
-use super::{Digest, WRITES_TO_STRING, assert_same, recorded_name};
+use super::{Digest, STRING_WRITE_SUCCEEDS, assert_same_lines, recorded_name};
 use crate::simulation::at;
 use crate::support::{QUOTE, call_requirements};
 use madderbay::interface::HandlerId;
@@ -204,26 +204,26 @@
     for (index, (name, config)) in configs().into_iter().enumerate() {
         let mut requests = RandomRequests::new(index, config);
         let mut digest = Digest::new();
-        writeln!(text, "plan {name}").expect(WRITES_TO_STRING);
+        writeln!(text, "plan {name}").expect(STRING_WRITE_SUCCEEDS);
         for step in 0..4_000u64 {
             requests.step((step / 800) % 3);
             if requests.limiter.is_stale(requests.now()) {
                 let ceilings = requests.ceilings(&mut digest);
                 if step % 250 == 0 {
-                    writeln!(text, "{step} {ceilings}").expect(WRITES_TO_STRING);
+                    writeln!(text, "{step} {ceilings}").expect(STRING_WRITE_SUCCEEDS);
                 }
             }
             let taken = requests.limiter.take_limit_changes();
             for change in taken.changes {
                 let cause = recorded_name(change.cause);
                 writeln!(text, "{step} {:?} {:?} {cause}", change.from, change.to)
-                    .expect(WRITES_TO_STRING);
+                    .expect(STRING_WRITE_SUCCEEDS);
             }
             digest.add(taken.dropped);
             requests.add_state(&mut digest);
         }
         let (changes, open) = (requests.limiter.change_count(), requests.limiter.len());
-        writeln!(text, "end {changes} {open} {:016x}", digest.0).expect(WRITES_TO_STRING);
+        writeln!(text, "end {changes} {open} {:016x}", digest.0).expect(STRING_WRITE_SUCCEEDS);
     }
-    assert_same(&text, include_str!("data/limiter_events.txt"));
+    assert_same_lines(&text, include_str!("data/limiter_events.txt"));
 }
--- a/crates/concurrency/tests/concurrency/reference_run/scenarios.rs
+++ b/crates/concurrency/tests/concurrency/reference_run/scenarios.rs
@@ -1,6 +1,6 @@
 //! The limit in simulated scenarios.
 
-use super::{Digest, WRITES_TO_STRING, assert_same};
+use super::{Digest, STRING_WRITE_SUCCEEDS, assert_same_lines};
 use crate::simulation::{Behavior, Scenario, at, simulate};
 use madderbay::time::Duration;
 use madderbay_concurrency::limit::AdaptiveLimit;
@@ -20,7 +20,7 @@
         scenario,
     };
     let few_callers = slow(20.0).with(|s| (s.per_second, s.caller_capacity) = (90.0, 15));
-    let overload = slow(7.0).with(|s| (s.per_second, s.thrash) = (300.0, 0.5));
+    let overload = slow(7.0).with(|s| (s.per_second, s.overload_slowdown) = (300.0, 0.5));
     vec![
         named("calm", 12.0, Scenario::default()),
         named(
@@ -29,7 +29,11 @@
             slow(2.0).with(|s| s.per_second = 250.0),
         ),
         named("slow-7", 12.0, slow(7.0)),
-        named("slow-20-thrash", 12.0, slow(20.0).with(|s| s.thrash = 0.5)),
+        named(
+            "slow-20-thrash",
+            12.0,
+            slow(20.0).with(|s| s.overload_slowdown = 0.5),
+        ),
         named("slow-20-noise", 12.0, slow(20.0).with(|s| s.spread = 1.0)),
         named(
             "slow-20-others",
@@ -55,7 +59,7 @@
         },
         &mut limit,
     );
-    writeln!(text, "world {} seed {seed}", named.name).expect(WRITES_TO_STRING);
+    writeln!(text, "world {} seed {seed}", named.name).expect(STRING_WRITE_SUCCEEDS);
     let (mut digest, mut last) = (Digest::new(), f64::NAN);
     for (index, sample) in trace.samples.iter().enumerate() {
         digest.add(sample.limit.to_bits());
@@ -63,7 +67,7 @@
         digest.add(u64::from(sample.succeeded));
         digest.add(u64::from(sample.failed));
         if sample.limit.to_bits() != last.to_bits() {
-            writeln!(text, "{} {:?}", index * 10, sample.limit).expect(WRITES_TO_STRING);
+            writeln!(text, "{} {:?}", index * 10, sample.limit).expect(STRING_WRITE_SUCCEEDS);
             last = sample.limit;
         }
     }
@@ -74,7 +78,7 @@
         "end {in_flight} {succeeded} {failed} {:016x}",
         digest.0
     )
-    .expect(WRITES_TO_STRING);
+    .expect(STRING_WRITE_SUCCEEDS);
 }
 
 #[test]
@@ -85,5 +89,5 @@
             replay_scenario(&mut text, &named, seed);
         }
     }
-    assert_same(&text, include_str!("data/scenarios.txt"));
+    assert_same_lines(&text, include_str!("data/scenarios.txt"));
 }
--- a/crates/concurrency/tests/concurrency/reserve.rs
+++ b/crates/concurrency/tests/concurrency/reserve.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{
     BOOK, QUOTE, SEARCH, at, ceiling_outside_reserve, complete_runs, limiter, pool, pool_ceiling,
-    queue, reserve, start, three_pools,
+    queue_requests, reserve, start_runs, three_pools,
 };
 use madderbay::interface::{CallRequirement, HandlerId};
 use madderbay_concurrency::{ConcurrencyConfig, ConcurrencyLimiter, Reserve};
@@ -57,11 +57,11 @@
             .handlers
             .is_empty()
     );
-    queue(&mut limiter, 10..30, borrower);
-    start(&mut limiter, 100, 10..14, borrower);
+    queue_requests(&mut limiter, 10..30, borrower);
+    start_runs(&mut limiter, 100, 10..14, borrower);
     assert_eq!(pool_ceiling(&mut limiter, 101, 4.0, borrower).runs, 4);
     // The owner has requests: two of four permits are its own as soon as the borrower's runs end.
-    queue(&mut limiter, 50..60, owner);
+    queue_requests(&mut limiter, 50..60, owner);
     assert_eq!(pool_ceiling(&mut limiter, 102, 4.0, owner).runs, 2);
     assert_eq!(pool_ceiling(&mut limiter, 102, 4.0, borrower).runs, 2);
 }
@@ -69,7 +69,7 @@
 /// Without configured owners the handler of the shortest runs owns the reserve, and keeps it
 /// against one that is hardly faster.
 #[test]
-fn cheapest_handler_owns_reserve_without_configured_owner() {
+fn handler_with_shortest_runs_owns_reserve_by_default() {
     let mut limiter = limiter_with(reserve(&[], 0.1));
     assert!(limiter.reserved().is_empty());
     complete_runs(&mut limiter, SEARCH, 50);
--- a/crates/concurrency/tests/concurrency/simulation/mod.rs
+++ b/crates/concurrency/tests/concurrency/simulation/mod.rs
@@ -121,7 +121,7 @@
         let load = self.calls.len() as f64 / scenario.slots as f64;
         let speed = match self.behavior {
             Behavior::Slow(factor) => {
-                1.0 / (factor * (1.0 + scenario.thrash * (load - 1.0).max(0.0)))
+                1.0 / (factor * (1.0 + scenario.overload_slowdown * (load - 1.0).max(0.0)))
             }
             Behavior::Failing => 1.0,
             Behavior::Silent => 0.0,
@@ -183,9 +183,9 @@
         if self.random.rand_float() < self.scenario.per_second * STEP_MS as f64 / 1e3 {
             self.waiting.push_back(ms);
         }
-        let patience_ms = self.scenario.patience_ms;
+        let max_wait_ms = self.scenario.max_wait_ms;
         self.waiting
-            .retain(|arrived_ms| ms - arrived_ms < patience_ms);
+            .retain(|arrived_ms| ms - arrived_ms < max_wait_ms);
     }
 
     /// Starts calls up to the limit; the newest first, as the decision module does.
--- a/crates/concurrency/tests/concurrency/simulation/scenario.rs
+++ b/crates/concurrency/tests/concurrency/simulation/scenario.rs
@@ -36,11 +36,11 @@
     pub(crate) spread: f64,
     /// Growth of a call's time, as a fraction, for each further multiple of the slots that is
     /// requested.
-    pub(crate) thrash: f64,
+    pub(crate) overload_slowdown: f64,
     /// Calls wanted per second.
     pub(crate) per_second: f64,
     /// How long a wanted call waits for its start, in ms.
-    pub(crate) patience_ms: u64,
+    pub(crate) max_wait_ms: u64,
     /// Slots that other callers occupy at all times.
     pub(crate) other_callers: usize,
     /// Upper bound on calls in flight, whatever the limit.
@@ -56,9 +56,9 @@
             slots: 8,
             call_ms: 25.0,
             spread: 0.3,
-            thrash: 0.0,
+            overload_slowdown: 0.0,
             per_second: 60.0,
-            patience_ms: 2_500,
+            max_wait_ms: 2_500,
             other_callers: 0,
             caller_capacity: usize::MAX,
             phases: vec![],
--- a/crates/concurrency/tests/concurrency/simulation/trace.rs
+++ b/crates/concurrency/tests/concurrency/simulation/trace.rs
@@ -46,7 +46,7 @@
     }
 
     /// Difference between the highest and the lowest limit, as a fraction of its mean.
-    pub(crate) fn swing(&self, from_ms: u64, to_ms: u64) -> f64 {
+    pub(crate) fn limit_variation(&self, from_ms: u64, to_ms: u64) -> f64 {
         let samples = self.between(from_ms, to_ms).iter();
         let limits: Vec<f64> = samples.map(|s| s.limit).collect();
         let low = limits.iter().copied().fold(f64::MAX, f64::min);
--- a/crates/concurrency/tests/concurrency/support.rs
+++ b/crates/concurrency/tests/concurrency/support.rs
@@ -103,11 +103,15 @@
     ceilings.last().expect("there is a reserve").clone()
 }
 
-pub(crate) fn queue(limiter: &mut ConcurrencyLimiter, ids: Range<u64>, handler: HandlerId) {
+pub(crate) fn queue_requests(
+    limiter: &mut ConcurrencyLimiter,
+    ids: Range<u64>,
+    handler: HandlerId,
+) {
     ids.for_each(|id| limiter.set_stage(at(1), id, handler, RequestStage::Queued));
 }
 
-pub(crate) fn start(
+pub(crate) fn start_runs(
     limiter: &mut ConcurrencyLimiter,
     ms: u64,
     ids: Range<u64>,
@@ -129,7 +133,7 @@
 }
 
 /// Settings of property tests: the same cases in each run.
-pub(crate) fn fixed_seed(cases: u32) -> Config {
+pub(crate) fn property_test_config(cases: u32) -> Config {
     let rng_seed = RngSeed::Fixed(7);
     Config {
         cases,
--- a/crates/concurrency/tests/concurrency/upstreams.rs
+++ b/crates/concurrency/tests/concurrency/upstreams.rs
@@ -1,8 +1,8 @@
 //! The limits on calls, by upstream.
 
 use crate::support::{
-    BOOK, SEARCH, at, call_requirements, limiter, limiter_of_equal_pools, pool_ceiling, queue,
-    three_pools,
+    BOOK, SEARCH, at, call_requirements, limiter, limiter_of_equal_pools, pool_ceiling,
+    queue_requests, three_pools,
 };
 use madderbay::interface::HandlerId;
 use madderbay_concurrency::limit::Completion;
@@ -27,7 +27,7 @@
         ..ConcurrencyConfig::default()
     };
     let mut limiter = ConcurrencyLimiter::new(at(0), 1, config, &call_requirements());
-    queue(&mut limiter, 0..20, BOOK);
+    queue_requests(&mut limiter, 0..20, BOOK);
     assert_eq!(pool_ceiling(&mut limiter, 1, 12.0, BOOK).calls, 4);
 }
 
