--- a/crates/concurrency/examples/ways/main.rs
+++ b/crates/concurrency/examples/ways/main.rs
@@ -1,5 +1,7 @@
-//! Compares the limit policies that `docs/notes/pools.md` weighs in the same simulated scenarios:
-//! `cargo run --release -p madderbay-concurrency --example ways`.
+//! Compares the limit policies that `docs/notes/pools.md` discusses in the same simulated
+//! scenarios:
+//!
+//! `cargo run --release -p madderbay-concurrency --example ways`
 
 mod policies;
 #[path = "../../tests/concurrency/simulation/mod.rs"]
@@ -13,7 +15,7 @@
 
 struct NamedScenario {
     name: &'static str,
-    /// Maximum of each policy: the quota of calls.
+    /// Maximum limit of each policy, equal to the quota of calls.
     max: f64,
     scenario: Scenario,
     fault_from_ms: u64,
@@ -35,7 +37,7 @@
     let busy = |factor, per_second| slow(factor).with(|s| s.per_second = per_second);
     let cold = named("cold", 12.0, Scenario::warming_up());
     vec![
-        named("calm", 12.0, Scenario::default()),
+        named("no fault", 12.0, Scenario::default()),
         named("slow x2, busy", 12.0, busy(2.0, 250.0)),
         named("slow x7", 12.0, slow(7.0)),
         named("slow x20", 12.0, slow(20.0)),
@@ -51,9 +53,9 @@
             slow(20.0).with(|s| s.other_callers = 3),
         ),
         named("fails fast", 12.0, Scenario::with_fault(Behavior::Failing)),
-        named("wide share", 40.0, busy(7.0, 300.0)),
+        named("high quota", 40.0, busy(7.0, 300.0)),
         named(
-            "wide share, thrash",
+            "high quota, thrash",
             40.0,
             busy(7.0, 300.0).with(|s| s.overload_slowdown = 0.5),
         ),
@@ -66,7 +68,7 @@
     ]
 }
 
-/// What one policy came to in one scenario, averaged over the seeds.
+/// Measures of one policy in one scenario, averaged over the seeds.
 #[derive(Default)]
 struct Measures {
     succeeded_in_fault: f64,
--- a/crates/concurrency/examples/ways/policies.rs
+++ b/crates/concurrency/examples/ways/policies.rs
@@ -1,10 +1,10 @@
-//! The policies that are compared.
+//! The limit policies that the example compares.
 
 use crate::simulation::{EndedCall, FixedLimit, LimitPolicy, at};
 use madderbay::time::{Duration, Timestamp};
 use madderbay_concurrency::limit::{AdaptiveLimit, Completion, Permit};
 
-/// Shortest latency that the policies measure, in seconds.
+/// Lower bound on a latency as the policies measure it, in seconds.
 const MIN_LATENCY_SECS: f64 = 1e-3;
 
 impl EndedCall {
@@ -17,9 +17,9 @@
     }
 }
 
-/// Additive increase, multiplicative decrease: grows by one over the limit for each call within
-/// twice the best latency, and falls by a tenth for each that is slower or does not succeed, at
-/// most once per latency.
+/// Additive increase, multiplicative decrease. The limit grows by 1/limit for each successful call
+/// that takes less than twice the best latency. It falls by a tenth for each call that is slower or
+/// does not succeed, at most once within the latency of such a call.
 struct Aimd {
     limit: f64,
     max: f64,
@@ -56,8 +56,8 @@
     }
 }
 
-/// Latency gradient: the limit times the ratio of the long-term to the short-term mean latency,
-/// with capacity for a queue of the square root of the limit.
+/// Latency gradient: multiplies the limit by the ratio of the long-term to the short-term mean
+/// latency, and adds capacity for a queue of the square root of the limit.
 struct Gradient {
     limit: f64,
     max: f64,
@@ -97,7 +97,8 @@
     }
 }
 
-/// A queue estimate after TCP Vegas: the calls in flight less those that the best latency explains.
+/// A queue estimate as in TCP Vegas: the calls in flight minus those that the best latency
+/// explains.
 struct Vegas {
     limit: f64,
     max: f64,
@@ -145,8 +146,8 @@
     }
 }
 
-/// The decision module's account: call seconds accrue at a fraction of the quota, which falls as
-/// calls slow down.
+/// The call time account of the decision module: call seconds accrue at a fraction of the quota,
+/// and the fraction falls as calls slow down.
 struct CallTimeAccount {
     quota: f64,
     credit_secs: f64,
@@ -205,13 +206,13 @@
     }
 }
 
-/// A policy with its name in the table.
+/// A policy and its name in the table.
 pub(crate) struct NamedPolicy {
     pub(crate) name: &'static str,
     pub(crate) policy: Box<dyn LimitPolicy>,
 }
 
-/// All policies, new, with the same maximum.
+/// Creates all policies, with the same maximum.
 pub(crate) fn policies(max: f64) -> Vec<NamedPolicy> {
     let named = |name, policy| NamedPolicy { name, policy };
     vec![
@@ -220,7 +221,7 @@
         named("gradient", Box::new(Gradient::new(max))),
         named("vegas", Box::new(Vegas::new(max))),
         named("account", Box::new(CallTimeAccount::new(max))),
-        named("on trial", Box::new(adaptive(max))),
+        named("adaptive", Box::new(adaptive(max))),
     ]
 }
 
--- a/crates/concurrency/src/ceilings.rs
+++ b/crates/concurrency/src/ceilings.rs
@@ -1,7 +1,7 @@
-//! Computation of the ceilings that the decision module obeys.
+//! Computes the ceilings that the decision module applies.
 //!
-//! Owns nothing: [`CeilingInputs`] borrows the state of the limiter at one moment. Divides calls
-//! and runs among pools; never changes a limit or a counter.
+//! [`CeilingInputs`] borrows the state of the limiter and divides calls and runs among the pools,
+//! without changing any limit or counter.
 
 use crate::UNLIMITED;
 use crate::fair_share::{self, Demand};
@@ -12,15 +12,15 @@
 use madderbay::interface::{CallRequirement, Ceiling, HandlerId};
 use madderbay::time::{Duration, Timestamp};
 
-/// Time for which a skipped call counts as demand: its pool is allocated calls meanwhile.
+/// Time for which a skipped call counts as demand, so that its pool is allocated calls.
 const SKIPPED_CALL_DEMAND_PERIOD: Duration = Duration::from_millis(500);
-/// Maximum reported interval between two starts of a pool: a bottleneck that slow may be over by
-/// then.
+/// Upper bound on the reported interval between two starts of a pool; a bottleneck that is slower
+/// than this may have cleared by then.
 const MAX_START_INTERVAL: Duration = Duration::from_millis(2_000);
 /// Lower bound on the sum of weights; avoids a division by zero.
 const MIN_WEIGHT_SUM: f64 = 1e-9;
 
-/// The allowed calls of one upstream.
+/// The handlers that call one upstream, and the number of calls that they may have in flight.
 struct UpstreamCapacity<'a> {
     handlers: &'a [HandlerId],
     allowed: usize,
@@ -29,7 +29,7 @@
 /// State of the limiter from which ceilings are computed.
 pub(crate) struct CeilingInputs<'a> {
     pub(crate) now: Timestamp,
-    /// Concurrent runs that the decision module allows; at least 1.
+    /// Number of concurrent runs that the decision module allows; at least 1.
     pub(crate) workers: usize,
     pub(crate) cores: usize,
     pub(crate) handlers: &'a HandlerTable,
@@ -39,8 +39,8 @@
 }
 
 impl CeilingInputs<'_> {
-    /// The ceiling of all handlers, then one for each pool, that of the handlers outside the
-    /// reserve, and one for each upstream if there are several.
+    /// Returns the ceiling of all handlers, one for each pool, one for the handlers outside the
+    /// reserve (if there is a reserve), and one for each upstream (if there are several).
     pub(crate) fn compute(&self) -> Vec<Ceiling> {
         let upstreams = self.upstream_capacities();
         let total_calls = upstreams.iter().map(|u| u.allowed).reduce(|a, b| a + b);
@@ -83,7 +83,7 @@
         self.pools.iter().enumerate().map(ceiling).collect()
     }
 
-    /// The calls that each pool may have in flight, summed over the upstreams.
+    /// Returns the number of calls that each pool may have in flight, summed over the upstreams.
     fn call_ceilings(&self, upstreams: &[UpstreamCapacity<'_>]) -> Vec<usize> {
         if upstreams.is_empty() {
             let demand = |pool| self.call_demand(pool, |_| true).max;
@@ -104,7 +104,8 @@
         ceilings
     }
 
-    /// What a pool demands of the calls of some handlers.
+    /// Returns the demand of a pool for calls, counting only the handlers for which `includes` is
+    /// true.
     fn call_demand(&self, pool: &Pool, includes: impl Fn(&HandlerId) -> bool) -> Demand {
         let included = || pool.handlers.iter().filter(|h| includes(h));
         let wanted = included().map(|h| self.wanted_calls(self.handlers.get(*h)));
@@ -120,8 +121,10 @@
         }
     }
 
-    /// Calls in flight, and those that follow. A run that requires a call will want one; of runs
-    /// that can do without, one more is wanted if one just skipped its call.
+    /// Returns the number of calls that a handler has in flight, waits for, or is expected to make.
+    /// Each run that requires a call will make one, and so will each queued request. Runs with an
+    /// optional call are counted only if a run of the handler just skipped its call: then every run
+    /// that executes is counted, and one more call.
     fn wanted_calls(&self, load: &HandlerLoad) -> usize {
         let just_skipped = load
             .call_skipped_at
@@ -134,8 +137,9 @@
         load.calling + load.awaiting_call + following
     }
 
-    /// The runs that each pool may have: those that wait for a call, which the calls' ceilings
-    /// bound, and by weight its part of the remaining workers, which the cores execute.
+    /// Returns the number of runs that each pool may have: its runs that wait for a call, which are
+    /// bounded by the ceilings on calls, plus its part by weight of the remaining workers, whose
+    /// runs the cores execute.
     fn run_ceilings(&self, calls: &[usize]) -> Vec<usize> {
         let weight_sum: f64 = self.pools.iter().map(|p| p.weight).sum();
         let blocked_runs: Vec<usize> = self
@@ -157,8 +161,9 @@
             .collect()
     }
 
-    /// What a pool demands of the workers that the cores execute. Runs that require a call are of
-    /// no use beyond the calls that there are and the runs that the cores execute meanwhile.
+    /// Returns the demand of a pool for the workers whose runs the cores execute. If every run of
+    /// the pool requires a call, the demand is bounded by the number of allowed calls plus the runs
+    /// that its part of the cores executes meanwhile: further runs would only wait for a call.
     fn run_demand(&self, pool: &Pool, calls: usize, weight_sum: f64) -> Demand {
         let required =
             |h: &HandlerId| self.handlers.get(*h).call_requirement == CallRequirement::Required;
@@ -182,9 +187,10 @@
             .sum(&pool.handlers, HandlerLoad::runs_blocked_on_calls)
     }
 
-    /// Expected interval between two starts of a pool whose requests are queued although workers
-    /// are free: its recent runs each end after the mean duration of a run. Zero where the ceilings
-    /// are not what delays it.
+    /// Returns the expected interval between two starts of a pool whose requests are queued
+    /// although workers are free. A start becomes possible whenever one of its recent runs ends,
+    /// and each run ends after the mean run duration. Returns zero if the ceilings are not what
+    /// delays the pool.
     fn start_interval(&self, pool: &Pool) -> Duration {
         let runs = self.handlers.sum(&pool.handlers, HandlerLoad::runs);
         let queued = self.handlers.sum(&pool.handlers, |l| l.queued);
@@ -199,7 +205,7 @@
     }
 }
 
-/// A ceiling on calls that leaves runs unlimited.
+/// Returns a ceiling on calls that leaves runs unlimited.
 fn calls_only(handlers: &[HandlerId], calls: usize) -> Ceiling {
     Ceiling {
         handlers: handlers.to_vec(),
--- a/crates/concurrency/src/config.rs
+++ b/crates/concurrency/src/config.rs
@@ -1,7 +1,7 @@
 //! Settings of the concurrency limiter: pools, the reserve and the upstreams.
 //!
-//! Plain data, given by the operator file and the site's settings. Handlers are given by their
-//! index in the settings.
+//! Plain data, filled in from the operator file and the settings of the site. Handlers are
+//! identified by their index in the settings.
 
 use madderbay::interface::HandlerId;
 use madderbay::time::Duration;
@@ -9,7 +9,7 @@
 /// One pool of handlers (a bulkhead).
 #[derive(Clone, Debug)]
 pub struct PoolConfig {
-    /// Name in counters; no effect on limits.
+    /// Name in counters; it has no effect on limits.
     pub name: String,
     /// Handlers of the pool; each handler belongs to at most one pool.
     pub handlers: Vec<HandlerId>,
@@ -39,7 +39,7 @@
 /// Capacity reserved for some handlers.
 #[derive(Clone, Debug)]
 pub struct Reserve {
-    /// The handlers that own the reserve; if empty, the handler with the shortest runs.
+    /// Handlers that own the reserve; if empty, the handler with the shortest runs owns it.
     pub handlers: Vec<HandlerId>,
     /// Reserved fraction of all runs and calls, from 0 to 1.
     pub fraction: f64,
@@ -48,30 +48,31 @@
 /// Settings of a [`ConcurrencyLimiter`](crate::ConcurrencyLimiter).
 #[derive(Clone, Debug)]
 pub struct ConcurrencyConfig {
-    /// The pools. Handlers in none form one more pool, named `rest`, of weight 1.
+    /// The pools. Handlers that belong to none of them form one more pool, named `rest`, of weight
+    /// 1.
     pub pools: Vec<PoolConfig>,
     /// Reserved capacity, if any.
     pub reserve: Option<Reserve>,
     /// Whether the limits on calls adapt to the upstreams. Otherwise they stay at this server's
-    /// quota.
+    /// quota of calls.
     pub adaptive: bool,
-    /// This server's quota of concurrent calls; `None` where calls need no limit.
+    /// This server's quota of concurrent calls; `None` if calls need no limit.
     pub call_quota: Option<f64>,
-    /// How long a call that was abandoned may still run upstream.
+    /// Time for which an abandoned call may still run upstream.
     pub abandoned_call_lifetime: Duration,
     /// Number of cores that execute runs.
     pub cores: usize,
-    /// Where there are several upstreams: a group for each. Handlers in none of them share one more
-    /// limit, with the full quota.
+    /// Groups of handlers, one for each upstream, if there are several upstreams. Handlers that
+    /// belong to no group share one more limit, with the full quota.
     pub upstream_groups: Vec<UpstreamGroup>,
 }
 
 /// The handlers that call one of several upstreams.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamGroup {
-    /// Indices of the handlers.
+    /// Handlers that call the upstream.
     pub handlers: Vec<HandlerId>,
-    /// Fraction of the call quota at which the upstream's limit starts, 0 to 1.
+    /// Fraction of the call quota, from 0 to 1, at which the upstream's limit starts.
     pub quota_fraction: f64,
 }
 
--- a/crates/concurrency/src/fair_share.rs
+++ b/crates/concurrency/src/fair_share.rs
@@ -1,16 +1,16 @@
 //! Weighted max-min fair division of a number of permits among pools.
 //!
-//! Pure functions: they own nothing and know nothing about time. Permits that no pool demands are
-//! offered to every pool.
+//! Pure functions without state or time. Permits that no pool demands are offered to every pool.
 
-/// What one pool demands, and its bounds.
+/// Demand of one pool for permits, and its bounds.
 #[derive(Clone, Copy, Debug)]
 pub struct Demand {
-    /// Relative weight. A pool of weight 0 gets only what pools of positive weight leave.
+    /// Relative weight. A pool of weight 0 gets only the permits that pools of positive weight do
+    /// not want.
     pub weight: f64,
-    /// Permits that the pool can use now.
+    /// Number of permits that the pool can use now.
     pub wanted: usize,
-    /// Upper bound on its permits.
+    /// Upper bound on the number of its permits.
     pub max: usize,
 }
 
@@ -20,8 +20,9 @@
     }
 }
 
-/// Allocates up to `total` permits by weighted max-min fairness. A pool of positive weight that
-/// wants a permit gets one before another pool gets its second, as far as there are enough.
+/// Allocates up to `total` permits by weighted max-min fairness. Among pools of positive weight,
+/// every pool that wants a permit gets its first before any pool gets its second, as far as there
+/// are enough permits.
 pub fn allocate(total: usize, demands: &[Demand]) -> Vec<usize> {
     let mut allocated = vec![0; demands.len()];
     let mut remaining = total;
@@ -37,8 +38,9 @@
     allocated
 }
 
-/// The pool whose allocation relative to its weight is the lowest after one more permit; pools
-/// without weight count alike.
+/// Returns the pool that gets the next permit: one without any permit first, then the pool whose
+/// allocation relative to its weight is the lowest after one more permit. Considers pools of
+/// positive weight if `weighted`; otherwise pools of weight 0, which count alike.
 fn next_pool_to_serve(demands: &[Demand], allocated: &[usize], weighted: bool) -> Option<usize> {
     let wants_more = |pool: &usize| {
         let demand = &demands[*pool];
@@ -54,8 +56,9 @@
     })
 }
 
-/// What each pool may use now: its allocation and every permit that no pool wants. The owners get
-/// borrowed permits back as the borrowers' runs end.
+/// Returns the number of permits that each pool may use now: its allocation plus every permit that
+/// no pool wants, up to its maximum. Borrowed permits return to their owners as the runs of the
+/// borrowers end.
 pub fn ceilings(total: usize, demands: &[Demand]) -> Vec<usize> {
     let allocated = allocate(total, demands);
     let idle = total - allocated.iter().sum::<usize>();
--- a/crates/concurrency/src/handlers.rs
+++ b/crates/concurrency/src/handlers.rs
@@ -1,13 +1,13 @@
-//! What the requests of each handler have in flight.
+//! Counters of each handler: its requests by stage, its hung runs and its mean run duration.
 //!
-//! Owns the counters per handler and the mean duration of its runs. Given each change of a request
-//! by [`requests`](crate::requests), which keeps the counters consistent with the requests.
+//! [`requests`](crate::requests) updates the counters with each event of a request, and keeps them
+//! consistent with the requests.
 
 use crate::request_stage::RequestStage;
 use madderbay::interface::{CallRequirement, HandlerId};
 use madderbay::time::Timestamp;
 
-/// Weight of the newest run in the mean duration: averages about ten runs.
+/// Weight of the newest run in the mean run duration; the mean covers about ten runs.
 const RUN_DURATION_WEIGHT: f64 = 0.1;
 
 /// Counters of one handler.
@@ -18,11 +18,11 @@
     pub(crate) running: usize,
     pub(crate) awaiting_call: usize,
     pub(crate) calling: usize,
-    /// Runs that the engine does not end and that occupy no permit any more.
+    /// Runs that the engine does not end and that no longer occupy a permit.
     pub(crate) hung: usize,
-    /// Mean duration of a run; `None` before the first run ended.
+    /// Mean run duration; `None` before the first run ended.
     pub(crate) mean_run_secs: Option<f64>,
-    /// When a run last went on without its call.
+    /// When a run last continued without its call.
     pub(crate) call_skipped_at: Option<Timestamp>,
 }
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Counter of a stage.
+    /// Returns the counter of a stage.
     pub(crate) fn counter_mut(&mut self, stage: RequestStage) -> &mut usize {
         match stage {
             RequestStage::Queued => &mut self.queued,
@@ -54,7 +54,7 @@
         self.running + self.awaiting_call + self.calling
     }
 
-    /// Runs that use no core, because they wait for a call or its reply.
+    /// Returns the number of runs that use no core because they wait for a call or its reply.
     pub(crate) fn runs_blocked_on_calls(&self) -> usize {
         self.awaiting_call + self.calling
     }
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Whether the settings have the handler.
+    /// Reports whether the handler is in the settings.
     pub(crate) fn contains(&self, handler: HandlerId) -> bool {
         handler.index() < self.loads.len()
     }
@@ -102,7 +102,7 @@
         &mut self.loads[handler.index()]
     }
 
-    /// Sum of a counter over some handlers.
+    /// Returns the sum of a counter over some handlers.
     pub(crate) fn sum(
         &self,
         handlers: &[HandlerId],
@@ -111,7 +111,7 @@
         handlers.iter().map(|h| counter(self.get(*h))).sum()
     }
 
-    /// Sum of a counter over all handlers.
+    /// Returns the sum of a counter over all handlers.
     pub(crate) fn total(&self, counter: impl Fn(&HandlerLoad) -> usize) -> usize {
         self.loads.iter().map(counter).sum()
     }
--- a/crates/concurrency/src/lib.rs
+++ b/crates/concurrency/src/lib.rs
@@ -1,10 +1,10 @@
 //! Concurrency limits by pool of handlers (bulkheads) and by upstream, with reserved capacity.
 //!
-//! [`ConcurrencyLimiter`] owns the stage of each request in flight, an adaptive limit on calls for
-//! each upstream ([`limit`]), the division of runs and calls among pools ([`fair_share`]) and the
-//! reserve. It is given each event of a request, and hands out
+//! [`ConcurrencyLimiter`] keeps the stage of each request in flight, an adaptive limit on calls for
+//! each upstream ([`limit`]) and the reserve, and divides runs and calls among pools
+//! ([`fair_share`]). It is given each event of a request, and hands out
 //! [`Ceiling`](madderbay::interface::Ceiling)s. It performs no I/O and reads no clock. It never
-//! admits, orders or rejects requests: [`madderbay::decide`] does, within the ceilings.
+//! admits, orders or rejects requests: [`madderbay::decide`] does so within the ceilings.
 //!
 //! ```
 //! use madderbay::interface::{CallRequirement, HandlerId};
@@ -50,5 +50,5 @@
 pub use request_stage::RequestStage;
 pub use usage::{CallUsage, PoolUsage, UpstreamUsage};
 
-/// A ceiling that does not bind.
+/// Value of a ceiling that does not limit anything.
 const UNLIMITED: usize = usize::MAX;
--- a/crates/concurrency/src/limit.rs
+++ b/crates/concurrency/src/limit.rs
@@ -1,17 +1,17 @@
 //! An adaptive limit on the calls in flight to one upstream.
 //!
 //! A call takes longer for one of two reasons: the upstream executes each call more slowly, or too
-//! many calls queue there. Only queueing is a reason to lower the limit; under plain slowness a
-//! lower limit only loses throughput. Latency alone does not tell the two apart, so the limit is
-//! lowered as a probe. If latency falls with the concurrency, calls were queueing and the lower
-//! limit stays. Otherwise the limit is restored, and the observed latency becomes the new minimum
-//! latency.
+//! many calls queue there. Only queueing is a reason to lower the limit; if the upstream is merely
+//! slow, a lower limit only loses throughput. Latency alone does not tell the two apart, so the
+//! limit is lowered as a probe. If latency falls with the concurrency, calls were queueing and the
+//! lower limit stays. Otherwise the limit is restored, and the observed latency becomes the new
+//! minimum latency.
 //!
-//! [`AdaptiveLimit`](crate::limit::AdaptiveLimit) owns the limit, the count of calls in flight, the
-//! current sample window, the minimum latency, the probe in progress and the circuit breaker. It is
-//! given the start and the end of each call and the current time. It never reads a clock, performs
-//! no I/O, and never blocks or rejects a call: callers compare the calls in flight with those
-//! allowed.
+//! [`AdaptiveLimit`](crate::limit::AdaptiveLimit) holds the limit, the count of calls in flight,
+//! the current sample window, the minimum latency, the probe in progress and the circuit breaker.
+//! Callers report the start and the end of each call with the current time. The limit never reads a
+//! clock, performs no I/O, and never blocks or rejects a call: callers compare the number of calls
+//! in flight with the number allowed.
 
 mod change;
 mod circuit_breaker;
@@ -32,24 +32,27 @@
 
 /// Fraction of the recent peak kept after each window; halves the peak in about fourteen windows.
 const RECENT_PEAK_DECAY: f64 = 0.95;
-/// Bound on a limit that no call reached, as a multiple of the recent peak of calls in flight.
+/// Upper bound on a limit that no call reached, as a multiple of the recent peak of calls in
+/// flight.
 const MAX_UNUSED_LIMIT_FACTOR: f64 = 2.0;
-/// Lower bound on that reduction, in calls: one probe corrects an excess of a dozen calls, not one
-/// of many dozens.
+/// Value, in calls, below which an unused limit is not reduced: one probe corrects an excess of a
+/// dozen calls, but not one of many dozens.
 const MIN_UNUSED_LIMIT: f64 = 12.0;
 /// Concurrency, as a fraction of the limit or of the recent peak, up to which a call counts as
-/// unaffected by others.
+/// unaffected by other calls.
 const LOW_CONCURRENCY_FRACTION: f64 = 0.5;
 
-/// Factor of growth per window up to a limit that was sustained before.
+/// Factor by which the limit grows per window up to a limit that was sustained before.
 const REGROWTH_FACTOR: f64 = 1.5;
 /// Growth per window beyond the sustained limit, as a fraction of the limit.
 const GROWTH_FRACTION: f64 = 0.06;
-/// The same while latency stays within [`UNCONGESTED_LATENCY_FACTOR`] of the minimum.
+/// Growth per window beyond the sustained limit, as a fraction of the limit, while latency stays
+/// within [`UNCONGESTED_LATENCY_FACTOR`] of the minimum.
 const UNCONGESTED_GROWTH_FRACTION: f64 = 0.3;
 /// Minimum growth per window beyond the sustained limit, in calls.
 const MIN_GROWTH: f64 = 0.5;
-/// Mean latency, as a multiple of the minimum latency, up to which no call waits for another.
+/// Mean latency, as a multiple of the minimum latency, up to which calls are taken not to wait for
+/// each other.
 const UNCONGESTED_LATENCY_FACTOR: f64 = 1.05;
 
 /// Fraction of the limit kept after a window in which most calls failed.
@@ -58,10 +61,10 @@
 const SILENCE_DECREASE: f64 = 0.5;
 /// Consecutive windows without an answer after which the limit is decreased.
 const MIN_SILENT_WINDOWS: u32 = 2;
-/// Shortest latency that is measured, in seconds; avoids a division by zero on a coarse clock.
+/// Lower bound on a measured latency, in seconds; avoids a division by zero on a coarse clock.
 const MIN_MEASURED_LATENCY_SECS: f64 = 1e-6;
 
-/// A limit on calls in flight that follows what the upstream sustains.
+/// A limit on calls in flight that adapts to the concurrency that the upstream sustains.
 pub struct AdaptiveLimit {
     max: f64,
     current: f64,
@@ -73,7 +76,7 @@
     window: SampleWindow,
     minimum_latency: MinimumLatency,
     probes: ProbeController,
-    /// Consecutive windows that reached the limit without a noticeable queue.
+    /// Consecutive windows in which the limit was reached without a noticeable queue.
     uncongested_windows: u32,
     /// Consecutive windows without an answer.
     silent_windows: u32,
@@ -83,8 +86,8 @@
 impl AdaptiveLimit {
     /// Creates a limit that starts at `max` calls, at least 1, and never exceeds it.
     ///
-    /// A call that timed out or was cancelled occupies the upstream for `abandoned_call_lifetime`
-    /// more. `seed` determines the jitter of the circuit breaker's backoff.
+    /// A call that timed out or was cancelled occupies the upstream for another
+    /// `abandoned_call_lifetime`. `seed` determines the jitter of the circuit breaker's backoff.
     pub fn new(
         now: Timestamp,
         seed: u64,
@@ -107,8 +110,8 @@
         }
     }
 
-    /// Replaces the maximum, in calls. A limit at its maximum follows it, since no evidence lowered
-    /// it.
+    /// Replaces the maximum, in calls. A limit that is at its maximum moves with it, since no
+    /// evidence has lowered it.
     pub fn set_max(&mut self, max: f64) {
         let max = max.max(1.0);
         if self.current >= self.max {
@@ -120,24 +123,24 @@
         self.sustained = self.sustained.min(max);
     }
 
-    /// The current limit in calls, as a fraction; at least 1, also while the circuit breaker is
-    /// open.
+    /// Returns the current limit in calls, possibly fractional; at least 1, even while the circuit
+    /// breaker is open.
     pub fn limit(&self) -> f64 {
         self.current
     }
 
-    /// Number of calls in flight.
+    /// Returns the number of calls in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.count()
     }
 
-    /// Estimated latency in seconds of a call that waits for no other; `None` before the first
-    /// sample window ends.
+    /// Returns the estimated latency, in seconds, of a call that does not wait for another call;
+    /// `None` until a sample window has yielded a latency.
     pub fn minimum_latency_secs(&self) -> Option<f64> {
         self.minimum_latency.secs()
     }
 
-    /// Number of calls that may be in flight now, including those that already are.
+    /// Returns the number of calls that may be in flight now, including those that already are.
     pub fn allowed_in_flight(&self) -> usize {
         let extra = self.in_flight.extra_permits();
         match self.circuit.state() {
@@ -150,7 +153,8 @@
         }
     }
 
-    /// Registers the start of a call. The permit must be given back to [`AdaptiveLimit::release`].
+    /// Registers the start of a call. The permit must be passed to [`AdaptiveLimit::release`] when
+    /// the call ends.
     pub fn acquire(&mut self, now: Timestamp) -> Permit {
         let permit = self.in_flight.start(now);
         self.recent_peak = self.recent_peak.max(self.in_flight.count() as f64);
@@ -162,8 +166,8 @@
         self.window.record_saturation();
     }
 
-    /// Registers the end of a call. `process_stalled`: this process paused during the call, so that
-    /// its latency is no evidence.
+    /// Registers the end of a call. `process_stalled` tells that this process paused during the
+    /// call, so that its latency is no evidence about the upstream.
     pub fn release(
         &mut self,
         now: Timestamp,
@@ -189,13 +193,14 @@
         self.window.record(&permit, completion, latency_secs);
     }
 
-    /// Advances the time without evaluating samples: the limit stays at its maximum.
+    /// Advances the time without evaluating samples. A limit on which only this function is called,
+    /// and never [`AdaptiveLimit::tick`], stays at its maximum.
     pub fn expire_abandoned_calls(&mut self, now: Timestamp) {
         self.in_flight.expire_abandoned(now);
     }
 
     /// Advances the time, and adjusts the limit when the current sample window is complete. Returns
-    /// the change, if any.
+    /// the change of the limit, if any.
     pub fn tick(&mut self, now: Timestamp) -> Option<LimitChange> {
         self.in_flight.expire_abandoned(now);
         self.handle_clock_step_back(now);
@@ -236,7 +241,8 @@
         LimitChange { from, to, cause }
     }
 
-    /// Restarts what is measured from a time that is now in the future.
+    /// Restarts the sample window, the hang timeout and the probe times if the clock stepped back
+    /// before the start of the window.
     fn handle_clock_step_back(&mut self, now: Timestamp) {
         if now < self.window.started_at() {
             self.window = SampleWindow::new(now);
@@ -245,22 +251,23 @@
         }
     }
 
-    /// A concurrency that was never reached was never sustained: keeps the limit near the recent
-    /// peak.
+    /// Keeps the limit near the recent peak of calls in flight: a concurrency that was never
+    /// reached was never sustained.
     fn reduce_unused_limit(&mut self) {
         let bound = (MAX_UNUSED_LIMIT_FACTOR * self.recent_peak).max(MIN_UNUSED_LIMIT);
         self.current = self.current.min(bound);
         self.sustained = self.sustained.min(self.current);
     }
 
-    /// Few calls in flight that take long show that concurrency is not the cause.
+    /// Reports whether a call started at low concurrency. If such calls take long, concurrency is
+    /// not the cause.
     fn is_low_concurrency(&self, permit: &Permit) -> bool {
         let reference = self.current.min(self.recent_peak);
         permit.in_flight() as f64 <= (reference * LOW_CONCURRENCY_FRACTION).max(1.0)
     }
 
-    /// Adjusts the limit to the samples of a complete window. Returns the cause of a possible
-    /// change.
+    /// Adjusts the limit to the samples of a complete window. Returns the cause of the adjustment,
+    /// or `None` if there was none; the limit may be unchanged after it is bounded.
     fn evaluate(&mut self, now: Timestamp, window: &SampleWindow) -> Option<AdjustmentCause> {
         if window.mostly_failed() {
             return Some(self.decrease_for_failures(now, window));
@@ -323,7 +330,7 @@
         }
     }
 
-    /// Raises the limit where demand reaches it and the upstream has capacity.
+    /// Raises the limit if demand reaches it and the upstream has capacity.
     fn grow(
         &mut self,
         saturated: bool,
--- a/crates/concurrency/src/limit/circuit_breaker.rs
+++ b/crates/concurrency/src/limit/circuit_breaker.rs
@@ -1,19 +1,20 @@
-//! The circuit breaker of a limit: no calls while every call fails, then one trial call after a
-//! backoff.
+//! The circuit breaker of a limit: blocks all calls while every call fails, then allows one trial
+//! call after a backoff.
 //!
-//! Owns its state, the count of failing windows and the random numbers of the jitter. Given the
-//! windows that mostly failed and each success; never changes the limit itself.
+//! It is given each window in which most calls failed and each success. The limit itself is
+//! adjusted by [`AdaptiveLimit`](super::AdaptiveLimit).
 
 use madderbay::time::{Duration, Timestamp};
 
-/// First backoff; each further one is twice as long.
+/// First backoff; each further one is twice as long, up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
-/// Maximum backoff. With its jitter it stays below two seconds, within which a recovery has to be
-/// noticed.
+/// Maximum backoff, without jitter. With its jitter it stays below two seconds, the time within
+/// which a recovery must be noticed.
 const MAX_BACKOFF: Duration = Duration::from_millis(1_000);
 /// Width of the jitter, as a fraction of the backoff.
 const BACKOFF_JITTER: f64 = 0.5;
-/// Consecutive failing windows, without any success in the last one, that open the circuit breaker.
+/// Number of consecutive failing windows that open the circuit breaker, if the last one had no
+/// success.
 const FAILING_WINDOWS_TO_OPEN: u32 = 2;
 
 #[derive(Clone, Copy, Debug)]
@@ -52,7 +53,7 @@
         matches!(self.state, CircuitState::HalfOpen { .. })
     }
 
-    /// A success closes a half-open circuit breaker.
+    /// Registers a success, which closes a half-open circuit breaker.
     pub(super) fn record_success(&mut self) {
         if self.is_half_open() {
             self.state = CircuitState::Closed;
@@ -63,7 +64,7 @@
         self.failing_windows = 0;
     }
 
-    /// Half-opens the circuit breaker once its backoff is over; returns whether it did.
+    /// Half-opens the circuit breaker once its backoff is over; returns whether it did so.
     pub(super) fn try_half_open(&mut self, now: Timestamp) -> bool {
         let CircuitState::Open {
             until,
@@ -72,7 +73,7 @@
         else {
             return false;
         };
-        // Bounds the wait after a step back of the clock.
+        // Bounds the remaining backoff after the clock stepped back.
         let latest = now + MAX_BACKOFF.mul_f64(1.0 + BACKOFF_JITTER);
         if now < until.min(latest) {
             return false;
@@ -89,7 +90,8 @@
             _ if !any_success && self.failing_windows >= FAILING_WINDOWS_TO_OPEN => MIN_BACKOFF,
             _ => return false,
         };
-        // The jitter keeps servers that saw the same failure from retrying at the same time.
+        // The jitter keeps servers that saw the same failure from sending their trial calls at the
+        // same time.
         let jitter = 1.0 - BACKOFF_JITTER * 0.5 + BACKOFF_JITTER * self.random.rand_float();
         self.state = CircuitState::Open {
             until: now + backoff.mul_f64(jitter),
--- a/crates/concurrency/src/limit/in_flight.rs
+++ b/crates/concurrency/src/limit/in_flight.rs
@@ -1,20 +1,20 @@
-//! The calls of one limit that are in flight, and those abandoned by the caller that the upstream
+//! The calls of one limit that are in flight, and those that the caller abandoned but the upstream
 //! still executes.
 //!
-//! Owns the counts and the time of the last start or end. Given the start and end of each call;
-//! never decides the limit, except for a few extra permits while every call in flight hangs.
+//! [`InFlightCalls`] also records when a call last started or ended. While all calls in flight
+//! hang, it grants a few extra permits; otherwise the limit is decided elsewhere.
 
 use super::Completion;
 use madderbay::abandoned_calls::AbandonedCalls;
 use madderbay::time::{Duration, Timestamp};
 
-/// Time without a start or an end after which calls at the limit count as hanging, and one extra
-/// call is allowed.
+/// Time without a start or an end of a call after which calls at the limit count as hanging, and
+/// one extra call is allowed.
 const HANG_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Maximum number of extra permits while calls hang.
 const MAX_EXTRA_PERMITS: usize = 2;
 
-/// One call in flight.
+/// Permit of one call in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct Permit {
     started_at: Timestamp,
@@ -27,7 +27,8 @@
         self.started_at
     }
 
-    /// Calls that occupied the upstream when this one started, itself included.
+    /// Returns the number of calls that occupied the upstream when this one started, itself
+    /// included.
     pub(super) fn in_flight(&self) -> usize {
         self.in_flight
     }
@@ -35,7 +36,7 @@
 
 pub(super) struct InFlightCalls {
     count: usize,
-    /// Those that still occupy the upstream.
+    /// Calls that the caller abandoned and that still occupy the upstream.
     abandoned_calls: AbandonedCalls<()>,
     last_activity: Timestamp,
     extra_permits: usize,
@@ -91,7 +92,9 @@
         self.last_activity = now;
     }
 
-    /// Allows one more call while all calls in flight hang, so that a recovery is noticed.
+    /// Allows one extra call, up to [`MAX_EXTRA_PERMITS`], if all calls in flight hang, so that a
+    /// recovery of the upstream is noticed. `allowed` is the number of calls that may be in flight
+    /// now.
     pub(super) fn grant_extra_permit_if_stuck(&mut self, now: Timestamp, allowed: usize) {
         let at_limit = self.count >= allowed && self.count > 0;
         let hanging = now - self.last_activity >= HANG_TIMEOUT;
--- a/crates/concurrency/src/limit/latency.rs
+++ b/crates/concurrency/src/limit/latency.rs
@@ -1,25 +1,26 @@
-//! The minimum latency: the estimated time of a call that waits for no other.
+//! The minimum latency: the estimated latency of a call that does not wait for another call.
 //!
-//! Owns the estimate and the last calls made at low concurrency. Given the summary of each window;
-//! never adjusts the limit.
+//! The estimate is updated by the latency of each window, and by calls that were made at low
+//! concurrency.
 
 use super::window::LatencySummary;
 use madderbay::time::{Duration, Timestamp};
 use std::collections::VecDeque;
 
-/// Number of consecutive low-concurrency calls that prove a slower upstream.
+/// Number of consecutive low-concurrency calls that are needed to show that the upstream is slower.
 const LOW_CONCURRENCY_SAMPLES: usize = 4;
-/// Maximum age of the oldest of these calls.
+/// Maximum age of the oldest of the low-concurrency calls.
 const MAX_LOW_CONCURRENCY_AGE: Duration = Duration::from_millis(2_000);
-/// Latency of the fastest of these calls, as a multiple of the estimate, above which the upstream
-/// is slower.
+/// Latency of the fastest low-concurrency call, as a multiple of the estimate, above which the
+/// upstream counts as slower.
 const SLOWER_FACTOR: f64 = 1.5;
 /// Weight of a faster window in the estimate.
 const FASTER_WINDOW_WEIGHT: f64 = 0.2;
-/// Fraction of the estimate below which a faster window replaces it: chance does not explain such a
-/// difference.
+/// Fraction of the estimate below which the latency of a faster window replaces the estimate:
+/// chance does not explain such a difference.
 const REPLACE_FRACTION: f64 = 0.6;
-/// Growth of the estimate per window without a faster one, so that a lucky minimum fades.
+/// Factor by which the estimate grows per window without a faster one, so that an estimate that is
+/// too low by chance does not persist.
 const DRIFT_PER_WINDOW: f64 = 1.002;
 
 struct LowConcurrencySample {
@@ -42,8 +43,8 @@
         self.estimate_secs = Some(secs);
     }
 
-    /// Adds a call made at low concurrency. Raises the estimate once several such calls in a row
-    /// were slow.
+    /// Adds a call made at low concurrency. Raises the estimate if the last
+    /// [`LOW_CONCURRENCY_SAMPLES`] such calls were all slow.
     pub(super) fn record_low_concurrency(&mut self, now: Timestamp, latency_secs: f64) {
         if self.low_concurrency.len() == LOW_CONCURRENCY_SAMPLES {
             self.low_concurrency.pop_front();
@@ -76,7 +77,7 @@
                 .is_some_and(|estimate| fastest_secs > SLOWER_FACTOR * estimate)
     }
 
-    /// Updates the estimate, in seconds, by the latency of a window, and returns it.
+    /// Updates the estimate with the latency of a window, and returns it in seconds.
     pub(super) fn update(&mut self, sample: &LatencySummary) -> f64 {
         let mean = sample.mean_secs;
         let upper_bound = mean + sample.error_secs;
--- a/crates/concurrency/src/limit/probe.rs
+++ b/crates/concurrency/src/limit/probe.rs
@@ -1,53 +1,59 @@
 //! Probes: reductions of the limit that test whether calls queue at the upstream.
 //!
-//! Owns the probe in progress, the evidence collected for the next one and the pause between
-//! probes. Given the latency of each window; never owns the limit, but returns the one to set.
+//! [`ProbeController`] holds the probe in progress, the evidence collected for the next one, and
+//! the pause between probes. It is given the latency of each window, and returns the limit that
+//! [`AdaptiveLimit`](super::AdaptiveLimit) then sets.
 
 use super::window::LatencySummary;
 use madderbay::time::{Duration, Timestamp};
 
 /// Queued calls, as a fraction of the limit, below which the limit may grow.
 const SHORT_QUEUE_FRACTION: f64 = 0.12;
-/// Queued calls, as a fraction of the limit, above which a probe is considered. A limit that is a
-/// third too high costs a third of the latency; one that is too low costs throughput.
+/// Queued calls, as a fraction of the limit or of the calls in flight, whichever is lower, above
+/// which a probe is considered. A limit that is a third too high adds a third to the latency; a
+/// limit that is too low costs throughput.
 const LONG_QUEUE_FRACTION: f64 = 0.40;
-/// Lower bounds on both thresholds, in calls: half a call is no queue.
+/// Lower bounds, in calls, on the thresholds of a short and a long queue: half a call is not a
+/// queue.
 const MIN_SHORT_QUEUE: f64 = 0.8;
 const MIN_LONG_QUEUE: f64 = 1.6;
 
-/// Target of a probe, as a multiple of the concurrency that the upstream seems to sustain.
+/// Limit during a probe, as a multiple of the concurrency that the upstream seems to sustain.
 const PROBE_HEADROOM: f64 = 1.15;
-/// Bounds on a probe, as fractions of the limit: a smaller reduction shows nothing, a larger one
-/// costs throughput.
+/// Bounds on the limit during a probe, as fractions of the limit before it: a smaller reduction
+/// shows nothing, a larger one costs throughput.
 const MIN_PROBE_FRACTION: f64 = 0.6;
 const MAX_PROBE_FRACTION: f64 = 0.8;
-/// Fall of the latency that confirms a queue, as a fraction of the fall expected if all the added
-/// latency were queueing.
+/// Decrease of latency that confirms a queue, as a fraction of the decrease expected if all the
+/// added latency came from queueing.
 const CONFIRMING_FRACTION: f64 = 0.5;
 
-/// Evidence that starts a probe; a single window is noise.
+/// Minimum evidence required to start a probe; a single window may be noise.
 const MIN_REQUIRED_EVIDENCE: u32 = 2;
-/// Multiple of the queue threshold above which a window counts twice.
+/// Multiple of the threshold of a long queue above which a window counts twice.
 const STRONG_EVIDENCE_FACTOR: f64 = 1.25;
-/// Growth of the required evidence after a reverted probe, so that a settled limit does not
-/// oscillate. Growth of the limit requires the evidence divided by this factor.
+/// Factor by which the required evidence grows after a reverted probe, so that a stable limit does
+/// not oscillate. The number of windows without a queue that are required to raise the limit is the
+/// required evidence divided by this factor.
 const REQUIRED_EVIDENCE_FACTOR: u32 = 4;
 /// Maximum of the required evidence.
 const MAX_REQUIRED_EVIDENCE: u32 = 32;
-/// Change of the latency, as a factor, that resets the required evidence.
+/// Change of latency, as a factor, that resets the required evidence.
 const LATENCY_SHIFT_FACTOR: f64 = 2.0;
-/// Time after a shift of the latency during which little evidence starts a probe; later, what was
-/// sustained since is evidence against a queue.
+/// Time after a shift of latency during which little evidence is enough to start a probe. Later,
+/// the fact that the limit has been sustained since the shift is evidence against a queue, and more
+/// is required.
 const PROMPT_PROBE_PERIOD: Duration = Duration::from_millis(1_200);
-/// Pause after a reverted probe; each further one is twice as long.
+/// Pause after a reverted probe; each further one is twice as long, up to [`MAX_PROBE_PAUSE`].
 const MIN_PROBE_PAUSE: Duration = Duration::from_millis(2_000);
 /// Maximum pause after a reverted probe.
 const MAX_PROBE_PAUSE: Duration = Duration::from_millis(32_000);
 
-/// Number of calls that seem to queue at the upstream, with the thresholds at the current limit.
+/// Estimated number of calls that queue at the upstream, with the thresholds that apply at the
+/// current limit.
 pub(super) struct QueueEstimate {
     queued: f64,
-    /// Lower bound on the queued calls, given the error of the latency.
+    /// Lower bound on the number of queued calls, given the error of the latency.
     confident_queued: f64,
     short_threshold: f64,
     long_threshold: f64,
@@ -78,15 +84,15 @@
     }
 }
 
-/// What a probe has shown.
+/// Result of a probe.
 pub(super) enum ProbeOutcome {
     /// Latency fell: calls were queueing.
     QueueConfirmed,
-    /// Latency did not fall: the upstream is slower.
+    /// Latency did not fall: the upstream has become slower.
     UpstreamSlower { previous_limit: f64 },
 }
 
-/// A reduction in progress: the limit and the latency before it.
+/// A probe in progress: the limit and the latency before it started.
 struct Probe {
     previous_limit: f64,
     before: LatencySummary,
@@ -107,10 +113,11 @@
 
 pub(super) struct ProbeController {
     active: Option<Probe>,
-    /// Evidence of a queue from consecutive windows.
+    /// Evidence of a queue from consecutive windows: 1 for each window with a long queue, 2 for
+    /// each with a very long one.
     evidence: u32,
     required_evidence: u32,
-    /// The latency when the required evidence was last set.
+    /// Mean latency at the time when the required evidence was last set.
     reference_latency_secs: f64,
     latency_shifted_at: Timestamp,
     paused_until: Timestamp,
@@ -134,23 +141,24 @@
         self.active.is_some()
     }
 
-    /// Forgets the probe in progress.
+    /// Discards the probe in progress without a result.
     pub(super) fn abort(&mut self) {
         self.active = None;
     }
 
-    /// Moves times that a step back of the clock left in the future.
+    /// Sets to `now` the times that a step back of the clock may have left in the future.
     pub(super) fn reset_clock(&mut self, now: Timestamp) {
         self.paused_until = now;
         self.latency_shifted_at = now;
     }
 
-    /// Windows without a queue after which the limit may grow.
+    /// Returns the number of windows without a queue after which the limit may grow.
     pub(super) fn windows_required_to_grow(&self) -> u32 {
         self.required_evidence / REQUIRED_EVIDENCE_FACTOR
     }
 
-    /// Ends the probe in progress, if there is one, by the latency since its start.
+    /// Ends the probe in progress, if there is one, and returns its result. `after` is the latency
+    /// since the start of the probe.
     pub(super) fn conclude(
         &mut self,
         now: Timestamp,
@@ -158,7 +166,7 @@
     ) -> Option<ProbeOutcome> {
         let probe = self.active.take()?;
         if probe.confirms_queue(after) {
-            // The next probe, if there is to be one, needs no more evidence than this one.
+            // If another probe is needed, it requires no more evidence than this one did.
             self.paused_until = now;
             self.next_pause = MIN_PROBE_PAUSE;
             self.reset_required_evidence(now, after.mean_secs);
@@ -180,7 +188,7 @@
         self.latency_shifted_at = now;
     }
 
-    /// Adds the evidence of a window; returns whether it is enough for a probe.
+    /// Adds the evidence of a window; returns whether there is now enough to start a probe.
     pub(super) fn record_window(
         &mut self,
         now: Timestamp,
@@ -196,7 +204,8 @@
         self.evidence >= self.required_evidence
     }
 
-    /// Requires little evidence shortly after a shift of the latency, and more later.
+    /// Resets the required evidence after a shift of latency, and raises it once the shift is older
+    /// than [`PROMPT_PROBE_PERIOD`].
     fn adjust_required_evidence(&mut self, now: Timestamp, mean_secs: f64) {
         let reference = self.reference_latency_secs;
         let rose = mean_secs > LATENCY_SHIFT_FACTOR * reference;
@@ -211,7 +220,7 @@
         }
     }
 
-    /// Starts a probe and returns the lower limit, in calls.
+    /// Starts a probe and returns the reduced limit, in calls.
     pub(super) fn start(&mut self, sample: &LatencySummary, minimum_secs: f64, limit: f64) -> f64 {
         self.evidence = 0;
         self.active = Some(Probe {
--- a/crates/concurrency/src/limit/window.rs
+++ b/crates/concurrency/src/limit/window.rs
@@ -1,28 +1,28 @@
-//! The sample window: what the calls that started in it tell about the upstream.
+//! The sample window: sums over the calls that started and completed within it, as evidence about
+//! the upstream.
 //!
-//! Owns the sums over one window. Given each completed call; never keeps single samples and never
-//! adjusts the limit.
+//! Only sums are kept, no single samples.
 
 use super::{Completion, Permit};
 use madderbay::time::{Duration, Timestamp};
 
 /// Minimum length of a window.
 const MIN_WINDOW: Duration = Duration::from_millis(100);
-/// Length after which a window is complete however few calls completed in it.
+/// Length after which a window is complete even if only one call completed in it.
 const MAX_WINDOW: Duration = Duration::from_millis(1_000);
-/// Bounds on the number of completed calls that complete a window.
+/// Bounds on the number of completed calls that make a window complete.
 const MIN_WINDOW_SAMPLES: f64 = 4.0;
 const MAX_WINDOW_SAMPLES: f64 = 16.0;
-/// Number of completed calls that complete a window, as a fraction of the limit.
+/// Number of completed calls that make a window complete, as a fraction of the limit.
 const WINDOW_SAMPLES_PER_LIMIT: f64 = 0.6;
-/// Fraction of failures above which a window counts as failing.
+/// Fraction of failed calls above which a window counts as failing.
 const FAILING_FRACTION: f64 = 0.5;
-/// Number of samples below which their spread is not an estimate of the error.
+/// Number of samples below which their spread is not used as an estimate of the error.
 const MIN_SPREAD_SAMPLES: u32 = 3;
-/// Error of the mean that is assumed for so few samples, as a fraction of the mean.
+/// Error of the mean that is assumed below [`MIN_SPREAD_SAMPLES`], as a fraction of the mean.
 const ASSUMED_ERROR_FRACTION: f64 = 0.5;
 
-/// Mean latency of a window.
+/// Mean latency of a window, with its standard error.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LatencySummary {
     pub(super) mean_secs: f64,
@@ -40,7 +40,7 @@
     latency_sum_secs: f64,
     squared_latency_sum: f64,
     in_flight_sum: f64,
-    /// The limit prevented a call.
+    /// Whether the limit prevented a call.
     saturated: bool,
 }
 
@@ -96,8 +96,8 @@
         self.successes + self.failures + self.timeouts
     }
 
-    /// Whether the window holds enough evidence at this limit. The trial call of a half-open
-    /// circuit breaker is enough by itself.
+    /// Reports whether the window holds enough evidence at this limit. The trial call of a
+    /// half-open circuit breaker is enough by itself.
     pub(super) fn is_complete(&self, now: Timestamp, limit: f64, half_open: bool) -> bool {
         let elapsed = now - self.started_at;
         let required =
@@ -112,7 +112,7 @@
         f64::from(self.failures) > FAILING_FRACTION * f64::from(self.completed())
     }
 
-    /// Mean latency of the successful calls; `None` if there were none.
+    /// Returns the mean latency of the successful calls; `None` if there were none.
     pub(super) fn latency(&self) -> Option<LatencySummary> {
         if self.successes == 0 {
             return None;
--- a/crates/concurrency/src/limiter.rs
+++ b/crates/concurrency/src/limiter.rs
@@ -1,4 +1,5 @@
-//! [`ConcurrencyLimiter`]: receives the events of requests and hands out ceilings.
+//! [`ConcurrencyLimiter`], the entry point of the crate: receives the events of requests and hands
+//! out ceilings.
 
 use crate::ceilings::CeilingInputs;
 use crate::config::ConcurrencyConfig;
@@ -13,13 +14,13 @@
 use madderbay::interface::{CallRequirement, Ceiling, HandlerId};
 use madderbay::time::{Duration, Timestamp};
 
-/// Time after which ceilings are computed again although nothing changed.
+/// Time after which ceilings are recomputed even if nothing changed.
 const CEILING_REFRESH_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Concurrency limits by pool of handlers and by upstream.
 ///
-/// Given each event of each request. Hands out [`Ceiling`]s, which the caller passes to the
-/// decision module; never starts, rejects or ends a request itself.
+/// The limiter is given each event of each request and hands out [`Ceiling`]s, which the caller
+/// passes to the decision module. It never starts, rejects or ends a request itself.
 pub struct ConcurrencyLimiter {
     cores: usize,
     requests: RequestTable,
@@ -29,17 +30,18 @@
     reserve: Option<ReserveState>,
     ceilings: Vec<Ceiling>,
     ceilings_computed_at: Timestamp,
-    /// Something changed since the ceilings were computed.
+    /// Whether an event since the last computation may have changed the ceilings.
     changed: bool,
 }
 
 impl ConcurrencyLimiter {
-    /// Creates a limiter for handlers with these calls, in the order of the settings. `seed`
-    /// determines the jitter of backoffs.
+    /// Creates a limiter. `call_requirements` lists the call requirement of each handler, in the
+    /// order of the settings; `seed` determines the jitter of backoffs.
     ///
     /// # Panics
     ///
-    /// [`ConcurrencyLimiter::ceilings`] panics if `config` names a handler beyond `call_requirements`.
+    /// [`ConcurrencyLimiter::ceilings`] panics if `config` names a handler beyond
+    /// `call_requirements`.
     pub fn new(
         now: Timestamp,
         seed: u64,
@@ -59,8 +61,8 @@
         }
     }
 
-    /// Moves a request to another stage; a new one is added. Ignored for a handler that is not in
-    /// the settings.
+    /// Moves a request to another stage; adds the request if it is new. Ignored for a handler that
+    /// is not in the settings.
     pub fn set_stage(&mut self, now: Timestamp, id: u64, handler: HandlerId, stage: RequestStage) {
         if !self.requests.handlers().contains(handler) {
             return;
@@ -70,7 +72,7 @@
         let Some(limit) = self.upstreams.limit_of(request.handler()) else {
             return;
         };
-        // A call that is still in flight without an outcome was ended by this server.
+        // A call in flight whose outcome was not reported was ended by this server.
         if let Some(permit) = request.take_permit() {
             limit.release(now, permit, Completion::Cancelled, false);
         }
@@ -88,14 +90,14 @@
         self.changed |= self.upstreams.set_quota(quota);
     }
 
-    /// Registers that this process was stalled until now: the latency of calls in flight is no
-    /// evidence.
+    /// Registers that this process was stalled until now. The latency of the calls in flight is
+    /// then no evidence about the upstream.
     pub fn process_stalled(&mut self, now: Timestamp) {
         self.upstreams.record_stall(now);
     }
 
-    /// Registers the end of a request's call. After a success its run goes on, otherwise it waits
-    /// for a call again. Ignored for a request without a call in flight.
+    /// Registers the end of a request's call. After a success the run continues; otherwise it waits
+    /// for another call. Ignored for a request without a call in flight.
     pub fn call_finished(&mut self, now: Timestamp, id: u64, completion: Completion) {
         let next = if completion == Completion::Success {
             RequestStage::Running
@@ -112,7 +114,8 @@
         }
     }
 
-    /// Registers that a run goes on without its call, for lack of calls or of time.
+    /// Registers that a run continues without its call, because no call was allowed or time was
+    /// short.
     pub fn call_skipped(&mut self, now: Timestamp, id: u64) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -122,35 +125,36 @@
         self.set_stage(now, id, handler, RequestStage::Running);
     }
 
-    /// Removes a request: its run ended, or it was answered or abandoned before it started.
+    /// Removes a request whose run ended, or that was answered or abandoned before it started.
     pub fn request_finished(&mut self, now: Timestamp, id: u64) {
         self.call_finished(now, id, Completion::Cancelled);
         self.changed |= self.requests.remove(now, id);
     }
 
-    /// Registers that a request was answered while its run goes on. A run that waits for a call is
-    /// expected to end.
+    /// Registers that a request was answered while its run continues. If the run waits for a call,
+    /// the engine is expected to end it.
     pub fn request_answered(&mut self, now: Timestamp, id: u64) {
         self.requests.record_answered(now, id);
     }
 
-    /// Number of runs that the engine does not end and that occupy no permit any more.
+    /// Returns the number of hung runs: the engine does not end them, and they no longer occupy a
+    /// permit.
     pub fn hung(&self) -> usize {
         self.requests.handlers().total(|l| l.hung)
     }
 
-    /// Number of requests in flight.
+    /// Returns the number of requests in flight, queued ones included.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether no request is in flight.
+    /// Reports whether no request is in flight.
     pub fn is_empty(&self) -> bool {
         self.requests.len() == 0
     }
 
-    /// The limit on calls and the calls in flight, summed over the upstreams; `None` where calls
-    /// have no limit.
+    /// Returns the limit on calls and the number of calls in flight, summed over the upstreams;
+    /// `None` if calls are not limited.
     pub fn call_usage(&self) -> Option<CallUsage> {
         let each = self.upstreams.iter().map(call_usage_of);
         each.reduce(|sum, next| CallUsage {
@@ -159,7 +163,7 @@
         })
     }
 
-    /// The same for each upstream.
+    /// Returns the handlers, the limit and the number of calls in flight of each upstream.
     pub fn upstream_usage(&self) -> impl Iterator<Item = UpstreamUsage> {
         self.upstreams.iter().map(|upstream| UpstreamUsage {
             handlers: upstream.handlers().to_vec(),
@@ -167,7 +171,8 @@
         })
     }
 
-    /// Use of each pool, with the ceilings handed out last; empty before the first.
+    /// Returns the use of each pool, with the ceilings handed out last; empty before the first
+    /// ceilings are computed.
     pub fn pool_usage(&self) -> impl Iterator<Item = PoolUsage<'_>> {
         let handlers = self.requests.handlers();
         let pool_ceilings = self.ceilings.get(1..).unwrap_or_default();
@@ -182,31 +187,33 @@
         })
     }
 
-    /// Number of times that a limit changed.
+    /// Returns how many times a limit on calls changed.
     pub fn change_count(&self) -> u64 {
         self.upstreams.change_count()
     }
 
-    /// Takes the changes of limits since the last time.
+    /// Removes and returns the limit changes recorded since the previous call.
     pub fn take_limit_changes(&mut self) -> LimitChanges {
         self.upstreams.take_changes()
     }
 
-    /// The handlers that own the reserve now.
+    /// Returns the handlers that currently own the reserve.
     pub fn reserved(&self) -> Vec<HandlerId> {
         let reserve = self.reserve.as_ref();
         reserve.map_or(vec![], |r| r.owners().to_vec())
     }
 
-    /// Whether the ceilings handed out last may have changed.
+    /// Reports whether the ceilings handed out last may be out of date.
     pub fn is_stale(&self, now: Timestamp) -> bool {
         let expires_at = self.ceilings_computed_at + CEILING_REFRESH_INTERVAL;
         self.changed || now >= expires_at || now < self.ceilings_computed_at
     }
 
-    /// Computes the current ceilings, where the decision module allows `workers` concurrent runs:
-    /// that of all handlers, one for each pool, that of the handlers outside the reserve (if there
-    /// is one), and one for each upstream (if there are several).
+    /// Computes the current ceilings, given that the decision module allows `workers` concurrent
+    /// runs.
+    ///
+    /// Returns the ceiling of all handlers, one for each pool, one for the handlers outside the
+    /// reserve (if there is a reserve), and one for each upstream (if there are several).
     pub fn ceilings(&mut self, now: Timestamp, workers: f64) -> &[Ceiling] {
         self.requests.release_hung_runs(now);
         self.changed = false;
--- a/crates/concurrency/src/pool.rs
+++ b/crates/concurrency/src/pool.rs
@@ -1,18 +1,18 @@
-//! One pool of handlers: its settings, with the runs that it had recently.
+//! One pool of handlers: its settings and the moving average of its runs in flight.
 //!
-//! Owns the moving average of its runs. Given the current number of runs; never counts them itself.
+//! The caller counts the runs; the pool only averages the reported numbers.
 
 use crate::config::PoolConfig;
 use madderbay::interface::{CallRequirement, HandlerId};
 use madderbay::time::Duration;
 
-/// Name of the pool of all handlers that belong to no configured pool.
+/// Name of the default pool, which holds all handlers that belong to no configured pool.
 const DEFAULT_POOL_NAME: &str = "rest";
 /// Time constant of the moving average of a pool's runs: longer than several runs, shorter than any
 /// outage.
 const RECENT_RUNS_TIME_CONSTANT: Duration = Duration::from_millis(300);
 
-/// A pool as configured, with its moving average.
+/// A pool as configured, with the moving average of its runs in flight.
 pub(crate) struct Pool {
     pub(crate) name: String,
     pub(crate) handlers: Vec<HandlerId>,
@@ -36,19 +36,20 @@
         }
     }
 
-    /// Moving average of the pool's runs.
+    /// Returns the moving average of the pool's runs in flight.
     pub(crate) fn recent_runs(&self) -> f64 {
         self.recent_runs
     }
 
-    /// Adds the current number of runs, `elapsed` after the last, to the moving average.
+    /// Adds the current number of runs to the moving average; `elapsed` is the time since the
+    /// previous update.
     pub(crate) fn record_runs(&mut self, elapsed: Duration, runs: usize) {
         let decay = (-(elapsed.as_secs_f64() / RECENT_RUNS_TIME_CONSTANT.as_secs_f64())).exp();
         self.recent_runs = runs as f64 + decay * (self.recent_runs - runs as f64);
     }
 }
 
-/// The configured pools and, where a handler belongs to none, the remaining pool.
+/// Returns the configured pools and, if any handler belongs to none of them, the default pool.
 pub(crate) fn pools_with_default(
     mut configs: Vec<PoolConfig>,
     call_requirements: &[CallRequirement],
--- a/crates/concurrency/src/request_stage.rs
+++ b/crates/concurrency/src/request_stage.rs
@@ -3,11 +3,11 @@
 /// Progress of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestStage {
-    /// Admitted, not started.
+    /// Admitted but not started.
     Queued,
     /// Its run executes.
     Running,
-    /// Its run waits for a call that is not made yet.
+    /// Its run waits to make a call.
     AwaitingCall,
     /// Its run waits for the reply to a call.
     Calling,
--- a/crates/concurrency/src/requests.rs
+++ b/crates/concurrency/src/requests.rs
@@ -1,7 +1,7 @@
 //! The requests in flight: the stage of each, and the counters of their handlers.
 //!
-//! Owns the requests and, through [`HandlerTable`], the counters, which always agree. Given each
-//! event of a request; never decides a limit.
+//! The counters are kept in a [`HandlerTable`] and always agree with the stages of the requests. No
+//! limit is decided here.
 
 use crate::handlers::HandlerTable;
 use crate::limit::Permit;
@@ -10,8 +10,8 @@
 use madderbay::time::{Duration, Timestamp};
 use std::collections::{HashMap, VecDeque};
 
-/// Time after its answer during which a run that waits for a call keeps its permit. The engine ends
-/// such a run at once, if ever.
+/// Time for which a run that waits for a call keeps its permit after its request was answered. The
+/// engine ends such a run at once or not at all.
 const ANSWERED_RUN_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 pub(crate) struct Request {
@@ -20,7 +20,8 @@
     started_at: Timestamp,
     /// Permit of the call in flight, if its upstream has a limit.
     permit: Option<Permit>,
-    /// It was answered long ago and still waits for a call: it occupies no permit of its pool.
+    /// Whether the request was answered at least [`ANSWERED_RUN_TIMEOUT`] ago while its run still
+    /// waits for a call. Such a run occupies no permit of its pool.
     hung: bool,
 }
 
@@ -41,7 +42,7 @@
 /// An answered request whose run may still be in flight.
 struct AnsweredRequest {
     id: u64,
-    /// When its run counts as hung.
+    /// When its run counts as hung, if it still waits for a call.
     hung_at: Timestamp,
 }
 
@@ -72,7 +73,8 @@
         self.requests.get(&id)
     }
 
-    /// Moves a request to a stage; adds it if it is new. A known request keeps its handler.
+    /// Moves a request to a stage; adds the request if it is new. A known request keeps its
+    /// handler.
     pub(crate) fn set_stage(
         &mut self,
         now: Timestamp,
@@ -100,8 +102,8 @@
         request
     }
 
-    /// Ends the call of a request, whose run goes on or waits for another call. `None` if it makes
-    /// no call now.
+    /// Ends the call of a request and moves the request to its next stage. Returns `None` if no
+    /// call of the request is in flight.
     pub(crate) fn end_call(&mut self, id: u64, next: RequestStage) -> Option<&mut Request> {
         let request = self.requests.get_mut(&id)?;
         if request.stage != RequestStage::Calling {
@@ -114,7 +116,7 @@
         Some(request)
     }
 
-    /// Registers that a run went on without its call.
+    /// Registers that a run of the handler continued without its call.
     pub(crate) fn record_skipped_call(&mut self, now: Timestamp, handler: HandlerId) {
         self.handlers.get_mut(handler).call_skipped_at = Some(now);
     }
@@ -134,7 +136,7 @@
         true
     }
 
-    /// Registers that a request was answered while its run goes on.
+    /// Registers that a request was answered while its run continues.
     pub(crate) fn record_answered(&mut self, now: Timestamp, id: u64) {
         if self.requests.contains_key(&id) {
             let hung_at = now + ANSWERED_RUN_TIMEOUT;
@@ -142,8 +144,9 @@
         }
     }
 
-    /// Frees the permits of runs that still wait for a call long after their answers. Otherwise an
-    /// engine that never ends them would block their pool for ever. Returns whether any was freed.
+    /// Frees the permits of runs that still wait for a call long after their requests were
+    /// answered. Otherwise an engine that never ends such runs would block their pool forever.
+    /// Returns whether any permit was freed.
     pub(crate) fn release_hung_runs(&mut self, now: Timestamp) -> bool {
         let mut released = false;
         while let Some(answered) = self.answered.pop_front_if(|a| a.hung_at <= now) {
@@ -161,7 +164,7 @@
     }
 }
 
-/// Takes a request out of the counter that it is in.
+/// Removes a request from the counter of its current stage.
 fn remove_from_counters(handlers: &mut HandlerTable, request: &Request) {
     let load = handlers.get_mut(request.handler);
     let counter = if request.hung {
--- a/crates/concurrency/src/reserve.rs
+++ b/crates/concurrency/src/reserve.rs
@@ -1,7 +1,7 @@
-//! Reserved capacity: who owns it, and the ceiling of all other handlers.
+//! Reserved capacity: selects the handlers that own the reserve, and computes the ceiling of all
+//! handlers that may not use it.
 //!
-//! Owns the choice of the owners. Given the counters of the handlers; never enforces the reserve
-//! itself.
+//! The ceiling is handed out with the others; the decision module applies it.
 
 use crate::UNLIMITED;
 use crate::config::Reserve;
@@ -9,17 +9,18 @@
 use madderbay::interface::{Ceiling, HandlerId};
 use madderbay::time::{Duration, Timestamp};
 
-/// How often the shortest handler is determined.
+/// Interval at which the handler with the shortest runs is determined.
 const OWNER_SELECTION_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Mean run of a handler, as a fraction of the owner's, below which it takes over the reserve.
+/// Mean run duration of a handler, as a fraction of the owner's, below which the handler takes over
+/// the reserve.
 const TAKEOVER_FRACTION: f64 = 0.8;
-/// Mean run of a handler, as a multiple of the owners' shortest, up to which it may borrow the
-/// reserve: the owners get it back within about one run.
+/// Mean run duration of a handler, as a multiple of the owners' shortest, up to which the handler
+/// may borrow the reserve. The owners then get it back within about one run.
 const MAX_BORROWER_RUN_FACTOR: f64 = 1.5;
 
 pub(crate) struct ReserveState {
     fraction: f64,
-    /// Owned by the handler with the shortest runs, not by configured ones.
+    /// Whether the owner is the handler with the shortest runs, because no owner is configured.
     selects_owner_by_run_duration: bool,
     owners: Vec<HandlerId>,
     chosen_at: Timestamp,
@@ -39,7 +40,8 @@
         &self.owners
     }
 
-    /// Determines the owner where it is the handler with the shortest runs.
+    /// Selects the handler with the shortest runs as the owner, if no owner is configured. Keeps
+    /// the current owner for [`OWNER_SELECTION_INTERVAL`] after each selection.
     pub(crate) fn choose_owner(&mut self, now: Timestamp, handlers: &HandlerTable) {
         let is_recent = now < self.chosen_at + OWNER_SELECTION_INTERVAL && !self.owners.is_empty();
         if !self.selects_owner_by_run_duration || is_recent {
@@ -58,8 +60,8 @@
         self.chosen_at = now;
     }
 
-    /// The ceiling that keeps the reserve free of other handlers, except of those that return it
-    /// within one run.
+    /// Returns the ceiling that keeps other handlers out of the reserve, except those that may
+    /// borrow it because they return it within about one run.
     pub(crate) fn ceiling_outside_reserve(
         &self,
         handlers: &HandlerTable,
@@ -83,14 +85,14 @@
         }
     }
 
-    /// Reserved part of a total: rounded up, but never all of it.
+    /// Returns the reserved part of a total: rounded up, but never all of it.
     fn reserved_part_of(&self, total: usize) -> usize {
         let reserved = (self.fraction * total as f64).ceil() as usize;
         reserved.min(total.saturating_sub(1))
     }
 
-    /// A handler whose runs never wait for a call and are as short as the owners' may use the
-    /// reserve.
+    /// Reports whether a handler may use the reserve without owning it: its runs never wait for a
+    /// call and are about as short as the owners' shortest.
     fn may_borrow(&self, handlers: &HandlerTable, handler: HandlerId) -> bool {
         let owners = self.owners.iter();
         let owner_runs = owners.filter_map(|h| handlers.get(*h).mean_run_secs);
--- a/crates/concurrency/src/upstream.rs
+++ b/crates/concurrency/src/upstream.rs
@@ -1,23 +1,26 @@
 //! The limits on calls, one for each upstream.
 //!
-//! Owns the limits, which handlers each applies to, and the log of their changes. Given this
-//! server's quota and the time of process stalls; never divides a limit among pools.
+//! [`UpstreamLimits`] holds the limits, the handlers that each applies to, and the log of their
+//! changes. It is given this server's quota of calls and the times of process stalls.
+//! [`ceilings`](crate::ceilings) divides each limit among the pools.
 
 use crate::config::{ConcurrencyConfig, UpstreamGroup};
 use crate::limit::{AdaptiveLimit, Completion, LimitChange, LimitChanges, Permit};
 use madderbay::interface::{CallRequirement, HandlerId};
 use madderbay::time::Timestamp;
 
-/// Lower bound on a limit, in calls, whatever the quota. Short calls may then overlap; the decision
-/// module accounts for call time and keeps the mean within the quota.
+/// Lower bound on the maximum of a limit, in calls, whatever the quota. With a quota below this,
+/// short calls may overlap; the decision module accounts for call time and keeps the mean number of
+/// calls within the quota.
 const MIN_CALL_LIMIT: f64 = 4.0;
-/// Maximum number of changes of limits kept for the log until they are fetched.
+/// Maximum number of limit changes that are kept until they are fetched for the log.
 const MAX_PENDING_CHANGES: usize = 64;
 
-/// The limit on the calls of some handlers.
+/// The limit on the calls to one upstream, and the handlers that call it.
 pub(crate) struct UpstreamLimit {
     handlers: Vec<HandlerId>,
-    /// Its fraction of the quota.
+    /// Fraction of this server's call quota that is the maximum of the limit, which is at least
+    /// [`MIN_CALL_LIMIT`].
     quota_fraction: f64,
     limit: AdaptiveLimit,
 }
@@ -36,7 +39,7 @@
     }
 }
 
-/// All limits on calls; empty where calls need none.
+/// All limits on calls; empty if calls need none.
 pub(crate) struct UpstreamLimits {
     limits: Vec<UpstreamLimit>,
     adaptive: bool,
@@ -84,8 +87,8 @@
         self.limits.iter()
     }
 
-    /// Sets this server's quota of concurrent calls; returns whether there is a limit that follows
-    /// it.
+    /// Sets this server's quota of concurrent calls; returns whether there is any limit that
+    /// follows the quota.
     pub(crate) fn set_quota(&mut self, quota: f64) -> bool {
         for upstream in &mut self.limits {
             let max = (quota * upstream.quota_fraction).max(MIN_CALL_LIMIT);
@@ -94,7 +97,7 @@
         !self.limits.is_empty()
     }
 
-    /// The limit that applies to the calls of a handler.
+    /// Returns the limit that applies to the calls of a handler.
     pub(crate) fn limit_of(&mut self, handler: HandlerId) -> Option<&mut AdaptiveLimit> {
         let upstream = self.limits.iter_mut().find(|u| u.applies_to(handler));
         upstream.map(|u| &mut u.limit)
@@ -105,7 +108,7 @@
         self.process_stalled_at = Some(now);
     }
 
-    /// Ends a call of a handler.
+    /// Registers the end of a call of a handler.
     pub(crate) fn release(
         &mut self,
         now: Timestamp,
@@ -143,7 +146,7 @@
         self.change_count
     }
 
-    /// Takes the changes since the last time.
+    /// Removes and returns the changes recorded since the previous call.
     pub(crate) fn take_changes(&mut self) -> LimitChanges {
         LimitChanges {
             changes: std::mem::take(&mut self.pending_changes),
@@ -152,8 +155,9 @@
     }
 }
 
-/// The configured groups and, where a handler in none of them makes calls, one more with the full
-/// quota.
+/// Returns the configured groups and one more, with the full quota, for the handlers in none of
+/// them. The additional group is omitted if there are configured groups and none of its handlers
+/// makes calls.
 fn groups_with_default(
     config: &ConcurrencyConfig,
     call_requirements: &[CallRequirement],
--- a/crates/concurrency/src/usage.rs
+++ b/crates/concurrency/src/usage.rs
@@ -1,13 +1,13 @@
-//! What the limiter reports for counters.
+//! Use of pools and upstreams, as the limiter reports it for counters.
 
 use madderbay::interface::HandlerId;
 
-/// Use of one pool. `usize::MAX` in a ceiling means that there is none.
+/// Use of one pool. A ceiling of `usize::MAX` means that there is no ceiling.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolUsage<'a> {
     /// Name of the pool.
     pub name: &'a str,
-    /// Requests that are not started.
+    /// Requests that have not started.
     pub queued: usize,
     /// Runs in flight.
     pub runs: usize,
@@ -22,7 +22,7 @@
 /// Use of the limits on calls, summed over the upstreams.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallUsage {
-    /// Limit in calls, as a fraction.
+    /// Limit in calls, possibly fractional.
     pub limit: f64,
     /// Calls in flight.
     pub in_flight: usize,
@@ -31,8 +31,8 @@
 /// Use of the limit of one upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamUsage {
-    /// Handlers that call it.
+    /// Handlers that call this upstream.
     pub handlers: Vec<HandlerId>,
-    /// Limit and calls in flight.
+    /// Limit on calls, and calls in flight.
     pub calls: CallUsage,
 }
--- a/crates/concurrency/tests/concurrency/adaptive_limit.rs
+++ b/crates/concurrency/tests/concurrency/adaptive_limit.rs
@@ -1,4 +1,5 @@
-//! The adaptive limit against a simulated upstream: slow, failing, silent, cold, shared, noisy.
+//! Tests of the adaptive limit with a simulated upstream that is slow, failing, silent, cold,
+//! shared with other callers, or has noisy latency.
 
 use crate::simulation::{
     Behavior, FAULT_MS, FixedLimit, LimitPolicy, RECOVERY_MS, Scenario, Trace, WARM_MS, at,
@@ -13,13 +14,13 @@
     AdaptiveLimit::new(at(0), 7, max, Duration::from_millis(200))
 }
 
-/// A measure of both policies, summed over ten seeds.
+/// One measure of both policies, each summed over ten seeds.
 struct Comparison {
     adaptive: f64,
     fixed: f64,
 }
 
-/// Compares the adaptive limit with a fixed one at its maximum.
+/// Compares the adaptive limit with a fixed limit at the same maximum.
 fn compare(scenario: &Scenario, max: f64, measure: impl Fn(&Trace) -> f64) -> Comparison {
     let sum = |policy: &dyn Fn() -> Box<dyn LimitPolicy>| -> f64 {
         let traces = (0..10).map(|seed| {
@@ -37,7 +38,8 @@
     }
 }
 
-/// Slowness is no reason for fewer calls: throughput stays at what the slots allow.
+/// A slow upstream is no reason for fewer calls: throughput stays near what the slots of the
+/// upstream allow.
 #[test]
 fn keeps_throughput_when_upstream_slows_down() {
     for factor in [2.0, 7.0, 20.0] {
@@ -56,8 +58,8 @@
     }
 }
 
-/// Where concurrency costs the upstream throughput and the maximum is far too high, the limit falls
-/// and throughput rises.
+/// If concurrency reduces the throughput of the upstream and the maximum is far too high, the limit
+/// falls and throughput rises.
 #[test]
 fn reduces_concurrency_when_upstream_is_overloaded() {
     let scenario = Scenario {
@@ -83,9 +85,9 @@
     );
 }
 
-/// Whatever the maximum, from too low to ten times too high: once calls are slow the limit
-/// approaches what the slots sustain, though the callers never have so many calls in flight, and no
-/// throughput is lost.
+/// For maxima from too low to ten times too high: once calls are slow, the limit approaches what
+/// the slots sustain, although the callers never have as many calls in flight as the highest maxima
+/// allow, and no throughput is lost.
 #[test]
 fn lowers_limit_from_excessive_maximum_to_sustained_concurrency() {
     for max in [2.0, 6.0, 12.0, 40.0, 80.0] {
@@ -111,13 +113,13 @@
         );
         assert!(
             adaptive_succeeded > 0.85 * fixed_succeeded,
-            "maximum {max}: {adaptive_succeeded} calls, {fixed_succeeded} by as many as there are slots"
+            "maximum {max}: {adaptive_succeeded} calls, {fixed_succeeded} at a fixed limit of the slots"
         );
     }
 }
 
-/// After a recovery throughput within two seconds is what it would be without a limit, without a
-/// stampede.
+/// Within two seconds after a recovery, throughput is about what it would be with a fixed limit,
+/// and the calls in flight never exceed the maximum by more than eight.
 #[test]
 fn restores_throughput_within_two_seconds_of_recovery() {
     for behavior in [Behavior::Slow(20.0), Behavior::Failing, Behavior::Silent] {
@@ -143,13 +145,13 @@
             assert!(succeeded > 0, "after {behavior:?}, seed {seed}");
             assert!(
                 peak <= MAX_LIMIT as usize + 8,
-                "stampede: {behavior:?}, seed {seed}"
+                "{peak} in flight after {behavior:?}, seed {seed}"
             );
         }
     }
 }
 
-/// Fast failures are not taken for low latency.
+/// Fast failures are not mistaken for low latency.
 #[test]
 fn makes_few_calls_while_upstream_fails_fast() {
     let scenario = Scenario::with_fault(Behavior::Failing);
@@ -162,7 +164,8 @@
     );
 }
 
-/// An upstream that is slow from the start is not taken for overloaded, and its warm-up is noticed.
+/// An upstream that is slow from the start is not mistaken for an overloaded one, and the end of
+/// its warm-up is noticed.
 #[test]
 fn keeps_throughput_while_upstream_warms_up() {
     let scenario = Scenario::warming_up();
@@ -178,8 +181,8 @@
     assert!(adaptive > 0.93 * fixed, "{adaptive} of {fixed} once warm");
 }
 
-/// From three seconds after the start and the end of a fault the limit swings by less than a fifth,
-/// except for one probe in few of many scenarios.
+/// From three seconds after the start and after the end of a fault, the limit varies by less than a
+/// fifth of its mean. In fewer than one period in 16 it may vary more, because of a single probe.
 #[test]
 fn limit_stabilizes_within_three_seconds() {
     let (mut unstable, mut periods) = (0, 0);
--- a/crates/concurrency/tests/concurrency/arbitrary_events.rs
+++ b/crates/concurrency/tests/concurrency/arbitrary_events.rs
@@ -1,4 +1,4 @@
-//! Invariants of the limiter after arbitrary events.
+//! Property tests of the limiter: invariants that hold after arbitrary events.
 
 use crate::support::{QUOTE, at, limiter, property_test_config, reserve, three_pools};
 use madderbay::interface::HandlerId;
@@ -58,7 +58,7 @@
     ]
 }
 
-/// Applies an event; returns the time after it.
+/// Applies an event; returns the time after it, in ms.
 fn apply(limiter: &mut ConcurrencyLimiter, ms: i64, event: Event) -> i64 {
     let now = at(ms as u64);
     match event {
@@ -74,8 +74,8 @@
 proptest! {
     #![proptest_config(property_test_config(256))]
 
-    /// Whatever happens, in whatever order and time: counters stay those of the known requests, and
-    /// nothing is left once all requests finished.
+    /// After events in any order and at any time, the counters agree with the known requests, and
+    /// nothing is in flight once all requests have finished.
     #[test]
     fn counters_agree_with_requests(events in prop::collection::vec(event(), 1..300)) {
         let mut limiter = limiter(ConcurrencyConfig {
@@ -88,11 +88,11 @@
             ms = apply(&mut limiter, ms, event);
             let all = limiter.ceilings(at(ms as u64), WORKERS as f64).to_vec();
             for (ceiling, usage) in all[1..4].iter().zip(limiter.pool_usage()) {
-                // Two more calls than the quota while calls hang; none for a handler that makes
-                // none.
+                // A ceiling on calls exceeds the quota by at most two, while calls hang; it is 0
+                // for a handler that makes no calls.
                 let max_calls = if ceiling.handlers == [QUOTE] { 0 } else { 10 };
                 prop_assert!(ceiling.calls <= max_calls);
-                // Beyond its runs, no pool may start more than there are workers.
+                // Beyond its runs in flight, a pool may not start more runs than there are workers.
                 prop_assert!(ceiling.runs <= usage.runs + WORKERS);
             }
             let counted: usize = limiter.pool_usage().map(|u| u.queued + u.runs).sum();
--- a/crates/concurrency/tests/concurrency/fair_share.rs
+++ b/crates/concurrency/tests/concurrency/fair_share.rs
@@ -1,4 +1,4 @@
-//! Weighted max-min fair division.
+//! Tests of the weighted max-min fair division.
 
 use crate::support::property_test_config;
 use madderbay_concurrency::fair_share::{Demand, allocate, ceilings};
@@ -15,7 +15,8 @@
         allocate(12, &[demand(1.0, 99), demand(2.0, 99), demand(3.0, 99)]),
         [2, 4, 6]
     );
-    // What one pool leaves goes to the others, and no pool gets more than it wants or may have.
+    // Permits that one pool does not want go to the others, and no pool gets more than it wants or
+    // may have.
     assert_eq!(
         allocate(12, &[demand(1.0, 99), demand(2.0, 1), demand(3.0, 99)]),
         [3, 1, 8]
@@ -33,7 +34,8 @@
         ),
         [1, 11]
     );
-    // One permit each before a second for any; pools without weight get what is left.
+    // Each pool gets its first permit before any gets a second; pools of weight 0 get what the
+    // others do not want.
     assert_eq!(
         allocate(3, &[demand(1.0, 9), demand(100.0, 9), demand(0.0, 9)]),
         [1, 2, 0]
@@ -48,8 +50,9 @@
 proptest! {
     #![proptest_config(property_test_config(256))]
 
-    /// No permit is allocated twice, none is left that a pool wants, and a pool that got less than
-    /// another for its weight wanted no more, or no permit was left to even it out.
+    /// No permit is allocated twice, and none stays free while a pool wants it. If a pool got less
+    /// than another relative to its weight, then it wanted no more, or one more permit would have
+    /// given it at least as much relative to its weight as the other has.
     #[test]
     fn allocation_is_max_min_fair(
         total in 0usize..40,
--- a/crates/concurrency/tests/concurrency/limit_edge_cases.rs
+++ b/crates/concurrency/tests/concurrency/limit_edge_cases.rs
@@ -1,5 +1,5 @@
-//! The adaptive limit, call by call: hanging calls, stalls of the process, the clock, and arbitrary
-//! events.
+//! Tests of the adaptive limit, call by call: hanging calls, process stalls, clock steps, and
+//! arbitrary events.
 
 use crate::support::property_test_config;
 use madderbay::time::{Duration, Timestamp};
@@ -32,7 +32,7 @@
         }
         assert!(limit.allowed_in_flight() <= 3);
     }
-    // A success ends the exception.
+    // A success withdraws the extra permits.
     limit.release(at(10_000), first, Completion::Success, false);
     assert_eq!(limit.allowed_in_flight(), 1);
 }
@@ -43,7 +43,8 @@
     for n in 0..400u64 {
         let now = n * 20;
         let permit = limit.acquire(at(now));
-        // Every call seems to take a second, since this process reads late.
+        // Every call seems to take a second, because this process is stalled and reads the answers
+        // late.
         let stalled = n >= 100;
         let latency_ms = if stalled { 1_000 } else { 15 };
         limit.release(at(now + latency_ms), permit, Completion::Success, stalled);
@@ -63,7 +64,7 @@
         limit.tick(at(5_000));
     }
     assert_eq!(limit.limit(), 8.0);
-    // Five seconds back: the new time counts.
+    // The clock steps back by five seconds, and the limit continues from the new time.
     for ms in 0..4_000u64 {
         let permit = limit.acquire(at(ms));
         limit.release(at(ms + 1), permit, Completion::Failure, false);
@@ -104,9 +105,9 @@
 proptest! {
     #![proptest_config(property_test_config(200))]
 
-    /// Whatever happens, and whatever the clock does: the limit stays within its bounds, the
-    /// circuit breaker half-opens, and no more calls are allowed than the maximum and two while
-    /// calls hang.
+    /// After arbitrary events and clock steps, the limit is within its bounds, a circuit breaker
+    /// that opened half-opens again, and the number of allowed calls exceeds the maximum by at most
+    /// two, which are allowed while calls hang.
     #[test]
     fn stays_within_bounds_after_arbitrary_events(
         steps in prop::collection::vec(step(), 1..400),
@@ -135,7 +136,7 @@
             prop_assert!(limit.limit() >= 1.0 && limit.limit() <= max.max(1.0));
             prop_assert!(limit.allowed_in_flight() <= max.max(1.0) as usize + 2);
         }
-        // Left alone, it allows a call within two seconds.
+        // Without further events, a call is allowed within two seconds.
         for permit in open {
             limit.release(at(ms as u64), permit, Completion::Cancelled, false);
         }
--- a/crates/concurrency/tests/concurrency/main.rs
+++ b/crates/concurrency/tests/concurrency/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the concurrency limiter, by behaviour.
+//! Tests of the concurrency limiter, one module for each behavior.
 
 mod adaptive_limit;
 mod arbitrary_events;
--- a/crates/concurrency/tests/concurrency/pools.rs
+++ b/crates/concurrency/tests/concurrency/pools.rs
@@ -1,4 +1,4 @@
-//! Pools: their ceilings on runs and calls, borrowing, and hung runs.
+//! Tests of pools: their ceilings on runs and calls, borrowing, and hung runs.
 
 use crate::support::{
     BOOK, QUOTE, SEARCH, at, complete_runs, limiter, limiter_of_equal_pools, pool, pool_ceiling,
@@ -7,8 +7,8 @@
 use madderbay::time::Duration;
 use madderbay_concurrency::{ConcurrencyConfig, RequestStage};
 
-/// An engine that never ends a run at a call, whose request was answered long ago, does not occupy
-/// its pool for ever.
+/// Runs that wait for a call long after their requests were answered do not occupy their pool
+/// forever, even if the engine never ends them.
 #[test]
 fn frees_permits_of_hung_runs_after_two_seconds() {
     let mut limiter = limiter_of_equal_pools();
@@ -26,7 +26,7 @@
     assert_eq!(limiter.hung(), 0);
 }
 
-/// A pool borrows what another leaves idle, until the owner has requests.
+/// A pool borrows the permits that another leaves idle, until their owner has requests.
 #[test]
 fn lends_idle_permits_until_owner_needs_them() {
     let mut limiter = limiter_of_equal_pools();
@@ -35,12 +35,14 @@
     start_runs(&mut limiter, 1, 0..12, QUOTE);
     assert_eq!(pool_ceiling(&mut limiter, 2, 12.0, QUOTE).runs, 12);
     queue_requests(&mut limiter, 100..130, SEARCH);
-    // From now on each run that ends makes way for a search, until each pool has half.
+    // From now on, each quote run that ends makes room for a search run, until each pool has half
+    // of the permits.
     assert_eq!(pool_ceiling(&mut limiter, 3, 12.0, SEARCH).runs, 6);
     assert_eq!(pool_ceiling(&mut limiter, 3, 12.0, QUOTE).runs, 6);
 }
 
-/// Each pool has all permits while it is alone, and its part by weight otherwise.
+/// A pool may use all permits while it is the only one with requests, and its part by weight
+/// otherwise.
 #[test]
 fn adjusts_ceilings_as_pools_empty_and_fill() {
     let pools = three_pools([1.0, 3.0, 0.0]);
@@ -63,7 +65,8 @@
     }
 }
 
-/// Runs at calls take no part in the division of the cores, and are no more than the calls allow.
+/// Runs that wait for a call take no part in the division of the cores, and their number is bounded
+/// by the allowed calls.
 #[test]
 fn runs_blocked_on_calls_leave_cores_to_other_pools() {
     let mut limiter = limiter_of_equal_pools();
@@ -76,12 +79,13 @@
     }
     let booking = pool_ceiling(&mut limiter, 2, 14.0, BOOK);
     let quote = pool_ceiling(&mut limiter, 2, 14.0, QUOTE);
-    // Eight calls and at most two runs on the cores, a third of four; the rest belongs to quotes.
+    // The book pool may have eight calls and at most two runs on the cores (its third of four
+    // cores, rounded up). The quote pool gets the remaining workers.
     assert_eq!((booking.runs, booking.calls), (10, 8));
     assert_eq!((quote.runs, quote.calls), (4, 0));
 }
 
-/// Optional calls yield to required ones, by the pools' weights for calls.
+/// Optional calls yield to required ones, according to the pools' weights for calls.
 #[test]
 fn divides_calls_by_call_weights() {
     let mut pools = three_pools([1.0; 3]);
@@ -116,7 +120,8 @@
     );
     let names: Vec<&str> = two.pool_usage().map(|usage| usage.name).collect();
     assert_eq!(names, ["book", "rest"]);
-    // One worker: each pool may use it, and the decision module's limit decides.
+    // With one worker, each pool may use it, and the limit of the decision module decides which one
+    // does.
     assert!((0..2).all(|pool| pool_ceiling_at(&mut two, 1, 1.0, pool).runs <= 1));
     let mut one = limiter(config(vec![pool("all", &[SEARCH, QUOTE, BOOK], 1.0)]));
     queue_requests(&mut one, 0..20, QUOTE);
@@ -138,7 +143,8 @@
     assert_eq!(pool_ceiling(&mut limiter, 1, 12.0, BOOK).calls, 3);
 }
 
-/// A pool that its ceilings delay reports the interval between two starts; any other reports none.
+/// A pool that is delayed by its ceilings reports the interval between two starts; any other pool
+/// reports none.
 #[test]
 fn reports_start_interval_of_pool_delayed_by_ceilings() {
     let mut limiter = limiter_of_equal_pools();
@@ -156,7 +162,7 @@
     assert!(interval < Duration::from_millis(105), "{interval:?}");
     let idle = pool_ceiling(&mut limiter, 3_000, 12.0, QUOTE);
     assert_eq!(idle.start_interval, Duration::ZERO);
-    // All workers are busy: the cores delay the pool, not its ceilings.
+    // With all workers busy, the cores delay the pool, not its ceilings.
     let busy = pool_ceiling(&mut limiter, 3_000, 8.0, BOOK);
     assert_eq!(busy.start_interval, Duration::ZERO);
 }
--- a/crates/concurrency/tests/concurrency/reference_run/configs.rs
+++ b/crates/concurrency/tests/concurrency/reference_run/configs.rs
@@ -1,4 +1,4 @@
-//! The configurations of the limiter.
+//! Configurations of the limiter in the recorded runs.
 
 use crate::support::{BOOK, QUOTE, SEARCH, reserve};
 use madderbay::interface::HandlerId;
@@ -47,7 +47,7 @@
     config
 }
 
-/// The recorded configurations, by name.
+/// Returns the recorded configurations, by name.
 pub(super) fn configs() -> Vec<(&'static str, ConcurrencyConfig)> {
     let default_pool = base_with(|c| {
         c.pools = vec![pool("c", &[BOOK], 0.5, 1.0)];
--- a/crates/concurrency/tests/concurrency/reference_run/mod.rs
+++ b/crates/concurrency/tests/concurrency/reference_run/mod.rs
@@ -1,9 +1,10 @@
-//! Replays fixed seeds and compares limits and ceilings, bit for bit, with recorded ones.
+//! Replays event sequences with fixed seeds, and compares limits and ceilings, bit for bit, with
+//! recorded ones.
 //!
 //! The recordings in `data` were written before the crate was restructured. They list each change
 //! of a limit, and end with a hash of the state after every step, so that any difference in
-//! arithmetic, in random draws or in their order fails here. A deliberate change of the algorithm
-//! replaces them.
+//! arithmetic, in random draws or in their order makes a test fail. A deliberate change of the
+//! algorithm requires new recordings.
 
 mod configs;
 mod random_calls;
@@ -12,10 +13,10 @@
 
 use madderbay_concurrency::AdjustmentCause;
 
-/// Why writing a line does not fail.
+/// Panic message for a failed write to a `String`, which cannot occur.
 const STRING_WRITE_SUCCEEDS: &str = "writing to a string succeeds";
 
-/// FNV-1a.
+/// A 64-bit FNV-1a hash.
 struct Digest(u64);
 
 impl Digest {
@@ -30,7 +31,7 @@
     }
 }
 
-/// The name of a cause in the recordings.
+/// Returns the name of a cause in the recordings, which differs from that in log lines.
 fn recorded_name(cause: AdjustmentCause) -> &'static str {
     match cause {
         AdjustmentCause::Queueing => "crowded",
--- a/crates/concurrency/tests/concurrency/reference_run/random_calls.rs
+++ b/crates/concurrency/tests/concurrency/reference_run/random_calls.rs
@@ -1,4 +1,4 @@
-//! The limit with random calls.
+//! Replay of an adaptive limit with random calls.
 
 use super::{Digest, STRING_WRITE_SUCCEEDS, assert_same_lines, recorded_name};
 use crate::simulation::at;
@@ -6,7 +6,8 @@
 use madderbay_concurrency::limit::{AdaptiveLimit, Completion, Permit};
 use std::fmt::Write;
 
-/// A limit with random calls, in alternating phases: fast, slow, failing and abandoned.
+/// An adaptive limit with random calls, whose phases alternate between fast, slow, failing and
+/// abandoned calls.
 struct RandomCalls {
     limit: AdaptiveLimit,
     max: f64,
--- a/crates/concurrency/tests/concurrency/reference_run/random_requests.rs
+++ b/crates/concurrency/tests/concurrency/reference_run/random_requests.rs
@@ -1,4 +1,4 @@
-//! The limiter with random requests.
+//! Replay of the limiter with random requests.
 
 use super::configs::configs;
 use super::{Digest, STRING_WRITE_SUCCEEDS, assert_same_lines, recorded_name};
@@ -10,7 +10,7 @@
 use madderbay_concurrency::{ConcurrencyConfig, ConcurrencyLimiter, RequestStage};
 use std::fmt::Write;
 
-/// How far a request of [`RandomRequests`] is.
+/// Progress of a request of [`RandomRequests`].
 #[derive(Clone, Copy)]
 enum Progress {
     Queued,
@@ -26,7 +26,8 @@
     progress: Progress,
 }
 
-/// A limiter with random requests, in alternating phases: calls that succeed, fail and time out.
+/// A limiter with random requests, whose phases alternate between calls that mostly succeed, fail
+/// and time out.
 struct RandomRequests {
     limiter: ConcurrencyLimiter,
     random: oorandom::Rand64,
@@ -113,7 +114,8 @@
         };
     }
 
-    /// Starts a call if the limit allows it; otherwise some requests are answered without it.
+    /// Starts a call if the limit allows it. Otherwise the request keeps waiting for a call, and
+    /// some such requests are answered meanwhile.
     fn start_call(&mut self, id: u64, handler: HandlerId, draw: f64) -> Progress {
         let now = self.now();
         let usage = self.limiter.call_usage();
@@ -143,7 +145,8 @@
         }
     }
 
-    /// Computes ceilings for a random number of workers; returns them as a line.
+    /// Computes the ceilings for a random number of workers, adds them to the digest, and returns
+    /// them as a line.
     fn ceilings(&mut self, digest: &mut Digest) -> String {
         let workers = 6.0 + 6.0 * self.random.rand_float();
         let number = |n: usize| {
--- a/crates/concurrency/tests/concurrency/reference_run/scenarios.rs
+++ b/crates/concurrency/tests/concurrency/reference_run/scenarios.rs
@@ -1,4 +1,4 @@
-//! The limit in simulated scenarios.
+//! Replay of an adaptive limit in simulated scenarios.
 
 use super::{Digest, STRING_WRITE_SUCCEEDS, assert_same_lines};
 use crate::simulation::{Behavior, Scenario, at, simulate};
@@ -48,7 +48,7 @@
     ]
 }
 
-/// Each change of the limit in a scenario, then the state at its end.
+/// Appends each change of the limit in a scenario, then the state at its end.
 fn replay_scenario(text: &mut String, named: &NamedScenario, seed: u64) {
     let start = at(0);
     let mut limit = AdaptiveLimit::new(start, 7, named.max, Duration::from_millis(200));
--- a/crates/concurrency/tests/concurrency/simulation/mod.rs
+++ b/crates/concurrency/tests/concurrency/simulation/mod.rs
@@ -1,6 +1,6 @@
-//! A simulated upstream and its callers, in simulated time: calls wait for a slot in the order of
-//! their start. A seed determines all random numbers. Shared by the tests of the limit and by
-//! `examples/ways`.
+//! A simulation of an upstream and its callers, in simulated time. Calls wait for a slot of the
+//! upstream in the order of their start. A seed determines all random numbers. Shared by the tests
+//! of the adaptive limit and by `examples/ways`.
 
 mod policy;
 mod scenario;
@@ -17,11 +17,11 @@
 
 /// Length of a step of the simulation, in ms.
 const STEP_MS: u64 = 1;
-/// How long an abandoned call still runs upstream, in ms.
+/// Time for which an abandoned call still runs upstream, in ms.
 const ABANDONED_CALL_LIFETIME_MS: u64 = 200;
-/// Callers stop waiting after this multiple of the mean latency, as the decision module does.
+/// Part of the timeout of a call, as a multiple of the mean latency, as in the decision module.
 const TIMEOUT_FACTOR: f64 = 8.0;
-/// Minimum timeout, in ms.
+/// Constant part of the timeout of a call, and so its minimum, in ms.
 const MIN_TIMEOUT_MS: f64 = 40.0;
 /// Weight of the newest call in the mean latency.
 const LATENCY_WEIGHT: f64 = 0.1;
@@ -29,7 +29,7 @@
 struct Call {
     permit: Option<Permit>,
     started_ms: u64,
-    /// Work left, in ms at the usual speed.
+    /// Remaining work, in ms at normal speed.
     work_left: f64,
     abandoned_ms: Option<u64>,
     failed: bool,
@@ -41,7 +41,7 @@
     }
 }
 
-/// The time on the simulation's clock.
+/// Returns the time on the clock of the simulation, in ms after its start.
 pub(crate) fn at(ms: u64) -> Timestamp {
     Timestamp::from_micros(1_000_000_000 + ms * 1_000)
 }
@@ -64,7 +64,7 @@
     behavior: Behavior,
     /// Calls that occupy the upstream, in the order of their start.
     calls: VecDeque<Call>,
-    /// When each wanted call arrived.
+    /// Arrival time, in ms, of each wanted call that has not started.
     waiting: VecDeque<u64>,
     in_flight: usize,
     succeeded: u32,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The oldest calls have the slots and advance.
+    /// Advances the oldest calls, which occupy the slots of the upstream.
     fn execute_calls(&mut self) {
         let scenario = self.scenario;
         let load = self.calls.len() as f64 / scenario.slots as f64;
@@ -133,8 +133,9 @@
         }
     }
 
-    /// Removes the calls that are over, and those that were abandoned long ago. Callers abandon
-    /// calls that are stuck.
+    /// Removes the calls that ended, and those whose lifetime after they were abandoned is over.
+    /// Abandons calls that exceed their timeout. Returns the calls whose callers learn of their
+    /// end.
     fn remove_ended_calls(&mut self, ms: u64) -> Vec<EndedCall> {
         let timeout_ms = (TIMEOUT_FACTOR * self.mean_latency_ms + MIN_TIMEOUT_MS) as u64;
         let mut ended = vec![];
@@ -188,7 +189,7 @@
             .retain(|arrived_ms| ms - arrived_ms < max_wait_ms);
     }
 
-    /// Starts calls up to the limit; the newest first, as the decision module does.
+    /// Starts calls up to the limit, the newest first, as the decision module does.
     fn start_calls(&mut self, ms: u64) {
         let scenario = self.scenario;
         while !self.waiting.is_empty()
--- a/crates/concurrency/tests/concurrency/simulation/policy.rs
+++ b/crates/concurrency/tests/concurrency/simulation/policy.rs
@@ -1,4 +1,4 @@
-//! Policies: rules for the number of calls in flight.
+//! Policies that limit the number of calls in flight.
 
 use madderbay::time::Timestamp;
 use madderbay_concurrency::limit::{AdaptiveLimit, Completion, Permit};
@@ -6,13 +6,13 @@
 /// A call whose caller learns of its end in this step.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndedCall {
-    /// What the policy returned at its start.
+    /// Permit that the policy returned at the start of the call, if any.
     pub(crate) permit: Option<Permit>,
     pub(crate) completion: Completion,
     pub(crate) latency_ms: u64,
 }
 
-/// A rule for the number of calls in flight.
+/// A policy that limits the number of calls in flight.
 pub(crate) trait LimitPolicy {
     fn limit(&self) -> f64;
     fn allowed_in_flight(&self) -> usize {
@@ -22,7 +22,7 @@
         None
     }
     fn saturated(&mut self) {}
-    /// A call ended; `in_flight` counts it still.
+    /// Registers the end of a call, which `in_flight` still includes.
     fn completed(&mut self, _now: Timestamp, _call: &EndedCall, _in_flight: usize) {}
     fn tick(&mut self, _now: Timestamp) {}
 }
--- a/crates/concurrency/tests/concurrency/simulation/scenario.rs
+++ b/crates/concurrency/tests/concurrency/simulation/scenario.rs
@@ -7,10 +7,10 @@
 /// When the upstream of [`Scenario::warming_up`] is warm, in ms.
 pub(crate) const WARM_MS: u64 = 8_000;
 
-/// How the upstream behaves from a moment on.
+/// Behavior of the upstream during a phase.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Behavior {
-    /// Calls take this multiple of their usual time.
+    /// Calls take this multiple of their normal time.
     Slow(f64),
     /// Calls fail after a millisecond.
     Failing,
@@ -18,7 +18,7 @@
     Silent,
 }
 
-/// A change of behavior.
+/// A phase: the behavior of the upstream from a given time on.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Phase {
     pub(crate) from_ms: u64,
@@ -30,20 +30,20 @@
 pub(crate) struct Scenario {
     pub(crate) seed: u64,
     pub(crate) slots: usize,
-    /// Usual time of a call, in ms.
+    /// Normal time of a call, in ms.
     pub(crate) call_ms: f64,
-    /// Spread of a call's time: 0 is constant, 1 is exponential.
+    /// Spread of the call time: at 0 it is constant, at 1 exponentially distributed.
     pub(crate) spread: f64,
-    /// Growth of a call's time, as a fraction, for each further multiple of the slots that is
-    /// requested.
+    /// Slowdown under overload: fraction by which the call time grows for each further multiple of
+    /// the slots that is in use or requested.
     pub(crate) overload_slowdown: f64,
     /// Calls wanted per second.
     pub(crate) per_second: f64,
-    /// How long a wanted call waits for its start, in ms.
+    /// Time for which a wanted call waits for its start before it is given up, in ms.
     pub(crate) max_wait_ms: u64,
-    /// Slots that other callers occupy at all times.
+    /// Number of slots that other callers occupy at all times.
     pub(crate) other_callers: usize,
-    /// Upper bound on calls in flight, whatever the limit.
+    /// Upper bound on the calls in flight, whatever the limit.
     pub(crate) caller_capacity: usize,
     pub(crate) phases: Vec<Phase>,
     pub(crate) length_ms: u64,
@@ -68,12 +68,12 @@
 }
 
 impl Scenario {
-    /// The default scenario with a fault from [`FAULT_MS`] to [`RECOVERY_MS`].
+    /// Returns the default scenario with a fault from [`FAULT_MS`] to [`RECOVERY_MS`].
     pub(crate) fn with_fault(behavior: Behavior) -> Scenario {
         Scenario::with_phases([(FAULT_MS, behavior), (RECOVERY_MS, Behavior::Slow(1.0))])
     }
 
-    /// The default scenario with an upstream that is slow until [`WARM_MS`].
+    /// Returns the default scenario with an upstream that is slow until [`WARM_MS`].
     pub(crate) fn warming_up() -> Scenario {
         Scenario::with_phases([(0, Behavior::Slow(20.0)), (WARM_MS, Behavior::Slow(1.0))])
     }
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The scenario after a change.
+    /// Returns the scenario after a change to its fields.
     pub(crate) fn with(mut self, change: impl FnOnce(&mut Scenario)) -> Scenario {
         change(&mut self);
         self
--- a/crates/concurrency/tests/concurrency/simulation/trace.rs
+++ b/crates/concurrency/tests/concurrency/simulation/trace.rs
@@ -1,13 +1,13 @@
-//! Traces: what a simulation has shown.
+//! Traces: the samples recorded by a simulation.
 
 /// Interval of the samples, in ms.
 pub(crate) const SAMPLE_INTERVAL_MS: u64 = 10;
 
-/// State of a simulation at one moment.
+/// State of a simulation at the time of one sample.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Sample {
     pub(crate) limit: f64,
-    /// Calls that occupy the upstream, abandoned ones included.
+    /// Calls that occupy the upstream, including abandoned ones.
     pub(crate) in_flight: usize,
     /// Calls that succeeded so far.
     pub(crate) succeeded: u32,
@@ -15,7 +15,7 @@
     pub(crate) failed: u32,
 }
 
-/// The samples of a simulation, one each 10 ms.
+/// The samples of a simulation, one every 10 ms.
 pub(crate) struct Trace {
     pub(crate) samples: Vec<Sample>,
 }
@@ -26,7 +26,7 @@
         &self.samples[index(from_ms)..index(to_ms).min(self.samples.len())]
     }
 
-    /// Growth of a counter over a period.
+    /// Returns the growth of a counter over a period.
     fn growth(&self, from_ms: u64, to_ms: u64, counter: impl Fn(&Sample) -> u32) -> u32 {
         let samples = self.between(from_ms, to_ms);
         samples.last().map_or(0, &counter) - samples.first().map_or(0, &counter)
@@ -45,7 +45,8 @@
         samples.map(|s| s.in_flight).max().unwrap_or(0)
     }
 
-    /// Difference between the highest and the lowest limit, as a fraction of its mean.
+    /// Returns the difference between the highest and the lowest limit of a period, as a fraction
+    /// of its mean limit.
     pub(crate) fn limit_variation(&self, from_ms: u64, to_ms: u64) -> f64 {
         let samples = self.between(from_ms, to_ms).iter();
         let limits: Vec<f64> = samples.map(|s| s.limit).collect();
--- a/crates/concurrency/tests/concurrency/support.rs
+++ b/crates/concurrency/tests/concurrency/support.rs
@@ -1,5 +1,5 @@
-//! Shared steps of the tests of the limiter: three handlers, three pools, and events of many
-//! requests.
+//! Helpers shared by the tests of the limiter: three handlers, three pools, and functions that
+//! report events of many requests.
 
 use madderbay::interface::{CallRequirement, Ceiling, HandlerId};
 use madderbay::time::Timestamp;
@@ -9,7 +9,8 @@
 use proptest::test_runner::{Config, RngSeed};
 use std::ops::Range;
 
-/// A handler whose runs may skip their call; also the index of its pool in [`three_pools`].
+/// A handler whose runs may skip their call. The index of a handler is also that of its pool in
+/// [`three_pools`].
 pub(crate) const SEARCH: HandlerId = HandlerId::new(0);
 /// A handler whose runs make no call.
 pub(crate) const QUOTE: HandlerId = HandlerId::new(1);
@@ -28,7 +29,7 @@
     ]
 }
 
-/// A pool with the same weight for runs and calls.
+/// Returns a pool with the same weight for runs and calls.
 pub(crate) fn pool(name: &str, handlers: &[HandlerId], weight: f64) -> PoolConfig {
     PoolConfig {
         name: name.into(),
@@ -39,7 +40,7 @@
     }
 }
 
-/// One pool for each handler, in the order of the handlers.
+/// Returns one pool for each handler, in the order of the handlers.
 pub(crate) fn three_pools(weights: [f64; 3]) -> Vec<PoolConfig> {
     vec![
         pool("search", &[SEARCH], weights[SEARCH.index()]),
@@ -55,7 +56,7 @@
     })
 }
 
-/// A limiter with a quota of eight calls and four cores.
+/// Creates a limiter with a quota of eight calls and four cores.
 pub(crate) fn limiter(config: ConcurrencyConfig) -> ConcurrencyLimiter {
     let config = ConcurrencyConfig {
         call_quota: Some(8.0),
@@ -65,7 +66,7 @@
     ConcurrencyLimiter::new(at(0), 1, config, &call_requirements())
 }
 
-/// A limiter with [`three_pools`] of equal weight.
+/// Creates a limiter with [`three_pools`] of equal weight.
 pub(crate) fn limiter_of_equal_pools() -> ConcurrencyLimiter {
     limiter(ConcurrencyConfig {
         pools: three_pools([1.0; 3]),
@@ -73,7 +74,7 @@
     })
 }
 
-/// The ceiling of the pool of a handler, where each handler has one.
+/// Returns the ceiling of the pool of a handler; requires [`three_pools`].
 pub(crate) fn pool_ceiling(
     limiter: &mut ConcurrencyLimiter,
     ms: u64,
@@ -83,7 +84,7 @@
     pool_ceiling_at(limiter, ms, workers, handler.index())
 }
 
-/// The ceiling of a pool, by its index.
+/// Returns the ceiling of a pool, by its index.
 pub(crate) fn pool_ceiling_at(
     limiter: &mut ConcurrencyLimiter,
     ms: u64,
@@ -93,7 +94,8 @@
     limiter.ceilings(at(ms), workers)[1 + pool].clone()
 }
 
-/// The ceiling of the handlers outside the reserve, which is the last.
+/// Returns the ceiling of the handlers outside the reserve, which is the last one if there is a
+/// single upstream.
 pub(crate) fn ceiling_outside_reserve(
     limiter: &mut ConcurrencyLimiter,
     ms: u64,
@@ -120,7 +122,8 @@
     ids.for_each(|id| limiter.set_stage(at(ms), id, handler, RequestStage::Running));
 }
 
-/// Completes forty runs of this duration one after the other, so that the limiter knows the mean.
+/// Completes forty runs of this duration, started 1 ms apart, so that the limiter knows the mean
+/// run duration of the handler.
 pub(crate) fn complete_runs(
     limiter: &mut ConcurrencyLimiter,
     handler: HandlerId,
@@ -132,7 +135,8 @@
     }
 }
 
-/// Settings of property tests: the same cases in each run.
+/// Returns the settings of a property test with this number of cases. The fixed seed generates the
+/// same cases in each run.
 pub(crate) fn property_test_config(cases: u32) -> Config {
     let rng_seed = RngSeed::Fixed(7);
     Config {
--- a/crates/concurrency/tests/concurrency/upstreams.rs
+++ b/crates/concurrency/tests/concurrency/upstreams.rs
@@ -1,4 +1,4 @@
-//! The limits on calls, by upstream.
+//! Tests of the limits on calls, by upstream.
 
 use crate::support::{
     BOOK, SEARCH, at, call_requirements, limiter, limiter_of_equal_pools, pool_ceiling,
@@ -8,7 +8,7 @@
 use madderbay_concurrency::limit::Completion;
 use madderbay_concurrency::{ConcurrencyConfig, ConcurrencyLimiter, RequestStage, UpstreamGroup};
 
-/// The handler's own upstream, with half of the quota.
+/// Returns the group of an upstream that only this handler calls, with half of the quota.
 fn half_quota_group(handler: HandlerId) -> UpstreamGroup {
     UpstreamGroup {
         handlers: vec![handler],
@@ -16,8 +16,8 @@
     }
 }
 
-/// Quota below one call: short calls may overlap, and the decision module keeps their mean within
-/// the quota.
+/// With a quota below one call, short calls may overlap; the decision module keeps their mean
+/// number within the quota.
 #[test]
 fn allows_four_calls_for_quota_below_one() {
     let config = ConcurrencyConfig {
@@ -31,7 +31,7 @@
     assert_eq!(pool_ceiling(&mut limiter, 1, 12.0, BOOK).calls, 4);
 }
 
-/// A request that waits for a core is no evidence about the upstream.
+/// A run that waits for a core is no evidence about the upstream.
 #[test]
 fn keeps_limit_while_runs_wait_for_cores() {
     let mut limiter = limiter_of_equal_pools();
@@ -41,7 +41,7 @@
         limiter.set_stage(at(now + 10), id, BOOK, RequestStage::AwaitingCall);
         limiter.set_stage(at(now + 10), id, BOOK, RequestStage::Calling);
         limiter.call_finished(at(now + 30), id, Completion::Success);
-        // Each run continues for two seconds on crowded cores.
+        // Each run continues for two seconds because the cores are overloaded.
         if id >= 40 {
             limiter.request_finished(at(now), id - 40);
         }
@@ -51,7 +51,7 @@
     assert_eq!(limiter.change_count(), 0);
 }
 
-/// One of two upstreams is silent: the handlers of the other keep their calls.
+/// When one of two upstreams does not answer, the handlers of the other keep their calls.
 #[test]
 fn isolates_upstreams_from_each_other() {
     let mut limiter = limiter(ConcurrencyConfig {
@@ -64,7 +64,7 @@
         .map(|u| (u.handlers, u.calls.limit))
         .collect();
     assert_eq!(initial, [(vec![SEARCH], 4.0), (vec![BOOK], 4.0)]);
-    // All calls of the first time out.
+    // All calls to the first upstream time out.
     let mut id = 0;
     for ms in (0..6_000u64).step_by(50) {
         for (handler, completion) in [(SEARCH, Completion::TimedOut), (BOOK, Completion::Success)] {
@@ -86,5 +86,8 @@
         binding.map(|c| c.calls).min().unwrap_or(usize::MAX)
     };
     let (search, booking) = (calls_of(SEARCH), calls_of(BOOK));
-    assert!(search < booking && booking >= 4, "{search} and {booking}");
+    assert!(
+        search < booking && booking >= 4,
+        "search {search}, book {booking}"
+    );
 }
