--- a/crates/concurrency/src/limit/latency.rs
+++ b/crates/concurrency/src/limit/latency.rs
@@ -13,7 +13,7 @@
 const MAX_LOW_CONCURRENCY_AGE: Duration = Duration::from_millis(2_000);
 /// Latency of the fastest low-concurrency call, as a multiple of the estimate, above which the
 /// upstream counts as slower.
-const SLOWER_FACTOR: f64 = 1.5;
+const MIN_SLOWDOWN_FACTOR: f64 = 1.5;
 /// Weight of a faster window in the estimate.
 const FASTER_WINDOW_WEIGHT: f64 = 0.2;
 /// Fraction of the estimate below which the latency of a faster window replaces the estimate:
@@ -74,7 +74,7 @@
         recent
             && self
                 .estimate_secs
-                .is_some_and(|estimate| fastest_secs > SLOWER_FACTOR * estimate)
+                .is_some_and(|estimate| fastest_secs > MIN_SLOWDOWN_FACTOR * estimate)
     }
 
     /// Updates the estimate with the latency of a window, and returns it in seconds.
--- a/crates/concurrency/tests/concurrency/adaptive_limit.rs
+++ b/crates/concurrency/tests/concurrency/adaptive_limit.rs
@@ -101,7 +101,7 @@
                 ..fault
             };
             let trace = simulate(&scenario, &mut adaptive(max));
-            let steady = trace.between(FAULT_MS + 3_000, RECOVERY_MS);
+            let steady = trace.samples_between(FAULT_MS + 3_000, RECOVERY_MS);
             mean_limit += steady.iter().map(|s| s.limit).sum::<f64>() / 500.0 / 10.0;
             adaptive_succeeded += f64::from(trace.succeeded(FAULT_MS, RECOVERY_MS));
             let fixed = simulate(&scenario, &mut FixedLimit(max.min(8.0)));
--- a/crates/concurrency/tests/concurrency/pools.rs
+++ b/crates/concurrency/tests/concurrency/pools.rs
@@ -1,7 +1,7 @@
 //! Tests of pools: their ceilings on runs and calls, borrowing, and hung runs.
 
 use crate::support::{
-    BOOK, QUOTE, SEARCH, at, complete_runs, limiter, limiter_of_equal_pools, pool, pool_ceiling,
+    BOOK, QUOTE, SEARCH, at, complete_runs, limiter, limiter_with_equal_pools, pool, pool_ceiling,
     pool_ceiling_at, queue_requests, start_runs, three_pools,
 };
 use madderbay::time::Duration;
@@ -11,7 +11,7 @@
 /// forever, even if the engine never ends them.
 #[test]
 fn frees_permits_of_hung_runs_after_two_seconds() {
-    let mut limiter = limiter_of_equal_pools();
+    let mut limiter = limiter_with_equal_pools();
     start_runs(&mut limiter, 0, 1..11, BOOK);
     (1..11).for_each(|id| limiter.set_stage(at(10), id, BOOK, RequestStage::AwaitingCall));
     queue_requests(&mut limiter, 20..60, SEARCH);
@@ -29,7 +29,7 @@
 /// A pool borrows the permits that another leaves idle, until their owner has requests.
 #[test]
 fn lends_idle_permits_until_owner_needs_them() {
-    let mut limiter = limiter_of_equal_pools();
+    let mut limiter = limiter_with_equal_pools();
     queue_requests(&mut limiter, 0..30, QUOTE);
     assert_eq!(pool_ceiling(&mut limiter, 1, 12.0, QUOTE).runs, 12);
     start_runs(&mut limiter, 1, 0..12, QUOTE);
@@ -69,7 +69,7 @@
 /// by the allowed calls.
 #[test]
 fn runs_blocked_on_calls_leave_cores_to_other_pools() {
-    let mut limiter = limiter_of_equal_pools();
+    let mut limiter = limiter_with_equal_pools();
     queue_requests(&mut limiter, 0..50, BOOK);
     queue_requests(&mut limiter, 100..150, QUOTE);
     for id in 0..8 {
@@ -147,7 +147,7 @@
 /// reports none.
 #[test]
 fn reports_start_interval_of_pool_delayed_by_ceilings() {
-    let mut limiter = limiter_of_equal_pools();
+    let mut limiter = limiter_with_equal_pools();
     complete_runs(&mut limiter, BOOK, 800);
     queue_requests(&mut limiter, 0..20, BOOK);
     for id in 0..8 {
--- a/crates/concurrency/tests/concurrency/reference_run/configs.rs
+++ b/crates/concurrency/tests/concurrency/reference_run/configs.rs
@@ -31,7 +31,7 @@
     pools
 }
 
-fn base() -> ConcurrencyConfig {
+fn base_config() -> ConcurrencyConfig {
     ConcurrencyConfig {
         pools: three_pools(),
         call_quota: Some(8.0),
@@ -41,35 +41,38 @@
     }
 }
 
-fn base_with(change: impl FnOnce(&mut ConcurrencyConfig)) -> ConcurrencyConfig {
-    let mut config = base();
+fn base_config_with(change: impl FnOnce(&mut ConcurrencyConfig)) -> ConcurrencyConfig {
+    let mut config = base_config();
     change(&mut config);
     config
 }
 
 /// Returns the recorded configurations, by name.
 pub(super) fn configs() -> Vec<(&'static str, ConcurrencyConfig)> {
-    let default_pool = base_with(|c| {
+    let default_pool = base_config_with(|c| {
         c.pools = vec![pool("c", &[BOOK], 0.5, 1.0)];
         c.reserve = reserve(&[QUOTE], 0.2);
     });
-    let fixed_limits = base_with(|c| (c.adaptive, c.pools) = (false, bounded_pools()));
-    let no_call_quota = base_with(|c| {
+    let fixed_limits = base_config_with(|c| (c.adaptive, c.pools) = (false, bounded_pools()));
+    let no_call_quota = base_config_with(|c| {
         (c.call_quota, c.pools) = (None, bounded_pools());
         c.reserve = reserve(&[SEARCH, QUOTE], 0.1);
     });
-    let groups = base_with(|c| {
+    let groups = base_config_with(|c| {
         c.upstream_groups = vec![upstream_group(SEARCH, 0.4), upstream_group(BOOK, 0.6)];
         c.call_quota = Some(20.0);
     });
-    let group_and_others = base_with(|c| {
+    let group_and_others = base_config_with(|c| {
         c.upstream_groups = vec![upstream_group(BOOK, 1.0)];
         c.reserve = reserve(&[BOOK], 0.2);
     });
     vec![
-        ("plain", base()),
+        ("plain", base_config()),
         ("rest", default_pool),
-        ("cheapest", base_with(|c| c.reserve = reserve(&[], 0.3))),
+        (
+            "cheapest",
+            base_config_with(|c| c.reserve = reserve(&[], 0.3)),
+        ),
         ("fixed", fixed_limits),
         ("free", no_call_quota),
         ("groups", groups),
--- a/crates/concurrency/tests/concurrency/simulation/trace.rs
+++ b/crates/concurrency/tests/concurrency/simulation/trace.rs
@@ -21,14 +21,14 @@
 }
 
 impl Trace {
-    pub(crate) fn between(&self, from_ms: u64, to_ms: u64) -> &[Sample] {
+    pub(crate) fn samples_between(&self, from_ms: u64, to_ms: u64) -> &[Sample] {
         let index = |ms: u64| (ms / SAMPLE_INTERVAL_MS) as usize;
         &self.samples[index(from_ms)..index(to_ms).min(self.samples.len())]
     }
 
     /// Returns the growth of a counter over a period.
     fn growth(&self, from_ms: u64, to_ms: u64, counter: impl Fn(&Sample) -> u32) -> u32 {
-        let samples = self.between(from_ms, to_ms);
+        let samples = self.samples_between(from_ms, to_ms);
         samples.last().map_or(0, &counter) - samples.first().map_or(0, &counter)
     }
 
@@ -41,14 +41,14 @@
     }
 
     pub(crate) fn peak_in_flight(&self, from_ms: u64, to_ms: u64) -> usize {
-        let samples = self.between(from_ms, to_ms).iter();
+        let samples = self.samples_between(from_ms, to_ms).iter();
         samples.map(|s| s.in_flight).max().unwrap_or(0)
     }
 
     /// Returns the difference between the highest and the lowest limit of a period, as a fraction
     /// of its mean limit.
     pub(crate) fn limit_variation(&self, from_ms: u64, to_ms: u64) -> f64 {
-        let samples = self.between(from_ms, to_ms).iter();
+        let samples = self.samples_between(from_ms, to_ms).iter();
         let limits: Vec<f64> = samples.map(|s| s.limit).collect();
         let low = limits.iter().copied().fold(f64::MAX, f64::min);
         let high = limits.iter().copied().fold(0.0f64, f64::max);
--- a/crates/concurrency/tests/concurrency/support.rs
+++ b/crates/concurrency/tests/concurrency/support.rs
@@ -67,7 +67,7 @@
 }
 
 /// Creates a limiter with [`three_pools`] of equal weight.
-pub(crate) fn limiter_of_equal_pools() -> ConcurrencyLimiter {
+pub(crate) fn limiter_with_equal_pools() -> ConcurrencyLimiter {
     limiter(ConcurrencyConfig {
         pools: three_pools([1.0; 3]),
         ..ConcurrencyConfig::default()
--- a/crates/concurrency/tests/concurrency/upstreams.rs
+++ b/crates/concurrency/tests/concurrency/upstreams.rs
@@ -1,7 +1,7 @@
 //! Tests of the limits on calls, by upstream.
 
 use crate::support::{
-    BOOK, SEARCH, at, call_requirements, limiter, limiter_of_equal_pools, pool_ceiling,
+    BOOK, SEARCH, at, call_requirements, limiter, limiter_with_equal_pools, pool_ceiling,
     queue_requests, three_pools,
 };
 use madderbay::interface::HandlerId;
@@ -34,7 +34,7 @@
 /// A run that waits for a core is no evidence about the upstream.
 #[test]
 fn keeps_limit_while_runs_wait_for_cores() {
-    let mut limiter = limiter_of_equal_pools();
+    let mut limiter = limiter_with_equal_pools();
     for id in 0..200u64 {
         let now = id * 50;
         limiter.set_stage(at(now), id, BOOK, RequestStage::Running);
