--- a/crates/concurrency/examples/ways/main.rs
+++ b/crates/concurrency/examples/ways/main.rs
@@ -1,5 +1,7 @@
-//! Compares the limit policies that `docs/notes/pools.md` weighs in the same simulated scenarios:
-//! `cargo run --release -p madderbay-concurrency --example ways`.
+//! Compares the limit policies that `docs/notes/pools.md` discusses in the same simulated
+//! scenarios:
+//!
+//! `cargo run --release -p madderbay-concurrency --example ways`
 
 mod policies;
 #[path = "../../tests/concurrency/simulation/mod.rs"]
@@ -13,7 +15,7 @@
 
 struct NamedScenario {
     name: &'static str,
-    /// Maximum of each policy: the quota of calls.
+    /// Maximum limit of each policy, equal to the quota of calls.
     max: f64,
     scenario: Scenario,
     fault_from_ms: u64,
@@ -35,14 +37,14 @@
     let busy = |factor, per_second| slow(factor).with(|s| s.per_second = per_second);
     let cold = named("cold", 12.0, Scenario::warming_up());
     vec![
-        named("calm", 12.0, Scenario::default()),
+        named("no fault", 12.0, Scenario::default()),
         named("slow x2, busy", 12.0, busy(2.0, 250.0)),
         named("slow x7", 12.0, slow(7.0)),
         named("slow x20", 12.0, slow(20.0)),
         named(
             "slow x20, thrash",
             12.0,
-            slow(20.0).with(|s| s.thrash = 0.5),
+            slow(20.0).with(|s| s.overload_slowdown = 0.5),
         ),
         named("slow x20, noise", 12.0, slow(20.0).with(|s| s.spread = 1.0)),
         named(
@@ -51,11 +53,11 @@
             slow(20.0).with(|s| s.other_callers = 3),
         ),
         named("fails fast", 12.0, Scenario::with_fault(Behavior::Failing)),
-        named("wide share", 40.0, busy(7.0, 300.0)),
+        named("high quota", 40.0, busy(7.0, 300.0)),
         named(
-            "wide share, thrash",
+            "high quota, thrash",
             40.0,
-            busy(7.0, 300.0).with(|s| s.thrash = 0.5),
+            busy(7.0, 300.0).with(|s| s.overload_slowdown = 0.5),
         ),
         named("silent", 12.0, Scenario::with_fault(Behavior::Silent)),
         NamedScenario {
@@ -66,28 +68,28 @@
     ]
 }
 
-/// What one policy came to in one scenario, averaged over the seeds.
+/// Measures of one policy in one scenario, averaged over the seeds.
 #[derive(Default)]
 struct Measures {
     succeeded_in_fault: f64,
     succeeded_after: f64,
     failed: f64,
     peak: f64,
-    swing: f64,
-    worst_swing: f64,
+    variation: f64,
+    worst_variation: f64,
 }
 
 impl Measures {
     fn add(&mut self, named: &NamedScenario, trace: &Trace) {
         let (from, to) = (named.fault_from_ms, named.fault_to_ms);
-        let swing = trace.swing(from + 3_000, to);
+        let variation = trace.limit_variation(from + 3_000, to);
         let seeds = SEEDS as f64;
         self.succeeded_in_fault += f64::from(trace.succeeded(from, to)) / seeds;
         self.succeeded_after += f64::from(trace.succeeded(to, to + 2_000)) / seeds;
         self.failed += f64::from(trace.failed(from, to)) / seeds;
         self.peak += trace.peak_in_flight(from, to) as f64 / seeds;
-        self.swing += swing / seeds;
-        self.worst_swing = self.worst_swing.max(swing);
+        self.variation += variation / seeds;
+        self.worst_variation = self.worst_variation.max(variation);
     }
 }
 
@@ -106,20 +108,20 @@
 
 fn main() {
     println!(
-        "world, way: done in the trouble and in the 2 s after | came to nothing | peak | swing 3 s on, worst"
+        "scenario, policy: succeeded in the fault, in the 2 s after | failed | peak | limit variation from 3 s on, worst"
     );
     for named in scenarios() {
         for (index, policy) in policies(named.max).iter().enumerate() {
             let Measures {
-                succeeded_in_fault: done,
-                succeeded_after: after,
+                succeeded_in_fault,
+                succeeded_after,
                 failed,
                 peak,
-                swing,
-                worst_swing: worst,
+                variation,
+                worst_variation,
             } = measure(&named, index);
             println!(
-                "{:18} {:9} {done:7.0} {after:5.0} |{failed:5.0} | {peak:4.1} |{swing:5.2} {worst:4.2}",
+                "{:18} {:9} {succeeded_in_fault:7.0} {succeeded_after:5.0} |{failed:5.0} | {peak:4.1} |{variation:5.2} {worst_variation:4.2}",
                 named.name, policy.name
             );
         }
--- a/crates/concurrency/src/handlers.rs
+++ b/crates/concurrency/src/handlers.rs
@@ -1,35 +1,35 @@
-//! What the requests of each handler have in flight.
+//! Counters of each handler: its requests by stage, its hung runs and its mean run duration.
 //!
-//! Owns the counters per handler and the mean duration of its runs. Given each change of a request
-//! by [`requests`](crate::requests), which keeps the counters consistent with the requests.
+//! [`requests`](crate::requests) updates the counters with each event of a request, and keeps them
+//! consistent with the requests.
 
 use crate::request_stage::RequestStage;
 use madderbay::interface::{CallRequirement, HandlerId};
 use madderbay::time::Timestamp;
 
-/// Weight of the newest run in the mean duration: averages about ten runs.
+/// Weight of the newest run in the mean run duration; the mean covers about ten runs.
 const RUN_DURATION_WEIGHT: f64 = 0.1;
 
 /// Counters of one handler.
 #[derive(Clone, Debug)]
 pub(crate) struct HandlerLoad {
-    pub(crate) calls: CallRequirement,
+    pub(crate) call_requirement: CallRequirement,
     pub(crate) queued: usize,
     pub(crate) running: usize,
     pub(crate) awaiting_call: usize,
     pub(crate) calling: usize,
-    /// Runs that the engine does not end and that occupy no permit any more.
+    /// Runs that the engine does not end and that no longer occupy a permit.
     pub(crate) hung: usize,
-    /// Mean duration of a run; `None` before the first run ended.
+    /// Mean run duration; `None` before the first run ended.
     pub(crate) mean_run_secs: Option<f64>,
-    /// When a run last went on without its call.
+    /// When a run last continued without its call.
     pub(crate) call_skipped_at: Option<Timestamp>,
 }
 
 impl HandlerLoad {
-    fn new(calls: CallRequirement) -> HandlerLoad {
+    fn new(call_requirement: CallRequirement) -> HandlerLoad {
         HandlerLoad {
-            calls,
+            call_requirement,
             queued: 0,
             running: 0,
             awaiting_call: 0,
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Counter of a stage.
-    pub(crate) fn at_stage(&mut self, stage: RequestStage) -> &mut usize {
+    /// Returns the counter of a stage.
+    pub(crate) fn counter_mut(&mut self, stage: RequestStage) -> &mut usize {
         match stage {
             RequestStage::Queued => &mut self.queued,
             RequestStage::Running => &mut self.running,
@@ -54,13 +54,13 @@
         self.running + self.awaiting_call + self.calling
     }
 
-    /// Runs that use no core, because they wait for a call or its reply.
-    pub(crate) fn runs_at_call(&self) -> usize {
+    /// Returns the number of runs that use no core because they wait for a call or its reply.
+    pub(crate) fn runs_blocked_on_calls(&self) -> usize {
         self.awaiting_call + self.calling
     }
 
     pub(crate) fn makes_calls(&self) -> bool {
-        self.calls != CallRequirement::Never
+        self.call_requirement != CallRequirement::Never
     }
 
     pub(crate) fn record_run(&mut self, duration_secs: f64) {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Whether the settings have the handler.
+    /// Reports whether the handler is in the settings.
     pub(crate) fn contains(&self, handler: HandlerId) -> bool {
         handler.index() < self.loads.len()
     }
@@ -102,7 +102,7 @@
         &mut self.loads[handler.index()]
     }
 
-    /// Sum of a counter over some handlers.
+    /// Returns the sum of a counter over some handlers.
     pub(crate) fn sum(
         &self,
         handlers: &[HandlerId],
@@ -111,7 +111,7 @@
         handlers.iter().map(|h| counter(self.get(*h))).sum()
     }
 
-    /// Sum of a counter over all handlers.
+    /// Returns the sum of a counter over all handlers.
     pub(crate) fn total(&self, counter: impl Fn(&HandlerLoad) -> usize) -> usize {
         self.loads.iter().map(counter).sum()
     }
