--- a/src/decide.rs
+++ b/src/decide.rs
@@ -77,7 +77,7 @@
 use oorandom::Rand64;
 use rejection::RejectionPolicy;
 use request_queue::RequestQueue;
-use run_times::{RunTimes, first_guess_secs};
+use run_times::{RunTimes, initial_estimate_secs};
 use stall_detection::StallDetector;
 use tenant_quota::TenantQuotas;
 use unresponsive_runs::UnresponsiveRuns;
@@ -163,8 +163,8 @@
     ) -> DeciderBuilder {
         let objective_fraction = objective_fraction(position.tier);
         let mut random = Rand64::new(u128::from(seed));
-        let first_call_secs = first_call_secs(handlers, objective_fraction);
-        let calls = CallAccount::new(now, first_call_secs, random.rand_float());
+        let initial_call_secs = initial_call_secs(handlers, objective_fraction);
+        let calls = CallAccount::new(now, initial_call_secs, random.rand_float());
         let run_times = RunTimes::new(handlers, objective_fraction);
         let cores = machine.cores;
         let budget = BudgetController::new(now, cores, handlers, objective_fraction, &run_times);
@@ -294,10 +294,10 @@
     }
 
     /// Begins a graceful shutdown: the process stops after `left`.
-    pub fn drain(&mut self, now: Timestamp, left: Duration) {
-        let drain = Drain::new(now, left);
+    pub fn drain(&mut self, now: Timestamp, time_left: Duration) {
+        let drain = Drain::new(now, time_left);
         for (slot, request) in self.requests.iter_mut() {
-            request.deadline = request.deadline.min(drain.last_deadline());
+            request.deadline = request.deadline.min(drain.latest_deadline());
             request.objective = drain.limit_objective(request.objective);
             self.timers
                 .set(answer_by(request.deadline), Timer::Answer(slot));
@@ -348,19 +348,22 @@
         let usual_secs = self
             .run_times
             .expected_secs(request.handler, request.work_hint);
-        Duration::from_secs_f64(usual_secs * self.stalls.pace())
+        Duration::from_secs_f64(usual_secs * self.stalls.run_time_factor())
     }
 
     /// Run time still expected of the runs in flight, in seconds.
     fn remaining_run_secs(&self) -> f64 {
         let running = self.requests.running_on_time() as f64;
-        running * self.run_times.mean_secs() * self.stalls.pace() * REMAINING_RUN_FRACTION
+        running
+            * self.run_times.mean_secs()
+            * self.stalls.run_time_factor()
+            * REMAINING_RUN_FRACTION
     }
 }
 
 /// First guess of the time of an upstream call, in seconds, from the shortest latency objective.
-fn first_call_secs(handlers: &[Handler], objective_fraction: f64) -> f64 {
+fn initial_call_secs(handlers: &[Handler], objective_fraction: f64) -> f64 {
     let objectives = handlers.iter().map(|h| h.latency_objective.as_secs_f64());
     let shortest_secs = objectives.fold(f64::MAX, f64::min);
-    first_guess_secs(shortest_secs * objective_fraction)
+    initial_estimate_secs(shortest_secs * objective_fraction)
 }
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -20,7 +20,7 @@
 /// Weight of the newest run in the failure rate, 0 to 1.
 const FAILURE_WEIGHT: f64 = 0.08;
 /// Fraction of the failure rate kept per tick. A server without runs is tried again after some seconds.
-const FAILURE_KEPT_PER_TICK: f64 = 0.999;
+const FAILURE_RATE_DECAY_FACTOR: f64 = 0.999;
 /// Failure rate above which arrivals are sent to other servers, 0 to 1.
 const MAX_FAILURE_RATE: f64 = 0.25;
 
@@ -118,16 +118,17 @@
     }
 
     /// Lets the failure rate fade by one tick.
-    pub(super) fn fade_failures(&mut self) {
-        self.failure_rate.relax_towards(0.0, FAILURE_KEPT_PER_TICK);
+    pub(super) fn decay_failure_rate(&mut self) {
+        self.failure_rate
+            .relax_towards(0.0, FAILURE_RATE_DECAY_FACTOR);
     }
 
     /// One step of the integral loop, `elapsed` after the last.
     ///
-    /// `latency_excess` is the worst latency of a handler over its setpoint, in setpoints. Where `cut_helps` is false,
+    /// `latency_excess` is the worst latency of a handler over its setpoint, in setpoints. Where `rejecting_helps` is false,
     /// the latency has another cause than the arrivals, and the fraction recovers.
-    pub(super) fn update(&mut self, elapsed: Duration, latency_excess: f64, cut_helps: bool) {
-        let change_per_second = if cut_helps && latency_excess > 0.0 {
+    pub(super) fn update(&mut self, elapsed: Duration, latency_excess: f64, rejecting_helps: bool) {
+        let change_per_second = if rejecting_helps && latency_excess > 0.0 {
             -CUT_RATE_PER_SECOND * latency_excess.min(MAX_CONTROL_ERROR)
         } else {
             RECOVERY_RATE_PER_SECOND
--- a/src/decide/answers.rs
+++ b/src/decide/answers.rs
@@ -1,7 +1,7 @@
 //! The steps to the end of a request: rejecting, failing, withdrawing and cancelling it.
 
 use super::Decider;
-use super::rejection::{Rejection, RejectionInputs, RejectionKind, ServerPace};
+use super::rejection::{Rejection, RejectionInputs, RejectionKind, ServerSpeed};
 use crate::interface::{Actions, Cancellation};
 use crate::request::{Request, Stage};
 use crate::slots::{KeySlot, RequestSlot};
@@ -14,7 +14,7 @@
 const CANCEL_REPEAT_INTERVAL: Duration = Duration::from_millis(300);
 
 /// What is left of an attempt that was to run and never started.
-struct WithdrawnRunner {
+struct WithdrawnAttempt {
     id: u64,
     key: KeySlot,
     /// The attempts that waited for its start.
@@ -44,8 +44,8 @@
         let inputs = RejectionInputs {
             expected_wait_secs: self.expected_wait_secs(slot),
             is_past_objective: now > self.requests[slot].objective,
-            others_do_better: self.admission.is_failing() || self.drain.is_some(),
-            is_slow_alone: self.pace(now).is_slow_alone(),
+            is_failing_or_draining: self.admission.is_failing() || self.drain.is_some(),
+            has_local_slowdown: self.server_speed(now).has_local_slowdown(),
         };
         self.rejections.decide(&inputs, &mut self.random)
     }
@@ -67,11 +67,11 @@
         (work_secs / self.concurrency.limit()).max(delay.seconds)
     }
 
-    fn pace(&self, now: Timestamp) -> ServerPace {
-        ServerPace {
+    fn server_speed(&self, now: Timestamp) -> ServerSpeed {
+        ServerSpeed {
             is_warming_up: self.concurrency.supported().is_warming_up(now),
             slowdown: self.stalls.slowdown(),
-            crowding: self.concurrency.crowding(),
+            run_queue_per_core: self.concurrency.run_queue_per_core(),
             mean_run_secs: self.run_times.mean_secs(),
             best_run_secs: self.run_times.best_secs(),
         }
@@ -94,17 +94,17 @@
     }
 
     /// Removes a request that never started. Returns what is left of it if it was the attempt of a key that was to run.
-    fn remove_unstarted(&mut self, slot: RequestSlot) -> Option<WithdrawnRunner> {
+    fn remove_unstarted(&mut self, slot: RequestSlot) -> Option<WithdrawnAttempt> {
         self.queue.remove(slot);
         let Request { id, key, .. } = self.requests[slot];
         self.requests.remove(slot);
         let key = key?;
         let waiting = self.keys.withdraw(key, slot)?;
-        Some(WithdrawnRunner { id, key, waiting })
+        Some(WithdrawnAttempt { id, key, waiting })
     }
 
     /// Forgets a key under which nothing runs.
-    fn remove_key(&mut self, withdrawn: &WithdrawnRunner, out: &mut dyn Actions) {
+    fn remove_key(&mut self, withdrawn: &WithdrawnAttempt, out: &mut dyn Actions) {
         if self.keys.remove(withdrawn.key) {
             out.remove_key(withdrawn.id);
         }
@@ -131,23 +131,23 @@
         let request = &mut self.requests[slot];
         request.settled = true;
         if !request.is_running() {
-            self.expect_end(now, CALL_END_TIMEOUT, slot);
+            self.schedule_end_check(now, CALL_END_TIMEOUT, slot);
         } else if self.cancellation != Cancellation::Unsupported {
             out.cancel(request.id);
-            self.expect_end(now, CANCEL_REPEAT_INTERVAL, slot);
+            self.schedule_end_check(now, CANCEL_REPEAT_INTERVAL, slot);
         }
     }
 
     /// A run at a call, whose place was given to others, is waited for once more.
-    pub(super) fn expect_end_again(&mut self, now: Timestamp, slot: RequestSlot) {
-        self.expect_end(now, CANCEL_REPEAT_INTERVAL, slot);
+    pub(super) fn reschedule_end_check(&mut self, now: Timestamp, slot: RequestSlot) {
+        self.schedule_end_check(now, CANCEL_REPEAT_INTERVAL, slot);
     }
 
     /// A run should have ended after `wait`, counted from the last tick, or from now where that has passed since: the clock
     /// may leap between two ticks.
-    fn expect_end(&mut self, now: Timestamp, wait: Duration, slot: RequestSlot) {
+    fn schedule_end_check(&mut self, now: Timestamp, wait: Duration, slot: RequestSlot) {
         let watch = &mut self.requests[slot].end_watch;
-        self.unresponsive_runs.expect_end(watch);
+        self.unresponsive_runs.begin_check(watch);
         let since_tick = self.last_tick + wait;
         let due = if since_tick > now {
             since_tick
--- a/src/decide/arrivals.rs
+++ b/src/decide/arrivals.rs
@@ -5,7 +5,7 @@
 use super::admission::{AdmissionDecision, AdmissionInputs};
 use super::deadlines::{RequestDeadlines, answer_by};
 use super::drain::Drain;
-use super::request_queue::QueueLine;
+use super::request_queue::QueueClass;
 use crate::idempotency::AttemptRole;
 use crate::interface::{Actions, Arrival, RetrySafety};
 use crate::request::{Request, Stage};
@@ -29,7 +29,7 @@
             &self.handlers[arrival.handler.index()],
             &self.rules,
             self.objective_fraction,
-            self.drain.as_ref().map(Drain::last_deadline),
+            self.drain.as_ref().map(Drain::latest_deadline),
         );
         let request = Request::new(arrival, reached, objective, deadline);
         let slot = self.requests.add(request);
@@ -50,8 +50,8 @@
         let Request { id, retry_of, .. } = self.requests[slot];
         let key = self.keys.bind(id, retry_of);
         self.requests[slot].key = Some(key);
-        let is_open = |other| self.requests.get(other).is_some();
-        match self.keys.enter(key, slot, is_open) {
+        let has_not_ended = |other| self.requests.get(other).is_some();
+        match self.keys.enter(key, slot, has_not_ended) {
             AttemptRole::Join => self.join(now, slot, out),
             AttemptRole::AwaitStart => self.requests.wait(slot, Stage::AwaitingOtherStart),
             AttemptRole::Run => self.process_keyed_run(now, key, slot, out),
@@ -123,7 +123,7 @@
         let reached = self.requests[slot].reached;
         let grace = self.rules.drain_grace;
         let drain = self.drain.as_ref();
-        drain.is_some_and(|drain| drain.is_too_late(reached, grace))
+        drain.is_some_and(|drain| drain.is_past_grace_period(reached, grace))
     }
 
     /// The priority weight of a request.
@@ -149,11 +149,11 @@
     fn enqueue(&mut self, slot: RequestSlot) {
         let run = self.expected_run(slot);
         let latest_start = self.requests[slot].objective.saturating_sub(run);
-        let line = if run.as_secs_f64() > self.run_times.mean_secs() {
-            QueueLine::Long
+        let class = if run.as_secs_f64() > self.run_times.mean_secs() {
+            QueueClass::Long
         } else {
-            QueueLine::Short
+            QueueClass::Short
         };
-        self.queue.insert(slot, latest_start, line);
+        self.queue.insert(slot, latest_start, class);
     }
 }
--- a/src/decide/best_mean.rs
+++ b/src/decide/best_mean.rs
@@ -9,8 +9,8 @@
 
 impl BestMean {
     /// Begins at a first guess, in seconds.
-    pub(super) fn new(first_guess_secs: f64) -> BestMean {
-        BestMean(first_guess_secs)
+    pub(super) fn new(initial_estimate_secs: f64) -> BestMean {
+        BestMean(initial_estimate_secs)
     }
 
     /// The best, in seconds.
--- a/src/decide/budget_controller.rs
+++ b/src/decide/budget_controller.rs
@@ -5,7 +5,7 @@
 //! time to time. Gives each started request its EqResv allowance. Never starts or rejects a request.
 
 use super::lq_reset::LqReset;
-use super::run_times::{RunTimes, first_guess_secs};
+use super::run_times::{RunTimes, initial_estimate_secs};
 use crate::estimators::Average;
 use crate::interface::{Handler, HandlerId};
 use crate::time::{Duration, Timestamp};
@@ -19,7 +19,7 @@
 /// Largest error that one step of a control loop counts, in setpoints: one late answer must not empty the budget.
 pub(super) const MAX_CONTROL_ERROR: f64 = 2.0;
 /// Fraction of its distance from rest that an idle handler's MRT keeps per tick: halved in about 1.5 s.
-const IDLE_MRT_KEPT_PER_TICK: f64 = 0.995;
+const IDLE_MRT_DECAY_FACTOR: f64 = 0.995;
 /// Largest MRT at which an idle handler rests, in setpoints.
 const MAX_IDLE_MRT_IN_SETPOINTS: f64 = 0.5;
 
@@ -62,7 +62,7 @@
             let objective_secs = handler.latency_objective.as_secs_f64() * objective_fraction;
             HandlerLatency {
                 setpoint_secs: objective_secs * SETPOINT_IN_OBJECTIVES,
-                mrt: Average::new(first_guess_secs(objective_secs), MRT_WEIGHT),
+                mrt: Average::new(initial_estimate_secs(objective_secs), MRT_WEIGHT),
             }
         };
         let cores = f64::from(cores);
@@ -81,8 +81,8 @@
     }
 
     /// Whether the budget is as small as it may be.
-    pub(super) fn is_floored(&self, run_times: &RunTimes) -> bool {
-        self.budget_secs <= self.floor_secs(run_times)
+    pub(super) fn is_at_minimum(&self, run_times: &RunTimes) -> bool {
+        self.budget_secs <= self.min_budget_secs(run_times)
     }
 
     /// Mean response time of a handler, in seconds.
@@ -91,7 +91,7 @@
     }
 
     /// The MRT of the handler furthest over its setpoint, in setpoints.
-    pub(super) fn worst_latency(&self) -> f64 {
+    pub(super) fn worst_latency_ratio(&self) -> f64 {
         let latencies = self.handlers.iter();
         let relative = latencies.map(|handler| handler.mrt.value() / handler.setpoint_secs);
         relative.fold(0.0, f64::max)
@@ -99,18 +99,18 @@
 
     /// Whether a handler exceeds its setpoint. Only then do allowances bind.
     pub(super) fn exceeds_setpoint(&self) -> bool {
-        self.worst_latency() > 1.0
+        self.worst_latency_ratio() > 1.0
     }
 
     /// One mean run on each core.
-    fn floor_secs(&self, run_times: &RunTimes) -> f64 {
+    fn min_budget_secs(&self, run_times: &RunTimes) -> f64 {
         self.cores * run_times.mean_secs()
     }
 
     /// The longest run on each core and for each pending request.
-    fn ceiling_secs(&self, pending: usize, run_times: &RunTimes) -> f64 {
-        let ceiling = (pending as f64 + self.cores) * run_times.largest_secs();
-        ceiling.max(self.floor_secs(run_times))
+    fn max_budget_secs(&self, pending: usize, run_times: &RunTimes) -> f64 {
+        let max_budget = (pending as f64 + self.cores) * run_times.largest_secs();
+        max_budget.max(self.min_budget_secs(run_times))
     }
 
     /// Steers by one completion.
@@ -122,25 +122,25 @@
     ) {
         let mrt = &mut self.handlers[completion.handler.index()].mrt;
         mrt.record(completion.response.as_secs_f64());
-        let floor = self.floor_secs(run_times);
-        let ceiling = self.ceiling_secs(completion.pending, run_times);
-        let latency = self.worst_latency();
-        self.integral_step(now, latency, run_times);
-        self.budget_secs = self.budget_secs.clamp(floor, ceiling);
-        let relative_budget = self.budget_secs / floor;
-        if let Some(optimum) = self.lq_reset.on_completion(latency, relative_budget) {
-            self.budget_secs = (optimum * floor).clamp(floor, ceiling);
+        let min_budget = self.min_budget_secs(run_times);
+        let max_budget = self.max_budget_secs(completion.pending, run_times);
+        let latency_ratio = self.worst_latency_ratio();
+        self.integral_step(now, latency_ratio, run_times);
+        self.budget_secs = self.budget_secs.clamp(min_budget, max_budget);
+        let relative_budget = self.budget_secs / min_budget;
+        if let Some(optimum) = self.lq_reset.on_completion(latency_ratio, relative_budget) {
+            self.budget_secs = (optimum * min_budget).clamp(min_budget, max_budget);
         }
     }
 
     /// Moves the budget against the error. Completions of one moment, as after a pause, make one step: more would
     /// leave a lasting cut.
-    fn integral_step(&mut self, now: Timestamp, latency: f64, run_times: &RunTimes) {
+    fn integral_step(&mut self, now: Timestamp, latency_ratio: f64, run_times: &RunTimes) {
         if now <= self.last_step {
             return;
         }
         self.last_step = now;
-        let error = (1.0 - latency).max(-MAX_CONTROL_ERROR);
+        let error = (1.0 - latency_ratio).max(-MAX_CONTROL_ERROR);
         self.budget_secs += INTEGRAL_GAIN * error * run_times.mean_secs();
     }
 
@@ -150,7 +150,7 @@
         let latency = &mut self.handlers[handler.index()];
         let max_rest = latency.setpoint_secs * MAX_IDLE_MRT_IN_SETPOINTS;
         let rest = run_times.mean_secs_of(handler).min(max_rest);
-        latency.mrt.relax_towards(rest, IDLE_MRT_KEPT_PER_TICK);
+        latency.mrt.relax_towards(rest, IDLE_MRT_DECAY_FACTOR);
     }
 
     /// The latency objective of a handler in this tier, in seconds.
@@ -162,8 +162,8 @@
     /// others leave where each takes a mean run.
     pub(super) fn allowance(&self, queued: usize, run_times: &RunTimes) -> Duration {
         let queued_per_core = (queued as f64 / self.cores).max(1.0);
-        let equal_part = self.budget_secs / queued_per_core;
+        let equal_share = self.budget_secs / queued_per_core;
         let reserved_for_others = (queued_per_core - 1.0) * run_times.mean_secs();
-        Duration::from_secs_f64(equal_part.max(self.budget_secs - reserved_for_others))
+        Duration::from_secs_f64(equal_share.max(self.budget_secs - reserved_for_others))
     }
 }
--- a/src/decide/call_account.rs
+++ b/src/decide/call_account.rs
@@ -18,13 +18,13 @@
 /// Weight of the newest call in the averages over calls.
 const CALL_WEIGHT: f64 = 0.1;
 /// First guess of the best call time, in first guesses of the mean: the first calls count as slow.
-const FIRST_BEST_IN_MEANS: f64 = 0.5;
+const INITIAL_BEST_IN_MEANS: f64 = 0.5;
 /// Least mean call time, in seconds; avoids a division by zero.
 const MIN_MEAN_SECS: f64 = 1e-6;
 /// Mean call times after which a call is stuck.
-const STUCK_AFTER_MEANS: f64 = 8.0;
+const STUCK_TIMEOUT_IN_MEANS: f64 = 8.0;
 /// Time beyond these means before a call is stuck: calls that take next to no time are not given up for a short pause.
-const STUCK_MARGIN: Duration = Duration::from_millis(40);
+const STUCK_TIMEOUT_MARGIN: Duration = Duration::from_millis(40);
 
 /// The account of one server's upstream calls.
 pub(super) struct CallAccount {
@@ -44,15 +44,19 @@
 impl CallAccount {
     /// Begins in debt by a part, 0 to 1, of a guessed call time. Servers that start together with random parts make
     /// their first calls at different times, the smaller their quota the later.
-    pub(super) fn new(now: Timestamp, first_guess_secs: f64, debt_part: f64) -> CallAccount {
+    pub(super) fn new(
+        now: Timestamp,
+        initial_estimate_secs: f64,
+        initial_debt_fraction: f64,
+    ) -> CallAccount {
         let upstream = Upstream::default();
         CallAccount {
             in_flight: 0,
             abandoned: AbandonedCalls::new(upstream.abandoned_call_lifetime),
-            credit_secs: -debt_part * first_guess_secs,
+            credit_secs: -initial_debt_fraction * initial_estimate_secs,
             updated: now,
-            mean: Average::new(first_guess_secs, CALL_WEIGHT),
-            best: BestMean::new(first_guess_secs * FIRST_BEST_IN_MEANS),
+            mean: Average::new(initial_estimate_secs, CALL_WEIGHT),
+            best: BestMean::new(initial_estimate_secs * INITIAL_BEST_IN_MEANS),
             rejected_fraction: Average::new(0.0, CALL_WEIGHT),
             has_ceilings: false,
             upstream,
@@ -110,8 +114,9 @@
         } else {
             MIN_QUOTA_FRACTION
         };
-        let slowed = MAX_QUOTA_FRACTION * SLOWDOWN_THRESHOLD * self.best.secs() / self.mean.value();
-        self.upstream.quota * slowed.clamp(min_fraction, MAX_QUOTA_FRACTION)
+        let slowed_fraction =
+            MAX_QUOTA_FRACTION * SLOWDOWN_THRESHOLD * self.best.secs() / self.mean.value();
+        self.upstream.quota * slowed_fraction.clamp(min_fraction, MAX_QUOTA_FRACTION)
     }
 
     /// What the account leaves of the quota in one window, in call seconds.
@@ -148,7 +153,7 @@
         if matches!(outcome, Outcome::TimedOut | Outcome::Cancelled) {
             self.abandoned.abandon(now, ());
         }
-        if self.shows_call_time(outcome) {
+        if self.counts_as_call_time(outcome) {
             self.mean.record(spent.as_secs_f64());
             self.mean.raise_to(MIN_MEAN_SECS);
             self.best.record(self.mean.value());
@@ -162,7 +167,7 @@
 
     /// Whether the time of a call with this outcome counts. A timeout bounds the call time from below, except at a
     /// tier, where a machine may have gone silent.
-    fn shows_call_time(&self, outcome: Outcome) -> bool {
+    fn counts_as_call_time(&self, outcome: Outcome) -> bool {
         match outcome {
             Outcome::Completed => true,
             Outcome::TimedOut => self.upstream.kind == UpstreamKind::Shared,
@@ -172,13 +177,13 @@
 
     /// Time after which a call is stuck and only holds up its run. At a shared dependency no call may last longer than
     /// the quota of a window pays for.
-    pub(super) fn stuck_after(&self) -> Duration {
-        let usual = Duration::from_secs_f64(STUCK_AFTER_MEANS * self.mean.value());
-        let usual = usual + STUCK_MARGIN;
+    pub(super) fn stuck_timeout(&self) -> Duration {
+        let timeout = Duration::from_secs_f64(STUCK_TIMEOUT_IN_MEANS * self.mean.value());
+        let timeout = timeout + STUCK_TIMEOUT_MARGIN;
         if self.upstream.kind != UpstreamKind::Shared {
-            return usual;
+            return timeout;
         }
         let window = self.upstream.averaging_window;
-        usual.min(window.mul_f64(self.upstream.quota * MAX_QUOTA_FRACTION))
+        timeout.min(window.mul_f64(self.upstream.quota * MAX_QUOTA_FRACTION))
     }
 }
--- a/src/decide/call_policy.rs
+++ b/src/decide/call_policy.rs
@@ -47,7 +47,7 @@
     /// Whether the calls of the handler's groups in flight are below their ceilings.
     pub(super) is_within_ceilings: bool,
     /// Whether optional calls give way to calls that wait: under ceilings, required calls go first.
-    pub(super) yields_to_waiting: bool,
+    pub(super) yields_to_waiting_calls: bool,
     /// Rank of the request's weight among the latest arrivals, 0 to 1.
     pub(super) rank: f64,
     /// When the answer of the request is in time.
@@ -67,14 +67,14 @@
     account: &mut CallAccount,
 ) -> CallDecision {
     let is_late = account.expected_end(now) > call.objective;
-    let is_hopeless = is_late && !call.is_optional && call.is_late_answer_useless;
-    if is_hopeless && account.has_calls_in_flight() {
+    let would_be_worthless = is_late && !call.is_optional && call.is_late_answer_useless;
+    if would_be_worthless && account.has_calls_in_flight() {
         return CallDecision::Fail;
     }
     if call.is_optional {
-        let has_no_use = call.is_allowance_spent || is_late;
-        let has_no_place = call.yields_to_waiting || !call.is_within_ceilings;
-        if has_no_use || has_no_place || !account.allows_call(now, call.rank) {
+        let is_not_useful = call.is_allowance_spent || is_late;
+        let has_no_capacity = call.yields_to_waiting_calls || !call.is_within_ceilings;
+        if is_not_useful || has_no_capacity || !account.allows_call(now, call.rank) {
             return CallDecision::Skip;
         }
     }
@@ -93,7 +93,7 @@
     } else {
         answer_by(call.deadline)
     };
-    let until = useful_until.min(now + account.stuck_after());
+    let until = useful_until.min(now + account.stuck_timeout());
     (until - now).max(MIN_CALL_TIMEOUT)
 }
 
@@ -134,13 +134,13 @@
 ) -> RetryDecision {
     let backoff = backoff_after(call.failures);
     let is_late = account.expected_end(now + backoff) > call.objective;
-    let is_of_no_use = is_late
+    let is_not_worth_retrying = is_late
         || call.failures >= MAX_FAILED_OPTIONAL_CALLS
         || account.rejected_fraction() > MAX_REJECTED_FRACTION;
-    let may_run_twice = call.outcome.may_have_run() && !call.is_idempotent;
-    if call.is_optional && is_of_no_use {
+    let risks_double_run = call.outcome.may_have_run() && !call.is_idempotent;
+    if call.is_optional && is_not_worth_retrying {
         RetryDecision::Skip
-    } else if may_run_twice || is_late {
+    } else if risks_double_run || is_late {
         RetryDecision::Fail
     } else {
         RetryDecision::Retry { backoff }
--- a/src/decide/call_policy/tests.rs
+++ b/src/decide/call_policy/tests.rs
@@ -36,7 +36,7 @@
         is_late_answer_useless: false,
         is_allowance_spent: false,
         is_within_ceilings: true,
-        yields_to_waiting: false,
+        yields_to_waiting_calls: false,
         rank: 1.0,
         objective: after_millis(1_000),
         deadline: after_millis(4_000),
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn skips_optional_call_that_is_of_no_use_or_has_no_place() {
+fn skips_optional_call_that_is_not_useful_or_has_no_capacity() {
     let late = after_millis(50);
     let skipped = [
         CallInputs {
@@ -71,7 +71,7 @@
             ..optional_call()
         },
         CallInputs {
-            yields_to_waiting: true,
+            yields_to_waiting_calls: true,
             ..optional_call()
         },
         CallInputs {
@@ -101,16 +101,16 @@
 
 #[test]
 fn fails_request_whose_late_answer_is_worthless_while_others_use_the_capacity() {
-    let hopeless = CallInputs {
+    let worthless_if_late = CallInputs {
         is_late_answer_useless: true,
         objective: after_millis(50),
         ..required_call()
     };
-    let decision = decide_call(NOW, &hopeless, &mut at_capacity());
+    let decision = decide_call(NOW, &worthless_if_late, &mut at_capacity());
     assert_eq!(decision, CallDecision::Fail);
     // Nobody else makes use of the capacity: the call is tried while its result is in time.
     let timeout = Duration::from_millis(50);
-    let decision = decide_call(NOW, &hopeless, &mut unlimited());
+    let decision = decide_call(NOW, &worthless_if_late, &mut unlimited());
     assert_eq!(decision, CallDecision::Send { timeout });
 }
 
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn retries_call_that_never_ran_after_backoff_that_doubles() {
+fn retries_call_that_did_not_run_with_doubling_backoff() {
     for (failures, millis) in [(1, 80), (2, 160), (3, 320)] {
         let call = FailedCall {
             failures,
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn never_repeats_call_with_effect_that_may_have_run() {
+fn never_retries_non_idempotent_call_that_may_have_run() {
     for outcome in [Outcome::Failed, Outcome::TimedOut, Outcome::Disconnected] {
         let call = FailedCall {
             outcome,
--- a/src/decide/calls.rs
+++ b/src/decide/calls.rs
@@ -39,7 +39,7 @@
             is_late_answer_useless: handler.late_weight == 0.0,
             is_allowance_spent: has_overrun && self.budget.exceeds_setpoint(),
             is_within_ceilings: self.ceilings.over(request.handler).all(has_room),
-            yields_to_waiting: !self.ceilings.is_empty() && !self.waiting_calls.is_empty(),
+            yields_to_waiting_calls: !self.ceilings.is_empty() && !self.waiting_calls.is_empty(),
             rank: self.admission.rank(request.weight),
             objective: request.objective,
             deadline: request.deadline,
--- a/src/decide/client_advice.rs
+++ b/src/decide/client_advice.rs
@@ -56,7 +56,7 @@
             failure_rate: self.admission.failure_rate(),
             is_queue_empty: self.queue.is_empty(),
             concurrency_limit: self.concurrency.limit(),
-            max_runs_while_cold: is_cold.then(|| supported.max_runs(now)),
+            max_runs_while_warming_up: is_cold.then(|| supported.max_runs(now)),
             clients_seen: self.connections.clients_seen(),
         }
     }
--- a/src/decide/concurrency_limit.rs
+++ b/src/decide/concurrency_limit.rs
@@ -63,16 +63,16 @@
     }
 
     /// Runs on the cores or waiting for one, per core, at least 1.
-    pub(super) fn crowding(&self) -> f64 {
+    pub(super) fn run_queue_per_core(&self) -> f64 {
         (self.run_queue.value() / self.cores).max(1.0)
     }
 
     /// One tick: grows while the run queue is short and the limit holds requests up, shrinks towards the cores while
     /// it is long. `run_queue` is the number of runs that have a core or wait for one.
-    pub(super) fn on_tick(&mut self, now: Timestamp, run_queue: f64, holds_requests_up: bool) {
+    pub(super) fn on_tick(&mut self, now: Timestamp, run_queue: f64, delays_requests: bool) {
         self.run_queue.record(run_queue);
         let mean_run_queue = self.run_queue.value();
-        if holds_requests_up && mean_run_queue < GROW_BELOW_PER_CORE * self.cores {
+        if delays_requests && mean_run_queue < GROW_BELOW_PER_CORE * self.cores {
             self.limit += STEP_PER_TICK;
         } else if mean_run_queue > SHRINK_ABOVE_PER_CORE * self.cores {
             self.limit -= STEP_PER_TICK;
--- a/src/decide/control_loops.rs
+++ b/src/decide/control_loops.rs
@@ -39,11 +39,11 @@
         if !call_skipped {
             self.run_times.record(handler, work_hint, spent);
         }
-        self.complete(now, handler, now - reached);
+        self.record_completion(now, handler, now - reached);
     }
 
     /// Steers the budget by a completion with that response time.
-    fn complete(&mut self, now: Timestamp, handler: HandlerId, response: Duration) {
+    fn record_completion(&mut self, now: Timestamp, handler: HandlerId, response: Duration) {
         let completion = Completion {
             handler,
             response,
@@ -57,12 +57,12 @@
         let running = self.requests.running();
         // Ceilings bind before the limit: where they hold a request up, the limit may be the cause.
         let at_limit = self.concurrency.is_reached(running) || !self.ceilings.is_empty();
-        let holds_requests_up = at_limit && !self.queue.is_empty();
+        let delays_requests = at_limit && !self.queue.is_empty();
         self.unresponsive_runs.on_tick(gauges.run_queue);
         let run_queue = gauges.run_queue.unwrap_or(running as f64);
-        self.concurrency.on_tick(now, run_queue, holds_requests_up);
+        self.concurrency.on_tick(now, run_queue, delays_requests);
         self.calls.update(now);
-        self.admission.fade_failures();
+        self.admission.decay_failure_rate();
         self.connections.on_tick(now);
     }
 
@@ -73,10 +73,11 @@
         }
         self.detect_stalls(now);
         // While cores are idle the cause lies elsewhere, most often upstream, and a cut does not help.
-        let is_floored = self.budget.is_floored(&self.run_times);
-        let cut_helps = is_floored && self.concurrency.are_cores_busy();
-        let latency_excess = self.budget.worst_latency() - 1.0;
-        self.admission.update(elapsed, latency_excess, cut_helps);
+        let is_budget_at_minimum = self.budget.is_at_minimum(&self.run_times);
+        let rejecting_helps = is_budget_at_minimum && self.concurrency.are_cores_busy();
+        let latency_excess = self.budget.worst_latency_ratio() - 1.0;
+        self.admission
+            .update(elapsed, latency_excess, rejecting_helps);
     }
 
     /// The control loops need completions. Where none come though requests run, the age of the oldest run stands for
@@ -85,29 +86,29 @@
         let ages = self.requests.ages_on_cores(now);
         self.stalls.measure(ages, self.run_times.mean_secs());
         if self.stalls.is_stalled(now) {
-            self.complete_oldest_run(now);
+            self.record_oldest_run_age(now);
         }
         for handler in HandlerId::first(self.handlers.len()) {
             if self.requests.is_idle(handler) {
-                self.relax_idle(handler);
+                self.relax_idle_handler(handler);
             }
         }
     }
 
     /// Counts the age of the oldest run as a response, where that is longer than the mean.
-    fn complete_oldest_run(&mut self, now: Timestamp) {
+    fn record_oldest_run_age(&mut self, now: Timestamp) {
         let Some(oldest) = self.requests.oldest_started() else {
             return;
         };
         let handler = oldest.handler;
         let age = now - oldest.reached;
         if age.as_secs_f64() > self.budget.mrt_secs(handler) {
-            self.complete(now, handler, age);
+            self.record_completion(now, handler, age);
         }
     }
 
     /// Lets what was measured of an idle handler drift back: one that is rejected altogether would keep its cut.
-    fn relax_idle(&mut self, handler: HandlerId) {
+    fn relax_idle_handler(&mut self, handler: HandlerId) {
         self.budget.relax_idle(handler, &self.run_times);
         let objective_secs = self.budget.objective_secs(handler);
         self.run_times.limit_mean(handler, objective_secs);
--- a/src/decide/deadlines.rs
+++ b/src/decide/deadlines.rs
@@ -42,7 +42,7 @@
         handler: &Handler,
         rules: &Rules,
         objective_fraction: f64,
-        last: Option<Timestamp>,
+        latest_deadline: Option<Timestamp>,
     ) -> RequestDeadlines {
         let reached = now.saturating_sub(arrival.read_delay);
         let client_deadline = if rules.requests_carry_timeout {
@@ -50,7 +50,8 @@
         } else {
             (reached + handler.timeout).max(now)
         };
-        let deadline = last.map_or(client_deadline, |last| client_deadline.min(last));
+        let deadline =
+            latest_deadline.map_or(client_deadline, |latest| client_deadline.min(latest));
         let objective = reached + latency_objective(arrival, handler, objective_fraction);
         RequestDeadlines {
             reached,
--- a/src/decide/drain.rs
+++ b/src/decide/drain.rs
@@ -12,31 +12,31 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Drain {
     began: Timestamp,
-    last_deadline: Timestamp,
+    latest_deadline: Timestamp,
 }
 
 impl Drain {
     /// Begins now; the process stops after `left`.
-    pub(super) fn new(now: Timestamp, left: Duration) -> Drain {
+    pub(super) fn new(now: Timestamp, time_left: Duration) -> Drain {
         Drain {
             began: now,
-            last_deadline: answer_by(now + left),
+            latest_deadline: answer_by(now + time_left),
         }
     }
 
     /// Whether a request that reached the machine at that time came after the grace period, and is rejected. The period
     /// ends a margin early, so that what is admitted last is still answered within it.
-    pub(super) fn is_too_late(&self, reached: Timestamp, grace: Duration) -> bool {
+    pub(super) fn is_past_grace_period(&self, reached: Timestamp, grace: Duration) -> bool {
         reached > self.began + grace.saturating_sub(ANSWER_MARGIN)
     }
 
     /// The last instant at which a client may wait for this server: the latest deadline of any request.
-    pub(super) fn last_deadline(&self) -> Timestamp {
-        self.last_deadline
+    pub(super) fn latest_deadline(&self) -> Timestamp {
+        self.latest_deadline
     }
 
     /// The latency objective of a request, early enough for its answer to leave before the stop.
     pub(super) fn limit_objective(&self, objective: Timestamp) -> Timestamp {
-        objective.min(answer_by(self.last_deadline))
+        objective.min(answer_by(self.latest_deadline))
     }
 }
--- a/src/decide/expired_timers.rs
+++ b/src/decide/expired_timers.rs
@@ -51,7 +51,7 @@
             EndDecision::Wait { .. } => {
                 self.abandon_call(now, slot);
                 self.requests.release_run(slot);
-                self.expect_end_again(now, slot);
+                self.reschedule_end_check(now, slot);
             }
         }
     }
--- a/src/decide/feasibility.rs
+++ b/src/decide/feasibility.rs
@@ -122,10 +122,10 @@
 
     fn into_rejections(self) -> Vec<RequestSlot> {
         let nothing_else_runs = self.load.is_idle && self.planned.is_empty();
-        let is_spared =
+        let keeps_first =
             |first: &PlannedRequest| nothing_else_runs && self.load.now < first.objective;
-        let spared = usize::from(self.given_up.first().is_some_and(is_spared));
-        let rejected = self.given_up.iter().skip(spared);
+        let kept = usize::from(self.given_up.first().is_some_and(keeps_first));
+        let rejected = self.given_up.iter().skip(kept);
         rejected.map(|request| request.slot).collect()
     }
 }
--- a/src/decide/feasibility/tests.rs
+++ b/src/decide/feasibility/tests.rs
@@ -43,14 +43,14 @@
 }
 
 #[test]
-fn keeps_all_requests_that_are_in_time_one_after_the_other() {
+fn keeps_requests_that_can_all_meet_their_objectives() {
     let mut requests = Requests::default();
     let queue = [1.0, 2.0, 3.0].map(|secs| requests.request(FIRST, secs));
     assert!(infeasible(busy(), &queue).is_empty());
 }
 
 #[test]
-fn gives_up_the_least_weight_up_to_the_request_that_would_be_late() {
+fn rejects_lowest_weight_among_requests_up_to_the_late_one() {
     let mut requests = Requests::default();
     let light = PlannedRequest {
         weight: 0.5,
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn gives_up_the_longest_run_among_equal_weights() {
+fn rejects_longest_run_among_equal_weights() {
     let mut requests = Requests::default();
     let long = PlannedRequest {
         run_secs: 2.0,
@@ -76,21 +76,21 @@
 }
 
 #[test]
-fn idle_server_keeps_its_only_request_while_that_is_not_late() {
+fn idle_server_keeps_its_only_request_until_its_objective() {
     let idle = ServerLoad {
         is_idle: true,
         ..busy()
     };
     let mut requests = Requests::default();
-    let hopeful = requests.request(FIRST, 0.5);
-    assert!(infeasible(idle, &[hopeful]).is_empty());
-    assert_eq!(infeasible(busy(), &[hopeful]), [hopeful.slot]);
+    let not_yet_late = requests.request(FIRST, 0.5);
+    assert!(infeasible(idle, &[not_yet_late]).is_empty());
+    assert_eq!(infeasible(busy(), &[not_yet_late]), [not_yet_late.slot]);
     let late = requests.request(FIRST, 0.0);
     assert_eq!(infeasible(idle, &[late]), [late.slot]);
 }
 
 #[test]
-fn start_interval_of_a_group_is_relieved_by_a_request_of_that_group() {
+fn start_interval_of_a_group_rejects_only_requests_of_that_group() {
     let mut ceilings = CeilingTable::default();
     ceilings.replace(&[Ceiling {
         handlers: vec![SECOND],
--- a/src/decide/idle_connections.rs
+++ b/src/decide/idle_connections.rs
@@ -12,13 +12,13 @@
 /// Weight of the newest arrival in the fraction of frequent clients: about the last 30 count.
 const ARRIVAL_WEIGHT: f64 = 0.03;
 /// First guess of the fraction of arrivals from frequent clients.
-const FIRST_FREQUENT_FRACTION: f64 = 0.5;
+const INITIAL_FREQUENT_FRACTION: f64 = 0.5;
 /// Fraction of arrivals from frequent clients above which connections are kept.
 const MIN_FREQUENT_FRACTION: f64 = 0.5;
 /// Fraction of retries among arrivals at which a flood begins.
-const FLOOD_BEGINS: f64 = 0.7;
+const RETRY_STORM_START_FRACTION: f64 = 0.7;
 /// Fraction of retries among arrivals at which a flood is over.
-const FLOOD_ENDS: f64 = FLOOD_BEGINS * 0.5;
+const RETRY_STORM_END_FRACTION: f64 = RETRY_STORM_START_FRACTION * 0.5;
 
 /// Decides how long connections may idle.
 pub(super) struct IdleConnections {
@@ -35,7 +35,7 @@
     pub(super) fn new(max_idle: Duration) -> IdleConnections {
         IdleConnections {
             clients: RecentClients::new(WORTHWHILE_IDLE),
-            frequent_fraction: Average::new(FIRST_FREQUENT_FRACTION, ARRIVAL_WEIGHT),
+            frequent_fraction: Average::new(INITIAL_FREQUENT_FRACTION, ARRIVAL_WEIGHT),
             limit: Duration::ZERO,
             max_idle,
         }
@@ -64,7 +64,7 @@
         let is_frequent = self.clients.record(now, client);
         self.frequent_fraction.record(f64::from(is_frequent));
         let keeps_connections = self.frequent_fraction.value() > MIN_FREQUENT_FRACTION;
-        let limit = if keeps_connections || self.is_flood(retry_fraction) {
+        let limit = if keeps_connections || self.is_retry_storm(retry_fraction) {
             self.max_idle
         } else {
             SHORT_LIMIT.min(self.max_idle)
@@ -75,11 +75,11 @@
 
     /// Whether so many arrivals are retries that new connections would take most of the cores. While connections are
     /// kept, it takes fewer.
-    fn is_flood(&self, retry_fraction: f64) -> bool {
+    fn is_retry_storm(&self, retry_fraction: f64) -> bool {
         let threshold = if self.limit == self.max_idle {
-            FLOOD_ENDS
+            RETRY_STORM_END_FRACTION
         } else {
-            FLOOD_BEGINS
+            RETRY_STORM_START_FRACTION
         };
         retry_fraction > threshold
     }
--- a/src/decide/load_report.rs
+++ b/src/decide/load_report.rs
@@ -24,14 +24,14 @@
     /// Limit on concurrent runs.
     pub(super) concurrency_limit: f64,
     /// Runs that the machine supports now, while it warms up.
-    pub(super) max_runs_while_cold: Option<f64>,
+    pub(super) max_runs_while_warming_up: Option<f64>,
     /// Clients seen of late.
     pub(super) clients_seen: usize,
 }
 
 /// Decides what load is reported, and when.
 pub(super) struct LoadReporter {
-    meaning: LoadReport,
+    kind: LoadReport,
     /// Clients of the settings; more may come.
     clients: u32,
     value: f64,
@@ -42,7 +42,7 @@
     /// No limit was reported.
     pub(super) fn new(now: Timestamp, downstream: &Downstream) -> LoadReporter {
         LoadReporter {
-            meaning: downstream.load_report,
+            kind: downstream.load_report,
             clients: downstream.clients,
             value: UNLIMITED_ALLOWANCE,
             reported_at: now,
@@ -53,7 +53,7 @@
     pub(super) fn initial_report(&mut self, inputs: &LoadInputs) -> Option<f64> {
         self.value = self.warm_up_allowance(inputs);
         let is_limited = self.value < UNLIMITED_ALLOWANCE;
-        (self.meaning == LoadReport::Allowance && is_limited).then_some(self.value)
+        (self.kind == LoadReport::Allowance && is_limited).then_some(self.value)
     }
 
     /// The load to report now: where it changed, at most once per interval.
@@ -61,7 +61,7 @@
         if now - self.reported_at < REPORT_INTERVAL {
             return None;
         }
-        let value = match self.meaning {
+        let value = match self.kind {
             LoadReport::Unused => return None,
             LoadReport::Allowance => self.allowance(inputs),
             LoadReport::Floor => 1.0 - inputs.admitted_fraction,
@@ -84,7 +84,7 @@
 
     /// Allowance of each client while the server warms up: the supported runs, over all clients that there may be.
     fn warm_up_allowance(&self, inputs: &LoadInputs) -> f64 {
-        let Some(max_runs) = inputs.max_runs_while_cold else {
+        let Some(max_runs) = inputs.max_runs_while_warming_up else {
             return UNLIMITED_ALLOWANCE;
         };
         let clients = inputs.clients_seen.max(self.clients as usize).max(1);
--- a/src/decide/lq_reset.rs
+++ b/src/decide/lq_reset.rs
@@ -20,7 +20,7 @@
 /// Weight of the former observations at each new one: about 100 count, so that those of the start fade.
 const FORGETTING_FACTOR: f64 = 0.99;
 /// First variance of the coefficients, of which nothing is known.
-const FIRST_VARIANCE: f64 = 100.0;
+const INITIAL_VARIANCE: f64 = 100.0;
 
 /// Finds the budget of least cost at every tenth completion.
 pub(super) struct LqReset {
@@ -35,7 +35,7 @@
     pub(super) fn new() -> LqReset {
         LqReset {
             completions: 0,
-            model: LeastSquares::new(FIRST_VARIANCE),
+            model: LeastSquares::new(INITIAL_VARIANCE),
             inputs: [0.0; MODEL_INPUTS],
         }
     }
--- a/src/decide/rejection.rs
+++ b/src/decide/rejection.rs
@@ -47,31 +47,31 @@
     /// Whether the latency objective of the request has passed.
     pub(super) is_past_objective: bool,
     /// Whether this server fails its runs or drains, so that others do better.
-    pub(super) others_do_better: bool,
+    pub(super) is_failing_or_draining: bool,
     /// Whether this server is slow, though others may not be.
-    pub(super) is_slow_alone: bool,
+    pub(super) has_local_slowdown: bool,
 }
 
 /// The pace of a server, as it shows whether the server is slow by itself.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ServerPace {
+pub(super) struct ServerSpeed {
     /// Whether its caches are cold.
     pub(super) is_warming_up: bool,
     /// Mean age of the runs on the cores, as a ratio to the usual age.
     pub(super) slowdown: f64,
     /// Runs on the cores or waiting for one, per core.
-    pub(super) crowding: f64,
+    pub(super) run_queue_per_core: f64,
     /// Mean run time, in seconds.
     pub(super) mean_run_secs: f64,
     /// Best mean run time of late, in seconds.
     pub(super) best_run_secs: f64,
 }
 
-impl ServerPace {
+impl ServerSpeed {
     /// Whether the server is slower than its crowded cores explain.
-    pub(super) fn is_slow_alone(&self) -> bool {
+    pub(super) fn has_local_slowdown(&self) -> bool {
         let is_slow = self.slowdown * self.mean_run_secs
-            > SLOW_SERVER_RATIO * self.crowding * self.best_run_secs;
+            > SLOW_SERVER_RATIO * self.run_queue_per_core * self.best_run_secs;
         self.is_warming_up || is_slow
     }
 }
@@ -138,9 +138,9 @@
         let probability =
             FINAL_PROBABILITY_GAIN * (self.retry_fraction() - FINAL_ABOVE_RETRY_FRACTION);
         let is_drawn = random.rand_float() < probability;
-        let retries_show_load = self.marks_retries || !inputs.is_slow_alone;
+        let retries_show_load = self.marks_retries || !inputs.has_local_slowdown;
         let others_reject = is_drawn && retries_show_load;
-        if !inputs.others_do_better && (inputs.is_past_objective || others_reject) {
+        if !inputs.is_failing_or_draining && (inputs.is_past_objective || others_reject) {
             RejectionKind::Final
         } else {
             RejectionKind::RetryElsewhere
--- a/src/decide/rejection/tests.rs
+++ b/src/decide/rejection/tests.rs
@@ -1,4 +1,4 @@
-use super::{RejectionInputs, RejectionKind, RejectionPolicy, ServerPace};
+use super::{RejectionInputs, RejectionKind, RejectionPolicy, ServerSpeed};
 use crate::interface::Downstream;
 use crate::time::Duration;
 use oorandom::Rand64;
@@ -18,13 +18,13 @@
     RejectionInputs {
         expected_wait_secs: 0.5,
         is_past_objective: false,
-        others_do_better: false,
-        is_slow_alone: false,
+        is_failing_or_draining: false,
+        has_local_slowdown: false,
     }
 }
 
 /// A policy that has seen nothing but retries.
-fn flooded(marks_retries: bool) -> RejectionPolicy {
+fn policy_after_retries(marks_retries: bool) -> RejectionPolicy {
     let mut policy = policy(marks_retries);
     for _ in 0..200 {
         policy.on_arrival(true);
@@ -38,30 +38,30 @@
 }
 
 #[test]
-fn advises_one_to_three_waits_up_to_the_longest_that_clients_honour() {
+fn retry_after_is_one_to_three_expected_waits_up_to_the_maximum() {
     let mut random = Rand64::new(7);
     for _ in 0..100 {
         let rejection = policy(true).decide(&inputs(), &mut random);
         let waits = rejection.retry_after.as_secs_f64() / 0.5;
         assert!((1.0..3.0).contains(&waits), "{waits} waits");
     }
-    let crowded = RejectionInputs {
+    let long_wait = RejectionInputs {
         expected_wait_secs: 60.0,
         ..inputs()
     };
-    let rejection = policy(true).decide(&crowded, &mut random);
+    let rejection = policy(true).decide(&long_wait, &mut random);
     assert_eq!(rejection.retry_after, MAX_RETRY_AFTER);
 }
 
 #[test]
-fn rejection_past_objective_is_final_unless_this_server_others_do_better() {
+fn rejection_past_objective_is_final_unless_server_is_failing_or_draining() {
     let late = RejectionInputs {
         is_past_objective: true,
         ..inputs()
     };
     assert_eq!(kind(&policy(true), &late), RejectionKind::Final);
     let draining = RejectionInputs {
-        others_do_better: true,
+        is_failing_or_draining: true,
         ..late
     };
     assert_eq!(
@@ -71,29 +71,41 @@
 }
 
 #[test]
-fn rejection_is_final_where_retries_show_that_others_reject_too() {
+fn rejection_is_final_when_most_arrivals_are_retries() {
     assert_eq!(
         kind(&policy(true), &inputs()),
         RejectionKind::RetryElsewhere
     );
-    assert_eq!(kind(&flooded(true), &inputs()), RejectionKind::Final);
+    assert_eq!(
+        kind(&policy_after_retries(true), &inputs()),
+        RejectionKind::Final
+    );
 }
 
 #[test]
-fn rejections_of_a_slow_server_prove_nothing_where_retries_are_not_marked() {
+fn local_slowdown_prevents_final_rejections_when_retries_are_unmarked() {
     let slow = RejectionInputs {
-        is_slow_alone: true,
+        has_local_slowdown: true,
         ..inputs()
     };
-    assert_eq!(kind(&flooded(false), &inputs()), RejectionKind::Final);
-    assert_eq!(kind(&flooded(false), &slow), RejectionKind::RetryElsewhere);
-    assert_eq!(kind(&flooded(true), &slow), RejectionKind::Final);
+    assert_eq!(
+        kind(&policy_after_retries(false), &inputs()),
+        RejectionKind::Final
+    );
+    assert_eq!(
+        kind(&policy_after_retries(false), &slow),
+        RejectionKind::RetryElsewhere
+    );
+    assert_eq!(
+        kind(&policy_after_retries(true), &slow),
+        RejectionKind::Final
+    );
 }
 
 #[test]
-fn starts_stand_in_for_first_attempts_only_where_retries_are_not_marked() {
+fn starts_lower_retry_fraction_only_when_retries_are_unmarked() {
     for marks_retries in [false, true] {
-        let mut policy = flooded(marks_retries);
+        let mut policy = policy_after_retries(marks_retries);
         let before = policy.retry_fraction();
         policy.on_start();
         assert_eq!(policy.retry_fraction() < before, !marks_retries);
@@ -101,23 +113,23 @@
 }
 
 #[test]
-fn server_is_slow_alone_while_cold_or_slower_than_its_crowding_explains() {
-    let usual = ServerPace {
+fn local_slowdown_is_warm_up_or_slower_than_run_queue_explains() {
+    let usual = ServerSpeed {
         is_warming_up: false,
         slowdown: 1.0,
-        crowding: 2.0,
+        run_queue_per_core: 2.0,
         mean_run_secs: 0.3,
         best_run_secs: 0.1,
     };
-    assert!(!usual.is_slow_alone());
-    let cold = ServerPace {
+    assert!(!usual.has_local_slowdown());
+    let cold = ServerSpeed {
         is_warming_up: true,
         ..usual
     };
-    assert!(cold.is_slow_alone());
-    let slow = ServerPace {
+    assert!(cold.has_local_slowdown());
+    let slow = ServerSpeed {
         mean_run_secs: 0.4,
         ..usual
     };
-    assert!(slow.is_slow_alone());
+    assert!(slow.has_local_slowdown());
 }
--- a/src/decide/request_queue.rs
+++ b/src/decide/request_queue.rs
@@ -15,7 +15,7 @@
 
 /// The line that a request waits in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum QueueLine {
+pub(super) enum QueueClass {
     /// Requests with at most a mean run time.
     Short,
     /// All others.
@@ -41,14 +41,14 @@
     }
 
     /// Queues a request by the latest start with which it meets its objective.
-    pub(super) fn insert(&mut self, slot: RequestSlot, latest_start: Timestamp, line: QueueLine) {
+    pub(super) fn insert(&mut self, slot: RequestSlot, latest_start: Timestamp, class: QueueClass) {
         let queued = QueuedRequest { latest_start, slot };
-        let line = match line {
-            QueueLine::Short => &mut self.short,
-            QueueLine::Long => &mut self.long,
+        let entries = match class {
+            QueueClass::Short => &mut self.short,
+            QueueClass::Long => &mut self.long,
         };
-        let position = line.partition_point(|other| *other < queued);
-        line.insert(position, queued);
+        let position = entries.partition_point(|other| *other < queued);
+        entries.insert(position, queued);
     }
 
     /// Removes a request, if it is queued.
@@ -59,28 +59,28 @@
 
     /// The first request that may start.
     pub(super) fn first(&self, may_start: impl Fn(RequestSlot) -> bool) -> Option<RequestSlot> {
-        let first_of = |line: &[QueuedRequest]| {
-            let mut requests = line.iter().copied();
+        let first_of = |entries: &[QueuedRequest]| {
+            let mut requests = entries.iter().copied();
             requests.find(|queued| may_start(queued.slot))
         };
-        let firsts = [first_of(&self.short), first_of(&self.long)];
-        let first = firsts.into_iter().flatten().min()?;
+        let first_entries = [first_of(&self.short), first_of(&self.long)];
+        let first = first_entries.into_iter().flatten().min()?;
         Some(first.slot)
     }
 
     /// All queued requests: the short ones first, each line in its order.
     pub(super) fn iter(&self) -> impl Iterator<Item = RequestSlot> {
-        self.lines().map(|queued| queued.slot)
+        self.entries().map(|queued| queued.slot)
     }
 
     /// All queued requests by latest start.
     pub(super) fn in_order(&self) -> Vec<RequestSlot> {
-        let mut all: Vec<&QueuedRequest> = self.lines().collect();
+        let mut all: Vec<&QueuedRequest> = self.entries().collect();
         all.sort();
         all.into_iter().map(|queued| queued.slot).collect()
     }
 
-    fn lines(&self) -> impl Iterator<Item = &QueuedRequest> {
+    fn entries(&self) -> impl Iterator<Item = &QueuedRequest> {
         self.short.iter().chain(&self.long)
     }
 }
--- a/src/decide/run_times.rs
+++ b/src/decide/run_times.rs
@@ -9,15 +9,15 @@
 use crate::time::Duration;
 
 /// First guess of a run time or a call time, in latency objectives.
-const FIRST_GUESS_IN_OBJECTIVES: f64 = 0.1;
+const INITIAL_ESTIMATE_IN_OBJECTIVES: f64 = 0.1;
 /// Weight of the newest run in a mean: about the last 30 runs count.
 const RUN_WEIGHT: f64 = 0.03;
 /// Fraction of the largest run time kept per run: halved after 700 runs, so that one outlier fades.
-const LARGEST_KEPT_PER_RUN: f64 = 0.999;
+const LARGEST_RUN_DECAY_FACTOR: f64 = 0.999;
 
 /// First guess of a run time or a call time, in seconds, where nothing was measured.
-pub(super) fn first_guess_secs(objective_secs: f64) -> f64 {
-    objective_secs * FIRST_GUESS_IN_OBJECTIVES
+pub(super) fn initial_estimate_secs(objective_secs: f64) -> f64 {
+    objective_secs * INITIAL_ESTIMATE_IN_OBJECTIVES
 }
 
 /// The run times of one handler, in seconds.
@@ -40,7 +40,7 @@
     /// Begins with guesses from the latency objectives, of which this tier has that fraction.
     pub(super) fn new(handlers: &[Handler], objective_fraction: f64) -> RunTimes {
         let guess = |handler: &Handler| {
-            first_guess_secs(handler.latency_objective.as_secs_f64() * objective_fraction)
+            initial_estimate_secs(handler.latency_objective.as_secs_f64() * objective_fraction)
         };
         let mean_secs = handlers.iter().map(guess).sum::<f64>() / handlers.len() as f64;
         let times = |handler: &Handler| HandlerRunTimes {
@@ -106,7 +106,7 @@
         times.mean.record(run_secs);
         self.mean.record(run_secs);
         self.best.record(self.mean.value());
-        let decayed = self.largest_secs * LARGEST_KEPT_PER_RUN;
+        let decayed = self.largest_secs * LARGEST_RUN_DECAY_FACTOR;
         self.largest_secs = run_secs.max(decayed).max(self.mean.value());
     }
 
--- a/src/decide/stall_detection.rs
+++ b/src/decide/stall_detection.rs
@@ -17,7 +17,7 @@
 
 /// Mean ages of the runs on the cores, as ratios to the usual age, at least 1.
 pub(super) struct StallDetector {
-    pace: f64,
+    run_time_factor: f64,
     /// Damped by prior ages.
     slowdown: f64,
     last_completion: Timestamp,
@@ -27,15 +27,15 @@
     /// A server at its usual pace.
     pub(super) fn new(now: Timestamp) -> StallDetector {
         StallDetector {
-            pace: 1.0,
+            run_time_factor: 1.0,
             slowdown: 1.0,
             last_completion: now,
         }
     }
 
     /// Factor on expected run times at the present pace, at least 1.
-    pub(super) fn pace(&self) -> f64 {
-        self.pace
+    pub(super) fn run_time_factor(&self) -> f64 {
+        self.run_time_factor
     }
 
     /// How much slower than usual the server judges itself, at least 1.
@@ -65,6 +65,6 @@
         let damped = (ages.seconds + prior_secs) / (usual_age * (ages.runs + PRIOR_AGES));
         self.slowdown = damped.max(1.0);
         let undamped = ages.seconds / (usual_age * ages.runs.max(1.0));
-        self.pace = undamped.max(1.0);
+        self.run_time_factor = undamped.max(1.0);
     }
 }
--- a/src/decide/starts.rs
+++ b/src/decide/starts.rs
@@ -11,14 +11,14 @@
     /// Rejects queued requests, the lowest weight first, before the machine needs more memory than it has.
     pub(super) fn free_memory(&mut self, now: Timestamp, out: &mut dyn Actions) {
         while !self.memory.may_keep_queue(self.used_memory_kb()) {
-            let Some(slot) = self.queued_of_least_weight() else {
+            let Some(slot) = self.lowest_weight_queued() else {
                 return;
             };
             self.reject(now, slot, out);
         }
     }
 
-    fn queued_of_least_weight(&self) -> Option<RequestSlot> {
+    fn lowest_weight_queued(&self) -> Option<RequestSlot> {
         let weight = |slot: &RequestSlot| self.requests[*slot].weight;
         let queued = self.queue.in_order().into_iter();
         queued.min_by(|a, b| weight(a).total_cmp(&weight(b)))
@@ -33,14 +33,14 @@
             is_idle: self.requests.is_idle_but_for_overdue(),
         };
         let queue = self.queue.in_order().into_iter();
-        let planned = queue.map(|slot| self.planned(slot));
+        let planned = queue.map(|slot| self.planned_request(slot));
         let infeasible = infeasible_requests(load, planned, &self.ceilings);
         for slot in infeasible {
             self.reject(now, slot, out);
         }
     }
 
-    fn planned(&self, slot: RequestSlot) -> PlannedRequest {
+    fn planned_request(&self, slot: RequestSlot) -> PlannedRequest {
         let Request {
             handler,
             objective,
--- a/src/decide/supported_runs.rs
+++ b/src/decide/supported_runs.rs
@@ -41,8 +41,8 @@
     /// Most runs that the machine supports now, rising during the warm-up; at least 1.
     pub(super) fn max_runs(&self, now: Timestamp) -> f64 {
         let elapsed_secs = (now - self.started).as_secs_f64();
-        let warmed = elapsed_secs / self.warm_up.as_secs_f64().max(MIN_WARM_UP_SECS);
-        let speed = (self.cold_speed + (1.0 - self.cold_speed) * warmed).min(1.0);
+        let warmed_fraction = elapsed_secs / self.warm_up.as_secs_f64().max(MIN_WARM_UP_SECS);
+        let speed = (self.cold_speed + (1.0 - self.cold_speed) * warmed_fraction).min(1.0);
         let supported = self.cores * (1.0 + (self.max_per_core - 1.0) * speed);
         (supported * USABLE_FRACTION).max(1.0)
     }
--- a/src/decide/tenant_quota.rs
+++ b/src/decide/tenant_quota.rs
@@ -76,7 +76,7 @@
             return 1.0;
         };
         let measured = rate.measured.record(now, RATE_WINDOW_SECS);
-        let within = (rate.quota_per_second / measured).min(1.0);
-        within + (1.0 - within) * self.over_quota_factor
+        let fraction_within = (rate.quota_per_second / measured).min(1.0);
+        fraction_within + (1.0 - fraction_within) * self.over_quota_factor
     }
 }
--- a/src/decide/unresponsive_runs.rs
+++ b/src/decide/unresponsive_runs.rs
@@ -9,7 +9,7 @@
 use crate::request::EndWatch;
 
 /// Times that a run should have ended while the engine had no run on its cores, after which it is none of the engine's.
-const MAX_ABSENCES: u32 = 3;
+const MAX_IDLE_CHECKS: u32 = 3;
 /// Times that a run should have ended, whatever was on the cores, after which it is no longer taken for a slow one. An
 /// engine that is ten times too slow loses most cancellations, and still ends runs.
 const MAX_CHECKS: u32 = 20;
@@ -43,7 +43,7 @@
     }
 
     /// A run is expected to end from now on, or once more.
-    pub(super) fn expect_end(self, watch: &mut EndWatch) {
+    pub(super) fn begin_check(self, watch: &mut EndWatch) {
         watch.ended_runs = self.ended_runs;
     }
 
@@ -55,8 +55,8 @@
         watch.checks += 1;
         watch.missed_ends += u32::from(self.ended_runs > watch.ended_runs);
         watch.absences += u32::from(self.are_cores_idle);
-        let is_overdue = watch.absences >= MAX_ABSENCES || watch.checks >= MAX_CHECKS;
-        if is_overdue && watch.missed_ends >= MAX_ABSENCES {
+        let is_overdue = watch.absences >= MAX_IDLE_CHECKS || watch.checks >= MAX_CHECKS;
+        if is_overdue && watch.missed_ends >= MAX_IDLE_CHECKS {
             return EndDecision::Abandon;
         }
         EndDecision::Wait { is_overdue }
--- a/src/decide/unresponsive_runs/tests.rs
+++ b/src/decide/unresponsive_runs/tests.rs
@@ -14,7 +14,7 @@
     ended: u32,
     run_queue: Option<f64>,
 ) -> EndDecision {
-    runs.expect_end(watch);
+    runs.begin_check(watch);
     for _ in 0..ended {
         runs.on_run_ended();
     }
@@ -33,14 +33,14 @@
 }
 
 #[test]
-fn abandons_run_that_no_core_works_on_while_others_end() {
-    assert_eq!(check_times(MAX_ABSENCES - 1, 5, IDLE), WAIT);
-    assert_eq!(check_times(MAX_ABSENCES, 1, IDLE), EndDecision::Abandon);
+fn abandons_run_when_cores_are_idle_and_other_runs_end() {
+    assert_eq!(check_times(MAX_IDLE_CHECKS - 1, 5, IDLE), WAIT);
+    assert_eq!(check_times(MAX_IDLE_CHECKS, 1, IDLE), EndDecision::Abandon);
 }
 
 /// A slowed engine loses cancellations and still ends runs: this run may be on its cores.
 #[test]
-fn waits_longer_for_run_that_may_be_on_the_cores() {
+fn waits_longer_when_run_may_still_be_on_cores() {
     for run_queue in [BUSY, None] {
         assert_eq!(check_times(MAX_CHECKS - 1, 1, run_queue), WAIT);
         assert_eq!(check_times(MAX_CHECKS, 1, run_queue), EndDecision::Abandon);
@@ -49,8 +49,8 @@
 
 /// On a stalled engine nothing ends: the run keeps its place, and no longer stands for the load.
 #[test]
-fn never_abandons_run_while_no_other_ends() {
-    assert_eq!(check_times(MAX_ABSENCES, 0, IDLE), WAIT_OVERDUE);
+fn never_abandons_run_while_no_other_run_ends() {
+    assert_eq!(check_times(MAX_IDLE_CHECKS, 0, IDLE), WAIT_OVERDUE);
     assert_eq!(check_times(1_000, 0, IDLE), WAIT_OVERDUE);
     assert_eq!(check_times(MAX_CHECKS - 1, 0, BUSY), WAIT);
     assert_eq!(check_times(1_000, 0, BUSY), WAIT_OVERDUE);
