--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1,28 +1,29 @@
 //! The decision module: which requests one server starts, queues, rejects or fails, and which upstream calls it makes.
 //!
-//! A [`Decider`](crate::decide::Decider) makes the decisions of one server incarnation. It is given each event with its
-//! time and, after the last event of a batch, [`settle`](crate::decide::Decider::settle). Its decisions go out through
-//! [`Actions`](crate::interface::Actions). It reads no clock and no socket; equal seeds and events give equal decisions.
+//! A [`Decider`](crate::decide::Decider) makes the decisions of one server incarnation. The caller passes it each event
+//! with its time and, after the last event of a batch, calls [`settle`](crate::decide::Decider::settle). The decisions
+//! are issued through [`Actions`](crate::interface::Actions). The module reads no clock and no socket; equal seeds and
+//! events give equal decisions.
 //!
-//! Each rule is in a file of its own, as a type with private state or as a function. It answers with a decision and
-//! acts on nothing:
+//! Each rule is in a file of its own, as a type with private state or as a function. It returns a decision and performs
+//! no action:
 //!
 //! | file | rules |
 //! | --- | --- |
-//! | `deadlines`, `drain` | by when a request is answered; what a graceful shutdown still serves |
-//! | `admission`, `tenant_quota` | which arrivals may start at all; what a request weighs |
-//! | `request_queue`, `feasibility` | in which order requests start; which queued ones are given up |
+//! | `deadlines`, `drain` | when a request must be answered; what a graceful shutdown still serves |
+//! | `admission`, `tenant_quota` | which arrivals may start at all; the priority weight of a request |
+//! | `request_queue`, `feasibility` | the order in which requests start; which queued requests are given up |
 //! | `concurrency_limit`, `supported_runs`, `memory_guard` | how many runs, and how much memory, may be in use |
 //! | `budget_controller`, `lq_reset`, `run_times`, `best_mean` | the budget and the allowances |
 //! | `call_policy`, `call_account`, `waiting_calls` | upstream calls and their retries |
-//! | `rejection` | the Retry-After, and whether a retry elsewhere is of use |
-//! | `stall_detection` | hung servers, and control loops without completions |
+//! | `rejection` | the Retry-After, and whether a retry on another server is worthwhile |
+//! | `stall_detection` | detection of hung servers; control loops without completions |
 //! | `unresponsive_runs` | runs that nobody waits for and that do not end |
-//! | `load_report`, `idle_connections` | what clients are told |
+//! | `load_report`, `idle_connections` | the load and the connection limit that clients are told |
 //!
 //! The steps carry the decisions out: `arrivals`, `starts`, `calls`, `answers`, `expired_timers`, `control_loops` and
-//! `client_advice`. They are methods of [`Decider`](crate::decide::Decider), which owns the rules and passes to each
-//! what it needs. `docs/decisions.md` lists all rules with their inputs and answers.
+//! `client_advice`. They are methods of [`Decider`](crate::decide::Decider), which owns the rules and passes each of
+//! them the inputs that it needs. `docs/decisions.md` lists all rules with their inputs and answers.
 
 mod admission;
 mod answers;
@@ -83,21 +84,21 @@
 use unresponsive_runs::UnresponsiveRuns;
 use waiting_calls::WaitingCalls;
 
-/// Interval of the one timer: finer than the slack of any answer.
+/// Interval of the periodic timer, shorter than the margin that any answer has before its deadline.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
-/// Run time still expected of a run in flight, in mean run times.
+/// Expected remaining time of a run in flight, as a fraction of the mean run time.
 const REMAINING_RUN_FRACTION: f64 = 0.5;
 
-/// The decisions of one server incarnation.
+/// Makes the decisions of one server incarnation.
 pub struct Decider {
     random: Rand64,
     last_tick: Timestamp,
     handlers: Vec<Handler>,
     cancellation: Cancellation,
     rules: Rules,
-    /// Fraction of each latency objective that this server's tier has.
+    /// Fraction of each latency objective that is available to this server's tier.
     objective_fraction: f64,
-    /// The answer to health checks as it was set last.
+    /// The answer to health checks that was set last.
     is_healthy: bool,
     /// The graceful shutdown, once it has begun.
     drain: Option<Drain>,
@@ -121,23 +122,25 @@
     connections: IdleConnections,
 }
 
-/// Makes a [`Decider`]: each setting goes to the rules that use it. Those not set have no effect.
+/// Builds a [`Decider`] and passes each setting to the rules that use it. Settings that are not given have no effect.
 pub struct DeciderBuilder(Decider);
 
 impl DeciderBuilder {
-    /// Sets the tenants and their fleet-wide rates; without them requests have their handler's weight.
+    /// Sets the tenants and their fleet-wide rates. Without them, the weight of a request follows from its handler
+    /// alone.
     pub fn tenants(mut self, tenants: &[Tenant], position: &FleetPosition) -> DeciderBuilder {
         self.0.tenants = TenantQuotas::new(self.0.last_tick, tenants, position);
         self
     }
 
-    /// Sets what the server calls; without it nothing limits calls.
+    /// Sets the upstream that the server calls. Without it, calls are not limited.
     pub fn upstream(mut self, upstream: &Upstream) -> DeciderBuilder {
         self.0.calls.set_upstream(upstream);
         self
     }
 
-    /// Sets what the clients understand; without it they are given no advice.
+    /// Sets what the clients support. Without it, they are given no Retry-After, load report or limit on idle
+    /// connections.
     pub fn downstream(mut self, downstream: &Downstream) -> DeciderBuilder {
         self.0.connections = IdleConnections::new(downstream.max_idle);
         self.0.rejections = RejectionPolicy::new(downstream);
@@ -152,7 +155,7 @@
 }
 
 impl Decider {
-    /// Begins a `Decider` for an incarnation that starts now. Equal seeds and events give equal decisions.
+    /// Starts to build a `Decider` for an incarnation that starts now. Equal seeds and events give equal decisions.
     pub fn builder(
         now: Timestamp,
         seed: u64,
@@ -199,12 +202,12 @@
         })
     }
 
-    /// Whether the request of this identifier has not ended.
+    /// Reports whether a request with this identifier exists and has not ended.
     pub fn contains(&self, id: u64) -> bool {
         self.requests.find(id, |_| true).is_some()
     }
 
-    /// The state of the control loops.
+    /// Returns the state of the control loops.
     pub fn status(&self) -> Status {
         Status {
             budget_seconds: self.budget.budget_secs(),
@@ -214,37 +217,39 @@
         }
     }
 
-    /// Replaces the ceilings on groups of handlers. They bind starts and calls, and delay queued requests.
+    /// Replaces the ceilings on groups of handlers. Ceilings limit starts and calls, and so delay queued requests.
     pub fn set_ceilings(&mut self, ceilings: &[Ceiling]) {
         self.ceilings.replace(ceilings);
         self.calls.set_has_ceilings(!ceilings.is_empty());
     }
 
-    /// Sets the rate that this server may take of a tenant's fleet-wide quota.
+    /// Sets the part of a tenant's fleet-wide quota that this server may use, in requests per second.
     pub fn set_tenant_rate(&mut self, tenant: TenantId, requests_per_second: f64) {
         self.tenants.set_quota(tenant, requests_per_second);
     }
 
-    /// Sets how many upstream calls may be in flight; whoever distributes them stays under the limit.
+    /// Sets how many upstream calls may be in flight. The component that divides the calls among the servers keeps
+    /// their sum below the upstream's limit.
     pub fn set_upstream_quota(&mut self, now: Timestamp, calls: f64) {
         self.calls.set_usable_calls(now, calls);
     }
 
-    /// The incarnation begins. Health checks are answered from a stored value: each real one costs work.
+    /// Handles the start of the incarnation. Health checks are answered from a stored value, because each actual check
+    /// would cost work.
     pub fn on_start(&mut self, out: &mut dyn Actions) {
         out.set_health(true);
         out.set_timer(TICK_INTERVAL);
         self.report_initial_load(out);
     }
 
-    /// A request has been read.
+    /// Handles a request that has been read.
     pub fn on_arrival(&mut self, now: Timestamp, arrival: &Arrival, out: &mut dyn Actions) {
         self.record_client(now, arrival, out);
         let slot = self.add_request(now, arrival);
         self.process_arrival(now, slot, out);
     }
 
-    /// A run waits at an upstream call.
+    /// Handles a run that waits at an upstream call.
     pub fn on_call_needed(&mut self, now: Timestamp, id: u64, out: &mut dyn Actions) {
         let is_running = |request: &Request| request.is_running() && !request.settled;
         if let Some(slot) = self.requests.find(id, is_running) {
@@ -252,7 +257,8 @@
         }
     }
 
-    /// An upstream call ended after the time spent. A failed one is skipped, retried, or fails its request.
+    /// Handles the end of an upstream call after the time `spent`. A failed call is skipped, retried, or fails its
+    /// request.
     pub fn on_call_finished(
         &mut self,
         now: Timestamp,
@@ -266,8 +272,8 @@
         }
     }
 
-    /// A run ended after the run time spent: the call that it may have in flight is given up, its time is counted, and the
-    /// timer that forgets its key is set.
+    /// Handles the end of a run after the run time `spent`: abandons the call that it may have in flight, records its
+    /// time, and sets the timer that forgets its idempotency key.
     pub fn on_run_ended(&mut self, now: Timestamp, id: u64, outcome: Outcome, spent: Duration) {
         let may_end = |request: &Request| !request.stage().awaits_start();
         let Some(slot) = self.requests.find(id, may_end) else {
@@ -281,7 +287,7 @@
         self.end_request(now, slot);
     }
 
-    /// The client no longer waits: a queued request is removed, a run cancelled.
+    /// Handles a client that no longer waits: removes its queued request, or cancels its run.
     pub fn on_client_gone(&mut self, now: Timestamp, id: u64, out: &mut dyn Actions) {
         let Some(slot) = self.requests.find(id, |_| true) else {
             return;
@@ -293,7 +299,7 @@
         }
     }
 
-    /// Begins a graceful shutdown: the process stops after `left`.
+    /// Begins a graceful shutdown; the process stops after `time_left`.
     pub fn drain(&mut self, now: Timestamp, time_left: Duration) {
         let drain = Drain::new(now, time_left);
         for (slot, request) in self.requests.iter_mut() {
@@ -305,7 +311,7 @@
         self.drain = Some(drain);
     }
 
-    /// The periodic timer fired.
+    /// Handles a tick of the periodic timer.
     pub fn on_tick(&mut self, now: Timestamp, gauges: &Gauges, out: &mut dyn Actions) {
         let elapsed = now - std::mem::replace(&mut self.last_tick, now);
         self.update_limits(now, gauges);
@@ -315,8 +321,9 @@
         out.set_timer(TICK_INTERVAL);
     }
 
-    /// The batch of events is complete: fires timers, frees memory, gives up, makes calls, starts requests. A timer that is
-    /// set meanwhile fires with a later batch, whatever the clock says.
+    /// Completes a batch of events: fires expired timers, frees memory, rejects infeasible requests, attempts waiting
+    /// calls and starts queued requests. A timer that is set meanwhile fires with a later batch, even if it is already
+    /// due.
     pub fn settle(&mut self, now: Timestamp, out: &mut dyn Actions) {
         for timer in self.timers.take_expired(now) {
             self.fire(now, timer, out);
@@ -327,22 +334,22 @@
         self.start_queued(now, out);
     }
 
-    /// The settings of a request's handler.
+    /// Returns the settings of a request's handler.
     fn handler_of(&self, slot: RequestSlot) -> &Handler {
         &self.handlers[self.requests[slot].handler.index()]
     }
 
-    /// Memory of requests, runs and idempotency keys, in kB.
+    /// Returns the memory used by requests, runs and idempotency keys, in kB.
     fn used_memory_kb(&self) -> f64 {
         self.requests.memory_kb() + self.keys.memory_kb()
     }
 
-    /// Requests queued or running.
+    /// Returns the number of requests that are queued or running.
     fn pending(&self) -> usize {
         self.queue.len() + self.requests.running()
     }
 
-    /// Expected run time of a request at the present pace.
+    /// Returns the expected run time of a request at the server's present speed.
     fn expected_run(&self, slot: RequestSlot) -> Duration {
         let request = &self.requests[slot];
         let usual_secs = self
@@ -351,7 +358,7 @@
         Duration::from_secs_f64(usual_secs * self.stalls.run_time_factor())
     }
 
-    /// Run time still expected of the runs in flight, in seconds.
+    /// Returns the expected remaining run time of the runs in flight that are not overdue, in seconds.
     fn remaining_run_secs(&self) -> f64 {
         let running = self.requests.running_on_time() as f64;
         running
@@ -361,7 +368,7 @@
     }
 }
 
-/// First guess of the time of an upstream call, in seconds, from the shortest latency objective.
+/// Returns the initial estimate of the duration of an upstream call, in seconds, from the shortest latency objective.
 fn initial_call_secs(handlers: &[Handler], objective_fraction: f64) -> f64 {
     let objectives = handlers.iter().map(|h| h.latency_objective.as_secs_f64());
     let shortest_secs = objectives.fold(f64::MAX, f64::min);
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -1,44 +1,45 @@
 //! Admission: which arrivals may start at all.
 //!
-//! Owns the fraction of arrivals that is admitted, cut by an integral loop on latency, the rate of failures, and the
-//! weights of the latest arrivals, among which a new one is ranked. Is given each arrival, the outcome of each run and
-//! the latency of each tick. Never answers a request.
+//! [`AdmissionController`] keeps the fraction of arrivals that is admitted, which an integral control loop lowers when
+//! latency is too high, the rate of failed runs, and the weights of the latest arrivals, among which a new one is
+//! ranked. It is updated with each arrival, the outcome of each run and the latency at each tick. It never answers a
+//! request itself.
 
 use super::budget_controller::MAX_CONTROL_ERROR;
 use crate::estimators::{Average, Ranking};
 use crate::time::Duration;
 use oorandom::Rand64;
 
-/// Cut of the admitted fraction, per second, for a latency of one setpoint over the setpoint.
+/// Decrease of the admitted fraction, per second, when the latency exceeds its setpoint by one setpoint.
 const CUT_RATE_PER_SECOND: f64 = 0.5;
-/// Recovery of the admitted fraction, per second.
+/// Increase of the admitted fraction during recovery, per second.
 const RECOVERY_RATE_PER_SECOND: f64 = 0.2;
-/// Least fraction admitted. The loop needs completions to see that it may recover.
+/// Smallest admitted fraction. The control loop needs completions to detect that it may recover.
 const MIN_ADMITTED_FRACTION: f64 = 0.3;
-/// Latest arrivals among whose weights a new one is ranked: a few seconds of a server's traffic.
+/// Number of latest arrivals among whose weights a new one is ranked: a few seconds of a server's traffic.
 const RANKED_ARRIVALS: usize = 64;
-/// Weight of the newest run in the failure rate, 0 to 1.
+/// Weight of the newest run in the moving average of the failure rate, 0 to 1.
 const FAILURE_WEIGHT: f64 = 0.08;
-/// Fraction of the failure rate kept per tick. A server without runs is tried again after some seconds.
+/// Factor on the failure rate per tick, so that a server that gets no runs is tried again after some seconds.
 const FAILURE_RATE_DECAY_FACTOR: f64 = 0.999;
 /// Failure rate above which arrivals are sent to other servers, 0 to 1.
 const MAX_FAILURE_RATE: f64 = 0.25;
 
-/// What is decided on an arrival.
+/// Decision on an arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AdmissionDecision {
-    /// It is queued.
+    /// Queue the request.
     Admit,
-    /// It is rejected: its weight ranks below the fraction that is cut, or the server fails its runs.
+    /// Reject the request: its weight ranks within the fraction that is not admitted, or the server fails its runs.
     Reject,
 }
 
-/// What admission needs to know of an arrival.
+/// Properties of an arrival that admission depends on.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AdmissionInputs {
     /// The priority weight of the request.
     pub(super) weight: f64,
-    /// Whether the request may run twice.
+    /// Whether the request is safe to run twice.
     pub(super) is_idempotent: bool,
     /// Whether no run is in flight.
     pub(super) is_server_idle: bool,
@@ -53,7 +54,7 @@
 }
 
 impl AdmissionController {
-    /// Admits all arrivals.
+    /// Starts by admitting all arrivals.
     pub(super) fn new() -> AdmissionController {
         AdmissionController {
             admitted_fraction: 1.0,
@@ -62,36 +63,37 @@
         }
     }
 
-    /// The fraction of arrivals admitted, 0 to 1.
+    /// Returns the fraction of arrivals that is admitted, 0 to 1.
     pub(super) fn admitted_fraction(&self) -> f64 {
         self.admitted_fraction
     }
 
-    /// The fraction of the latest runs that failed, 0 to 1.
+    /// Returns the fraction of the latest runs that failed, 0 to 1.
     pub(super) fn failure_rate(&self) -> f64 {
         self.failure_rate.value()
     }
 
-    /// Whether so many runs fail that arrivals do better on other servers.
+    /// Reports whether so many runs fail that arrivals are better served by other servers.
     pub(super) fn is_failing(&self) -> bool {
         self.failure_rate() > MAX_FAILURE_RATE
     }
 
-    /// Rank of a weight among those of the latest arrivals, 0 to 1. It ranks above equal ones.
+    /// Returns the rank of a weight among those of the latest arrivals, 0 to 1. It ranks above equal weights.
     pub(super) fn rank(&self, weight: f64) -> f64 {
         self.recent_weights.rank(weight, 1.0)
     }
 
-    /// Rejects what is beyond the admitted fraction, the lowest weight first.
+    /// Admits the admitted fraction of arrivals and rejects the others, the lowest weight first.
     ///
-    /// A server that fails its runs answers quickly, and so attracts traffic. While it does, it rejects all but idempotent
-    /// requests, and of these as large a fraction as fails; the others probe whether runs still fail.
+    /// A server whose runs fail answers quickly and therefore attracts traffic. While its failure rate is too high, it
+    /// rejects all requests that are not idempotent, and of the idempotent ones a fraction equal to its failure rate;
+    /// the others probe whether runs still fail.
     pub(super) fn decide(
         &mut self,
         arrival: AdmissionInputs,
         random: &mut Rand64,
     ) -> AdmissionDecision {
-        // Drawn whatever the answer: the number and order of draws are part of the decisions.
+        // Drawn in every case, because the number and order of random draws determine later decisions.
         let tie_break = random.rand_float();
         let may_probe = self.may_probe(arrival, random);
         if self.is_failing() && !may_probe {
@@ -106,27 +108,27 @@
         }
     }
 
-    /// Whether the request may show whether runs still fail.
+    /// Reports whether the request may be used to probe whether runs still fail.
     fn may_probe(&self, arrival: AdmissionInputs, random: &mut Rand64) -> bool {
         arrival.is_idempotent
             && (random.rand_float() > self.failure_rate() || arrival.is_server_idle)
     }
 
-    /// A run that answers its request has completed or failed.
+    /// Records that a run that answers its request has completed or failed.
     pub(super) fn record_run(&mut self, has_failed: bool) {
         self.failure_rate.record(f64::from(has_failed));
     }
 
-    /// Lets the failure rate fade by one tick.
+    /// Decays the failure rate by one tick.
     pub(super) fn decay_failure_rate(&mut self) {
         self.failure_rate
             .relax_towards(0.0, FAILURE_RATE_DECAY_FACTOR);
     }
 
-    /// One step of the integral loop, `elapsed` after the last.
+    /// Performs one step of the integral control loop, `elapsed` after the last one.
     ///
-    /// `latency_excess` is the worst latency of a handler over its setpoint, in setpoints. Where `rejecting_helps` is false,
-    /// the latency has another cause than the arrivals, and the fraction recovers.
+    /// `latency_excess` is the amount by which the worst latency of a handler exceeds its setpoint, in setpoints. If
+    /// `rejecting_helps` is false, the latency is not caused by the arrivals, and the admitted fraction recovers.
     pub(super) fn update(&mut self, elapsed: Duration, latency_excess: f64, rejecting_helps: bool) {
         let change_per_second = if rejecting_helps && latency_excess > 0.0 {
             -CUT_RATE_PER_SECOND * latency_excess.min(MAX_CONTROL_ERROR)
--- a/src/decide/answers.rs
+++ b/src/decide/answers.rs
@@ -1,4 +1,4 @@
-//! The steps to the end of a request: rejecting, failing, withdrawing and cancelling it.
+//! The steps that end a request: rejecting, failing, withdrawing and cancelling it.
 
 use super::Decider;
 use super::rejection::{Rejection, RejectionInputs, RejectionKind, ServerSpeed};
@@ -8,22 +8,22 @@
 use crate::time::{Duration, Timestamp};
 use crate::timers::Timer;
 
-/// Time after which a run that is at a call, and that nobody waits for, should have ended.
+/// Time within which a run at an upstream call should end once nobody waits for it.
 const CALL_END_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Time after which the cancellation of a run is repeated. It is lost where the cores are stalled.
+/// Time after which the cancellation of a run is repeated, because cancellations are lost while the cores are stalled.
 const CANCEL_REPEAT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What is left of an attempt that was to run and never started.
+/// An attempt that was to run under its idempotency key and was removed before it started.
 struct WithdrawnAttempt {
     id: u64,
     key: KeySlot,
-    /// The attempts that waited for its start.
+    /// The other attempts that waited for its start.
     waiting: Vec<RequestSlot>,
 }
 
 impl Decider {
-    /// Final answer of a request that never started: it was not run here, and may run elsewhere. The attempts that
-    /// wait for its start are rejected with it.
+    /// Rejects a request that never started: it did not run here and may run elsewhere. The attempts that wait for its
+    /// start are rejected as well.
     pub(super) fn reject(&mut self, now: Timestamp, slot: RequestSlot, out: &mut dyn Actions) {
         let Rejection { kind, retry_after } = self.rejection(now, slot);
         let is_final = kind == RejectionKind::Final;
@@ -39,7 +39,7 @@
         }
     }
 
-    /// What the rejection of a request says.
+    /// Decides what the rejection of a request tells its client.
     fn rejection(&mut self, now: Timestamp, slot: RequestSlot) -> Rejection {
         let inputs = RejectionInputs {
             expected_wait_secs: self.expected_wait_secs(slot),
@@ -50,7 +50,7 @@
         self.rejections.decide(&inputs, &mut self.random)
     }
 
-    /// Wait expected at the end of the queue, in seconds, for a request of the same handler.
+    /// Returns the expected wait of a request of the same handler at the end of the queue, in seconds.
     fn expected_wait_secs(&self, slot: RequestSlot) -> f64 {
         let queued_secs = self.queue.iter().map(|queued| {
             let run = self.expected_run(queued);
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Nobody waits for a request that never started. One of the attempts that wait for its start takes its place.
+    /// Removes a request that never started and that nobody waits for. If other attempts wait for its start, one of
+    /// them takes its place.
     pub(super) fn withdraw(&mut self, now: Timestamp, slot: RequestSlot, out: &mut dyn Actions) {
         let Some(withdrawn) = self.remove_unstarted(slot) else {
             return;
@@ -93,7 +94,8 @@
         }
     }
 
-    /// Removes a request that never started. Returns what is left of it if it was the attempt of a key that was to run.
+    /// Removes a request that never started. Returns a [`WithdrawnAttempt`] if it was the attempt that was to run under
+    /// its idempotency key.
     fn remove_unstarted(&mut self, slot: RequestSlot) -> Option<WithdrawnAttempt> {
         self.queue.remove(slot);
         let Request { id, key, .. } = self.requests[slot];
@@ -103,14 +105,14 @@
         Some(WithdrawnAttempt { id, key, waiting })
     }
 
-    /// Forgets a key under which nothing runs.
+    /// Forgets an idempotency key under which nothing runs, and removes it from storage if it was stored.
     fn remove_key(&mut self, withdrawn: &WithdrawnAttempt, out: &mut dyn Actions) {
         if self.keys.remove(withdrawn.key) {
             out.remove_key(withdrawn.id);
         }
     }
 
-    /// Answers a request with an error. Nobody waits for its run from here on.
+    /// Answers a request with an error. Nobody waits for its run from then on.
     pub(super) fn fail(&mut self, now: Timestamp, slot: RequestSlot, out: &mut dyn Actions) {
         out.fail(self.requests[slot].id);
         if self.requests[slot].has_started() {
@@ -120,8 +122,8 @@
         }
     }
 
-    /// Cancels a run that nobody waits for any more, if runs can be cancelled. One that is at an upstream call is not
-    /// cancelled: it ends by itself, or its place is given to others after a time.
+    /// Marks a started request as settled and cancels its run, if runs can be cancelled. A run that is at an upstream
+    /// call is not cancelled: it ends by itself, or its place under the concurrency limit is released after a time.
     pub(super) fn cancel_settled(
         &mut self,
         now: Timestamp,
@@ -138,13 +140,13 @@
         }
     }
 
-    /// A run at a call, whose place was given to others, is waited for once more.
+    /// Schedules another check of a run at an upstream call whose place under the concurrency limit was released.
     pub(super) fn reschedule_end_check(&mut self, now: Timestamp, slot: RequestSlot) {
         self.schedule_end_check(now, CANCEL_REPEAT_INTERVAL, slot);
     }
 
-    /// A run should have ended after `wait`, counted from the last tick, or from now where that has passed since: the clock
-    /// may leap between two ticks.
+    /// Schedules a check whether a run has ended. `wait` counts from the last tick, or from `now` if that instant has
+    /// already passed, because the clock may jump between two ticks.
     fn schedule_end_check(&mut self, now: Timestamp, wait: Duration, slot: RequestSlot) {
         let watch = &mut self.requests[slot].end_watch;
         self.unresponsive_runs.begin_check(watch);
@@ -157,14 +159,14 @@
         self.timers.set(due, Timer::CheckEnded(slot));
     }
 
-    /// Ends a request that nobody waits for and whose run does not end.
+    /// Abandons a run that does not end and that nobody waits for, and ends its request.
     pub(super) fn abandon_run(&mut self, now: Timestamp, slot: RequestSlot, out: &mut dyn Actions) {
         self.abandon_call(now, slot);
         out.abandon(self.requests[slot].id);
         self.end_request(now, slot);
     }
 
-    /// Removes a request whose run has ended. Its key is remembered while further attempts may arrive.
+    /// Removes a request whose run has ended. Its idempotency key is remembered as long as further attempts may arrive.
     pub(super) fn end_request(&mut self, now: Timestamp, slot: RequestSlot) {
         let handler = self.handler_of(slot);
         let forget_at = now + handler.idempotency_window + handler.timeout;
--- a/src/decide/arrivals.rs
+++ b/src/decide/arrivals.rs
@@ -1,5 +1,5 @@
-//! The steps of an arriving request: its deadlines, its idempotency key, its weight, admission, and its place in the
-//! queue.
+//! The steps that process an arriving request: its deadlines, its idempotency key, its weight, admission, and its place
+//! in the queue.
 
 use super::Decider;
 use super::admission::{AdmissionDecision, AdmissionInputs};
@@ -13,11 +13,12 @@
 use crate::time::{Duration, Timestamp};
 use crate::timers::Timer;
 
-/// Time by which a stored key outlasts its window, for the way here.
+/// Time by which a stored idempotency key outlasts its window, to cover the time that requests take to reach this
+/// server.
 const KEY_LIFETIME_MARGIN: Duration = Duration::from_millis(50);
 
 impl Decider {
-    /// Enters a request that has been read, with the instants that it is held to.
+    /// Adds a request that has been read, with its deadlines, and sets the timer for its answer.
     pub(super) fn add_request(&mut self, now: Timestamp, arrival: &Arrival) -> RequestSlot {
         let RequestDeadlines {
             reached,
@@ -37,7 +38,8 @@
         slot
     }
 
-    /// Lets one attempt of a keyed request pass; the others wait for its run. Requests without a key pass.
+    /// Processes an arriving request. Of the attempts of a keyed request, only one may run; the others wait for its
+    /// start or join its run. Requests without an idempotency key go directly to admission.
     pub(super) fn process_arrival(
         &mut self,
         now: Timestamp,
@@ -58,8 +60,8 @@
         }
     }
 
-    /// Stores the key of the attempt that is to run. A run whose key cannot be stored must not start: its retry would
-    /// pass for a new request.
+    /// Stores the idempotency key of the attempt that is to run, then admits or rejects the attempt. A run whose key
+    /// cannot be stored must not start, since a retry of it would be taken for a new request; the attempt is rejected.
     fn process_keyed_run(
         &mut self,
         now: Timestamp,
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Stores an attempt's key until its window, counted from its arrival, has passed.
+    /// Stores an attempt's idempotency key until its window, counted from the attempt's arrival, has passed.
     pub(super) fn store_key(
         &mut self,
         now: Timestamp,
@@ -91,7 +93,8 @@
         out.store_key(self.requests[slot].id, until - now);
     }
 
-    /// Lets an attempt share the answer of the run, to which the attempt that it names belongs.
+    /// Lets an attempt share the answer of the run that the attempt named in `retry_of` belongs to. An attempt that
+    /// names none fails.
     pub(super) fn join(&mut self, now: Timestamp, slot: RequestSlot, out: &mut dyn Actions) {
         self.requests.wait(slot, Stage::Joined);
         let Request { id, retry_of, .. } = self.requests[slot];
@@ -102,7 +105,8 @@
         }
     }
 
-    /// Queues a request that may run, or rejects it: after the grace period of a graceful shutdown, or by admission.
+    /// Queues a request that may run, or rejects it: because it arrived after the grace period of a graceful shutdown,
+    /// or by the decision of admission.
     pub(super) fn admit_or_reject(
         &mut self,
         now: Timestamp,
@@ -126,7 +130,7 @@
         drain.is_some_and(|drain| drain.is_past_grace_period(reached, grace))
     }
 
-    /// The priority weight of a request.
+    /// Returns the priority weight of a request, and counts the request in its tenant's rate.
     fn weigh(&mut self, now: Timestamp, slot: RequestSlot) -> f64 {
         let Request {
             handler, tenant, ..
@@ -145,7 +149,7 @@
         self.admission.decide(inputs, &mut self.random)
     }
 
-    /// Queues a request by its latest start, long requests apart from short ones.
+    /// Queues a request by its latest start, separating long requests from short ones.
     fn enqueue(&mut self, slot: RequestSlot) {
         let run = self.expected_run(slot);
         let latest_start = self.requests[slot].objective.saturating_sub(run);
--- a/src/decide/budget_controller.rs
+++ b/src/decide/budget_controller.rs
@@ -1,8 +1,9 @@
 //! The budget B of He et al.: planned run time for all pending requests.
 //!
-//! Owns the budget, in seconds of run time, and the mean response time (MRT) of each handler. An integral step at each
-//! completion steers the budget by the handler whose MRT is furthest over its setpoint; [`LqReset`] resets it from
-//! time to time. Gives each started request its EqResv allowance. Never starts or rejects a request.
+//! [`BudgetController`] keeps the budget, in seconds of run time, and the mean response time (MRT) of each handler. At
+//! each completion, an integral step adjusts the budget by the handler whose MRT is furthest over its setpoint;
+//! [`LqReset`] resets the budget from time to time. Each request gets its EqResv allowance from the budget when it
+//! starts. The controller never starts or rejects a request.
 
 use super::lq_reset::LqReset;
 use super::run_times::{RunTimes, initial_estimate_secs};
@@ -10,37 +11,38 @@
 use crate::interface::{Handler, HandlerId};
 use crate::time::{Duration, Timestamp};
 
-/// Weight of the newest response in a handler's MRT (the paper's alpha).
+/// Weight of the newest response time in a handler's MRT (the paper's alpha).
 const MRT_WEIGHT: f64 = 0.05;
-/// Setpoint of the MRT, in latency objectives. At a mean of one objective about half of the answers are late.
+/// Setpoint of the MRT, as a fraction of the latency objective. At a mean of one objective, about half of the answers
+/// are late.
 const SETPOINT_IN_OBJECTIVES: f64 = 0.8;
-/// Change of the budget for an error of one setpoint, in mean run times (the paper's K_I).
+/// Change of the budget in one step for an error of one setpoint, in mean run times (the paper's K_I).
 const INTEGRAL_GAIN: f64 = 1.0;
-/// Largest error that one step of a control loop counts, in setpoints: one late answer must not empty the budget.
+/// Largest error that one step of a control loop counts, in setpoints, so that one late answer cannot empty the budget.
 pub(super) const MAX_CONTROL_ERROR: f64 = 2.0;
-/// Fraction of its distance from rest that an idle handler's MRT keeps per tick: halved in about 1.5 s.
+/// Factor per tick on the distance between an idle handler's MRT and its resting value, which halves in about 1.5 s.
 const IDLE_MRT_DECAY_FACTOR: f64 = 0.995;
-/// Largest MRT at which an idle handler rests, in setpoints.
+/// Largest resting value of an idle handler's MRT, as a fraction of the setpoint.
 const MAX_IDLE_MRT_IN_SETPOINTS: f64 = 0.5;
 
-/// The response times of one handler, in seconds.
+/// The MRT of one handler and its setpoint, in seconds.
 struct HandlerLatency {
     setpoint_secs: f64,
     mrt: Average,
 }
 
-/// The completion of a run, or what stands for one.
+/// The completion of a run, or the age of an unfinished run that is counted as one.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Completion {
     /// The handler of the request.
     pub(super) handler: HandlerId,
-    /// Time from its arrival at the machine to now.
+    /// Time from the arrival of the request at the machine until now.
     pub(super) response: Duration,
-    /// Requests queued or running.
+    /// Number of requests that are queued or running.
     pub(super) pending: usize,
 }
 
-/// The budget and what steers it.
+/// Adjusts the budget by the response times of completed runs.
 pub(super) struct BudgetController {
     budget_secs: f64,
     cores: f64,
@@ -50,7 +52,7 @@
 }
 
 impl BudgetController {
-    /// Begins at the floor. This tier has `objective_fraction` of each latency objective.
+    /// Starts with the minimum budget. `objective_fraction` of each latency objective is available to this tier.
     pub(super) fn new(
         now: Timestamp,
         cores: u32,
@@ -75,45 +77,45 @@
         }
     }
 
-    /// The budget, in seconds of run time.
+    /// Returns the budget, in seconds of run time.
     pub(super) fn budget_secs(&self) -> f64 {
         self.budget_secs
     }
 
-    /// Whether the budget is as small as it may be.
+    /// Reports whether the budget is at its minimum.
     pub(super) fn is_at_minimum(&self, run_times: &RunTimes) -> bool {
         self.budget_secs <= self.min_budget_secs(run_times)
     }
 
-    /// Mean response time of a handler, in seconds.
+    /// Returns the mean response time of a handler, in seconds.
     pub(super) fn mrt_secs(&self, handler: HandlerId) -> f64 {
         self.handlers[handler.index()].mrt.value()
     }
 
-    /// The MRT of the handler furthest over its setpoint, in setpoints.
+    /// Returns the largest ratio of a handler's MRT to its setpoint.
     pub(super) fn worst_latency_ratio(&self) -> f64 {
         let latencies = self.handlers.iter();
         let relative = latencies.map(|handler| handler.mrt.value() / handler.setpoint_secs);
         relative.fold(0.0, f64::max)
     }
 
-    /// Whether a handler exceeds its setpoint. Only then do allowances bind.
+    /// Reports whether the MRT of any handler exceeds its setpoint. Allowances are enforced only then.
     pub(super) fn exceeds_setpoint(&self) -> bool {
         self.worst_latency_ratio() > 1.0
     }
 
-    /// One mean run on each core.
+    /// Returns the minimum budget, in seconds: one mean run on each core.
     fn min_budget_secs(&self, run_times: &RunTimes) -> f64 {
         self.cores * run_times.mean_secs()
     }
 
-    /// The longest run on each core and for each pending request.
+    /// Returns the maximum budget, in seconds: the longest run on each core and for each pending request.
     fn max_budget_secs(&self, pending: usize, run_times: &RunTimes) -> f64 {
         let max_budget = (pending as f64 + self.cores) * run_times.largest_secs();
         max_budget.max(self.min_budget_secs(run_times))
     }
 
-    /// Steers by one completion.
+    /// Updates the MRT and the budget by one completion.
     pub(super) fn on_completion(
         &mut self,
         now: Timestamp,
@@ -133,8 +135,8 @@
         }
     }
 
-    /// Moves the budget against the error. Completions of one moment, as after a pause, make one step: more would
-    /// leave a lasting cut.
+    /// Moves the budget against the control error. Completions at the same instant, as after a pause, make only one
+    /// step, because more steps would leave a lasting cut.
     fn integral_step(&mut self, now: Timestamp, latency_ratio: f64, run_times: &RunTimes) {
         if now <= self.last_step {
             return;
@@ -144,8 +146,8 @@
         self.budget_secs += INTEGRAL_GAIN * error * run_times.mean_secs();
     }
 
-    /// Lets an idle handler's MRT drift back to its run time by one tick. Else a handler that is rejected altogether
-    /// would keep its cut.
+    /// Moves an idle handler's MRT one tick closer to its mean run time. Otherwise, a handler whose requests are all
+    /// rejected would never recover from a cut.
     pub(super) fn relax_idle(&mut self, handler: HandlerId, run_times: &RunTimes) {
         let latency = &mut self.handlers[handler.index()];
         let max_rest = latency.setpoint_secs * MAX_IDLE_MRT_IN_SETPOINTS;
@@ -153,13 +155,13 @@
         latency.mrt.relax_towards(rest, IDLE_MRT_DECAY_FACTOR);
     }
 
-    /// The latency objective of a handler in this tier, in seconds.
+    /// Returns the latency objective of a handler in this tier, in seconds.
     pub(super) fn objective_secs(&self, handler: HandlerId) -> f64 {
         self.handlers[handler.index()].setpoint_secs / SETPOINT_IN_OBJECTIVES
     }
 
-    /// EqResv allowance of the first of the queued requests: an equal part of the budget for each, or all that the
-    /// others leave where each takes a mean run.
+    /// Returns the EqResv allowance of the first of the queued requests: an equal share of the budget for each, or, if
+    /// larger, all that the others leave when each of them takes a mean run time.
     pub(super) fn allowance(&self, queued: usize, run_times: &RunTimes) -> Duration {
         let queued_per_core = (queued as f64 / self.cores).max(1.0);
         let equal_share = self.budget_secs / queued_per_core;
--- a/src/decide/call_account.rs
+++ b/src/decide/call_account.rs
@@ -1,7 +1,8 @@
-//! The account of upstream calls: how many this server may have in flight, and how long calls take.
+//! Accounting of upstream calls: how many this server may have in flight, and how long calls take.
 //!
-//! Owns the calls in flight, those that were abandoned and may still run, and the credit that is left over from this
-//! server's quota, in call seconds. Is given the start and end of each call, and the time. Makes no call.
+//! [`CallAccount`] tracks the calls in flight, the abandoned calls that may still run, and the unused credit of this
+//! server's quota, in call-seconds. It is updated at the start and end of each call and as time passes. It makes no
+//! calls itself.
 
 use super::best_mean::BestMean;
 use crate::abandoned_calls::AbandonedCalls;
@@ -9,41 +10,43 @@
 use crate::interface::{Outcome, Upstream, UpstreamKind};
 use crate::time::{Duration, Timestamp};
 
-/// Fraction of the quota that calls may hold while they are slow.
+/// Smallest usable fraction of the quota, which applies while calls are slow.
 const MIN_QUOTA_FRACTION: f64 = 0.27;
-/// Largest fraction of the quota that calls may hold. A dependency slows well before its limit.
+/// Largest usable fraction of the quota. A dependency slows down well before it reaches its limit.
 const MAX_QUOTA_FRACTION: f64 = 0.9;
-/// Ratio of the mean to the best call time above which the usable fraction of the quota shrinks.
+/// Ratio of the mean call time to the best one above which the usable fraction of the quota shrinks.
 const SLOWDOWN_THRESHOLD: f64 = 1.2;
-/// Weight of the newest call in the averages over calls.
+/// Weight of the newest call in the moving averages over calls.
 const CALL_WEIGHT: f64 = 0.1;
-/// First guess of the best call time, in first guesses of the mean: the first calls count as slow.
+/// Initial estimate of the best call time, as a fraction of that of the mean, so that the first calls count as slow.
 const INITIAL_BEST_IN_MEANS: f64 = 0.5;
-/// Least mean call time, in seconds; avoids a division by zero.
+/// Lower bound of the mean call time, in seconds; avoids a division by zero.
 const MIN_MEAN_SECS: f64 = 1e-6;
-/// Mean call times after which a call is stuck.
+/// Time after which a call counts as stuck, in mean call times.
 const STUCK_TIMEOUT_IN_MEANS: f64 = 8.0;
-/// Time beyond these means before a call is stuck: calls that take next to no time are not given up for a short pause.
+/// Time added to the mean call times before a call counts as stuck, so that calls that take almost no time are not
+/// given up because of a short pause.
 const STUCK_TIMEOUT_MARGIN: Duration = Duration::from_millis(40);
 
-/// The account of one server's upstream calls.
+/// Accounts for the upstream calls of one server.
 pub(super) struct CallAccount {
     upstream: Upstream,
     in_flight: usize,
     abandoned: AbandonedCalls<()>,
-    /// Call seconds left over from the quota of late, as of `updated`; negative in debt.
+    /// Recently unused call-seconds of the quota, as of `updated`; negative if the quota was overdrawn.
     credit_secs: f64,
     updated: Timestamp,
     mean: Average,
     best: BestMean,
     rejected_fraction: Average,
-    /// External ceilings tell a slow upstream from an overloaded one: the capacity shrinks no more by itself.
+    /// Whether external ceilings are set. They tell a slow upstream from an overloaded one, so the capacity no longer
+    /// shrinks by itself.
     has_ceilings: bool,
 }
 
 impl CallAccount {
-    /// Begins in debt by a part, 0 to 1, of a guessed call time. Servers that start together with random parts make
-    /// their first calls at different times, the smaller their quota the later.
+    /// Starts overdrawn by a fraction, 0 to 1, of an estimated call time. Servers that start together with random
+    /// fractions make their first calls at different times; the smaller the quota, the later.
     pub(super) fn new(
         now: Timestamp,
         initial_estimate_secs: f64,
@@ -63,40 +66,41 @@
         }
     }
 
-    /// Sets what this server calls, before its first call.
+    /// Sets the upstream that this server calls, before the first call is made.
     pub(super) fn set_upstream(&mut self, upstream: &Upstream) {
         self.upstream = upstream.clone();
         self.abandoned = AbandonedCalls::new(upstream.abandoned_call_lifetime);
     }
 
-    /// Sets how many calls may be in flight. Whoever divides them among servers stays below the limit, so the reserve
-    /// that the account keeps of its quota is added to them.
+    /// Sets how many calls may be in flight. The component that divides the calls among the servers stays below the
+    /// limit of the upstream, so the reserve that this account keeps of its quota is added to them.
     pub(super) fn set_usable_calls(&mut self, now: Timestamp, calls: f64) {
         self.update(now);
         self.upstream.quota = calls / MAX_QUOTA_FRACTION;
     }
 
-    /// Sets whether external ceilings bind the calls.
+    /// Sets whether external ceilings limit the calls.
     pub(super) fn set_has_ceilings(&mut self, has_ceilings: bool) {
         self.has_ceilings = has_ceilings;
     }
 
-    /// Whether a call is in flight that was not abandoned.
+    /// Reports whether a call is in flight that was not abandoned.
     pub(super) fn has_calls_in_flight(&self) -> bool {
         self.in_flight > 0
     }
 
-    /// Fraction of the latest calls that the upstream rejected, 0 to 1.
+    /// Returns the fraction of the latest calls that the upstream rejected, 0 to 1.
     pub(super) fn rejected_fraction(&self) -> f64 {
         self.rejected_fraction.value()
     }
 
-    /// When a call that is made at that time is expected back.
+    /// Returns when a call that is made at `start` is expected to end.
     pub(super) fn expected_end(&self, start: Timestamp) -> Timestamp {
         start + Duration::from_secs_f64(self.mean.value())
     }
 
-    /// Brings the account up to now. Returns the calls in flight, with those that were abandoned.
+    /// Updates the credit to `now`. Returns the number of calls in flight, including abandoned calls that may still
+    /// run.
     pub(super) fn update(&mut self, now: Timestamp) -> f64 {
         self.abandoned.remove_ended(now);
         let in_flight = (self.in_flight + self.abandoned.len()) as f64;
@@ -107,7 +111,7 @@
         in_flight
     }
 
-    /// The calls that may be in flight on average: a part of the quota that shrinks as calls slow.
+    /// Returns how many calls may be in flight on average: a fraction of the quota that shrinks as calls slow down.
     fn capacity(&self) -> f64 {
         let min_fraction = if self.has_ceilings {
             MAX_QUOTA_FRACTION
@@ -119,14 +123,15 @@
         self.upstream.quota * slowed_fraction.clamp(min_fraction, MAX_QUOTA_FRACTION)
     }
 
-    /// What the account leaves of the quota in one window, in call seconds.
+    /// Returns the largest credit: the part of the quota that stays unused in one averaging window, in call-seconds.
     fn max_credit_secs(&self) -> f64 {
         let window_secs = self.upstream.averaging_window.as_secs_f64();
         self.upstream.quota * (1.0 - MAX_QUOTA_FRACTION) * window_secs
     }
 
-    /// Whether one more call keeps the mean in flight within a fraction of the capacity, 0 to 1: by the number in
-    /// flight, or by the credit that earlier calls left over, so that quick calls go together.
+    /// Reports whether one more call keeps the mean number in flight within `fraction`, 0 to 1, of the capacity: judged
+    /// by the number in flight, or by the credit that earlier calls left unused, so that short calls may be made at the
+    /// same time. Only calls to a shared dependency are limited.
     pub(super) fn allows_call(&mut self, now: Timestamp, fraction: f64) -> bool {
         let in_flight = self.update(now);
         self.upstream.kind != UpstreamKind::Shared
@@ -134,17 +139,17 @@
             || self.credit_after(in_flight) > self.max_credit_secs() * (1.0 - fraction)
     }
 
-    /// The credit that is left once the calls in flight have taken a mean call time each, in call seconds.
+    /// Returns the credit that is left once each call in flight has used a mean call time, in call-seconds.
     fn credit_after(&self, in_flight: f64) -> f64 {
         self.credit_secs - in_flight * self.mean.value()
     }
 
-    /// A call is made.
+    /// Records that a call is made.
     pub(super) fn start_call(&mut self) {
         self.in_flight += 1;
     }
 
-    /// A call ended, or was abandoned, after the time spent.
+    /// Records that a call ended, or was abandoned, after the time `spent`.
     pub(super) fn finish_call(&mut self, now: Timestamp, outcome: Outcome, spent: Duration) {
         self.update(now);
         self.in_flight = self.in_flight.saturating_sub(1);
@@ -160,13 +165,13 @@
         }
     }
 
-    /// A call in flight is given up by this server. How long it took says nothing.
+    /// Records that this server gives up a call in flight. The time that it took is not counted.
     pub(super) fn abandon_call(&mut self, now: Timestamp) {
         self.finish_call(now, Outcome::Cancelled, Duration::ZERO);
     }
 
-    /// Whether the time of a call with this outcome counts. A timeout bounds the call time from below, except at a
-    /// tier, where a machine may have gone silent.
+    /// Reports whether the time of a call with this outcome counts. A timeout is a lower bound of the call time, except
+    /// in a tier, where a machine may have stopped responding.
     fn counts_as_call_time(&self, outcome: Outcome) -> bool {
         match outcome {
             Outcome::Completed => true,
@@ -175,8 +180,8 @@
         }
     }
 
-    /// Time after which a call is stuck and only holds up its run. At a shared dependency no call may last longer than
-    /// the quota of a window pays for.
+    /// Returns the time after which a call counts as stuck and only delays its run. At a shared dependency, no call may
+    /// last longer than the quota of one averaging window allows.
     pub(super) fn stuck_timeout(&self) -> Duration {
         let timeout = Duration::from_secs_f64(STUCK_TIMEOUT_IN_MEANS * self.mean.value());
         let timeout = timeout + STUCK_TIMEOUT_MARGIN;
--- a/src/decide/call_policy.rs
+++ b/src/decide/call_policy.rs
@@ -1,56 +1,57 @@
-//! What is done about the upstream call of a run: made, postponed, skipped, made again, or given up.
+//! Decisions on the upstream call of a run: whether it is sent, delayed, skipped, retried or given up.
 //!
-//! Owns nothing; asks the [`CallAccount`] for capacity. The answers are carried out elsewhere.
+//! The functions keep no state and ask the [`CallAccount`] for capacity. The decisions are carried out in `calls`.
 
 use super::call_account::CallAccount;
 use super::deadlines::answer_by;
 use crate::interface::Outcome;
 use crate::time::{Duration, Timestamp};
 
-/// Unit of the pause before a failed call is made again: doubled once for each failed call of the request, of whichever
-/// of its calls, so that the first pause is two units.
+/// Unit of the backoff before a failed call is retried. It is doubled once for each failed call of the request,
+/// whichever of its calls failed, so the first backoff is two units.
 const BACKOFF_UNIT: Duration = Duration::from_millis(40);
-/// Doublings of the backoff at the most.
+/// Largest number of doublings of the backoff.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
-/// Failed calls of one request from which an optional call is skipped.
+/// Number of failed calls of one request from which an optional call is skipped.
 const MAX_FAILED_OPTIONAL_CALLS: u32 = 2;
-/// Fraction of rejected calls above which a retry of an optional call only adds load.
+/// Fraction of rejected calls above which a retry of an optional call would only add load.
 const MAX_REJECTED_FRACTION: f64 = 0.25;
-/// Least timeout of a call.
+/// Shortest timeout of a call.
 const MIN_CALL_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// What is done about a call that a run waits at.
+/// Decision on the call that a run waits at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallDecision {
-    /// The request fails: it would be late and then worthless, and another run makes better use of the capacity.
+    /// Fail the request: its answer would be late and therefore worthless, and another run makes better use of the
+    /// capacity.
     Fail,
-    /// The run goes on without the call, for a partial answer.
+    /// Let the run continue without the call, for a partial answer.
     Skip,
-    /// The call waits for capacity.
+    /// Let the call wait for capacity.
     Wait,
-    /// The call is made, and given up after the timeout.
+    /// Send the call, and give it up after the timeout.
     Send {
-        /// Longest time for which the call is waited for.
+        /// Longest time to wait for the call.
         timeout: Duration,
     },
 }
 
-/// What the decision on a call rests on, besides the account.
+/// Inputs of the decision on a call, besides the account.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CallInputs {
-    /// Whether the run can do without the call.
+    /// Whether the run can continue without the call.
     pub(super) is_optional: bool,
-    /// Whether an answer past the objective has no weight.
+    /// Whether an answer after the latency objective has no priority weight.
     pub(super) is_late_answer_useless: bool,
-    /// Whether the run has spent its allowance while a handler exceeds its setpoint.
+    /// Whether the run has used up its allowance while a handler exceeds its setpoint.
     pub(super) is_allowance_spent: bool,
-    /// Whether the calls of the handler's groups in flight are below their ceilings.
+    /// Whether the calls in flight of the handler's groups are below their ceilings.
     pub(super) is_within_ceilings: bool,
-    /// Whether optional calls give way to calls that wait: under ceilings, required calls go first.
+    /// Whether an optional call yields to calls that wait for capacity: under ceilings, required calls go first.
     pub(super) yields_to_waiting_calls: bool,
-    /// Rank of the request's weight among the latest arrivals, 0 to 1.
+    /// Priority weight rank of the request among the latest arrivals, 0 to 1.
     pub(super) rank: f64,
-    /// When the answer of the request is in time.
+    /// Instant until which the answer of the request meets its latency objective.
     pub(super) objective: Timestamp,
     /// When the client stops waiting.
     pub(super) deadline: Timestamp,
@@ -58,9 +59,10 @@
 
 /// Decides on the call that a run waits at.
 ///
-/// An optional call is skipped once the allowance is spent, where it would be late, and where the requests of higher
-/// weight need the capacity. A required call waits for capacity. One that would be late for a worthless answer fails its
-/// request, but only while other calls are in flight: else nobody makes better use of the capacity.
+/// An optional call is skipped if the run has used up its allowance, if the call would be late, or if requests of
+/// higher weight need the capacity. A required call waits for capacity. If it would be late and a late answer is
+/// worthless, the request fails, but only while other calls are in flight: otherwise nothing makes better use of the
+/// capacity.
 pub(super) fn decide_call(
     now: Timestamp,
     call: &CallInputs,
@@ -86,7 +88,7 @@
     }
 }
 
-/// A call is waited for while its result is of use, and until it counts as stuck.
+/// Returns how long to wait for a call: while its result is useful, and until it counts as stuck.
 fn call_timeout(now: Timestamp, call: &CallInputs, account: &CallAccount) -> Duration {
     let useful_until = if call.is_optional || call.is_late_answer_useless {
         call.objective
@@ -97,36 +99,37 @@
     (until - now).max(MIN_CALL_TIMEOUT)
 }
 
-/// What is done about a call that failed.
+/// Decision on a call that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RetryDecision {
-    /// The run goes on without the call.
+    /// Let the run continue without the call.
     Skip,
-    /// The request fails: the call may have run and must not run twice, or there is no time for another.
+    /// Fail the request: the call may have run and must not run twice, or there is no time for a retry.
     Fail,
-    /// The call is made again after the pause.
+    /// Retry the call after the backoff.
     Retry {
         /// Pause before the retry.
         backoff: Duration,
     },
 }
 
-/// A call that failed, and what the decision on a retry rests on.
+/// A call that failed, and the inputs of the decision on its retry.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FailedCall {
-    /// How it ended.
+    /// How the call ended.
     pub(super) outcome: Outcome,
-    /// Failed calls of the request, this one included.
+    /// Number of failed calls of the request, including this one.
     pub(super) failures: u32,
-    /// Whether the run can do without the call.
+    /// Whether the run can continue without the call.
     pub(super) is_optional: bool,
-    /// Whether the call may run twice.
+    /// Whether the call is safe to run twice.
     pub(super) is_idempotent: bool,
-    /// When the answer of the request is in time.
+    /// Instant until which the answer of the request meets its latency objective.
     pub(super) objective: Timestamp,
 }
 
-/// Decides whether a failed call is made again. One with an effect only after an outcome that proves it did not run.
+/// Decides whether a failed call is retried. A call that is not idempotent is retried only after an outcome that proves
+/// that it did not run.
 pub(super) fn decide_retry(
     now: Timestamp,
     call: &FailedCall,
@@ -147,7 +150,7 @@
     }
 }
 
-/// The pause after that many failed calls of one request.
+/// Returns the backoff after this number of failed calls of one request.
 fn backoff_after(failures: u32) -> Duration {
     let doublings = failures.min(MAX_BACKOFF_DOUBLINGS);
     BACKOFF_UNIT.mul_f64(f64::from(1u32 << doublings))
--- a/src/decide/call_policy/tests.rs
+++ b/src/decide/call_policy/tests.rs
@@ -4,19 +4,19 @@
 use crate::time::{Duration, Timestamp};
 
 const NOW: Timestamp = Timestamp::from_micros(10_000_000);
-/// A first guess of the call time, in seconds.
+/// Initial estimate of the call time, in seconds.
 const CALL_SECS: f64 = 0.1;
 
 fn after_millis(millis: u64) -> Timestamp {
     NOW + Duration::from_millis(millis)
 }
 
-/// An account that limits nothing.
+/// Returns an account without limits.
 fn unlimited() -> CallAccount {
     CallAccount::new(NOW, CALL_SECS, 0.0)
 }
 
-/// An account of a shared dependency whose quota is spent by one call.
+/// Returns an account of a shared dependency whose quota is used up by one call.
 fn at_capacity() -> CallAccount {
     let mut account = unlimited();
     account.set_upstream(&Upstream {
@@ -29,7 +29,7 @@
     account
 }
 
-/// An optional call that is in time and within all limits.
+/// Returns an optional call that is in time and within all limits.
 fn optional_call() -> CallInputs {
     CallInputs {
         is_optional: true,
@@ -53,7 +53,7 @@
 #[test]
 fn sends_call_within_all_limits() {
     let decision = decide_call(NOW, &required_call(), &mut unlimited());
-    // Eight times the guessed call time, and the margin.
+    // Eight times the estimated call time, plus the margin.
     let timeout = Duration::from_millis(840);
     assert_eq!(decision, CallDecision::Send { timeout });
 }
@@ -108,13 +108,13 @@
     };
     let decision = decide_call(NOW, &worthless_if_late, &mut at_capacity());
     assert_eq!(decision, CallDecision::Fail);
-    // Nobody else makes use of the capacity: the call is tried while its result is in time.
+    // No other call uses the capacity, so the call is sent while its result can be in time.
     let timeout = Duration::from_millis(50);
     let decision = decide_call(NOW, &worthless_if_late, &mut unlimited());
     assert_eq!(decision, CallDecision::Send { timeout });
 }
 
-/// A required call that the upstream rejected.
+/// Returns a required call that the upstream rejected.
 fn rejected_call() -> FailedCall {
     FailedCall {
         outcome: Outcome::Rejected,
--- a/src/decide/calls.rs
+++ b/src/decide/calls.rs
@@ -1,4 +1,4 @@
-//! The steps of the upstream calls of runs: attempting, retrying, skipping and abandoning them.
+//! The steps that handle the upstream calls of runs: attempting, retrying, skipping and abandoning them.
 
 use super::Decider;
 use super::call_policy::{
@@ -11,13 +11,13 @@
 use crate::timers::Timer;
 
 impl Decider {
-    /// A run has come to an upstream call.
+    /// Handles a run that has reached an upstream call.
     pub(super) fn reach_call(&mut self, now: Timestamp, slot: RequestSlot, out: &mut dyn Actions) {
         self.requests.set_run_stage(slot, Stage::AtCall);
         self.attempt_call(now, slot, out);
     }
 
-    /// Makes the call that a run waits at, skips it, lets it wait, or fails the request.
+    /// Sends the call that a run waits at, skips it, lets it wait, or fails the request.
     fn attempt_call(&mut self, now: Timestamp, slot: RequestSlot, out: &mut dyn Actions) {
         let inputs = self.call_inputs(now, slot);
         match decide_call(now, &inputs, &mut self.calls) {
@@ -52,7 +52,7 @@
         self.requests.set_run_stage(slot, Stage::Calling);
     }
 
-    /// Attempts the calls that wait for capacity.
+    /// Attempts the calls that wait for capacity, starting with the one that began to wait last.
     pub(super) fn attempt_waiting_calls(&mut self, now: Timestamp, out: &mut dyn Actions) {
         for slot in self.waiting_calls.take_latest_first() {
             self.attempt_call_if_waiting(now, slot, out);
@@ -60,8 +60,8 @@
         self.waiting_calls.restore_order();
     }
 
-    /// Attempts the call that a run waits at, after a backoff or for want of capacity, if the run still waits at it and
-    /// somebody waits for its answer.
+    /// Attempts a call that was delayed by a backoff or for lack of capacity, if the run still waits at it and its
+    /// request is not settled.
     pub(super) fn attempt_call_if_waiting(
         &mut self,
         now: Timestamp,
@@ -74,7 +74,8 @@
         }
     }
 
-    /// A call in flight ended. The run goes on, or it is decided what comes after the failure.
+    /// Handles the end of a call in flight. After a success the run continues; after a failure the retry decision is
+    /// carried out, unless the request is settled.
     pub(super) fn finish_call(
         &mut self,
         now: Timestamp,
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Takes a request off the calls; the call that it has in flight counts as abandoned.
+    /// Removes a request from the waiting calls. If it has a call in flight, that call counts as abandoned.
     pub(super) fn abandon_call(&mut self, now: Timestamp, slot: RequestSlot) {
         let request: &Request = &self.requests[slot];
         if request.is_calling() {
--- a/src/decide/client_advice.rs
+++ b/src/decide/client_advice.rs
@@ -6,7 +6,7 @@
 use crate::time::Timestamp;
 
 impl Decider {
-    /// Counts the client of an arrival, and sets the limit on idle connections where it changes.
+    /// Counts the client of an arrival, and sets the limit on the idle time of connections if it changed.
     pub(super) fn record_client(
         &mut self,
         now: Timestamp,
@@ -23,8 +23,9 @@
         }
     }
 
-    /// Sets the answer to health checks where it changes. A hung server tells clients that check its health; where all
-    /// servers hang, nothing is lost by it. One that drains takes no new requests.
+    /// Sets the answer to health checks if it changed. A hung server reports itself as unhealthy to clients that check
+    /// its health; if all servers hang, nothing is lost by that. A draining server is unhealthy because it takes no new
+    /// requests.
     pub(super) fn update_health(&mut self, out: &mut dyn Actions) {
         let is_healthy = self.drain.is_none() && !self.stalls.is_hung();
         if std::mem::replace(&mut self.is_healthy, is_healthy) != is_healthy {
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Reports the load before the first answer, if it is limited from the start.
+    /// Reports the load before the first answer if it is limited from the start.
     pub(super) fn report_initial_load(&mut self, out: &mut dyn Actions) {
         let inputs = self.load_inputs(self.last_tick);
         if let Some(value) = self.load_report.initial_report(&inputs) {
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Reports the load where it changed.
+    /// Reports the load if it changed.
     pub(super) fn report_load(&mut self, now: Timestamp, out: &mut dyn Actions) {
         let inputs = self.load_inputs(now);
         if let Some(value) = self.load_report.report(now, &inputs) {
--- a/src/decide/control_loops.rs
+++ b/src/decide/control_loops.rs
@@ -1,4 +1,4 @@
-//! The steps of the control loops: what completions and ticks do to the budget, the limits and the admitted fraction.
+//! The steps of the control loops: how completions and ticks change the budget, the limits and the admitted fraction.
 
 use super::Decider;
 use super::budget_controller::Completion;
@@ -7,11 +7,12 @@
 use crate::slots::RequestSlot;
 use crate::time::{Duration, Timestamp};
 
-/// Time between two ticks from which the process was held up. The latencies of a pause say nothing of the load.
+/// Time between two ticks from which the process counts as paused. Latencies measured over a pause say nothing about
+/// the load.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(40);
 
 impl Decider {
-    /// Feeds a run that answered its request to the control loops.
+    /// Passes a run that answered its request to the control loops.
     pub(super) fn record_run(
         &mut self,
         now: Timestamp,
@@ -42,7 +43,7 @@
         self.record_completion(now, handler, now - reached);
     }
 
-    /// Steers the budget by a completion with that response time.
+    /// Updates the budget by a completion with this response time.
     fn record_completion(&mut self, now: Timestamp, handler: HandlerId, response: Duration) {
         let completion = Completion {
             handler,
@@ -52,10 +53,10 @@
         self.budget.on_completion(now, completion, &self.run_times);
     }
 
-    /// One tick of the limits on runs and calls.
+    /// Updates the limits on runs and calls at a tick.
     pub(super) fn update_limits(&mut self, now: Timestamp, gauges: &Gauges) {
         let running = self.requests.running();
-        // Ceilings bind before the limit: where they hold a request up, the limit may be the cause.
+        // Ceilings take effect before the limit does: if they delay a request, the limit may be the cause.
         let at_limit = self.concurrency.is_reached(running) || !self.ceilings.is_empty();
         let delays_requests = at_limit && !self.queue.is_empty();
         self.unresponsive_runs.on_tick(gauges.run_queue);
@@ -66,13 +67,14 @@
         self.connections.on_tick(now);
     }
 
-    /// One tick of the loops on latency, unless the process was held up.
+    /// Updates the control loops on latency at a tick, unless the process was paused.
     pub(super) fn update_control_loops(&mut self, now: Timestamp, elapsed: Duration) {
         if elapsed >= PAUSE_THRESHOLD {
             return;
         }
         self.detect_stalls(now);
-        // While cores are idle the cause lies elsewhere, most often upstream, and a cut does not help.
+        // While cores are idle, latency has another cause, most often the upstream, and rejecting arrivals does not
+        // help.
         let is_budget_at_minimum = self.budget.is_at_minimum(&self.run_times);
         let rejecting_helps = is_budget_at_minimum && self.concurrency.are_cores_busy();
         let latency_excess = self.budget.worst_latency_ratio() - 1.0;
@@ -80,8 +82,9 @@
             .update(elapsed, latency_excess, rejecting_helps);
     }
 
-    /// The control loops need completions. Where none come though requests run, the age of the oldest run stands for
-    /// one; a long run may so cut the budget. The MRT of an idle handler drifts back.
+    /// Detects stalls from the ages of the runs. The control loops need completions: if none occur although requests
+    /// run, the age of the oldest run is counted as one, so a long run may cut the budget. The MRT of an idle handler
+    /// drifts back.
     fn detect_stalls(&mut self, now: Timestamp) {
         let ages = self.requests.ages_on_cores(now);
         self.stalls.measure(ages, self.run_times.mean_secs());
@@ -95,7 +98,7 @@
         }
     }
 
-    /// Counts the age of the oldest run as a response, where that is longer than the mean.
+    /// Counts the age of the oldest run as a response time if it is longer than the mean response time.
     fn record_oldest_run_age(&mut self, now: Timestamp) {
         let Some(oldest) = self.requests.oldest_started() else {
             return;
@@ -107,7 +110,8 @@
         }
     }
 
-    /// Lets what was measured of an idle handler drift back: one that is rejected altogether would keep its cut.
+    /// Lets the measurements of an idle handler drift back. Otherwise, a handler whose requests are all rejected would
+    /// never recover from a cut.
     fn relax_idle_handler(&mut self, handler: HandlerId) {
         self.budget.relax_idle(handler, &self.run_times);
         let objective_secs = self.budget.objective_secs(handler);
--- a/src/decide/deadlines.rs
+++ b/src/decide/deadlines.rs
@@ -1,41 +1,42 @@
-//! The instants that a request is held to.
+//! The instants by which a request has to be answered.
 //!
-//! Owns nothing; computes them from the settings and the arrival.
+//! They are computed from the settings and the arrival; no state is kept.
 
 use crate::interface::{Arrival, Handler, Rules};
 use crate::time::{Duration, Timestamp};
 
-/// Time before its deadline at which an answer leaves: three ticks.
+/// Margin before its deadline by which an answer is sent at the latest: three ticks.
 pub const ANSWER_MARGIN: Duration = Duration::from_millis(30);
 
-/// Fraction of the latency objectives that a tier behind another has for itself.
+/// Fraction of the latency objectives that is available to a tier behind another.
 const INNER_TIER_FRACTION: f64 = 0.4;
 
-/// The fraction of each latency objective that the server's tier has; 0 is the tier that clients reach.
+/// Returns the fraction of each latency objective that is available to the server's tier. Tier 0 is the one that
+/// clients reach.
 pub(super) fn objective_fraction(tier: u32) -> f64 {
     if tier == 0 { 1.0 } else { INNER_TIER_FRACTION }
 }
 
-/// When the answer of a request with this deadline leaves at the latest.
+/// Returns the latest instant at which the answer of a request with this deadline is sent.
 pub(super) fn answer_by(deadline: Timestamp) -> Timestamp {
     deadline.saturating_sub(ANSWER_MARGIN)
 }
 
-/// The instants of one request.
+/// Arrival, latency objective and deadline of one request, as instants.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RequestDeadlines {
-    /// When it reached the machine, read or not.
+    /// When the request reached the machine, even if it was read later.
     pub(super) reached: Timestamp,
-    /// When its answer is in time.
+    /// Instant until which the answer meets the latency objective.
     pub(super) objective: Timestamp,
-    /// When its client stops waiting, or the process stops.
+    /// When the client stops waiting, or the process stops.
     pub(super) deadline: Timestamp,
 }
 
 impl RequestDeadlines {
-    /// The instants of a request that is read now. Where requests carry no timeout, their handler's counts from the
-    /// arrival at the machine. The tier has `objective_fraction` of the handler's latency objective; `last` is the
-    /// latest deadline that a graceful shutdown allows.
+    /// Computes the instants of a request that is read now. If requests carry no timeout, that of their handler counts
+    /// from the arrival at the machine. `objective_fraction` of the handler's latency objective is available to this
+    /// tier; `latest_deadline` is the latest deadline that a graceful shutdown allows.
     pub(super) fn new(
         now: Timestamp,
         arrival: &Arrival,
@@ -61,7 +62,8 @@
     }
 }
 
-/// The latency objective of a request: that of its handler, longer by its own work, at most the handler's timeout.
+/// Returns the latency objective of a request: that of its handler, extended by the request's own work, and at most the
+/// handler's timeout.
 fn latency_objective(arrival: &Arrival, handler: &Handler, objective_fraction: f64) -> Duration {
     let stretch = arrival.work_hint.map_or(Duration::ZERO, |hint| {
         hint.mul_f64(handler.objective_stretch)
--- a/src/decide/drain.rs
+++ b/src/decide/drain.rs
@@ -1,14 +1,14 @@
-//! A graceful shutdown: what is still served, and by when all is answered.
+//! Graceful shutdown: which requests are still served, and by when all of them are answered.
 //!
-//! Owns when it began and when the process stops. Answers nothing itself.
+//! [`Drain`] records when the shutdown began and when the process stops. It answers no requests itself.
 
 use super::deadlines::{ANSWER_MARGIN, answer_by};
 use crate::time::{Duration, Timestamp};
 
 /// A graceful shutdown that has begun.
 ///
-/// Two margins lie between the last answer and the stop of the process: no deadline is later than `ANSWER_MARGIN` before
-/// the stop, and each answer leaves as long again before its deadline.
+/// Two margins separate the last answer from the stop of the process: no deadline is later than `ANSWER_MARGIN` before
+/// the stop, and each answer is sent another `ANSWER_MARGIN` before its deadline.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Drain {
     began: Timestamp,
@@ -16,7 +16,7 @@
 }
 
 impl Drain {
-    /// Begins now; the process stops after `left`.
+    /// Begins a shutdown now; the process stops after `time_left`.
     pub(super) fn new(now: Timestamp, time_left: Duration) -> Drain {
         Drain {
             began: now,
@@ -24,18 +24,20 @@
         }
     }
 
-    /// Whether a request that reached the machine at that time came after the grace period, and is rejected. The period
-    /// ends a margin early, so that what is admitted last is still answered within it.
+    /// Reports whether a request that reached the machine at that time arrived after the grace period and is to be
+    /// rejected. The period ends one `ANSWER_MARGIN` early, so that the requests admitted last are still answered
+    /// within it.
     pub(super) fn is_past_grace_period(&self, reached: Timestamp, grace: Duration) -> bool {
         reached > self.began + grace.saturating_sub(ANSWER_MARGIN)
     }
 
-    /// The last instant at which a client may wait for this server: the latest deadline of any request.
+    /// Returns the latest deadline of any request: the last instant at which a client may wait for this server.
     pub(super) fn latest_deadline(&self) -> Timestamp {
         self.latest_deadline
     }
 
-    /// The latency objective of a request, early enough for its answer to leave before the stop.
+    /// Returns the latency objective of a request, brought forward if necessary, so that its answer is sent before the
+    /// process stops.
     pub(super) fn limit_objective(&self, objective: Timestamp) -> Timestamp {
         objective.min(answer_by(self.latest_deadline))
     }
--- a/src/decide/expired_timers.rs
+++ b/src/decide/expired_timers.rs
@@ -1,4 +1,4 @@
-//! The steps that follow a timer.
+//! The steps that follow the expiry of a timer.
 
 use super::Decider;
 use super::unresponsive_runs::EndDecision;
@@ -9,7 +9,7 @@
 use crate::timers::Timer;
 
 impl Decider {
-    /// A timer has expired. One that has lost its purpose has no effect.
+    /// Handles an expired timer. A timer that is no longer needed has no effect.
     pub(super) fn fire(&mut self, now: Timestamp, timer: Timer, out: &mut dyn Actions) {
         match timer {
             Timer::ExpireKey(key) => self.keys.expire(now, key),
@@ -20,7 +20,8 @@
         }
     }
 
-    /// The answer of a request has to leave.
+    /// Answers a request whose answer is due: rejects it if it still waits for a start, and otherwise fails it if it is
+    /// not settled.
     fn answer_due(&mut self, now: Timestamp, slot: RequestSlot, out: &mut dyn Actions) {
         let Some(request) = self.requests.get(slot) else {
             return;
@@ -32,8 +33,9 @@
         }
     }
 
-    /// A run that nobody waits for should have ended: it is abandoned, or cancelled once more, or, where it hangs at a
-    /// call, its place is given to others, though the engine may keep it.
+    /// Checks a run that nobody waits for and that should have ended. The run is abandoned or cancelled again; if it
+    /// hangs at an upstream call, its place under the concurrency limit is released, though the engine may still hold
+    /// it.
     fn check_ended(&mut self, now: Timestamp, slot: RequestSlot, out: &mut dyn Actions) {
         let is_unawaited = |request: &&Request| request.settled && request.has_started();
         if self.requests.get(slot).filter(is_unawaited).is_none() {
--- a/src/decide/feasibility.rs
+++ b/src/decide/feasibility.rs
@@ -1,8 +1,9 @@
-//! Which queued requests cannot meet their objectives, and which of those around them to give up instead.
+//! Feasibility: which queued requests cannot meet their latency objectives, and which requests to reject instead of
+//! them.
 //!
-//! Owns nothing: [`infeasible_requests`] schedules the queue tentatively, from estimates, and returns what does not
-//! fit. After Moore and Hodgson, but by weight: where a request would be late, the least useful one up to it is given
-//! up, and those that remain are on time.
+//! [`infeasible_requests`] schedules the queue tentatively, from estimates, and returns the requests that do not fit;
+//! it keeps no state. It follows the algorithm of Moore and Hodgson, but with weights: if a request would be late, the
+//! least useful request up to and including it is given up, and the remaining ones are on time.
 
 use crate::ceilings::{CeilingId, CeilingTable, QueuedCounts};
 use crate::interface::HandlerId;
@@ -15,7 +16,7 @@
 pub(super) struct PlannedRequest {
     pub(super) slot: RequestSlot,
     pub(super) handler: HandlerId,
-    /// When its answer has to leave to be in time.
+    /// Instant until which its answer meets the latency objective.
     pub(super) objective: Timestamp,
     /// Priority weight.
     pub(super) weight: f64,
@@ -24,7 +25,8 @@
 }
 
 impl PlannedRequest {
-    /// The lower weight is less useful, then the longer run.
+    /// Compares the usefulness of two requests: the one of lower weight is less useful, and of equal weights the longer
+    /// run.
     fn compare_usefulness(&self, other: &PlannedRequest) -> Ordering {
         let own = (self.weight, -self.run_secs);
         let others = (other.weight, -other.run_secs);
@@ -32,11 +34,11 @@
     }
 }
 
-/// The state of the server from which the schedule begins.
+/// The state of the server at the start of the schedule.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ServerLoad {
     pub(super) now: Timestamp,
-    /// Run time still expected of the runs in flight, in seconds.
+    /// Expected remaining run time of the runs in flight, in seconds.
     pub(super) remaining_run_secs: f64,
     /// Limit on concurrent runs.
     pub(super) concurrency_limit: f64,
@@ -44,9 +46,10 @@
     pub(super) is_idle: bool,
 }
 
-/// The requests to be rejected now, of a queue in the order of its starts.
+/// Returns the requests that are to be rejected now, of a queue in the order of its starts.
 ///
-/// An idle server keeps the first of them while that is not late: it may be in time after all.
+/// If nothing else can run on an idle server, it keeps the first of them until the objective of that request has
+/// passed, because it may be in time after all.
 pub(super) fn infeasible_requests(
     load: ServerLoad,
     queue: impl Iterator<Item = PlannedRequest>,
@@ -57,11 +60,11 @@
     schedule.into_rejections()
 }
 
-/// Requests that are on time if they start in this order, and those that were given up for them.
+/// Requests that are on time if they start in this order, and those that were given up to make this possible.
 struct TentativeSchedule<'a> {
     load: ServerLoad,
     ceilings: &'a CeilingTable,
-    /// Run time of all that is ahead of the next request, in seconds.
+    /// Run time of all the work ahead of the next request, in seconds.
     work_ahead_secs: f64,
     planned: Vec<PlannedRequest>,
     planned_by_ceiling: QueuedCounts,
@@ -80,7 +83,7 @@
         }
     }
 
-    /// Adds the next request. If it would be late, gives up the least useful one up to it.
+    /// Adds the next request. If it would be late, gives up the least useful request up to and including it.
     fn add(&mut self, request: PlannedRequest) {
         self.planned.push(request);
         self.ceilings
@@ -92,14 +95,14 @@
         let expected_end_in =
             Duration::from_secs_f64(wait_secs.max(delay.seconds) + request.run_secs);
         if self.load.now + expected_end_in > request.objective {
-            // Where a group's start interval is the cause, only giving up one of that group is of use.
+            // If the start interval of a group is the cause, only giving up a request of that group helps.
             let group = delay.ceiling.filter(|_| delay.seconds > wait_secs);
             self.give_up_least_useful(group);
         }
         self.work_ahead_secs += request.run_secs;
     }
 
-    /// Gives up the least useful planned request, of the group under one ceiling if that is given.
+    /// Gives up the least useful planned request, of the handlers under `group` if that is given.
     fn give_up_least_useful(&mut self, group: Option<CeilingId>) {
         let victim = self.planned.remove(self.least_useful(group));
         self.ceilings
@@ -108,7 +111,7 @@
         self.given_up.push(victim);
     }
 
-    /// Index of the least useful planned request; of equal ones the last.
+    /// Returns the index of the least useful planned request; of equal ones, the last.
     fn least_useful(&self, group: Option<CeilingId>) -> usize {
         let is_in_group = |index: &usize| {
             let handler = self.planned[*index].handler;
--- a/src/decide/feasibility/tests.rs
+++ b/src/decide/feasibility/tests.rs
@@ -9,14 +9,14 @@
 const FIRST: HandlerId = HandlerId::new(0);
 const SECOND: HandlerId = HandlerId::new(1);
 
-/// Makes requests of a tentative schedule.
+/// Creates requests for a tentative schedule, each with a slot of its own.
 #[derive(Default)]
 struct Requests {
     slots: SlotMap<RequestSlot, ()>,
 }
 
 impl Requests {
-    /// A request of weight 1 and a run of 1 s.
+    /// Creates a request of weight 1 with an expected run time of 1 s.
     fn request(&mut self, handler: HandlerId, objective_secs: f64) -> PlannedRequest {
         PlannedRequest {
             slot: self.slots.insert(()),
@@ -28,7 +28,7 @@
     }
 }
 
-/// One run at a time, none of it done.
+/// Returns the load of a busy server that runs one request at a time and has no remaining run time to wait for.
 fn busy() -> ServerLoad {
     ServerLoad {
         now: NOW,
--- a/src/decide/idle_connections.rs
+++ b/src/decide/idle_connections.rs
@@ -1,26 +1,27 @@
 //! The limit on the idle time of client connections.
 //!
-//! Owns which clients were seen of late, and the limit. Is given each arrival. Closes no connection.
+//! [`IdleConnections`] keeps which clients were seen recently, and the limit that follows from the arrivals. It closes
+//! no connections itself.
 
 use crate::estimators::{Average, RecentClients};
 use crate::time::{Duration, Timestamp};
 
-/// Idle time up to which keeping a connection costs no more than a new one.
+/// Idle time up to which keeping a connection open costs no more than opening a new one.
 const WORTHWHILE_IDLE: Duration = Duration::from_millis(5000);
-/// Limit on the idle time where most connections would idle longer.
+/// Limit on the idle time if most connections would be idle for longer than is worthwhile.
 const SHORT_LIMIT: Duration = Duration::from_millis(200);
-/// Weight of the newest arrival in the fraction of frequent clients: about the last 30 count.
+/// Weight of the newest arrival in the fraction of frequent clients, which covers about the last 30 arrivals.
 const ARRIVAL_WEIGHT: f64 = 0.03;
-/// First guess of the fraction of arrivals from frequent clients.
+/// Initial estimate of the fraction of arrivals from frequent clients.
 const INITIAL_FREQUENT_FRACTION: f64 = 0.5;
-/// Fraction of arrivals from frequent clients above which connections are kept.
+/// Fraction of arrivals from frequent clients above which idle connections are kept open.
 const MIN_FREQUENT_FRACTION: f64 = 0.5;
-/// Fraction of retries among arrivals at which a flood begins.
+/// Fraction of retries among arrivals at which a retry storm begins.
 const RETRY_STORM_START_FRACTION: f64 = 0.7;
-/// Fraction of retries among arrivals at which a flood is over.
+/// Fraction of retries among arrivals at which a retry storm is over.
 const RETRY_STORM_END_FRACTION: f64 = RETRY_STORM_START_FRACTION * 0.5;
 
-/// Decides how long connections may idle.
+/// Decides how long connections may stay idle.
 pub(super) struct IdleConnections {
     /// The clients seen within `WORTHWHILE_IDLE`.
     clients: RecentClients,
@@ -31,7 +32,7 @@
 }
 
 impl IdleConnections {
-    /// Clients close their connections by themselves after `max_idle`.
+    /// Starts with no limit set; clients close their connections by themselves after `max_idle`.
     pub(super) fn new(max_idle: Duration) -> IdleConnections {
         IdleConnections {
             clients: RecentClients::new(WORTHWHILE_IDLE),
@@ -41,20 +42,20 @@
         }
     }
 
-    /// Clients seen of late.
+    /// Returns the number of clients seen recently.
     pub(super) fn clients_seen(&self) -> usize {
         self.clients.count()
     }
 
-    /// Forgets the clients that were not seen of late.
+    /// Forgets the clients that were not seen recently.
     pub(super) fn on_tick(&mut self, now: Timestamp) {
         self.clients.expire(now);
     }
 
-    /// Counts an arrival; returns the limit on idle time where it changes.
+    /// Counts an arrival, and returns the limit on the idle time if it changed.
     ///
-    /// Many infrequent clients would fill the table of connections, few frequent ones would pay for new connections.
-    /// In a flood of retries a full table turns clients off at low cost, so all connections are kept.
+    /// Many infrequent clients would fill the connection table, while a few frequent clients would pay for opening new
+    /// connections. In a retry storm a full table turns clients away at low cost, so all connections are kept.
     pub(super) fn on_arrival(
         &mut self,
         now: Timestamp,
@@ -73,8 +74,8 @@
         has_changed.then_some(limit)
     }
 
-    /// Whether so many arrivals are retries that new connections would take most of the cores. While connections are
-    /// kept, it takes fewer.
+    /// Reports whether so many arrivals are retries that opening connections for them would take most of the cores.
+    /// While connections are kept, a lower fraction of retries is enough.
     fn is_retry_storm(&self, retry_fraction: f64) -> bool {
         let threshold = if self.limit == self.max_idle {
             RETRY_STORM_END_FRACTION
--- a/src/decide/load_report.rs
+++ b/src/decide/load_report.rs
@@ -1,18 +1,20 @@
 //! The load report on answers: no limit, or a part of this server's capacity for each client.
 //!
-//! Owns the last report. Is given the state of the server at each tick. Sends nothing itself.
+//! [`LoadReporter`] keeps the last report and computes a new one from the state of the server at each tick. Sending it
+//! is left to the caller.
 
 use crate::interface::{Downstream, LoadReport};
 use crate::time::{Duration, Timestamp};
 
-/// Least time between two reports.
+/// Shortest time between two reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(100);
-/// Allowance that means no limit on requests.
+/// Allowance that stands for no limit on requests.
 const UNLIMITED_ALLOWANCE: f64 = 1000.0;
-/// Sum of the clients' allowances over the concurrency limit: clients send unequal traffic.
+/// Ratio of the sum of the clients' allowances to the concurrency limit. It allows for clients that send unequal
+/// traffic.
 const ALLOWANCE_SKEW: f64 = 4.0;
 
-/// The state of the server that a load report tells of.
+/// The state of the server that a load report is computed from.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LoadInputs {
     /// Fraction of arrivals admitted, 0 to 1.
@@ -23,23 +25,23 @@
     pub(super) is_queue_empty: bool,
     /// Limit on concurrent runs.
     pub(super) concurrency_limit: f64,
-    /// Runs that the machine supports now, while it warms up.
+    /// Runs that the machine supports now; `None` unless it is warming up.
     pub(super) max_runs_while_warming_up: Option<f64>,
-    /// Clients seen of late.
+    /// Number of clients seen recently.
     pub(super) clients_seen: usize,
 }
 
 /// Decides what load is reported, and when.
 pub(super) struct LoadReporter {
     kind: LoadReport,
-    /// Clients of the settings; more may come.
+    /// Number of clients in the settings; more may connect.
     clients: u32,
     value: f64,
     reported_at: Timestamp,
 }
 
 impl LoadReporter {
-    /// No limit was reported.
+    /// Starts with no limit reported.
     pub(super) fn new(now: Timestamp, downstream: &Downstream) -> LoadReporter {
         LoadReporter {
             kind: downstream.load_report,
@@ -49,14 +51,15 @@
         }
     }
 
-    /// The report before the first answer: a cold server limits its clients from the start.
+    /// Returns the report that precedes the first answer, if there is one: a cold server limits its clients from the
+    /// start.
     pub(super) fn initial_report(&mut self, inputs: &LoadInputs) -> Option<f64> {
         self.value = self.warm_up_allowance(inputs);
         let is_limited = self.value < UNLIMITED_ALLOWANCE;
         (self.kind == LoadReport::Allowance && is_limited).then_some(self.value)
     }
 
-    /// The load to report now: where it changed, at most once per interval.
+    /// Returns the load to report now if it changed, at most once per interval.
     pub(super) fn report(&mut self, now: Timestamp, inputs: &LoadInputs) -> Option<f64> {
         if now - self.reported_at < REPORT_INTERVAL {
             return None;
@@ -72,7 +75,8 @@
         has_changed.then_some(value)
     }
 
-    /// The requests that one client may have in flight: no limit while all is admitted and nothing queued.
+    /// Returns how many requests one client may have in flight. Apart from the warm-up, there is no limit while all
+    /// arrivals are admitted and no request is queued.
     fn allowance(&self, inputs: &LoadInputs) -> f64 {
         let warm_up = self.warm_up_allowance(inputs);
         if inputs.admitted_fraction >= 1.0 && inputs.is_queue_empty {
@@ -82,7 +86,8 @@
         warm_up.min(ALLOWANCE_SKEW * inputs.concurrency_limit / clients)
     }
 
-    /// Allowance of each client while the server warms up: the supported runs, over all clients that there may be.
+    /// Returns the allowance of each client while the server warms up: the supported runs divided by the number of
+    /// clients that there may be.
     fn warm_up_allowance(&self, inputs: &LoadInputs) -> f64 {
         let Some(max_runs) = inputs.max_runs_while_warming_up else {
             return UNLIMITED_ALLOWANCE;
--- a/src/decide/lq_reset.rs
+++ b/src/decide/lq_reset.rs
@@ -1,25 +1,27 @@
 //! The LQ controller of He et al., which resets the budget from a fitted model of its effect.
 //!
-//! Owns a recursive least squares fit of the latency over past latencies and budgets. Is given both at each
-//! completion, as ratios to their references: latencies in setpoints, budgets in floors. Never sets the budget itself.
+//! [`LqReset`] fits the latency over past latencies and budgets by recursive least squares. At each completion it is
+//! given both as ratios to their references: latencies in setpoints, budgets in minimum budgets. It returns the new
+//! budget and leaves it to the caller to set it.
 
 use crate::estimators::LeastSquares;
 
-/// Past latencies, and as many past budgets, in the model (the paper's order).
+/// Number of past latencies, and of past budgets, in the model (the paper's order).
 const MODEL_ORDER: usize = 10;
-/// Inputs of the model: the past latencies, the newest first, then the past budgets.
+/// Number of inputs of the model: the past latencies, the newest first, then the past budgets.
 const MODEL_INPUTS: usize = 2 * MODEL_ORDER;
-/// Position of the newest budget among the inputs.
+/// Index of the newest budget among the inputs.
 const NEWEST_BUDGET: usize = MODEL_ORDER;
-/// Completions from one reset to the next.
+/// Number of completions from one reset to the next.
 const RESET_INTERVAL_COMPLETIONS: u32 = 10;
 /// Weight of the error in the cost (the paper's W).
 const ERROR_WEIGHT: f64 = 0.5;
 /// Weight of a change of the budget in the cost (the paper's Q).
 const CHANGE_WEIGHT: f64 = 0.5;
-/// Weight of the former observations at each new one: about 100 count, so that those of the start fade.
+/// Factor on the weight of earlier observations at each new one: about 100 of them count, so that those from the start
+/// fade.
 const FORGETTING_FACTOR: f64 = 0.99;
-/// First variance of the coefficients, of which nothing is known.
+/// Initial variance of the coefficients, of which nothing is known at the start.
 const INITIAL_VARIANCE: f64 = 100.0;
 
 /// Finds the budget of least cost at every tenth completion.
@@ -31,7 +33,7 @@
 }
 
 impl LqReset {
-    /// A model that shows no effect yet.
+    /// Starts with a model that shows no effect of the budget yet.
     pub(super) fn new() -> LqReset {
         LqReset {
             completions: 0,
@@ -40,7 +42,7 @@
         }
     }
 
-    /// Counts a completion. At a reset, returns the budget of least cost where the model shows an effect of it.
+    /// Counts a completion. At a reset, returns the budget of least cost if the model shows an effect of the budget.
     pub(super) fn on_completion(&mut self, latency: f64, budget: f64) -> Option<f64> {
         self.completions += 1;
         if !self.completions.is_multiple_of(RESET_INTERVAL_COMPLETIONS) {
@@ -53,7 +55,7 @@
         optimum
     }
 
-    /// Enters the newest latency; the place of the newest budget stays 0 until that is chosen.
+    /// Adds the newest latency to the inputs. The entry for the newest budget stays 0 until that budget is chosen.
     fn push_latency(&mut self, latency: f64) {
         self.inputs.copy_within(0..MODEL_ORDER - 1, 1);
         self.inputs
@@ -62,7 +64,8 @@
         self.inputs[NEWEST_BUDGET] = 0.0;
     }
 
-    /// The budget that minimizes the weighted squares of the expected error and of the change.
+    /// Returns the budget that minimizes the weighted squares of the expected error and of the change, if the model
+    /// shows an effect.
     fn optimum(&self, budget: f64) -> Option<f64> {
         let latency_without_budget = self.model.predict(&self.inputs);
         let effect = self.model.coefficient(NEWEST_BUDGET);
--- a/src/decide/rejection/tests.rs
+++ b/src/decide/rejection/tests.rs
@@ -13,7 +13,7 @@
     })
 }
 
-/// A request in time, at a server like the others.
+/// Returns the inputs of a request that is in time, on a server that is no slower than the others.
 fn inputs() -> RejectionInputs {
     RejectionInputs {
         expected_wait_secs: 0.5,
@@ -23,7 +23,7 @@
     }
 }
 
-/// A policy that has seen nothing but retries.
+/// Returns a policy that has seen only retries, and has rejected them all.
 fn policy_after_retries(marks_retries: bool) -> RejectionPolicy {
     let mut policy = policy(marks_retries);
     for _ in 0..200 {
--- a/src/decide/request_queue.rs
+++ b/src/decide/request_queue.rs
@@ -1,28 +1,29 @@
 //! The queue of requests that wait for their start.
 //!
-//! Owns the order: by the latest start with which a request meets its objective, in two lines, since short requests
-//! must not wait behind long ones. Starts and rejects nothing.
+//! Requests are ordered by the latest start with which they meet their objective. Short and long requests are kept in
+//! two lists, because short requests must not wait behind long ones. Starting and rejecting requests is left to the
+//! caller.
 
 use crate::slots::RequestSlot;
 use crate::time::Timestamp;
 
-/// A queued request; the earlier latest start goes first.
+/// A queued request; requests with an earlier latest start go first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuedRequest {
     latest_start: Timestamp,
     slot: RequestSlot,
 }
 
-/// The line that a request waits in.
+/// The list that a request waits in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum QueueClass {
-    /// Requests with at most a mean run time.
+    /// Requests whose expected run time is at most the mean run time.
     Short,
-    /// All others.
+    /// All other requests.
     Long,
 }
 
-/// Two sorted lines, for short and for long requests.
+/// Two sorted lists, for short and for long requests.
 #[derive(Default)]
 pub(super) struct RequestQueue {
     short: Vec<QueuedRequest>,
@@ -30,12 +31,12 @@
 }
 
 impl RequestQueue {
-    /// Requests in both lines.
+    /// Returns the number of requests in both lists.
     pub(super) fn len(&self) -> usize {
         self.short.len() + self.long.len()
     }
 
-    /// Whether no request is queued.
+    /// Reports whether no request is queued.
     pub(super) fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -57,7 +58,7 @@
         self.long.retain(|queued| queued.slot != slot);
     }
 
-    /// The first request that may start.
+    /// Returns the request with the earliest latest start among those that may start.
     pub(super) fn first(&self, may_start: impl Fn(RequestSlot) -> bool) -> Option<RequestSlot> {
         let first_of = |entries: &[QueuedRequest]| {
             let mut requests = entries.iter().copied();
@@ -68,12 +69,12 @@
         Some(first.slot)
     }
 
-    /// All queued requests: the short ones first, each line in its order.
+    /// Iterates over all queued requests: the short ones first, each list in its order.
     pub(super) fn iter(&self) -> impl Iterator<Item = RequestSlot> {
         self.entries().map(|queued| queued.slot)
     }
 
-    /// All queued requests by latest start.
+    /// Returns all queued requests in the order of their latest starts.
     pub(super) fn in_order(&self) -> Vec<RequestSlot> {
         let mut all: Vec<&QueuedRequest> = self.entries().collect();
         all.sort();
--- a/src/decide/run_times.rs
+++ b/src/decide/run_times.rs
@@ -1,43 +1,43 @@
-//! How long runs take.
+//! Estimates of how long runs take.
 //!
-//! Owns the estimates of run times, in seconds: means by handler and over all runs, the best and the largest, and how
-//! a client's work hint moves them. Is given the time of each run that made all its calls. Decides nothing.
+//! [`RunTimes`] keeps, in seconds, the mean run time by handler and over all runs, the best mean, the largest run time,
+//! and the influence of a client's work hint. It is updated with the time of each run that made all its calls.
 
 use super::best_mean::BestMean;
 use crate::estimators::{Average, Slope};
 use crate::interface::{Handler, HandlerId};
 use crate::time::Duration;
 
-/// First guess of a run time or a call time, in latency objectives.
+/// Initial estimate of a run time or a call time, as a fraction of the latency objective.
 const INITIAL_ESTIMATE_IN_OBJECTIVES: f64 = 0.1;
-/// Weight of the newest run in a mean: about the last 30 runs count.
+/// Weight of the newest run in a mean, which covers about the last 30 runs.
 const RUN_WEIGHT: f64 = 0.03;
-/// Fraction of the largest run time kept per run: halved after 700 runs, so that one outlier fades.
+/// Factor on the largest run time per run: it is halved after 700 runs, so that the effect of one outlier fades.
 const LARGEST_RUN_DECAY_FACTOR: f64 = 0.999;
 
-/// First guess of a run time or a call time, in seconds, where nothing was measured.
+/// Returns the initial estimate of a run time or a call time, in seconds, used while nothing has been measured.
 pub(super) fn initial_estimate_secs(objective_secs: f64) -> f64 {
     objective_secs * INITIAL_ESTIMATE_IN_OBJECTIVES
 }
 
-/// The run times of one handler, in seconds.
+/// The mean run time and mean work hint of one handler, in seconds.
 struct HandlerRunTimes {
     mean: Average,
     mean_hint: Average,
 }
 
-/// The run times of all handlers.
+/// Estimates the run times of all handlers.
 pub(super) struct RunTimes {
     handlers: Vec<HandlerRunTimes>,
     mean: Average,
     best: BestMean,
     largest_secs: f64,
-    /// Of the run time over the client's work hint.
+    /// Slope of the run time over the client's work hint.
     hint_slope: Slope,
 }
 
 impl RunTimes {
-    /// Begins with guesses from the latency objectives, of which this tier has that fraction.
+    /// Starts with estimates from the latency objectives, of which `objective_fraction` is available to this tier.
     pub(super) fn new(handlers: &[Handler], objective_fraction: f64) -> RunTimes {
         let guess = |handler: &Handler| {
             initial_estimate_secs(handler.latency_objective.as_secs_f64() * objective_fraction)
@@ -56,30 +56,30 @@
         }
     }
 
-    /// Mean run time over all handlers, in seconds.
+    /// Returns the mean run time over all handlers, in seconds.
     pub(super) fn mean_secs(&self) -> f64 {
         self.mean.value()
     }
 
-    /// Mean run time of a handler, in seconds.
+    /// Returns the mean run time of a handler, in seconds.
     pub(super) fn mean_secs_of(&self, handler: HandlerId) -> f64 {
         self.handlers[handler.index()].mean.value()
     }
 
-    /// Best value of late of the mean over all handlers, in seconds.
+    /// Returns the best recent value of the mean over all handlers, in seconds.
     pub(super) fn best_secs(&self) -> f64 {
         self.best.secs()
     }
 
-    /// Largest run time of late, in seconds.
+    /// Returns the largest recent run time, in seconds.
     pub(super) fn largest_secs(&self) -> f64 {
         self.largest_secs
     }
 
-    /// Expected run time of a request, in seconds.
+    /// Returns the expected run time of a request, in seconds.
     ///
-    /// The time that runs wait does not grow with their work, so a hint moves the mean along a slope. Were the mean
-    /// scaled by it, long requests would pass for infeasible.
+    /// The time that a run spends waiting does not grow with its work, so a work hint shifts the mean along a slope. If
+    /// the mean were scaled by the hint, long requests would be considered infeasible.
     pub(super) fn expected_secs(&self, handler: HandlerId, work_hint: Option<Duration>) -> f64 {
         let times = &self.handlers[handler.index()];
         let extra = work_hint.map_or(0.0, |hint| {
@@ -110,7 +110,8 @@
         self.largest_secs = run_secs.max(decayed).max(self.mean.value());
     }
 
-    /// Lowers the mean of an idle handler to its latency objective: a longer one would be rejected for ever.
+    /// Lowers the mean of an idle handler to its latency objective if it is longer. Otherwise, the handler's requests
+    /// would be rejected for ever.
     pub(super) fn limit_mean(&mut self, handler: HandlerId, objective_secs: f64) {
         self.handlers[handler.index()].mean.limit_to(objective_secs);
     }
--- a/src/decide/starts.rs
+++ b/src/decide/starts.rs
@@ -1,4 +1,5 @@
-//! The steps from the queue to a run: freeing memory, giving up what cannot be in time, and starting.
+//! The steps from the queue to a run: freeing memory, rejecting requests that cannot be in time, and starting the
+//! others.
 
 use super::Decider;
 use super::feasibility::{PlannedRequest, ServerLoad, infeasible_requests};
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Starts queued requests with their allowances, while there is room.
+    /// Starts queued requests with their allowances while there is capacity.
     pub(super) fn start_queued(&mut self, now: Timestamp, out: &mut dyn Actions) {
         let max_runs = self.concurrency.max_runs(now);
         while let Some(slot) = self.next_start(max_runs) {
@@ -64,11 +65,11 @@
         }
     }
 
-    /// The first queued request that may start, if it fits into the limit on runs and the memory. Those behind it do
-    /// not pass it for being smaller.
+    /// Returns the first queued request that may start, if it fits the limit on runs and the memory. Requests behind it
+    /// do not overtake it because they are smaller.
     fn next_start(&self, max_runs: f64) -> Option<RequestSlot> {
         let slot = self.queue.first(|slot| self.may_start(slot))?;
-        // Where all runs are overdue, one more shows whether the engine still ends runs.
+        // If all runs are overdue, one more run shows whether the engine still ends runs.
         let fits_limit = (self.requests.running() + 1) as f64 <= max_runs
             || self.requests.is_idle_but_for_overdue();
         let growth_kb = self.requests.growth_kb(slot);
@@ -76,9 +77,10 @@
         (fits_limit && fits_memory).then_some(slot)
     }
 
-    /// Whether the ceilings and the calls that wait leave room for a run of the request's handler.
+    /// Reports whether the ceilings and the waiting calls leave room for a run of the request's handler.
     ///
-    /// While a call waits for capacity, a run that requires one would only wait too; ceilings allow for that.
+    /// While a call waits for capacity, a run that requires a call would only have to wait as well. If ceilings are
+    /// set, they already allow for that.
     fn may_start(&self, slot: RequestSlot) -> bool {
         let handler = self.handler_of(slot);
         let requires_call = handler.call_requirement() == CallRequirement::Required;
--- a/src/decide/supported_runs.rs
+++ b/src/decide/supported_runs.rs
@@ -1,28 +1,29 @@
-//! The runs that the machine supports, fewer while it warms up.
+//! The number of runs that the machine supports, which is smaller while it warms up.
 //!
-//! Owns the start and the warm-up of this incarnation. Decides nothing; others keep starts and load reports within it.
+//! [`SupportedRuns`] keeps the start and the warm-up of this incarnation. Other rules keep starts and load reports
+//! within the number that it returns.
 
 use crate::interface::Machine;
 use crate::time::{Duration, Timestamp};
 
-/// Fraction of the supported runs that may be used: a stall can put all of them on the cores at once.
+/// Fraction of the supported runs that may be used, because a stall can put all of them on the cores at once.
 const USABLE_FRACTION: f64 = 0.85;
-/// Shortest warm-up counted, in seconds; avoids a division by zero.
+/// Lower bound of the warm-up, in seconds; avoids a division by zero.
 const MIN_WARM_UP_SECS: f64 = 1e-3;
 
-/// The concurrency at which the machine does not collapse.
+/// The number of concurrent runs at which the machine does not collapse.
 pub(super) struct SupportedRuns {
     cores: f64,
     max_per_core: f64,
     started: Timestamp,
-    /// Zero where the incarnation starts with warm caches.
+    /// Zero if the incarnation starts with warm caches.
     warm_up: Duration,
-    /// Speed at the start as a fraction of the full speed; 1 where the caches are warm.
+    /// Speed at the start as a fraction of the full speed; 1 if the caches are warm.
     cold_speed: f64,
 }
 
 impl SupportedRuns {
-    /// The incarnation starts now.
+    /// Starts the warm-up of an incarnation that starts now.
     pub(super) fn new(now: Timestamp, machine: &Machine) -> SupportedRuns {
         let is_cold = machine.starts_cold;
         SupportedRuns {
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Most runs that the machine supports now, rising during the warm-up; at least 1.
+    /// Returns the largest number of runs that the machine supports now, at least 1. It rises during the warm-up.
     pub(super) fn max_runs(&self, now: Timestamp) -> f64 {
         let elapsed_secs = (now - self.started).as_secs_f64();
         let warmed_fraction = elapsed_secs / self.warm_up.as_secs_f64().max(MIN_WARM_UP_SECS);
@@ -47,7 +48,7 @@
         (supported * USABLE_FRACTION).max(1.0)
     }
 
-    /// Whether the caches are still cold.
+    /// Reports whether the caches are still cold.
     pub(super) fn is_warming_up(&self, now: Timestamp) -> bool {
         now - self.started < self.warm_up
     }
--- a/src/decide/tenant_quota.rs
+++ b/src/decide/tenant_quota.rs
@@ -1,18 +1,18 @@
 //! Tenants' quotas, and the priority weight of a request.
 //!
-//! Owns the quota and the measured rate of each tenant on this server, in requests per second. Rejects nothing: a
-//! request past its tenant's quota loses weight.
+//! [`TenantQuotas`] keeps the quota and the measured rate of each tenant on this server, in requests per second.
+//! Requests over their tenant's quota are not rejected here, but lose weight.
 
 use crate::estimators::EventRate;
 use crate::interface::{FleetPosition, Tenant, TenantId};
 use crate::time::Timestamp;
 
-/// Time over which a tenant's rate is averaged, in seconds: a handful of the smallest tenant's requests.
+/// Time over which a tenant's rate is averaged, in seconds; covers a handful of requests of the smallest tenant.
 const RATE_WINDOW_SECS: f64 = 5.0;
-/// Least work of a request, in mean run times; avoids a division by zero.
+/// Lower bound of the work of a request, in mean run times; avoids a division by zero.
 const MIN_RELATIVE_WORK: f64 = 1e-3;
 
-/// One tenant on this server.
+/// The quota and the measured rate of one tenant on this server.
 struct TenantRate {
     quota_per_second: f64,
     measured: EventRate,
@@ -22,12 +22,12 @@
 pub(super) struct TenantQuotas {
     tenants: Vec<TenantRate>,
     over_quota_factor: f64,
-    /// Whether handlers' weights already count per unit of work.
+    /// Whether the weights of handlers are already given per unit of work.
     weight_is_per_work: bool,
 }
 
 impl TenantQuotas {
-    /// Each server of the fleet takes an equal part of a tenant's quota.
+    /// Starts with an equal part of each tenant's quota for each server of the fleet.
     pub(super) fn new(
         now: Timestamp,
         tenants: &[Tenant],
@@ -45,15 +45,15 @@
         }
     }
 
-    /// Sets the rate that this server may take of a tenant's quota.
+    /// Sets the part of a tenant's quota that this server may use, in requests per second.
     pub(super) fn set_quota(&mut self, tenant: TenantId, requests_per_second: f64) {
         if let Some(rate) = self.tenants.get_mut(tenant.index()) {
             rate.quota_per_second = requests_per_second;
         }
     }
 
-    /// Counts a request; returns its weight: that of its handler, less what its tenant sends past its quota, per
-    /// expected work. `relative_work` is the mean run of its handler over that of all handlers.
+    /// Counts a request and returns its weight: the weight of its handler, reduced if its tenant is over its quota, per
+    /// unit of expected work. `relative_work` is the mean run time of the handler, relative to that of all handlers.
     pub(super) fn weigh(
         &mut self,
         now: Timestamp,
@@ -70,7 +70,7 @@
         weight / work.max(MIN_RELATIVE_WORK)
     }
 
-    /// Counts a request; returns the factor on its weight: 1 within the quota, less beyond.
+    /// Counts a request and returns the factor on its weight: 1 within the tenant's quota, less beyond it.
     fn quota_factor(&mut self, now: Timestamp, tenant: TenantId) -> f64 {
         let Some(rate) = self.tenants.get_mut(tenant.index()) else {
             return 1.0;
--- a/src/decide/unresponsive_runs.rs
+++ b/src/decide/unresponsive_runs.rs
@@ -1,25 +1,27 @@
-//! Runs that nobody waits for and that do not end: when they are abandoned, and when they say nothing of the load.
+//! Runs that nobody waits for and that do not end: when they are abandoned, and when they no longer count as load.
 //!
-//! Owns the number of runs that have ended. Is given each end, and each time that a run should have ended. Cancels
-//! nothing.
+//! [`UnresponsiveRuns`] counts the runs that have ended and decides each time that a run should have ended. It cancels
+//! no runs.
 //!
-//! Invariant: a run that nobody waits for holds its place, its memory and its part in the server's judgement of itself
-//! only until the engine has been seen to end other runs in spite of it.
+//! Invariant: a run that nobody waits for keeps its place under the concurrency limit, its memory and its influence on
+//! the server's measured slowdown only until the engine has been seen to end other runs but not this one.
 
 use crate::request::EndWatch;
 
-/// Times that a run should have ended while the engine had no run on its cores, after which it is none of the engine's.
+/// Number of checks that find a run unfinished while the engine has no run on its cores, after which the engine is
+/// taken not to have the run. Also the number of checks during which other runs must have ended before the run is
+/// abandoned.
 const MAX_IDLE_CHECKS: u32 = 3;
-/// Times that a run should have ended, whatever was on the cores, after which it is no longer taken for a slow one. An
-/// engine that is ten times too slow loses most cancellations, and still ends runs.
+/// Number of checks that find a run unfinished, whatever is on the cores, after which it is no longer taken for a slow
+/// run. An engine that is ten times too slow loses most cancellations but still ends runs.
 const MAX_CHECKS: u32 = 20;
 
-/// What is decided on a run that should have ended.
+/// Decision on a run that should have ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EndDecision {
-    /// It is waited for. `is_overdue`: for so long that it no longer stands for the load.
+    /// Wait for the run. `is_overdue` is set once it has taken so long that it no longer counts as load.
     Wait { is_overdue: bool },
-    /// The engine ends other runs and not this one: its request is over.
+    /// Abandon the run and end its request: the engine ends other runs but not this one.
     Abandon,
 }
 
@@ -27,30 +29,30 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct UnresponsiveRuns {
     ended_runs: u64,
-    /// Whether the engine had no run on its cores at the last tick; false where it does not tell.
+    /// Whether the engine had no run on its cores at the last tick; false if it does not report its run queue.
     are_cores_idle: bool,
 }
 
 impl UnresponsiveRuns {
-    /// The engine has reported the end of a run.
+    /// Records that the engine has reported the end of a run.
     pub(super) fn on_run_ended(&mut self) {
         self.ended_runs += 1;
     }
 
-    /// The engine's run queue at a tick, if it tells.
+    /// Records the engine's run queue at a tick, if the engine reports it.
     pub(super) fn on_tick(&mut self, run_queue: Option<f64>) {
         self.are_cores_idle = run_queue.is_some_and(|runs| runs < 1.0);
     }
 
-    /// A run is expected to end from now on, or once more.
+    /// Begins a check of a run, or a further one, by recording how many runs have ended so far.
     pub(super) fn begin_check(self, watch: &mut EndWatch) {
         watch.ended_runs = self.ended_runs;
     }
 
-    /// A run should have ended since it was expected to.
+    /// Decides on a run that has not ended since its check began.
     ///
-    /// Ends of other runs since then show that the engine works, and idle cores that it does not work on this run. One such
-    /// check is not enough: a cancellation is lost where the cores are stalled at that moment.
+    /// Other runs that ended since then show that the engine works, and idle cores show that it does not work on this
+    /// run. One such check is not enough, because a cancellation is lost if the cores are stalled at that moment.
     pub(super) fn decide(self, watch: &mut EndWatch) -> EndDecision {
         watch.checks += 1;
         watch.missed_ends += u32::from(self.ended_runs > watch.ended_runs);
--- a/src/decide/unresponsive_runs/tests.rs
+++ b/src/decide/unresponsive_runs/tests.rs
@@ -1,4 +1,4 @@
-//! When a run that should have ended is waited for and when it is abandoned.
+//! Tests of when a run that should have ended is waited for and when it is abandoned.
 
 use super::*;
 
@@ -7,7 +7,7 @@
 const WAIT: EndDecision = EndDecision::Wait { is_overdue: false };
 const WAIT_OVERDUE: EndDecision = EndDecision::Wait { is_overdue: true };
 
-/// Checks a run once, after so many other runs have ended, with this run queue.
+/// Checks a run once, after `ended` other runs have ended, with this run queue.
 fn check(
     runs: &mut UnresponsiveRuns,
     watch: &mut EndWatch,
@@ -22,7 +22,7 @@
     runs.decide(watch)
 }
 
-/// Checks a run so many times, and gives the last decision.
+/// Checks a run `times` times and returns the last decision.
 fn check_times(times: u32, ended: u32, run_queue: Option<f64>) -> EndDecision {
     let (mut runs, mut watch) = (UnresponsiveRuns::default(), EndWatch::default());
     let mut decision = WAIT;
@@ -38,7 +38,7 @@
     assert_eq!(check_times(MAX_IDLE_CHECKS, 1, IDLE), EndDecision::Abandon);
 }
 
-/// A slowed engine loses cancellations and still ends runs: this run may be on its cores.
+/// A slow engine loses cancellations but still ends runs, so this run may be on its cores.
 #[test]
 fn waits_longer_when_run_may_still_be_on_cores() {
     for run_queue in [BUSY, None] {
@@ -47,7 +47,7 @@
     }
 }
 
-/// On a stalled engine nothing ends: the run keeps its place, and no longer stands for the load.
+/// A stalled engine ends no runs: the run keeps its place, but no longer counts as load.
 #[test]
 fn never_abandons_run_while_no_other_run_ends() {
     assert_eq!(check_times(MAX_IDLE_CHECKS, 0, IDLE), WAIT_OVERDUE);
--- a/src/decide/waiting_calls.rs
+++ b/src/decide/waiting_calls.rs
@@ -1,8 +1,8 @@
-//! The runs that wait at an upstream call for capacity.
+//! The runs that wait for capacity to make their upstream call.
 //!
-//! Owns their order, that of the begin of their waits. They are attempted in the reverse order: a call that has waited
-//! longest is the most likely to come too late, and would only take the capacity from one that is still in time. Makes no
-//! call.
+//! [`WaitingCalls`] keeps them in the order in which their waits began. They are attempted in the reverse order: the
+//! call that has waited longest is the most likely to come too late, and would only take the capacity from one that is
+//! still in time. Making the calls is left to the caller.
 
 use crate::slots::RequestSlot;
 
@@ -11,7 +11,7 @@
 pub(super) struct WaitingCalls(Vec<RequestSlot>);
 
 impl WaitingCalls {
-    /// Whether no call waits.
+    /// Reports whether no call waits.
     pub(super) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -26,15 +26,16 @@
         self.0.retain(|waiting| *waiting != slot);
     }
 
-    /// Takes all, to attempt each call, the one that began to wait last first. Those that still wait are pushed again in
-    /// that order, and put right by [`WaitingCalls::restore_order`].
+    /// Removes and returns all runs, the one that began to wait last first, so that their calls can be attempted in
+    /// that order. Runs that still wait are pushed again in that order, and [`WaitingCalls::restore_order`] corrects
+    /// it.
     pub(super) fn take_latest_first(&mut self) -> Vec<RequestSlot> {
         let mut taken = std::mem::take(&mut self.0);
         taken.reverse();
         taken
     }
 
-    /// Puts those that were pushed latest first back into the order of their waits.
+    /// Restores the order of waits after runs were pushed with the latest first.
     pub(super) fn restore_order(&mut self) {
         self.0.reverse();
     }
