--- a/src/decide/budget_controller.rs
+++ b/src/decide/budget_controller.rs
@@ -109,7 +109,8 @@
         self.cores * run_times.mean_secs()
     }
 
-    /// Returns the maximum budget, in seconds: the longest run on each core and for each pending request.
+    /// Returns the maximum budget, in seconds: the longest run on each core and for each pending request, but at least
+    /// the minimum budget.
     fn max_budget_secs(&self, pending: usize, run_times: &RunTimes) -> f64 {
         let max_budget = (pending as f64 + self.cores) * run_times.largest_secs();
         max_budget.max(self.min_budget_secs(run_times))
--- a/src/decide/client_advice.rs
+++ b/src/decide/client_advice.rs
@@ -1,4 +1,4 @@
-//! The steps that tell clients about this server: health, load report and idle connections.
+//! The steps that inform clients about this server: its health, its load and the limit on idle connections.
 
 use super::Decider;
 use super::load_report::LoadInputs;
--- a/src/decide/deadlines.rs
+++ b/src/decide/deadlines.rs
@@ -5,7 +5,7 @@
 use crate::interface::{Arrival, Handler, Rules};
 use crate::time::{Duration, Timestamp};
 
-/// Margin before its deadline by which an answer is sent at the latest: three ticks.
+/// Shortest time between the sending of an answer and its deadline: three ticks.
 pub const ANSWER_MARGIN: Duration = Duration::from_millis(30);
 
 /// Fraction of the latency objectives that is available to a tier behind another.
--- a/src/decide/lq_reset.rs
+++ b/src/decide/lq_reset.rs
@@ -1,8 +1,8 @@
 //! The LQ controller of He et al., which resets the budget from a fitted model of its effect.
 //!
 //! [`LqReset`] fits the latency over past latencies and budgets by recursive least squares. At each completion it is
-//! given both as ratios to their references: latencies in setpoints, budgets in minimum budgets. It returns the new
-//! budget and leaves it to the caller to set it.
+//! given both as ratios to their references: latencies to the setpoint, budgets to the minimum budget. It returns the
+//! new budget and leaves it to the caller to set it.
 
 use crate::estimators::LeastSquares;
 
--- a/src/decide/memory_guard.rs
+++ b/src/decide/memory_guard.rs
@@ -14,7 +14,7 @@
 }
 
 impl MemoryGuard {
-    /// Takes the memory that is available for requests, runs and idempotency keys.
+    /// Creates a guard for the memory that is available to requests, runs and idempotency keys.
     pub(super) fn new(capacity_kb: f64) -> MemoryGuard {
         MemoryGuard { capacity_kb }
     }
--- a/src/decide/rejection.rs
+++ b/src/decide/rejection.rs
@@ -14,8 +14,8 @@
 const FINAL_ABOVE_RETRY_FRACTION: f64 = 0.05;
 /// Increase of the probability that a rejection is final per increase of the fraction of retries.
 const FINAL_PROBABILITY_GAIN: f64 = 6.0;
-/// Ratio of the mean run time to the best one, corrected for the run queue per core, above which a server is slow by
-/// itself.
+/// Ratio of the mean run time, scaled by the slowdown, to the best one, scaled by the run queue per core, above which a
+/// server is slow by itself.
 const SLOW_SERVER_RATIO: f64 = 1.6;
 /// Advertised Retry-After, as a multiple of the expected wait at the end of the queue.
 const RETRY_AFTER_IN_WAITS: f64 = 2.0;
--- a/src/decide/supported_runs.rs
+++ b/src/decide/supported_runs.rs
@@ -11,7 +11,7 @@
 /// Lower bound of the warm-up, in seconds; avoids a division by zero.
 const MIN_WARM_UP_SECS: f64 = 1e-3;
 
-/// The number of concurrent runs at which the machine does not collapse.
+/// Tracks how many concurrent runs the machine supports without collapsing.
 pub(super) struct SupportedRuns {
     cores: f64,
     max_per_core: f64,
--- a/src/decide/unresponsive_runs.rs
+++ b/src/decide/unresponsive_runs.rs
@@ -9,7 +9,7 @@
 use crate::request::EndWatch;
 
 /// Number of checks that find a run unfinished while the engine has no run on its cores, after which the engine is
-/// taken not to have the run. Also the number of checks during which other runs must have ended before the run is
+/// assumed not to hold the run. Also the number of checks during which other runs must have ended before the run is
 /// abandoned.
 const MAX_IDLE_CHECKS: u32 = 3;
 /// Number of checks that find a run unfinished, whatever is on the cores, after which it is no longer taken for a slow
