--- a/src/decide.rs
+++ b/src/decide.rs
@@ -253,7 +253,7 @@
     pub fn on_call_needed(&mut self, now: Timestamp, id: u64, out: &mut dyn Actions) {
         let is_running = |request: &Request| request.is_running() && !request.settled;
         if let Some(slot) = self.requests.find(id, is_running) {
-            self.reach_call(now, slot, out);
+            self.process_call_needed(now, slot, out);
         }
     }
 
--- a/src/decide/calls.rs
+++ b/src/decide/calls.rs
@@ -12,7 +12,12 @@
 
 impl Decider {
     /// Handles a run that has reached an upstream call.
-    pub(super) fn reach_call(&mut self, now: Timestamp, slot: RequestSlot, out: &mut dyn Actions) {
+    pub(super) fn process_call_needed(
+        &mut self,
+        now: Timestamp,
+        slot: RequestSlot,
+        out: &mut dyn Actions,
+    ) {
         self.requests.set_run_stage(slot, Stage::AtCall);
         self.attempt_call(now, slot, out);
     }
--- a/src/decide/idle_connections.rs
+++ b/src/decide/idle_connections.rs
@@ -7,9 +7,9 @@
 use crate::time::{Duration, Timestamp};
 
 /// Idle time up to which keeping a connection open costs no more than opening a new one.
-const WORTHWHILE_IDLE: Duration = Duration::from_millis(5000);
+const WORTHWHILE_IDLE_TIME: Duration = Duration::from_millis(5000);
 /// Limit on the idle time if most connections would be idle for longer than is worthwhile.
-const SHORT_LIMIT: Duration = Duration::from_millis(200);
+const SHORT_IDLE_LIMIT: Duration = Duration::from_millis(200);
 /// Weight of the newest arrival in the fraction of frequent clients, which covers about the last 30 arrivals.
 const ARRIVAL_WEIGHT: f64 = 0.03;
 /// Initial estimate of the fraction of arrivals from frequent clients.
@@ -23,9 +23,9 @@
 
 /// Decides how long connections may stay idle.
 pub(super) struct IdleConnections {
-    /// The clients seen within `WORTHWHILE_IDLE`.
+    /// The clients seen within `WORTHWHILE_IDLE_TIME`.
     clients: RecentClients,
-    /// Fraction of arrivals whose client had been seen within `WORTHWHILE_IDLE`.
+    /// Fraction of arrivals whose client had been seen within `WORTHWHILE_IDLE_TIME`.
     frequent_fraction: Average,
     limit: Duration,
     max_idle: Duration,
@@ -35,7 +35,7 @@
     /// Starts with no limit set; clients close their connections by themselves after `max_idle`.
     pub(super) fn new(max_idle: Duration) -> IdleConnections {
         IdleConnections {
-            clients: RecentClients::new(WORTHWHILE_IDLE),
+            clients: RecentClients::new(WORTHWHILE_IDLE_TIME),
             frequent_fraction: Average::new(INITIAL_FREQUENT_FRACTION, ARRIVAL_WEIGHT),
             limit: Duration::ZERO,
             max_idle,
@@ -68,7 +68,7 @@
         let limit = if keeps_connections || self.is_retry_storm(retry_fraction) {
             self.max_idle
         } else {
-            SHORT_LIMIT.min(self.max_idle)
+            SHORT_IDLE_LIMIT.min(self.max_idle)
         };
         let has_changed = std::mem::replace(&mut self.limit, limit) != limit;
         has_changed.then_some(limit)
--- a/src/decide/rejection.rs
+++ b/src/decide/rejection.rs
@@ -11,7 +11,7 @@
 /// Weight of the newest arrival in the fraction of retries.
 const RETRY_WEIGHT: f64 = 0.05;
 /// Fraction of retries above which rejections may be final.
-const FINAL_ABOVE_RETRY_FRACTION: f64 = 0.05;
+const MIN_RETRY_FRACTION_FOR_FINAL: f64 = 0.05;
 /// Increase of the probability that a rejection is final per increase of the fraction of retries.
 const FINAL_PROBABILITY_GAIN: f64 = 6.0;
 /// Ratio of the mean run time, scaled by the slowdown, to the best one, scaled by the run queue per core, above which a
@@ -139,7 +139,7 @@
     fn kind(&self, inputs: &RejectionInputs, random: &mut Rand64) -> RejectionKind {
         // Drawn in every case, because the number and order of random draws determine later decisions.
         let probability =
-            FINAL_PROBABILITY_GAIN * (self.retry_fraction() - FINAL_ABOVE_RETRY_FRACTION);
+            FINAL_PROBABILITY_GAIN * (self.retry_fraction() - MIN_RETRY_FRACTION_FOR_FINAL);
         let is_drawn = random.rand_float() < probability;
         let retries_show_load = self.marks_retries || !inputs.has_local_slowdown;
         let others_reject = is_drawn && retries_show_load;
--- a/src/decide/request_queue.rs
+++ b/src/decide/request_queue.rs
@@ -75,7 +75,7 @@
     }
 
     /// Returns all queued requests in the order of their latest starts.
-    pub(super) fn in_order(&self) -> Vec<RequestSlot> {
+    pub(super) fn by_latest_start(&self) -> Vec<RequestSlot> {
         let mut all: Vec<&QueuedRequest> = self.entries().collect();
         all.sort();
         all.into_iter().map(|queued| queued.slot).collect()
--- a/src/decide/starts.rs
+++ b/src/decide/starts.rs
@@ -21,7 +21,7 @@
 
     fn lowest_weight_queued(&self) -> Option<RequestSlot> {
         let weight = |slot: &RequestSlot| self.requests[*slot].weight;
-        let queued = self.queue.in_order().into_iter();
+        let queued = self.queue.by_latest_start().into_iter();
         queued.min_by(|a, b| weight(a).total_cmp(&weight(b)))
     }
 
@@ -33,7 +33,7 @@
             concurrency_limit: self.concurrency.limit(),
             is_idle: self.requests.is_idle_but_for_overdue(),
         };
-        let queue = self.queue.in_order().into_iter();
+        let queue = self.queue.by_latest_start().into_iter();
         let planned = queue.map(|slot| self.planned_request(slot));
         let infeasible = infeasible_requests(load, planned, &self.ceilings);
         for slot in infeasible {
