--- a/crates/server/src/downstream/idempotency_table.rs
+++ b/crates/server/src/downstream/idempotency_table.rs
@@ -28,7 +28,7 @@
 /// What is known of one key.
 struct Entry {
     /// The id of the newest attempt.
-    holder: u64,
+    newest_attempt: u64,
     fingerprint: u64,
     window_end: Timestamp,
     /// Time for which the entry outlasts its window: an attempt that arrived within the window may be read as
@@ -82,7 +82,7 @@
     /// The timeout of each handler: an attempt read later than that is not started any more.
     read_delay_allowances: Vec<Duration>,
     entries: HashMap<IdempotencyKey, Entry>,
-    keys_by_holder: HashMap<u64, IdempotencyKey>,
+    keys_by_newest_attempt: HashMap<u64, IdempotencyKey>,
     expiries: BTreeSet<KeyExpiry>,
     cached_bytes: usize,
     max_cached_bytes: usize,
@@ -98,7 +98,7 @@
                 .map(|handler| handler.timeout)
                 .collect(),
             entries: HashMap::new(),
-            keys_by_holder: HashMap::new(),
+            keys_by_newest_attempt: HashMap::new(),
             expiries: BTreeSet::new(),
             cached_bytes: 0,
             max_cached_bytes,
@@ -132,21 +132,21 @@
     ///
     /// # Errors
     /// The key is known with another fingerprint.
-    pub fn holder(
+    pub fn newest_attempt(
         &self,
         key: IdempotencyKey,
         fingerprint: u64,
     ) -> Result<Option<u64>, FingerprintMismatch> {
         match self.entries.get(&key) {
             Some(entry) if entry.fingerprint != fingerprint => Err(FingerprintMismatch),
-            entry => Ok(entry.map(|entry| entry.holder)),
+            entry => Ok(entry.map(|entry| entry.newest_attempt)),
         }
     }
 
     /// Enters an attempt with its key, or makes it the holder of the key's entry, until the end of its window.
     pub fn insert(&mut self, id: u64, key: IdempotencyKey, handler: HandlerId, window: KeyWindow) {
         let entry = self.entries.entry(key).or_insert_with(|| Entry {
-            holder: id,
+            newest_attempt: id,
             fingerprint: window.fingerprint,
             window_end: window.end,
             read_delay_allowance: self.read_delay_allowances[handler.index()],
@@ -157,10 +157,10 @@
             at: entry.expiry(),
             key,
         });
-        self.keys_by_holder.remove(&entry.holder);
-        entry.holder = id;
+        self.keys_by_newest_attempt.remove(&entry.newest_attempt);
+        entry.newest_attempt = id;
         entry.window_end = window.end;
-        self.keys_by_holder.insert(id, key);
+        self.keys_by_newest_attempt.insert(id, key);
         self.expiries.insert(KeyExpiry {
             at: entry.expiry(),
             key,
@@ -169,7 +169,7 @@
 
     /// Removes the key whose newest attempt has this id.
     pub fn remove_key_of_newest_attempt(&mut self, id: u64) {
-        let Some(key) = self.keys_by_holder.get(&id).copied() else {
+        let Some(key) = self.keys_by_newest_attempt.get(&id).copied() else {
             return;
         };
         if let Some(at) = self.remove(key) {
@@ -180,7 +180,7 @@
     /// Removes an entry; gives the instant at which it would have expired.
     fn remove(&mut self, key: IdempotencyKey) -> Option<Timestamp> {
         let entry = self.entries.remove(&key)?;
-        self.keys_by_holder.remove(&entry.holder);
+        self.keys_by_newest_attempt.remove(&entry.newest_attempt);
         if let RunState::Completed(result) = &entry.run {
             self.cached_bytes -= result.len();
         }
@@ -200,8 +200,9 @@
         let Some(entry) = self.entries.get_mut(&key) else {
             return vec![];
         };
-        let has_room = |result: &&str| self.cached_bytes + result.len() <= self.max_cached_bytes;
-        entry.run = match result.filter(has_room) {
+        let fits_in_cache =
+            |result: &&str| self.cached_bytes + result.len() <= self.max_cached_bytes;
+        entry.run = match result.filter(fits_in_cache) {
             Some(result) => {
                 self.cached_bytes += result.len();
                 RunState::Completed(result.into())
--- a/crates/server/src/downstream/listener.rs
+++ b/crates/server/src/downstream/listener.rs
@@ -20,7 +20,7 @@
 const CALL_DESCRIPTORS_DIVISOR: usize = 8;
 /// Connections over the limit that are served at the same time, each to be rejected with an answer; further ones
 /// wait in the backlog.
-const MAX_OVER_LIMIT: usize = 4;
+const MAX_CONNECTIONS_OVER_LIMIT: usize = 4;
 /// Interval between two checks whether one of them has ended.
 const OVER_LIMIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Pause after an accept that failed, most often for want of descriptors.
@@ -53,14 +53,22 @@
             Err(_) => {
                 let clock = self.clock.clone();
                 let event_loop = self.event_loop.clone();
-                tokio::task::spawn_local(report_closed(self.connection, clock, event_loop));
+                tokio::task::spawn_local(report_closed_when_core_is_free(
+                    self.connection,
+                    clock,
+                    event_loop,
+                ));
             }
         }
     }
 }
 
 /// Reports the end of a connection as soon as the core is free.
-async fn report_closed(connection: u64, clock: Rc<Clock>, event_loop: SharedEventLoop) {
+async fn report_closed_when_core_is_free(
+    connection: u64,
+    clock: Rc<Clock>,
+    event_loop: SharedEventLoop,
+) {
     while event_loop
         .try_borrow_mut()
         .map(|mut core| core.connection_closed(clock.now(), connection))
@@ -87,7 +95,7 @@
             Ok((stream, _)) => {
                 let within_limit =
                     evict_until_within_limit(max_connections, &clock, &event_loop).await;
-                start(stream, within_limit, &clock, &event_loop);
+                spawn_connection_task(stream, within_limit, &clock, &event_loop);
             }
             Err(e) => {
                 log::warn!("listener: accept failed, error={e}");
@@ -99,17 +107,17 @@
     let Ok(listener) = listener.into_std() else {
         return;
     };
-    for stream in backlog(&listener) {
+    for stream in drain_backlog(&listener) {
         let within_limit = event_loop.borrow().connection_count() < max_connections;
         if let Ok(stream) = TcpStream::from_std(stream) {
-            start(stream, within_limit, &clock, &event_loop);
+            spawn_connection_task(stream, within_limit, &clock, &event_loop);
         }
     }
     log::info!("listener: closed");
 }
 
 /// The connections that wait to be accepted; ends instead of waiting for another.
-fn backlog(listener: &std::net::TcpListener) -> impl Iterator<Item = std::net::TcpStream> {
+fn drain_backlog(listener: &std::net::TcpListener) -> impl Iterator<Item = std::net::TcpStream> {
     let next = || {
         listener
             .accept()
@@ -122,7 +130,12 @@
 
 /// Enters a connection into the core and starts its task. It counts from here on, not from its task's first
 /// poll, because many may be accepted before that.
-fn start(stream: TcpStream, within_limit: bool, clock: &Rc<Clock>, event_loop: &SharedEventLoop) {
+fn spawn_connection_task(
+    stream: TcpStream,
+    within_limit: bool,
+    clock: &Rc<Clock>,
+    event_loop: &SharedEventLoop,
+) {
     let outbox = Outbox::default();
     let now = clock.now();
     let mut core = event_loop.borrow_mut();
@@ -149,7 +162,7 @@
 ) -> bool {
     while event_loop.borrow().connection_count() >= max_connections {
         if !event_loop.borrow_mut().evict_connection(clock.now()) {
-            if event_loop.borrow().connections_over_limit() < MAX_OVER_LIMIT {
+            if event_loop.borrow().connections_over_limit() < MAX_CONNECTIONS_OVER_LIMIT {
                 return false;
             }
             tokio::time::sleep(OVER_LIMIT_POLL_INTERVAL).await;
--- a/crates/server/src/downstream/registration.rs
+++ b/crates/server/src/downstream/registration.rs
@@ -7,7 +7,7 @@
 mod http;
 mod wire_names;
 
-use self::http::NO_CONTENT;
+use self::http::STATUS_NO_CONTENT;
 use crate::core::event_loop::SharedEventLoop;
 use crate::support::io::{Outbox, drive_link};
 use crate::support::metrics::Counters;
@@ -56,7 +56,7 @@
             error = report_on_one_connection(registry, &name, &event_loop) => error,
         };
         log::warn!("registry: report failed, error={error}");
-        count(&event_loop, Counters::report_failed);
+        update_counters(&event_loop, Counters::report_failed);
         let _ = timeout(RETRY_BACKOFF, address.changed()).await;
     }
 }
@@ -95,7 +95,7 @@
 }
 
 /// Counts what became of a report.
-fn count(event_loop: &SharedEventLoop, change: impl FnOnce(&mut Counters)) {
+fn update_counters(event_loop: &SharedEventLoop, change: impl FnOnce(&mut Counters)) {
     change(event_loop.borrow_mut().counters_mut());
 }
 
@@ -125,10 +125,10 @@
             {
                 return ReportError::AnswerTimeout;
             }
-            if self.status.get() != NO_CONTENT {
+            if self.status.get() != STATUS_NO_CONTENT {
                 return ReportError::NotAccepted(self.status.get());
             }
-            count(self.event_loop, Counters::report_accepted);
+            update_counters(self.event_loop, Counters::report_accepted);
             let _ = timeout(REPORT_INTERVAL, self.state_changed.notified()).await;
         }
     }
--- a/crates/server/src/downstream/registration/http.rs
+++ b/crates/server/src/downstream/registration/http.rs
@@ -10,9 +10,9 @@
 /// What ends the head of a response.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 /// The status of a response that accepts a report; it has no body.
-pub(super) const NO_CONTENT: u16 = 204;
-/// The status of a response without a body, beside [`NO_CONTENT`].
-const NOT_MODIFIED: u16 = 304;
+pub(super) const STATUS_NO_CONTENT: u16 = 204;
+/// The status of a response without a body, beside [`STATUS_NO_CONTENT`].
+const STATUS_NOT_MODIFIED: u16 = 304;
 /// Statuses from here on are final; those before are of interim responses.
 const FIRST_FINAL_STATUS: u16 = 200;
 
@@ -33,15 +33,15 @@
 }
 
 /// What the head of a response says.
-struct Head {
+struct ResponseHead {
     status: u16,
     body_len: usize,
 }
 
 impl ResponseReader {
-    /// Passes the status of each final response that was completed to `each`; false when the stream can't be read
+    /// Passes the status of each final response that was completed to `on_status`; false when the stream can't be read
     /// on.
-    pub fn feed(&mut self, bytes: &[u8], mut each: impl FnMut(u16)) -> bool {
+    pub fn feed(&mut self, bytes: &[u8], mut on_status: impl FnMut(u16)) -> bool {
         self.buffer.extend_from_slice(bytes);
         loop {
             let mut windows = self.buffer.windows(HEAD_END.len());
@@ -49,7 +49,7 @@
                 return self.buffer.len() < MAX_HEAD_BYTES;
             };
             let text = std::str::from_utf8(&self.buffer[..head_len]).ok();
-            let Some(head) = text.and_then(Head::parse) else {
+            let Some(head) = text.and_then(ResponseHead::parse) else {
                 return false;
             };
             if head.body_len > MAX_HEAD_BYTES {
@@ -61,15 +61,15 @@
             }
             self.buffer.drain(..response_len);
             if head.status >= FIRST_FINAL_STATUS {
-                each(head.status);
+                on_status(head.status);
             }
         }
     }
 }
 
-impl Head {
+impl ResponseHead {
     /// Nothing if the head can't be read or does not say the length of the body.
-    fn parse(text: &str) -> Option<Head> {
+    fn parse(text: &str) -> Option<ResponseHead> {
         let mut lines = text.split("\r\n");
         let mut status_line = lines.next()?.split(' ');
         status_line
@@ -85,9 +85,10 @@
                 return None;
             }
         }
-        let has_no_body =
-            status < FIRST_FINAL_STATUS || status == NO_CONTENT || status == NOT_MODIFIED;
+        let has_no_body = status < FIRST_FINAL_STATUS
+            || status == STATUS_NO_CONTENT
+            || status == STATUS_NOT_MODIFIED;
         let body_len = if has_no_body { 0 } else { content_length? };
-        Some(Head { status, body_len })
+        Some(ResponseHead { status, body_len })
     }
 }
--- a/crates/server/src/downstream/request_validation.rs
+++ b/crates/server/src/downstream/request_validation.rs
@@ -128,7 +128,7 @@
         let rank = reader.rank()?;
         let subject = reader.subject()?;
         let fingerprint = key.map_or(0, |_| self.fingerprint(handler, body));
-        let retry_of = key.map_or(Ok(None), |key| keys.holder(key, fingerprint))?;
+        let retry_of = key.map_or(Ok(None), |key| keys.newest_attempt(key, fingerprint))?;
         self.last_request_id += 1;
         let arrival = Arrival {
             id: self.last_request_id,
--- a/crates/server/src/support/config.rs
+++ b/crates/server/src/support/config.rs
@@ -120,14 +120,14 @@
             ("name", self.name != other.name),
             ("listen", self.listen != other.listen),
             ("limits", limits(self) != limits(other)),
-            ("settings", !self.has_settings_of(other)),
+            ("settings", !self.has_same_settings(other)),
         ];
         let differing = differences.into_iter().filter(|(_, differs)| *differs);
         differing.map(|(member, _)| member).collect()
     }
 
     /// Compares values where the texts differ: spaces and the order of members don't count.
-    fn has_settings_of(&self, other: &Config) -> bool {
+    fn has_same_settings(&self, other: &Config) -> bool {
         let value = |c: &Config| serde_json::from_str::<serde_json::Value>(&c.settings_text).ok();
         self.settings_text == other.settings_text || value(self) == value(other)
     }
--- a/crates/server/src/support/io.rs
+++ b/crates/server/src/support/io.rs
@@ -21,9 +21,9 @@
 /// Makes a connection.
 ///
 /// # Errors
-/// Those of the system, and `TimedOut` where it is not made within `within`.
-pub async fn connect(address: SocketAddr, within: Duration) -> std::io::Result<TcpStream> {
-    timeout(within, TcpStream::connect(address))
+/// Those of the system, and `TimedOut` where it is not made within `limit`.
+pub async fn connect(address: SocketAddr, limit: Duration) -> std::io::Result<TcpStream> {
+    timeout(limit, TcpStream::connect(address))
         .await
         .unwrap_or(Err(ErrorKind::TimedOut.into()))
 }
--- a/crates/server/src/support/io/driver.rs
+++ b/crates/server/src/support/io/driver.rs
@@ -13,7 +13,7 @@
 /// Reads in a row before other connections have their turn.
 const MAX_READS_PER_TURN: usize = 4;
 /// Reads in a row of what had come before a connection's end; a peer that sends more does not delay it.
-const MAX_LAST_READS: usize = 16;
+const MAX_FINAL_READS: usize = 16;
 /// Time for which a connection that was shut is read on, for its peer to read the last answers and end it too: a
 /// close over unread bytes resets the connection, and those answers are lost with it.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(1_000);
@@ -44,7 +44,7 @@
 
 /// Reads what has come, past what the runtime knows of it; nothing where none has. The buffer lives for this call
 /// only: one kept over an await would be part of each connection.
-fn read_past_runtime(
+fn read_bypassing_runtime(
     stream: &TcpStream,
     mut feed: impl FnMut(&[u8]),
 ) -> std::io::Result<Option<usize>> {
@@ -110,7 +110,7 @@
 ) -> std::io::Result<()> {
     let _ = stream.set_nodelay(true);
     let mut is_reading = true;
-    let mut reads_left = MAX_LAST_READS;
+    let mut reads_left = MAX_FINAL_READS;
     loop {
         serve(stream, outbox, &mut is_reading, &mut feed).await?;
         if outbox.is_cut() || reads_left == 0 {
@@ -119,13 +119,13 @@
         reads_left -= 1;
         if is_reading {
             let mut wants_more = true;
-            match read_past_runtime(stream, |bytes| wants_more = feed(bytes))? {
+            match read_bypassing_runtime(stream, |bytes| wants_more = feed(bytes))? {
                 Some(n) => is_reading = wants_more && n > 0,
                 None => break,
             }
         }
         if !outbox.is_closing() {
-            reads_left = MAX_LAST_READS;
+            reads_left = MAX_FINAL_READS;
         } else if !is_reading && outbox.is_empty() {
             break;
         }
@@ -144,22 +144,22 @@
     }
     let _ = timeout(LINGER_TIMEOUT, async {
         tokio::select! {
-            () = read_to_end(stream) => {}
-            () = place_wanted(outbox) => {}
+            () = discard_to_end(stream) => {}
+            () = prompt_close_requested(outbox) => {}
         }
     })
     .await;
 }
 
 /// Reads and drops what comes until the peer's end, or so much that it is not waited for.
-async fn read_to_end(stream: &TcpStream) {
+async fn discard_to_end(stream: &TcpStream) {
     let mut bytes = 0;
     while bytes < MAX_LINGER_BYTES && stream.readable().await.is_ok() {
-        let reads_on = read_ready(stream, &mut |read: &[u8]| {
+        let read_result = read_ready(stream, &mut |read: &[u8]| {
             bytes += read.len();
             bytes < MAX_LINGER_BYTES
         });
-        match reads_on {
+        match read_result {
             Ok(true) => {}
             Ok(false) | Err(_) => return,
         }
@@ -167,7 +167,7 @@
 }
 
 /// Waits until the connection is to end without waiting for its peer.
-async fn place_wanted(outbox: &OutboxState) {
+async fn prompt_close_requested(outbox: &OutboxState) {
     while !outbox.closes_promptly() {
         outbox.changed().await;
     }
--- a/crates/server/src/support/io/line_splitter.rs
+++ b/crates/server/src/support/io/line_splitter.rs
@@ -22,8 +22,8 @@
         !self.partial_line.is_empty()
     }
 
-    /// Calls `each` for every complete line, without its LF or CR LF. False once a line is longer than the bound.
-    pub fn feed(&mut self, mut bytes: &[u8], mut each: impl FnMut(&[u8])) -> bool {
+    /// Calls `on_line` for every complete line, without its LF or CR LF. False once a line is longer than the bound.
+    pub fn feed(&mut self, mut bytes: &[u8], mut on_line: impl FnMut(&[u8])) -> bool {
         while let Some(end) = bytes.iter().position(|b| *b == b'\n') {
             let (line, rest) = bytes.split_at(end);
             bytes = &rest[1..];
@@ -31,11 +31,11 @@
                 return false;
             }
             if self.partial_line.is_empty() {
-                each(without_carriage_return(line));
+                on_line(without_carriage_return(line));
             } else {
                 self.partial_line.extend_from_slice(line);
                 let line = std::mem::take(&mut self.partial_line);
-                each(without_carriage_return(&line));
+                on_line(without_carriage_return(&line));
             }
         }
         self.partial_line.extend_from_slice(bytes);
--- a/crates/server/src/support/io/outbox.rs
+++ b/crates/server/src/support/io/outbox.rs
@@ -14,11 +14,11 @@
 
 /// How a connection is to end.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
-enum Ending {
+enum CloseMode {
     #[default]
     Open,
     /// Once all is written and what has come is read; its peer may end it then.
-    Gentle,
+    Graceful,
     /// The same, and its place is wanted: its peer is not waited for.
     Prompt,
     /// Now.
@@ -33,7 +33,7 @@
     queued: Cell<u64>,
     /// Number of all bytes ever handed to the socket: with `queued` it tells how far a message had come.
     written: Cell<u64>,
-    ending: Cell<Ending>,
+    close_mode: Cell<CloseMode>,
     changed: Notify,
 }
 
@@ -51,51 +51,51 @@
         self.changed.notify_one();
     }
 
-    fn end(&self, ending: Ending) {
-        self.ending.set(ending);
+    fn end(&self, close_mode: CloseMode) {
+        self.close_mode.set(close_mode);
         self.changed.notify_one();
     }
 
     /// Ends the connection once all is written.
     pub fn close(&self) {
-        if self.ending.get() == Ending::Open {
-            self.end(Ending::Gentle);
+        if self.close_mode.get() == CloseMode::Open {
+            self.end(CloseMode::Graceful);
         }
     }
 
     /// Ends the connection once all is written, without waiting for the peer: its place is wanted.
     pub fn close_promptly(&self) {
-        if self.ending.get() != Ending::Cut {
-            self.end(Ending::Prompt);
+        if self.close_mode.get() != CloseMode::Cut {
+            self.end(CloseMode::Prompt);
         }
     }
 
     /// Ends the connection now; what was not written never is.
     pub fn cut(&self) {
         self.bytes.borrow_mut().clear();
-        self.end(Ending::Cut);
+        self.end(CloseMode::Cut);
     }
 
     /// Takes the end back, except after a cut: something came before it that is owed an answer.
     pub fn reopen(&self) {
-        if self.ending.get() != Ending::Cut {
-            self.ending.set(Ending::Open);
+        if self.close_mode.get() != CloseMode::Cut {
+            self.close_mode.set(CloseMode::Open);
         }
     }
 
     /// Whether the connection is to end.
     pub fn is_closing(&self) -> bool {
-        self.ending.get() != Ending::Open
+        self.close_mode.get() != CloseMode::Open
     }
 
     /// Whether the connection is to end without waiting for the peer.
     pub fn closes_promptly(&self) -> bool {
-        matches!(self.ending.get(), Ending::Prompt | Ending::Cut)
+        matches!(self.close_mode.get(), CloseMode::Prompt | CloseMode::Cut)
     }
 
     /// Whether the connection is to end now.
     pub(super) fn is_cut(&self) -> bool {
-        self.ending.get() == Ending::Cut
+        self.close_mode.get() == CloseMode::Cut
     }
 
     /// The number of bytes ever put in.
--- a/crates/server/src/support/json.rs
+++ b/crates/server/src/support/json.rs
@@ -39,11 +39,11 @@
 
     /// The value of a member as it was written; of several by one name the last.
     pub fn raw(&self, name: &str) -> Option<&'a str> {
-        let is_it = |member: &&Member| text(member.name).is_some_and(|n| n == name);
+        let has_name = |member: &&Member| text(member.name).is_some_and(|n| n == name);
         self.members
             .iter()
             .rev()
-            .find(is_it)
+            .find(has_name)
             .map(|member| member.value)
     }
 
--- a/crates/server/src/support/json/scanner.rs
+++ b/crates/server/src/support/json/scanner.rs
@@ -37,11 +37,11 @@
         (self.peek() == Some(byte)).then(|| self.position += 1)
     }
 
-    /// Takes an object at this depth of nesting, and calls `each` with each member's name and value as written.
+    /// Takes an object at this depth of nesting, and calls `on_member` with each member's name and value as written.
     pub(super) fn object(
         &mut self,
         depth: usize,
-        each: &mut dyn FnMut(&'a str, &'a str),
+        on_member: &mut dyn FnMut(&'a str, &'a str),
     ) -> Option<()> {
         self.take(b'{')?;
         self.skip_space();
@@ -55,7 +55,7 @@
             self.take(b':')?;
             self.skip_space();
             let value = self.value(depth + 1)?;
-            each(name, value);
+            on_member(name, value);
             self.skip_space();
             if self.take(b',').is_none() {
                 return self.take(b'}');
--- a/crates/server/src/support/logging/writer.rs
+++ b/crates/server/src/support/logging/writer.rs
@@ -17,7 +17,7 @@
 /// Entries that may wait for standard error.
 const MAX_QUEUED_ENTRIES: usize = 1_024;
 /// Longest time without an entry after which the thread looks whether an interval is over.
-const MAX_IDLE: Duration = Duration::from_micros(INTERVAL.as_micros());
+const MAX_WAIT_FOR_ENTRY: Duration = Duration::from_micros(INTERVAL.as_micros());
 /// Stack of the thread, in bytes.
 const STACK_BYTES: usize = 64 << 10;
 
@@ -101,7 +101,7 @@
     /// Writes what is received until the queue is gone.
     fn run(mut self, entries: &Receiver<Entry>) {
         loop {
-            let entry = match entries.recv_timeout(MAX_IDLE) {
+            let entry = match entries.recv_timeout(MAX_WAIT_FOR_ENTRY) {
                 Ok(entry) => Some(entry),
                 Err(RecvTimeoutError::Timeout) => None,
                 Err(RecvTimeoutError::Disconnected) => return,
--- a/crates/server/src/upstream/calls/dispatcher.rs
+++ b/crates/server/src/upstream/calls/dispatcher.rs
@@ -4,7 +4,7 @@
 //! calls to send, replies and ends of connections. It opens no connection itself: it lists those that it wants, and
 //! hands each one's bytes to an outbox.
 
-use super::wire_names::{CALL, END};
+use super::wire_names::{CALL, CRLF};
 use crate::support::attempt_name::{self, AttemptName};
 use crate::support::io::Outbox;
 use madderbay::interface::Outcome;
@@ -67,9 +67,9 @@
             let attempt = attempt_name::as_text(&name);
             // Writing to a vector can't fail.
             let _ = write!(out, "{CALL} {attempt} {millis} {}", body.len());
-            out.extend_from_slice(END);
+            out.extend_from_slice(CRLF);
             out.extend_from_slice(body);
-            out.extend_from_slice(END);
+            out.extend_from_slice(CRLF);
         });
     }
 }
@@ -237,9 +237,9 @@
         &mut self,
         now: Timestamp,
         outcome_if_sent: Outcome,
-        is_it: impl FnMut(&CallConnection) -> bool,
+        is_match: impl FnMut(&CallConnection) -> bool,
     ) -> Option<EndedCall> {
-        let index = self.connections.iter().position(is_it)?;
+        let index = self.connections.iter().position(is_match)?;
         let connection = self.connections.swap_remove(index);
         connection.outbox.cut();
         let call = connection.call?;
--- a/crates/server/src/upstream/calls/reply_reader.rs
+++ b/crates/server/src/upstream/calls/reply_reader.rs
@@ -3,7 +3,7 @@
 //! The reader owns the bytes of a reply that is not complete yet. It is given bytes as they come and never keeps more
 //! than one reply may have.
 
-use super::wire_names::{END, outcome};
+use super::wire_names::{CRLF, outcome};
 use crate::support::attempt_name::AttemptName;
 use madderbay::interface::Outcome;
 
@@ -56,14 +56,14 @@
 }
 
 impl ReplyReader {
-    /// Calls `each` for every complete reply. False when the stream can't be read on.
-    pub fn feed(&mut self, bytes: &[u8], mut each: impl FnMut(Reply)) -> bool {
+    /// Calls `on_reply` for every complete reply. False when the stream can't be read on.
+    pub fn feed(&mut self, bytes: &[u8], mut on_reply: impl FnMut(Reply)) -> bool {
         self.buffered.extend_from_slice(bytes);
         let mut used = 0;
         let is_readable = loop {
             match parse(&self.buffered[used..]) {
                 Ok(Some(parsed)) => {
-                    each(parsed.reply);
+                    on_reply(parsed.reply);
                     used += parsed.length;
                 }
                 Ok(None) => break true,
@@ -121,10 +121,10 @@
         .filter(|length| *length <= MAX_BODY_BYTES)
         .ok_or(ReplyError::BodyLength)?;
     let end = start + length;
-    let reply_end = end + END.len();
+    let reply_end = end + CRLF.len();
     match bytes.get(end..reply_end) {
         None => Ok(None),
-        Some(END) => Ok(Some(ParsedReply {
+        Some(CRLF) => Ok(Some(ParsedReply {
             reply: Reply {
                 name,
                 outcome: Outcome::Completed,
--- a/crates/server/src/upstream/calls/wire_names.rs
+++ b/crates/server/src/upstream/calls/wire_names.rs
@@ -5,7 +5,7 @@
 //! catalogue and the backends read and write them.
 
 /// What ends a line, and a body.
-pub(super) const END: &[u8] = b"\r\n";
+pub(super) const CRLF: &[u8] = b"\r\n";
 
 /// Begins a call.
 pub(super) const CALL: &str = "FETCH";
--- a/crates/server/src/upstream/engine/link.rs
+++ b/crates/server/src/upstream/engine/link.rs
@@ -25,7 +25,7 @@
     /// The queries of the link of the moment that were answered.
     answers: LinkAnswers,
     /// Those of the last link that was up, as they were when it was lost.
-    answers_before: LinkAnswers,
+    answers_of_last_up_link: LinkAnswers,
     /// Ticks since a query that is still open.
     silent_ticks: u32,
 }
@@ -44,7 +44,7 @@
             );
         });
         self.outbox = outbox;
-        self.answers = self.answers.of_next_link(self.last_query);
+        self.answers = self.answers.for_next_link(self.last_query);
         self.silent_ticks = 0;
     }
 
@@ -52,7 +52,7 @@
     /// lost before it was up, however often: else commands lost with the first would count as read.
     pub fn lost(&mut self) {
         if std::mem::replace(&mut self.is_up, false) {
-            self.answers_before = self.answers;
+            self.answers_of_last_up_link = self.answers;
         }
     }
 
@@ -84,12 +84,12 @@
             return None;
         }
         self.outbox.put(|bytes| bytes.extend_from_slice(line));
-        Some(self.answers.proof_by(self.last_query + 1))
+        Some(self.answers.proof_by_answer_to(self.last_query + 1))
     }
 
     /// Whether the engine has surely read what was sent with this proof.
     pub fn is_proven(&self, proof: ReadProof) -> bool {
-        self.answers.prove(proof) || self.answers_before.prove(proof)
+        self.answers.prove(proof) || self.answers_of_last_up_link.prove(proof)
     }
 
     /// At each tick of the timer the gauges are queried, and a link that answers none for long is ended.
@@ -126,7 +126,7 @@
 
     /// Whether a query that was sent on this link is not answered.
     fn is_query_open(&self) -> bool {
-        self.answers.last() < self.last_query
+        self.answers.last_answered() < self.last_query
     }
 
     /// The number of the last query, over all links.
@@ -136,7 +136,7 @@
 
     /// The answers on the last link that was up, as they were when it was lost.
     pub fn proven_before(&self) -> LinkAnswers {
-        self.answers_before
+        self.answers_of_last_up_link
     }
 
     /// The gauges came that this query asked for. False where it was not sent on this link: an answer to a former link
--- a/crates/server/src/upstream/engine/notice.rs
+++ b/crates/server/src/upstream/engine/notice.rs
@@ -27,19 +27,19 @@
 /// How and when the engine came up. It prints as the engine's own word for how.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineStart<'a> {
-    how: &'a str,
+    mode: &'a str,
     age: Duration,
 }
 
 impl<'a> EngineStart<'a> {
-    /// The start of an engine that is up since `age`; `how` is its own word.
-    pub fn new(how: &'a str, age: Duration) -> EngineStart<'a> {
-        EngineStart { how, age }
+    /// The start of an engine that is up since `age`; `mode` is its own word.
+    pub fn new(mode: &'a str, age: Duration) -> EngineStart<'a> {
+        EngineStart { mode, age }
     }
 
     /// Whether the engine came up with this server, its caches cold.
     pub fn is_new(&self) -> bool {
-        self.how == NEW_ENGINE
+        self.mode == NEW_ENGINE
     }
 
     /// The time since the engine came up.
@@ -50,7 +50,7 @@
 
 impl Display for EngineStart<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
-        f.write_str(self.how)
+        f.write_str(self.mode)
     }
 }
 
@@ -118,8 +118,8 @@
     }
 
     /// How the engine came up, in its own word.
-    pub(super) fn how(&self) -> Result<Cow<'a, str>, NoticeError> {
-        self.text(member::HOW)
+    pub(super) fn detail(&self) -> Result<Cow<'a, str>, NoticeError> {
+        self.text(member::DETAIL)
     }
 
     /// A duration; zero without one.
@@ -130,12 +130,12 @@
 
     /// How a run ended.
     pub(super) fn run_outcome(&self) -> Result<Outcome, NoticeError> {
-        match &*self.how()? {
+        match &*self.detail()? {
             run_outcome::COMPLETED => Ok(Outcome::Completed),
             run_outcome::FAILED => Ok(Outcome::Failed),
             run_outcome::CANCELLED => Ok(Outcome::Cancelled),
             run_outcome::ALREADY_ENDED => Ok(Outcome::AlreadyEnded),
-            _ => Err(NoticeError::Member(member::HOW)),
+            _ => Err(NoticeError::Member(member::DETAIL)),
         }
     }
 
--- a/crates/server/src/upstream/engine/notice_reader.rs
+++ b/crates/server/src/upstream/engine/notice_reader.rs
@@ -73,8 +73,8 @@
         }
         match &*kind {
             notice::ENGINE_UP => {
-                let how = notice.how()?;
-                core.engine_up(now, EngineStart::new(&how, notice.duration()));
+                let mode = notice.detail()?;
+                core.engine_up(now, EngineStart::new(&mode, notice.duration()));
             }
             notice::RUN_ENDED => {
                 let outcome = notice.run_outcome()?;
@@ -96,7 +96,7 @@
                 core.gauges_read(now, &gauges, std::mem::take(&mut self.notices_lost));
             }
             notice::COMMAND_DECLINED => {
-                let command = notice.how()?;
+                let command = notice.detail()?;
                 let name = notice.attempt_name()?;
                 core.command_declined(now, DeclinedCommand::new(&command), &name);
             }
--- a/crates/server/src/upstream/engine/read_proof.rs
+++ b/crates/server/src/upstream/engine/read_proof.rs
@@ -16,43 +16,43 @@
     /// The number of the link, in the order in which links are made.
     link: u64,
     /// The last query before the link.
-    before: u64,
-    /// The last query that was answered; `before` where none was.
-    last: u64,
+    last_query_before: u64,
+    /// The last query that was answered; `last_query_before` where none was.
+    last_answered: u64,
 }
 
 impl LinkAnswers {
     /// The answers on the link that follows, which has none yet; `last_query` is the last query that was sent before.
-    pub(super) fn of_next_link(self, last_query: u64) -> LinkAnswers {
+    pub(super) fn for_next_link(self, last_query: u64) -> LinkAnswers {
         LinkAnswers {
             link: self.link + 1,
-            before: last_query,
-            last: last_query,
+            last_query_before: last_query,
+            last_answered: last_query,
         }
     }
 
     /// The last query that needs no answer any more: it was answered, or sent before this link.
-    pub(super) fn last(self) -> u64 {
-        self.last
+    pub(super) fn last_answered(self) -> u64 {
+        self.last_answered
     }
 
     /// The proof that the answer to a query will give on this link.
-    pub(super) fn proof_by(self, query: u64) -> ReadProof {
+    pub(super) fn proof_by_answer_to(self, query: u64) -> ReadProof {
         let link = self.link;
         ReadProof { link, query }
     }
 
     /// A query was answered. False where it is none of this link, whose queries go up to `last_query`.
     pub(super) fn answered(&mut self, query: u64, last_query: u64) -> bool {
-        let is_of_link = self.before < query && query <= last_query;
+        let is_of_link = self.last_query_before < query && query <= last_query;
         if is_of_link {
-            self.last = self.last.max(query);
+            self.last_answered = self.last_answered.max(query);
         }
         is_of_link
     }
 
     /// Whether these answers prove what was sent with `proof`.
     pub fn prove(self, proof: ReadProof) -> bool {
-        self.link == proof.link && self.last >= proof.query
+        self.link == proof.link && self.last_answered >= proof.query
     }
 }
--- a/crates/server/src/upstream/engine/wire_names.rs
+++ b/crates/server/src/upstream/engine/wire_names.rs
@@ -55,7 +55,7 @@
     /// The values of the gauges.
     pub(crate) const GAUGES: &str = "stats";
     /// The outcome of a run, the command that was declined, or how the engine came up.
-    pub(crate) const HOW: &str = "how";
+    pub(crate) const DETAIL: &str = "how";
     /// The time that a run took, or since the engine came up, in milliseconds.
     pub(crate) const DURATION_MS: &str = "duration";
 }
--- a/crates/server/src/upstream/engine/wire_names/tests.rs
+++ b/crates/server/src/upstream/engine/wire_names/tests.rs
@@ -28,7 +28,7 @@
     use member::*;
     let words = [KIND, ATTEMPT_NAME, SERIAL, HANDLER, BODY];
     assert_eq!(words, ["msg", "call", "serial", "service", "blob"]);
-    let words = [QUERY, GAUGES, HOW, DURATION_MS];
+    let words = [QUERY, GAUGES, DETAIL, DURATION_MS];
     assert_eq!(words, ["cookie", "stats", "how", "duration"]);
 }
 
