--- a/crates/server/src/downstream/connection.rs
+++ b/crates/server/src/downstream/connection.rs
@@ -1,8 +1,8 @@
-//! One downstream connection: what is open on it, what its peer has taken, and the rules by which it ends.
+//! One downstream connection: its open requests, its write progress and the rules by which it is closed.
 //!
-//! Owns: the outbox of the connection, its open requests, and when it was last used, read and written. Is given:
-//! the time and notice of what happens on it. Never chooses between connections: that is for
-//! [`Connections`](super::connections::Connections).
+//! `Connection` owns its outbox, its open requests, and the times at which it was last used, read and written. It
+//! is given the time and told of each event on it. It never chooses between connections:
+//! [`Connections`](super::connections::Connections) does.
 
 use crate::downstream::open_requests::{LineProgress, MAX_OPEN_REQUESTS, OpenRequestError};
 use crate::downstream::response;
@@ -10,58 +10,59 @@
 use madderbay::time::{Duration, Timestamp};
 use std::collections::HashMap;
 
-/// Time that a client has to close a connection after the notice that it is to end.
+/// Time that a client has to close a connection after the notice that it is about to end.
 const END_NOTICE_PERIOD: Duration = Duration::from_millis(1_000);
-/// Time until a new connection without an answered request ends, with half a line read or none: load balancers
-/// open a connection to send at once, and the close of a bad client is due within 3 s.
+/// Time after which a new connection without an answered request is closed, whether half a line was read or none.
+/// Load balancers open a connection to send at once, and the connection of a bad client must be closed within 3 s.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Time for which a new connection is not evicted, because its first request may be written already.
+/// Time for which a new connection is not evicted, because its first request may already be written.
 const NEW_CONNECTION_PROTECTION: Duration = Duration::from_millis(250);
 /// Time for which a connection with an incomplete line is not evicted, because some clients write slowly.
 const PARTIAL_LINE_PROTECTION: Duration = Duration::from_millis(1_000);
-/// Time without progress of a peer after which unread answers are discarded with their connection. It exceeds
+/// Time without write progress after which unread answers are discarded and their connection is closed. It exceeds
 /// all pauses of live peers and bounds the memory of unread answers.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_millis(10_000);
-/// Interval between two checks of a connection that is past its limit on idling with requests open.
+/// Interval between two checks of a connection that reached the idle limit but is not idle, for example because
+/// requests are open.
 const IDLE_RECHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How much of its answers a peer has taken, and since when no more.
+/// The number of bytes that a peer has read, and the time since which it has read no more.
 struct WriteProgress {
     written_bytes: u64,
     since: Timestamp,
 }
 
-/// The order in which connections are evicted; the least goes first.
+/// The sort key for eviction: the connection with the smallest key is evicted first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct EvictionOrder {
-    /// It is not closing already.
+    /// It is not yet closing.
     stays_open: bool,
-    /// Something was answered on it.
+    /// At least one answer was written to it.
     was_answered: bool,
-    /// A line was begun a short time ago.
+    /// It has an incomplete line that was begun a short time ago.
     has_partial_line: bool,
     last_used: Timestamp,
 }
 
-/// What is open on one connection, and by what it is judged.
+/// The state of one connection, on which the rules for closing and evicting it are based.
 pub(super) struct Connection {
     outbox: Outbox,
-    /// Ids of the requests that are open, by their JSON-RPC ids.
+    /// Maps the JSON-RPC ids of the open requests to the ids of the requests.
     open_requests: HashMap<u64, u64>,
     last_used: Timestamp,
     write_progress: WriteProgress,
     was_answered: bool,
     partial_line_since: Option<Timestamp>,
-    /// It ends once no request is open: the peer sends no more, or one more request came while it was ending.
+    /// It is closed once no request is open: the peer sends no more, or a request arrived while it was closing.
     ends_when_settled: bool,
-    /// The notice that it is to end was sent.
+    /// The notice that it is about to end was sent.
     notified_of_end: bool,
-    /// It was accepted beyond the limit on connections: its requests are rejected, then it ends.
+    /// It was accepted over the limit on connections: its requests are rejected, then it is closed.
     over_limit: bool,
 }
 
 impl Connection {
-    /// A connection within the limit that nothing has happened on.
+    /// Creates a connection within the limit, on which nothing has happened yet.
     fn new(now: Timestamp, outbox: Outbox) -> Connection {
         Connection {
             outbox,
@@ -79,7 +80,7 @@
         }
     }
 
-    /// A connection that was accepted now. While draining, it is notified at once that it is to end.
+    /// Creates a connection that was accepted now. While draining, it is notified at once that it is about to end.
     pub(super) fn accepted(now: Timestamp, outbox: Outbox, draining: bool) -> Connection {
         if draining {
             outbox.put(response::connection_ending);
@@ -89,7 +90,7 @@
         connection
     }
 
-    /// A connection that was accepted now, beyond the limit.
+    /// Creates a connection that was accepted now, over the limit.
     pub(super) fn accepted_over_limit(
         now: Timestamp,
         outbox: Outbox,
@@ -101,8 +102,8 @@
         connection
     }
 
-    /// When a connection that is accepted now must have carried its first request; one beyond the limit lives as long as
-    /// a new one is protected.
+    /// Returns the deadline of the first request of a connection that is accepted now. A connection over the limit
+    /// lives only as long as a new one is protected from eviction.
     pub(super) fn first_request_deadline(&self, now: Timestamp) -> Timestamp {
         if self.over_limit {
             now + NEW_CONNECTION_PROTECTION
@@ -111,27 +112,27 @@
         }
     }
 
-    /// Where its answers leave by.
+    /// Returns the outbox for its answers.
     pub(super) fn outbox(&self) -> &Outbox {
         &self.outbox
     }
 
-    /// Whether it was accepted beyond the limit on connections.
+    /// Reports whether it was accepted over the limit on connections.
     pub(super) fn is_over_limit(&self) -> bool {
         self.over_limit
     }
 
-    /// Whether no request is open and nothing waits to be written.
+    /// Reports whether no request is open and nothing waits to be written.
     pub(super) fn is_quiescent(&self) -> bool {
         self.open_requests.is_empty() && self.outbox.is_empty()
     }
 
-    /// The id of the open request with a JSON-RPC id.
+    /// Returns the id of the open request with this JSON-RPC id.
     pub(super) fn request_id(&self, rpc_id: u64) -> Option<u64> {
         self.open_requests.get(&rpc_id).copied()
     }
 
-    /// The ids of the open requests in the order of their arrival.
+    /// Returns the ids of the open requests in the order of their arrival.
     pub(super) fn requests_in_order(&self) -> Vec<u64> {
         let mut ids: Vec<u64> = self.open_requests.values().copied().collect();
         ids.sort_unstable();
@@ -149,7 +150,7 @@
         }
     }
 
-    /// A request was read. If the connection was closing, it goes on until the request is answered.
+    /// Records a request that was read. If the connection was closing, it stays open until the request is answered.
     pub(super) fn request_opened(&mut self, now: Timestamp, rpc_id: u64, request_id: u64) {
         if self.outbox.is_closing() {
             self.outbox.reopen();
@@ -159,7 +160,7 @@
         self.last_used = now;
     }
 
-    /// Something was answered, which `write` encodes.
+    /// Appends an answer, which `write` encodes, to the outbox.
     pub(super) fn answer(&mut self, now: Timestamp, write: impl FnOnce(&mut Vec<u8>)) {
         self.outbox.put(write);
         self.last_used = now;
@@ -169,25 +170,25 @@
         }
     }
 
-    /// A request was answered or withdrawn, and is open no more.
+    /// Removes a request that was answered or withdrawn, and closes the connection if that was due.
     pub(super) fn request_settled(&mut self, rpc_id: u64) {
         self.open_requests.remove(&rpc_id);
         self.end_if_settled();
     }
 
-    /// Something was read. The age of an incomplete line counts from the read that began it.
+    /// Records what was read. The age of an incomplete line counts from the read that began it.
     pub(super) fn line_read(&mut self, now: Timestamp, progress: LineProgress) {
         let since = self.partial_line_since.filter(|_| !progress.completed);
         self.partial_line_since = progress.partial.then(|| since.unwrap_or(now));
     }
 
-    /// Ends the connection now, or once its open requests are answered.
+    /// Closes the connection now, or once its open requests are answered.
     pub(super) fn end_when_settled(&mut self) {
         self.ends_when_settled = true;
         self.end_if_settled();
     }
 
-    /// Ends the connection if it is to end and no request is open.
+    /// Closes the connection if it is due to be closed and no request is open.
     fn end_if_settled(&self) {
         if !self.open_requests.is_empty() {
             return;
@@ -199,20 +200,20 @@
         }
     }
 
-    /// Sends the notice that this connection is to end, once.
+    /// Sends the notice that this connection is about to end, unless it was sent before.
     pub(super) fn notify_of_end(&mut self) {
         if !std::mem::replace(&mut self.notified_of_end, true) {
             self.outbox.put(response::connection_ending);
         }
     }
 
-    /// Whether an incomplete line was begun less than `limit` ago.
+    /// Reports whether an incomplete line was begun less than `limit` ago.
     fn has_partial_line(&self, now: Timestamp, limit: Duration) -> bool {
         self.partial_line_since
             .is_some_and(|since| now - since < limit)
     }
 
-    /// Whether a request may be on its way that nobody has read.
+    /// Reports whether a request may be on its way that was not read yet.
     fn is_protected(&self, now: Timestamp) -> bool {
         if self.was_answered {
             self.has_partial_line(now, PARTIAL_LINE_PROTECTION)
@@ -221,15 +222,15 @@
         }
     }
 
-    /// Whether it may end in favour of a new connection.
+    /// Reports whether it may be closed in favour of a new connection.
     pub(super) fn is_evictable(&self, now: Timestamp) -> bool {
         self.is_quiescent()
             && !self.outbox.closes_promptly()
             && (self.outbox.is_closing() || !self.is_protected(now))
     }
 
-    /// Connections that are closing go first, then those never answered, those in an incomplete line last, and
-    /// among equals the one unused for longest.
+    /// Returns the sort key for eviction. Connections that are closing come first, then those never answered; those
+    /// with an incomplete line come last. Among equals, the one unused for longest comes first.
     pub(super) fn eviction_order(&self, now: Timestamp) -> EvictionOrder {
         EvictionOrder {
             stays_open: !self.outbox.is_closing(),
@@ -239,7 +240,7 @@
         }
     }
 
-    /// Cuts the connection if its peer has not read for [`WRITE_STALL_TIMEOUT`].
+    /// Closes the connection at once if its peer has not read for [`WRITE_STALL_TIMEOUT`].
     pub(super) fn cut_if_stalled(&mut self, now: Timestamp) {
         let written_bytes = self.outbox.written();
         if self.outbox.is_empty() || written_bytes != self.write_progress.written_bytes {
@@ -252,12 +253,13 @@
         }
     }
 
-    /// The instant at which it reaches the limit on idling, if it is not used before.
+    /// Returns the instant at which it reaches the idle limit if it is not used before.
     pub(super) fn idle_deadline(&self, limit: Duration) -> Timestamp {
         self.last_used + limit
     }
 
-    /// Whether it has carried requests and is unused for `limit`, with nothing open and no line begun.
+    /// Reports whether it has carried requests, was unused for `limit`, and has neither an open request nor an
+    /// incomplete line.
     fn is_idle(&self, now: Timestamp, limit: Duration) -> bool {
         self.was_answered
             && self.open_requests.is_empty()
@@ -265,7 +267,8 @@
             && !self.has_partial_line(now, WRITE_STALL_TIMEOUT)
     }
 
-    /// If it is idle it is notified, and closed if the notice was not heeded. Gives the instant of the next check.
+    /// Handles the idle limit: an idle connection is notified, or closed if the notice was not heeded. Returns the
+    /// instant of the next check.
     pub(super) fn idle_deadline_reached(
         &mut self,
         now: Timestamp,
@@ -282,8 +285,8 @@
         Some(now + END_NOTICE_PERIOD)
     }
 
-    /// Ends the connection unless something was answered, a request is open or a line is begun. Gives the instant
-    /// of the next check.
+    /// Closes the connection unless it has an answered or open request or a recent incomplete line. Returns the
+    /// instant of the next check.
     pub(super) fn first_request_deadline_reached(&mut self, now: Timestamp) -> Option<Timestamp> {
         if self.was_answered {
             return None;
--- a/crates/server/src/downstream/idempotency_table.rs
+++ b/crates/server/src/downstream/idempotency_table.rs
@@ -1,8 +1,9 @@
-//! The table of idempotency keys: one run for all attempts of a request.
+//! The table of idempotency keys, which ensures that all attempts of a request share one run.
 //!
-//! Owns: what is known in this incarnation of each key's one run, the attempts that wait for it, and the results
-//! in memory. Is given: attempts that were admitted, the start and the end of a run, and the time. Never runs or
-//! answers a request, and never touches the disk: results that outlast an incarnation are the idempotency store's.
+//! `IdempotencyTable` owns, for each key of this incarnation, the state of its one run, the attempts that wait for
+//! it, and the result in memory. It is told of admitted attempts, of the start and the end of runs, and of the
+//! time. It neither runs nor answers requests and does not access the disk: results that outlast an incarnation
+//! belong to the idempotency store.
 
 use crate::downstream::wire_names::param;
 use madderbay::interface::HandlerId;
@@ -10,10 +11,10 @@
 use madderbay_settings::Settings;
 use std::collections::{BTreeSet, HashMap};
 
-/// The 32 hex digits of an idempotency key.
+/// The value of an idempotency key, which is written as 32 hex digits.
 pub type IdempotencyKey = u128;
 
-/// What is known of the one run of a key.
+/// The state of the one run of a key.
 enum RunState {
     /// The decision module has not started it yet.
     NotStarted,
@@ -25,14 +26,14 @@
     Failed,
 }
 
-/// What is known of one key.
+/// The entry of one key.
 struct Entry {
     /// The id of the newest attempt.
     newest_attempt: u64,
     fingerprint: u64,
     window_end: Timestamp,
-    /// Time for which the entry outlasts its window: an attempt that arrived within the window may be read as
-    /// late as that, while this process waits for its core.
+    /// Time for which the entry outlasts its window. An attempt that arrived within the window may be read this
+    /// much later, while this process waits for a core.
     read_delay_allowance: Duration,
     run: RunState,
     /// The ids of the attempts that wait for the run.
@@ -40,15 +41,15 @@
 }
 
 impl Entry {
-    /// When the entry is removed, unless its run goes on.
+    /// Returns the time at which the entry is removed, unless its run is still in progress.
     fn expiry(&self) -> Timestamp {
         self.window_end + self.read_delay_allowance
     }
 }
 
-/// What an attempt that joins another gets.
+/// The state of the run that an attempt joins.
 pub enum JoinedAttempt {
-    /// The run is not over: its end gives this attempt's id back.
+    /// The run has not ended. [`IdempotencyTable::run_ended`] returns this attempt's id when it does.
     Waits,
     /// The result of the run, a JSON string with its quotes.
     Completed(Box<str>),
@@ -56,30 +57,31 @@
     Failed,
 }
 
-/// An idempotency key came again with another handler or body.
+/// An idempotency key was used again with another handler or body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{} came with another body", param::IDEMPOTENCY_KEY)]
 pub struct FingerprintMismatch;
 
-/// The window of a key.
+/// The window of a key, within which attempts share one run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyWindow {
     /// Hash of handler and body, the same for all attempts of the key.
     pub fingerprint: u64,
-    /// Until when attempts share the run.
+    /// The end of the window.
     pub end: Timestamp,
 }
 
-/// When the entry of a key expires, ordered by the instant first.
+/// The expiry time of a key's entry. Ordered by the time first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct KeyExpiry {
     at: Timestamp,
     key: IdempotencyKey,
 }
 
-/// The keys of this incarnation.
+/// The idempotency keys of this incarnation and the state of their runs.
 pub struct IdempotencyTable {
-    /// The timeout of each handler: an attempt read later than that is not started any more.
+    /// The timeout of each handler. An attempt that is read later than this after its arrival is not started any
+    /// more.
     read_delay_allowances: Vec<Duration>,
     entries: HashMap<IdempotencyKey, Entry>,
     keys_by_newest_attempt: HashMap<u64, IdempotencyKey>,
@@ -89,7 +91,7 @@
 }
 
 impl IdempotencyTable {
-    /// An empty table that caches results of up to `max_cached_bytes` in all.
+    /// Creates an empty table that caches results of up to `max_cached_bytes` in total.
     pub fn new(settings: &Settings, max_cached_bytes: usize) -> IdempotencyTable {
         IdempotencyTable {
             read_delay_allowances: settings
@@ -105,22 +107,22 @@
         }
     }
 
-    /// The number of keys.
+    /// Returns the number of keys.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no key is known.
+    /// Reports whether the table has no keys.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Whether a key is known from this incarnation.
+    /// Reports whether a key is known in this incarnation.
     pub fn contains(&self, key: IdempotencyKey) -> bool {
         self.entries.contains_key(&key)
     }
 
-    /// The window of a known key.
+    /// Returns the window of a key, if the key is known.
     pub fn window(&self, key: IdempotencyKey) -> Option<KeyWindow> {
         self.entries.get(&key).map(|entry| KeyWindow {
             fingerprint: entry.fingerprint,
@@ -128,7 +130,7 @@
         })
     }
 
-    /// The id of the newest attempt of a key, if the key is known.
+    /// Returns the id of the newest attempt of a key, if the key is known.
     ///
     /// # Errors
     /// The key is known with another fingerprint.
@@ -143,7 +145,7 @@
         }
     }
 
-    /// Enters an attempt with its key, or makes it the holder of the key's entry, until the end of its window.
+    /// Adds an attempt as the newest one of its key, and sets the end of the key's window.
     pub fn insert(&mut self, id: u64, key: IdempotencyKey, handler: HandlerId, window: KeyWindow) {
         let entry = self.entries.entry(key).or_insert_with(|| Entry {
             newest_attempt: id,
@@ -177,7 +179,7 @@
         }
     }
 
-    /// Removes an entry; gives the instant at which it would have expired.
+    /// Removes an entry. Returns the time at which it would have expired.
     fn remove(&mut self, key: IdempotencyKey) -> Option<Timestamp> {
         let entry = self.entries.remove(&key)?;
         self.keys_by_newest_attempt.remove(&entry.newest_attempt);
@@ -187,15 +189,16 @@
         Some(entry.expiry())
     }
 
-    /// The one run of a key was started.
+    /// Records that the run of a key was started.
     pub fn run_started(&mut self, key: IdempotencyKey) {
         if let Some(entry) = self.entries.get_mut(&key) {
             entry.run = RunState::Running;
         }
     }
 
-    /// The one run of a key ended, with its result if it completed. Gives the ids of the attempts that joined
-    /// it. A result that exceeds the memory for all is not cached: later attempts fail, and none is run again.
+    /// Records that the run of a key ended, with its result if it completed. Returns the ids of the attempts that
+    /// joined it. A result that does not fit in the cache is not stored: later attempts fail, and none is run
+    /// again.
     pub fn run_ended(&mut self, key: IdempotencyKey, result: Option<&str>) -> Vec<u64> {
         let Some(entry) = self.entries.get_mut(&key) else {
             return vec![];
@@ -212,8 +215,8 @@
         std::mem::take(&mut entry.joined)
     }
 
-    /// Joins an attempt to the run of its key: gives the result if that has ended. An attempt without a key, or
-    /// of an unknown one, fails.
+    /// Joins an attempt to the run of its key, and returns the result if the run has ended. An attempt without a
+    /// key or with an unknown one fails.
     pub fn join(&mut self, id: u64, key: Option<IdempotencyKey>) -> JoinedAttempt {
         let Some(entry) = key.and_then(|key| self.entries.get_mut(&key)) else {
             return JoinedAttempt::Failed;
@@ -228,13 +231,13 @@
         }
     }
 
-    /// The first entry that has expired.
+    /// Returns the first entry that has expired.
     fn first_expired(&self, now: Timestamp) -> Option<KeyExpiry> {
         let first = self.expiries.first().copied()?;
         (first.at <= now).then_some(first)
     }
 
-    /// Removes the entries that have expired. One whose run goes on is renewed.
+    /// Removes the expired entries. An entry whose run is still in progress is renewed.
     pub fn expire(&mut self, now: Timestamp) {
         while let Some(expiry) = self.first_expired(now) {
             self.expiries.remove(&expiry);
--- a/crates/server/src/downstream/json_rpc.rs
+++ b/crates/server/src/downstream/json_rpc.rs
@@ -1,8 +1,8 @@
-//! JSON-RPC 2.0 from one downstream connection: lines in, calls on the core.
+//! Reads JSON-RPC 2.0 from one downstream connection and calls the core.
 //!
-//! Owns: the incomplete line of one connection, and whether that is read on. Is given: the bytes that were read
-//! and the core for the time of a call. Answers the lines that it can't serve; every other answer is the core's.
-//! Never reads a socket and never decides a request.
+//! `JsonRpcSession` owns the incomplete line of one connection and whether reading continues. It is given the bytes
+//! that were read and, for each call, the event loop. It answers the lines that can't be served; all other answers
+//! come from the core. It reads no sockets and makes no decisions about requests.
 
 use crate::core::event_loop::EventLoop;
 use crate::downstream::open_requests::{LineProgress, OpenRequestError};
@@ -14,43 +14,44 @@
 use crate::support::json::{JsonObject, is_value};
 use madderbay::time::Timestamp;
 
-/// Longer than any legal line: a body of 2 KiB in base64, each of its characters escaped, and its fields.
+/// Maximum length of a line. Every legal line is shorter: a body of 2 KiB in base64 with each character escaped,
+/// and the other fields.
 const MAX_LINE_BYTES: usize = 20 << 10;
 
-/// Why a line can't be served.
+/// The reason why a line can't be served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum LineError {
-    /// It exceeds [`MAX_LINE_BYTES`]; where the next line begins is unknown.
+    /// It exceeds [`MAX_LINE_BYTES`]. The start of the next line is unknown.
     #[error("line too long")]
     TooLong,
-    /// Its bytes are no text.
+    /// It is not valid UTF-8.
     #[error("not UTF-8")]
     NotUtf8,
-    /// It is no JSON value.
+    /// It is not a JSON value.
     #[error("not JSON")]
     NotJson,
-    /// It is a JSON value, but no object.
+    /// It is a JSON value but not an object.
     #[error("not an object")]
     NotAnObject,
-    /// Its version of JSON-RPC is missing or not [`VERSION`].
+    /// Its JSON-RPC version is missing or not [`VERSION`].
     #[error("{} is not {}", envelope::VERSION, VERSION)]
     WrongVersion,
-    /// It names no method.
+    /// It has no method.
     #[error("no {}", envelope::METHOD)]
     NoMethod,
     /// Its id is not an unsigned integer, so no answer can carry it.
     #[error("{} is not a whole number", envelope::ID)]
     MalformedId,
-    /// It has no id, and its method is one that is answered.
+    /// It has no id, but its method is one that is answered.
     #[error("no {}", envelope::ID)]
     NoId,
-    /// No handler has the name of its method.
+    /// No handler has the name of the method.
     #[error("no such {}", envelope::METHOD)]
     UnknownMethod,
-    /// Its params are missing or no JSON object.
+    /// Its params are missing or not a JSON object.
     #[error("{} is not an object", envelope::PARAMS)]
     ParamsNotAnObject,
-    /// No further request may be opened on its connection under its id.
+    /// No further request with its id may be opened on its connection.
     #[error(transparent)]
     Open(#[from] OpenRequestError),
     /// A member of its params is missing, malformed or out of range.
@@ -59,7 +60,7 @@
 }
 
 impl LineError {
-    /// The JSON-RPC code that the line is answered with.
+    /// Returns the JSON-RPC error code for the line.
     fn code(self) -> i32 {
         match self {
             LineError::TooLong | LineError::NotUtf8 | LineError::NotJson => error_code::PARSE_ERROR,
@@ -74,14 +75,14 @@
         }
     }
 
-    /// Whether nothing else on the connection can be trusted. Of two requests with one id, no answer could be
-    /// told from the other's.
+    /// Reports whether the rest of the connection's input can't be trusted. This includes two requests with one id,
+    /// whose answers could not be told apart.
     fn is_protocol_violation(self) -> bool {
         matches!(self, LineError::TooLong | LineError::Open(_))
     }
 }
 
-/// A line that can't be served, with its id as far as that could be read.
+/// A line that can't be served, with its id if that could be read.
 struct InvalidLine {
     id: Option<u64>,
     error: LineError,
@@ -93,7 +94,7 @@
     }
 }
 
-/// A call whose envelope is sound.
+/// A call with a valid envelope.
 struct Call<'a> {
     id: Option<u64>,
     method: std::borrow::Cow<'a, str>,
@@ -101,16 +102,16 @@
     params: Option<&'a str>,
 }
 
-/// What one downstream connection sends.
+/// The JSON-RPC session of one downstream connection.
 pub struct JsonRpcSession {
     connection: u64,
     lines: LineSplitter,
-    /// The peer violated the protocol: nothing more is read.
+    /// The peer violated the protocol. Nothing more is read.
     ended: bool,
 }
 
 impl JsonRpcSession {
-    /// The session of the connection with this number.
+    /// Creates the session of the connection with this number.
     pub fn new(connection: u64) -> JsonRpcSession {
         JsonRpcSession {
             connection,
@@ -119,8 +120,8 @@
         }
     }
 
-    /// Serves the lines that were completed by what was read; no bytes are the end of the input. False when
-    /// nothing more is read.
+    /// Serves the lines that `bytes` complete. Empty `bytes` mean the end of the input. Returns false when nothing
+    /// more is to be read.
     pub fn feed(&mut self, now: Timestamp, bytes: &[u8], event_loop: &mut EventLoop) -> bool {
         let connection = self.connection;
         let ended = &mut self.ended;
@@ -154,7 +155,7 @@
 }
 
 impl InvalidLine {
-    /// Answers the line with its error, and ends a connection that violated the protocol.
+    /// Answers the line with its error, and closes a connection that violated the protocol.
     fn answer(&self, now: Timestamp, connection: u64, event_loop: &mut EventLoop) {
         let error = self.error;
         event_loop.counters_mut().line_unreadable();
@@ -169,7 +170,7 @@
 }
 
 impl<'a> Call<'a> {
-    /// Reads the envelope of a line.
+    /// Parses the envelope of a line.
     fn read(line: &'a [u8]) -> Result<Call<'a>, InvalidLine> {
         let text = std::str::from_utf8(line).map_err(|_| LineError::NotUtf8)?;
         let Some(members) = JsonObject::read(text) else {
@@ -197,7 +198,7 @@
         })
     }
 
-    /// The members of the params, if these are an object.
+    /// Returns the members of the params, if the params are an object.
     fn params(&self) -> Option<JsonObject<'a>> {
         self.params.and_then(JsonObject::read)
     }
@@ -226,7 +227,7 @@
     })
 }
 
-/// Withdraws a request by its id or by the name of the attempt; without either, nothing is done.
+/// Withdraws a request by its id or by the name of the attempt. Without either, nothing happens.
 fn withdraw(now: Timestamp, connection: u64, call: &Call, event_loop: &mut EventLoop) {
     if let Some(params) = call.params() {
         let attempt = params.text(param::ATTEMPT_NAME);
@@ -240,7 +241,7 @@
     }
 }
 
-/// Validates a request and hands it to the core.
+/// Validates a request and passes it to the core.
 fn serve_request(
     now: Timestamp,
     connection: u64,
--- a/crates/server/src/downstream/listener.rs
+++ b/crates/server/src/downstream/listener.rs
@@ -1,9 +1,10 @@
-//! Accepts downstream connections and serves each in a task of its own.
+//! Accepts downstream connections and serves each in its own task.
 //!
-//! Owns: the listening socket and the split of the descriptors that a process may have. Is given: the limit on
-//! connections, the core, and the notice to stop. A connection's task ends with its connection, its guard
-//! reports that to the core however it ended, and so a bad peer or a panic ends there. Never closes a connection
-//! unread, and never reads a line itself.
+//! This module owns the listening socket and divides the file descriptors of the process between connections and
+//! upstream calls. It is given the limit on connections, the event loop and the notification to stop. A task ends
+//! with its connection, and its guard reports the end to the event loop in every case, so a misbehaving peer or a
+//! panic affects only its own connection. This module parses no lines, and before it closes the listener it accepts
+//! the connections in the backlog.
 
 use crate::core::event_loop::SharedEventLoop;
 use crate::downstream::json_rpc::JsonRpcSession;
@@ -14,31 +15,32 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-/// Descriptors of the program itself: standard streams, runtime, listener, links.
+/// File descriptors that the program itself needs: standard streams, runtime, listener, links.
 const RESERVED_DESCRIPTORS: usize = 16;
-/// One in this many descriptors is set aside for calls to the catalogue.
+/// One in this many file descriptors is set aside for calls to the catalogue.
 const CALL_DESCRIPTORS_DIVISOR: usize = 8;
-/// Connections over the limit that are served at the same time, each to be rejected with an answer; further ones
-/// wait in the backlog.
+/// Maximum number of connections over the limit that are served at the same time, each rejected with an answer.
+/// Further ones wait in the backlog.
 const MAX_CONNECTIONS_OVER_LIMIT: usize = 4;
-/// Interval between two checks whether one of them has ended.
+/// Interval between two checks whether a connection over the limit has ended.
 const OVER_LIMIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Pause after an accept that failed, most often for want of descriptors.
+/// Pause after a failed accept. The usual cause is a lack of file descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// The descriptors that downstream connections and upstream calls may take together.
+/// Returns the number of file descriptors that downstream connections and upstream calls may use together.
 pub fn usable_descriptors(descriptors: usize) -> usize {
     descriptors.saturating_sub(RESERVED_DESCRIPTORS)
 }
 
-/// How many connections a limit on descriptors leaves; none where it is too small to serve.
+/// Returns the number of connections that a limit on file descriptors allows, or `None` if it is too low to serve
+/// any.
 pub fn max_connections(descriptors: usize) -> Option<usize> {
     descriptors
         .checked_sub(RESERVED_DESCRIPTORS + descriptors / CALL_DESCRIPTORS_DIVISOR)
         .filter(|connections| *connections > 0)
 }
 
-/// Reports the end of a connection to the core, however it ended.
+/// Reports the end of a connection to the event loop when dropped, however the connection ended.
 struct ConnectionGuard {
     connection: u64,
     clock: Rc<Clock>,
@@ -47,7 +49,8 @@
 
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        // The core may be in use where a panic unwinds through it: the report follows once it is free.
+        // The event loop is already borrowed if a panic unwinds through it. The report is then sent once it is
+        // free.
         match self.event_loop.try_borrow_mut() {
             Ok(mut event_loop) => event_loop.connection_closed(self.clock.now(), self.connection),
             Err(_) => {
@@ -63,7 +66,7 @@
     }
 }
 
-/// Reports the end of a connection as soon as the core is free.
+/// Reports the end of a connection as soon as the event loop can be borrowed.
 async fn report_closed_when_core_is_free(
     connection: u64,
     clock: Rc<Clock>,
@@ -78,7 +81,7 @@
     }
 }
 
-/// Accepts connections until it is notified to stop, then those that are in the backlog, and closes the listener.
+/// Accepts connections until `stop` is notified, then those in the backlog, and closes the listener.
 pub async fn run(
     listener: TcpListener,
     max_connections: usize,
@@ -103,7 +106,7 @@
             }
         }
     }
-    // A connection in the backlog may carry a request already, and closing would lose it.
+    // A connection in the backlog may already carry a request, which closing the listener would lose.
     let Ok(listener) = listener.into_std() else {
         return;
     };
@@ -116,7 +119,7 @@
     log::info!("listener: closed");
 }
 
-/// The connections that wait to be accepted; ends instead of waiting for another.
+/// Accepts the connections in the backlog. Ends when there are no more, without waiting.
 fn drain_backlog(listener: &std::net::TcpListener) -> impl Iterator<Item = std::net::TcpStream> {
     let next = || {
         listener
@@ -128,8 +131,8 @@
     std::iter::from_fn(next)
 }
 
-/// Enters a connection into the core and starts its task. It counts from here on, not from its task's first
-/// poll, because many may be accepted before that.
+/// Registers a connection with the event loop and spawns its task. The connection counts from here on, not from the
+/// first poll of its task, because many may be accepted before that.
 fn spawn_connection_task(
     stream: TcpStream,
     within_limit: bool,
@@ -139,7 +142,7 @@
     let outbox = Outbox::default();
     let now = clock.now();
     let mut core = event_loop.borrow_mut();
-    // One over the limit is served too: what was written to it is owed an answer.
+    // A connection over the limit is served too: requests written to it must be answered.
     let connection = if within_limit {
         core.connection_opened(now, outbox.clone())
     } else {
@@ -153,8 +156,9 @@
     tokio::task::spawn_local(serve_connection(stream, outbox, guard));
 }
 
-/// Evicts idle connections until one more is within the limit. False where none can be evicted: the next is
-/// rejected, once few enough others are being rejected.
+/// Evicts idle connections until one more connection is within the limit. Returns false if none can be evicted: the
+/// next connection is then rejected. Before that, it waits until fewer than [`MAX_CONNECTIONS_OVER_LIMIT`] others
+/// are being rejected.
 async fn evict_until_within_limit(
     max_connections: usize,
     clock: &Clock,
--- a/crates/server/src/downstream/mod.rs
+++ b/crates/server/src/downstream/mod.rs
@@ -1,24 +1,24 @@
-//! What faces load balancers and other clients: connections, JSON-RPC in both directions, the validation of
-//! requests, and the registry that lists this server.
+//! The interface to load balancers and other clients: connections, JSON-RPC in both directions, the validation of
+//! requests, and the reports to the registry that lists this server.
 //!
-//! A request passes `listener`, `json_rpc`, `request_validation` and then the core, which answers through
-//! `connections` and `response`. Nothing here decides a request.
+//! A request passes through `listener`, `json_rpc` and `request_validation` to the core, which answers it through
+//! `connections` and `response`. No decision about a request is made here.
 
 mod connection;
-/// Which connections are open and where an answer goes.
+/// The table of open connections, through which answers are written.
 pub mod connections;
-/// One run for all attempts with an idempotency key.
+/// The table that gives all attempts with one idempotency key the same run.
 pub mod idempotency_table;
-/// Lines of a connection in, calls on the core.
+/// Parses the lines of a connection and calls the core.
 pub mod json_rpc;
-/// Accepts connections and runs their tasks.
+/// Accepts connections and spawns their tasks.
 pub mod listener;
-/// Lines and open requests of a connection.
+/// Types that describe the lines and the open requests of a connection.
 pub mod open_requests;
 /// Reports to the registry.
 pub mod registration;
-/// From a request's params to what decisions need.
+/// Converts a request's params into the input of decisions.
 pub mod request_validation;
-/// Answers, errors and notices as lines.
+/// Encodes answers, errors and notices as lines.
 pub mod response;
 mod wire_names;
--- a/crates/server/src/downstream/open_requests.rs
+++ b/crates/server/src/downstream/open_requests.rs
@@ -1,11 +1,11 @@
-//! What a connection reports of its lines and of the requests that are open on it.
+//! Types that describe the lines and the open requests of a connection.
 //!
-//! Owns nothing: plain data that the connections, their table and the JSON-RPC session exchange.
+//! They are exchanged by a connection, the table of connections and the JSON-RPC session.
 
-/// Requests that may be open on one connection.
+/// Maximum number of open requests on one connection.
 pub const MAX_OPEN_REQUESTS: usize = 32;
 
-/// Why no further request may be opened on a connection.
+/// The reason why no further request may be opened on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OpenRequestError {
     /// A request with the same JSON-RPC id is open on this connection.
@@ -16,7 +16,7 @@
     TooManyOpen,
 }
 
-/// What a read changed in the lines of a connection.
+/// The effect of one read on the lines of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LineProgress {
     /// An incomplete line is buffered.
--- a/crates/server/src/downstream/registration.rs
+++ b/crates/server/src/downstream/registration.rs
@@ -1,8 +1,9 @@
-//! Reports to the registry over one persistent HTTP/1.1 connection.
+//! Reports the state of this server to the registry over one persistent HTTP/1.1 connection.
 //!
-//! Owns: that connection and the interval of the reports. Is given: the registry's address, which may change, the
-//! server's name, and from the core whether this server takes work. Sends one report at a time. Never decides
-//! whether the server is ready, and never ends the program: a report that fails is made again.
+//! This module owns the connection and the interval between reports. The caller passes the registry's address,
+//! which may change, the server's name and the event loop, which knows whether this server accepts requests. One
+//! report is in flight at a time. A failed report is sent again; it never ends the program. Whether the server is
+//! ready is decided elsewhere.
 
 mod http;
 mod wire_names;
@@ -21,14 +22,16 @@
 
 pub use http::{ResponseReader, encode_report};
 
-/// Interval between two reports: an entry lapses 3 s after the last, so two reports may get lost.
+/// Interval between two reports. The registry's entry expires 3 s after the last report, so two reports may be
+/// lost.
 const REPORT_INTERVAL: Duration = Duration::from_millis(800);
-/// A connection or an answer that takes longer has failed, and the report is made again on a new connection.
+/// Timeout of connecting to the registry and of the answer to a report. After it, the report is sent again on a new
+/// connection.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(700);
-/// Pause after a report that failed.
+/// Pause after a failed report.
 const RETRY_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Why a connection to the registry can't be used any longer.
+/// The reason why a connection to the registry is given up.
 #[derive(Debug, thiserror::Error)]
 enum ReportError {
     #[error("can't be reached: {0}")]
@@ -43,7 +46,8 @@
     NotAccepted(u16),
 }
 
-/// Reports at an interval, and at once when what is reported, or to whom, changes. Runs until it is dropped.
+/// Sends a report at a fixed interval, and at once when the reported state or the registry's address changes. Runs
+/// until the future is dropped.
 pub async fn run(
     mut address: watch::Receiver<SocketAddr>,
     name: String,
@@ -61,7 +65,7 @@
     }
 }
 
-/// Reports on one connection until that fails.
+/// Sends reports on one connection until one fails. Returns the error.
 async fn report_on_one_connection(
     registry: SocketAddr,
     name: &str,
@@ -94,26 +98,26 @@
     }
 }
 
-/// Counts what became of a report.
+/// Applies `change` to the counters of the server.
 fn update_counters(event_loop: &SharedEventLoop, change: impl FnOnce(&mut Counters)) {
     change(event_loop.borrow_mut().counters_mut());
 }
 
-/// The reports on one connection.
+/// The state of one connection to the registry.
 struct Reporter<'a> {
     host: String,
     name: &'a str,
     outbox: Outbox,
-    /// Notified for each answer; its status is in `status`.
+    /// Notified of each answer, whose status code is in `status`.
     answered: Notify,
     status: Cell<u16>,
-    /// Notified when another state is to be reported.
+    /// Notified when the state to report has changed.
     state_changed: Rc<Notify>,
     event_loop: &'a SharedEventLoop,
 }
 
 impl Reporter<'_> {
-    /// Sends a report and awaits its answer, again and again, until one fails.
+    /// Sends a report and waits for its answer, repeatedly, until one fails. Returns the error.
     async fn run(&self) -> ReportError {
         loop {
             let ready = self.event_loop.borrow().is_ready();
--- a/crates/server/src/downstream/registration/http.rs
+++ b/crates/server/src/downstream/registration/http.rs
@@ -1,22 +1,22 @@
-//! The little of HTTP/1.1 that reports need: a request each, and the status of each response.
+//! The subset of HTTP/1.1 that reports need: encoding one request and reading the status of each response.
 //!
-//! Owns: the bytes of a response that is not complete yet. Is given the bytes of one connection as they come, and keeps
-//! no more than one response may have. Never reads a socket and never judges a status.
+//! `ResponseReader` owns the bytes of an incomplete response. It is fed the bytes of one connection and buffers no
+//! more than one response may have. It reads no socket and does not interpret the status.
 
 use super::wire_names::{INSTANCES_PATH, METHOD, STATE, STATE_DRAINING, STATE_READY};
 
-/// Longer than the head or the body of any response of a registry.
+/// Upper bound on the size of the head and on that of the body of a response, in bytes; a registry sends less.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// What ends the head of a response.
+/// The bytes that end the head of a response.
 const HEAD_END: &[u8] = b"\r\n\r\n";
-/// The status of a response that accepts a report; it has no body.
+/// The status of a response that accepts a report. It has no body.
 pub(super) const STATUS_NO_CONTENT: u16 = 204;
-/// The status of a response without a body, beside [`STATUS_NO_CONTENT`].
+/// A further status, beside [`STATUS_NO_CONTENT`], whose response has no body.
 const STATUS_NOT_MODIFIED: u16 = 304;
-/// Statuses from here on are final; those before are of interim responses.
+/// The lowest status of a final response; lower ones are those of interim responses.
 const FIRST_FINAL_STATUS: u16 = 200;
 
-/// Encodes one report, an HTTP request.
+/// Encodes one report as an HTTP request.
 pub fn encode_report(host: &str, name: &str, ready: bool) -> Vec<u8> {
     let state = if ready { STATE_READY } else { STATE_DRAINING };
     let body = format!("{{\"{STATE}\":\"{state}\"}}");
@@ -32,15 +32,15 @@
     buffer: Vec<u8>,
 }
 
-/// What the head of a response says.
+/// The parsed head of a response.
 struct ResponseHead {
     status: u16,
     body_len: usize,
 }
 
 impl ResponseReader {
-    /// Passes the status of each final response that was completed to `on_status`; false when the stream can't be read
-    /// on.
+    /// Reads `bytes` and calls `on_status` with the status of each final response that they complete. Returns false
+    /// when the stream can't be read any further.
     pub fn feed(&mut self, bytes: &[u8], mut on_status: impl FnMut(u16)) -> bool {
         self.buffer.extend_from_slice(bytes);
         loop {
@@ -68,7 +68,7 @@
 }
 
 impl ResponseHead {
-    /// Nothing if the head can't be read or does not say the length of the body.
+    /// Parses the head of a response. Returns `None` if it is malformed or does not state the length of the body.
     fn parse(text: &str) -> Option<ResponseHead> {
         let mut lines = text.split("\r\n");
         let mut status_line = lines.next()?.split(' ');
--- a/crates/server/src/downstream/registration/wire_names/tests.rs
+++ b/crates/server/src/downstream/registration/wire_names/tests.rs
@@ -1,4 +1,4 @@
-//! The words of the registry's wire, which registry and load balancers depend on.
+//! Guards the names of the registry's protocol, on which the registry and the load balancers depend.
 
 use super::*;
 
--- a/crates/server/src/downstream/request_validation.rs
+++ b/crates/server/src/downstream/request_validation.rs
@@ -1,9 +1,9 @@
-//! Validates what an arriving request says of itself and puts names into small numbers.
+//! Validates the params of an arriving request and maps names to the ids that decisions use.
 //!
-//! Owns: the names of handlers and tenants, the bounds on a request's durations, and the numbering of requests. Is
-//! given: the members of a request's params, the time of reading and the idempotency table. `param_reader` reads the
-//! members one by one; whatever is out of range is rejected before the decision module counts it. Never enters a
-//! request anywhere and never answers one.
+//! `RequestValidator` owns the names of the handlers and tenants, the bounds on the durations that a request
+//! states, and the numbering of requests. It is given the params of a request, the time at which they were read and
+//! the idempotency table. `param_reader` reads the members one by one. A request that is out of range is rejected
+//! before the decision module counts it. This module neither stores nor answers requests.
 
 mod invalid_request;
 mod param_reader;
@@ -22,16 +22,16 @@
 
 pub use invalid_request::InvalidRequest;
 
-/// A request may wait or work for this many times its handler's timeout.
+/// Upper bound on the timeout and on the expected work of a request, as a multiple of its handler's timeout.
 const MAX_DURATION_IN_TIMEOUTS: f64 = 10.0;
 
-/// A request as its line has it: what decisions need, and its body as it came.
+/// A validated request: the input of decisions, and the body as received.
 pub struct ValidatedRequest<'a> {
-    /// What the decision module is given.
+    /// The input of the decision module.
     pub arrival: Arrival,
-    /// How long its client waits from now on: what is left of the timeout that it carries, or of its handler's.
+    /// The time for which the client still waits: the rest of the request's own timeout, or of its handler's.
     pub client_waits: Duration,
-    /// The name of this attempt on all wires.
+    /// The name of this attempt in all protocols.
     pub name: AttemptName,
     /// The idempotency key, where the handler has one.
     pub key: Option<IdempotencyKey>,
@@ -41,18 +41,18 @@
     pub body: &'a str,
 }
 
-/// The bounds and the retry safety of one handler.
+/// The retry safety of one handler and the bounds on its requests.
 struct HandlerRules {
     retry_safety: RetrySafety,
-    /// How long a client waits that says nothing of it.
+    /// The time for which a client waits if its request carries no timeout.
     timeout: Duration,
-    /// The longest that a request may say it waits or works, in milliseconds.
+    /// Upper bound on the timeout and the expected work that a request states, in milliseconds.
     max_duration_ms: f64,
     /// The handler's name as a JSON string with its quotes.
     quoted_name: Rc<str>,
 }
 
-/// Validates requests by the settings.
+/// Validates requests according to the settings.
 pub struct RequestValidator {
     handlers: HashMap<String, HandlerId>,
     rules: Vec<HandlerRules>,
@@ -61,7 +61,7 @@
     last_request_id: u64,
 }
 
-/// The ids of the settings' names, which stand in the order of their indices.
+/// Maps each name to its id. The names are in the order of their indices.
 fn ids_by_name<Id>(names: &[String], id: impl Fn(usize) -> Id) -> HashMap<String, Id> {
     names
         .iter()
@@ -72,7 +72,7 @@
 }
 
 impl RequestValidator {
-    /// A validator by the settings' handlers, tenants and rules.
+    /// Creates a validator for the handlers, the tenants and the rules of the settings.
     pub fn new(settings: &Settings) -> RequestValidator {
         let rules = settings.handlers.iter().zip(&settings.handler_names);
         RequestValidator {
@@ -91,21 +91,21 @@
         }
     }
 
-    /// The handler of a JSON-RPC method.
+    /// Returns the handler that a JSON-RPC method names, if there is one.
     pub fn handler(&self, method: &str) -> Option<HandlerId> {
         self.handlers.get(method).copied()
     }
 
-    /// The name of a handler as a JSON string with its quotes.
+    /// Returns the name of a handler as a JSON string with its quotes.
     pub fn quoted_name(&self, handler: HandlerId) -> Rc<str> {
         self.rules[handler.index()].quoted_name.clone()
     }
 
-    /// Validates a request that was read at `now`, and numbers it.
+    /// Validates a request that was read at `now`, and assigns it an id.
     ///
     /// # Errors
-    /// The first member, in a fixed order, that is missing, malformed or out of range; last, an idempotency key
-    /// that is known with another body.
+    /// The first member, in a fixed order, that is missing, malformed or out of range. Checked last: an idempotency
+    /// key that is known with another body.
     pub fn validate<'a>(
         &mut self,
         now: Timestamp,
@@ -132,7 +132,7 @@
         self.last_request_id += 1;
         let arrival = Arrival {
             id: self.last_request_id,
-            // Numbers that are alike in 16 bits count as one client.
+            // Only the lower 16 bits are used: clients whose numbers share them count as one.
             client: client.unwrap_or(0) as u16,
             handler,
             tenant,
@@ -155,8 +155,8 @@
         })
     }
 
-    /// The hash of handler and body that the attempts of a key share. It is stored, so it is the same in every
-    /// incarnation.
+    /// Returns the hash of handler and body, which all attempts with one key share. It is stored, so it must be the
+    /// same in every incarnation.
     fn fingerprint(&self, handler: HandlerId, body: &str) -> u64 {
         let mut hasher = SipHasher24::new();
         hasher.write(self.rules[handler.index()].quoted_name.as_bytes());
@@ -164,7 +164,7 @@
         hasher.finish()
     }
 
-    /// What is left of a request's timeout, where the settings have requests carry one; else zero.
+    /// Returns what is left of the request's timeout, or zero where the settings don't have requests carry one.
     fn remaining_timeout(
         &self,
         now: Timestamp,
@@ -178,7 +178,8 @@
         Ok(arrived + timeout - now)
     }
 
-    /// How long the client of a request waits: what is left of the timeout that it carries, or of its handler's.
+    /// Returns the time for which the client still waits: the rest of the request's own timeout, or of its
+    /// handler's.
     fn client_waits(&self, arrival: &Arrival) -> Duration {
         if self.requests_carry_timeout {
             return arrival.timeout;
@@ -187,7 +188,7 @@
         handler_timeout.saturating_sub(arrival.read_delay)
     }
 
-    /// The tenant of a request; the first id where the settings have none.
+    /// Returns the tenant of a request, or the first id where the settings have no tenants.
     fn tenant(&self, reader: &ParamReader) -> Result<TenantId, InvalidRequest> {
         if self.tenants.is_empty() {
             return Ok(TenantId::default());
@@ -195,7 +196,7 @@
         reader.tenant(|name| self.tenants.get(name).copied())
     }
 
-    /// The idempotency key of a request, where the handler demands one.
+    /// Returns the idempotency key of a request if its handler requires one.
     fn key(
         &self,
         handler: HandlerId,
--- a/crates/server/src/downstream/request_validation/invalid_request.rs
+++ b/crates/server/src/downstream/request_validation/invalid_request.rs
@@ -1,9 +1,9 @@
-//! Why a request can't be served: the error that a client sees.
+//! The errors that a client receives for an invalid request.
 
 use crate::downstream::idempotency_table::FingerprintMismatch;
 use crate::downstream::wire_names::param;
 
-/// What is wrong with a request's own account of itself.
+/// The reason why a request is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidRequest {
     /// The name of the attempt is missing or malformed.
@@ -12,7 +12,7 @@
     /// An attempt with the same name is in flight.
     #[error("{} is in use", param::ATTEMPT_NAME)]
     AttemptNameInUse,
-    /// The sending time is missing or no number of milliseconds.
+    /// The sending time is missing or not a number of milliseconds.
     #[error("{} is not a time in milliseconds", param::SENT_AT)]
     SentAt,
     /// The sending time is further from now than clocks differ or processes pause.
@@ -36,7 +36,7 @@
     /// The idempotency key is missing or malformed.
     #[error("{} is not 32 hex digits", param::IDEMPOTENCY_KEY)]
     IdempotencyKey,
-    /// The idempotency key came again with another handler or body.
+    /// The idempotency key was used before with another handler or body.
     #[error(transparent)]
     Fingerprint(#[from] FingerprintMismatch),
     /// The client's number is malformed.
--- a/crates/server/src/downstream/request_validation/param_reader.rs
+++ b/crates/server/src/downstream/request_validation/param_reader.rs
@@ -1,7 +1,7 @@
-//! Reads the params of one request, a member each.
+//! Reads the params of one request, one method per member.
 //!
-//! Owns: the bounds on what one member may say. Is given: the members as they were written. Never knows a handler, and
-//! never looks at two members together.
+//! `ParamReader` defines the bounds on each member and reads the raw members. It knows no handlers and checks each
+//! member on its own.
 
 use super::invalid_request::InvalidRequest;
 use crate::downstream::idempotency_table::IdempotencyKey;
@@ -11,29 +11,29 @@
 use madderbay::interface::TenantId;
 use madderbay::time::{Duration, Timestamp};
 
-/// A request may claim to have been sent this far ahead of this server's clock: no two clocks differ by more.
+/// How far ahead of this server's clock the sending time may be; no two clocks differ by more.
 const MAX_CLOCK_LEAD: Duration = Duration::from_millis(1_000);
-/// A request may claim to have been sent this long ago: no process pauses for longer.
+/// How far in the past the sending time may be; no process pauses for longer.
 const MAX_READ_DELAY: Duration = Duration::from_millis(600_000);
-/// Memory that no run takes, in KB.
+/// Exclusive upper bound on the memory of a run, in KB.
 const MEMORY_LIMIT_KB: f64 = 2_000.0;
-/// Length of a body of 2 KiB in base64.
+/// Maximum length of a body: 2 KiB in base64.
 const MAX_BODY_BYTES: usize = 2_732;
-/// Digits of an idempotency key.
+/// Number of hex digits of an idempotency key.
 const IDEMPOTENCY_KEY_DIGITS: usize = 32;
 
-/// Reads the params of one request member by member. Each failure is the error given with the member.
+/// Reads the params of one request. Each method returns the error that belongs to its member.
 pub(super) struct ParamReader<'p, 'a> {
     params: &'p JsonObject<'a>,
 }
 
 impl<'p, 'a> ParamReader<'p, 'a> {
-    /// Reads these params.
+    /// Creates a reader of these params.
     pub(super) fn new(params: &'p JsonObject<'a>) -> ParamReader<'p, 'a> {
         ParamReader { params }
     }
 
-    /// The value of a member that may be missing.
+    /// Parses a member that may be missing.
     fn optional<T>(
         &self,
         member: &str,
@@ -46,7 +46,7 @@
             .transpose()
     }
 
-    /// The value of a member that must be there.
+    /// Parses a member that is required.
     fn required<T>(
         &self,
         member: &str,
@@ -56,13 +56,13 @@
         self.optional(member, parse, error)?.ok_or(error)
     }
 
-    /// The name of the attempt.
+    /// Reads the name of the attempt.
     pub(super) fn attempt_name(&self) -> Result<AttemptName, InvalidRequest> {
         let error = InvalidRequest::AttemptName;
         self.required(param::ATTEMPT_NAME, attempt_name, error)
     }
 
-    /// The instant at which the request was sent, which is not far from now.
+    /// Reads the time at which the request was sent, and rejects one that is too far from `now`.
     pub(super) fn sent_at(&self, now: Timestamp) -> Result<Timestamp, InvalidRequest> {
         let millis = self.required(param::SENT_AT, unsigned, InvalidRequest::SentAt)?;
         let sent_at = Timestamp::from_micros(millis.saturating_mul(1000));
@@ -72,22 +72,22 @@
         Ok(sent_at)
     }
 
-    /// The body, a JSON string with its quotes.
+    /// Reads the body, a JSON string with its quotes.
     pub(super) fn body(&self) -> Result<&'a str, InvalidRequest> {
         self.required(param::BODY, base64_body, InvalidRequest::Body)
     }
 
-    /// How long the client waits, at most `max_ms`, if it says so.
+    /// Reads how long the client waits, at most `max_ms`, if the request states it.
     pub(super) fn timeout(&self, max_ms: f64) -> Result<Option<Duration>, InvalidRequest> {
         self.millis(param::TIMEOUT_MS, max_ms, InvalidRequest::Timeout)
     }
 
-    /// The expected work, at most `max_ms`, if the client says so.
+    /// Reads the expected work, at most `max_ms`, if the request states it.
     pub(super) fn work_hint(&self, max_ms: f64) -> Result<Option<Duration>, InvalidRequest> {
         self.millis(param::WORK_MS, max_ms, InvalidRequest::Work)
     }
 
-    /// The tenant, whose name `id` knows.
+    /// Reads the tenant, whose name `id` maps to an id. An unknown name is an error.
     pub(super) fn tenant(
         &self,
         id: impl FnOnce(&str) -> Option<TenantId>,
@@ -96,23 +96,23 @@
         self.required(param::TENANT, known, InvalidRequest::Tenant)
     }
 
-    /// The idempotency key.
+    /// Reads the idempotency key.
     pub(super) fn idempotency_key(&self) -> Result<IdempotencyKey, InvalidRequest> {
         let error = InvalidRequest::IdempotencyKey;
         self.required(param::IDEMPOTENCY_KEY, idempotency_key, error)
     }
 
-    /// The number of the client, if it gives one.
+    /// Reads the client's number, if there is one.
     pub(super) fn client(&self) -> Result<Option<u64>, InvalidRequest> {
         self.optional(param::CLIENT, unsigned, InvalidRequest::Client)
     }
 
-    /// The key of the upstream call, if there is one.
+    /// Reads the key of the upstream call, if there is one.
     pub(super) fn subject(&self) -> Result<Option<u64>, InvalidRequest> {
         self.optional(param::SUBJECT, subject, InvalidRequest::Subject)
     }
 
-    /// An optional positive number of milliseconds up to `max_ms`.
+    /// Reads an optional duration: a positive number of milliseconds up to `max_ms`.
     fn millis(
         &self,
         member: &str,
@@ -124,20 +124,20 @@
         Ok(millis.map(|ms| Duration::from_secs_f64(ms / 1e3)))
     }
 
-    /// The memory that the run takes, in KB.
+    /// Reads the memory that the run needs, in KB.
     pub(super) fn memory_kb(&self) -> Result<f64, InvalidRequest> {
         let in_range = |raw| number(raw).filter(|kb| *kb > 0.0 && *kb < MEMORY_LIMIT_KB);
         self.required(param::MEMORY_KB, in_range, InvalidRequest::Memory)
     }
 
-    /// The rank within the handler.
+    /// Reads the rank within the handler, from 0 to under 1; 0 if it is missing.
     pub(super) fn rank(&self) -> Result<f64, InvalidRequest> {
         let in_range = |raw| number(raw).filter(|rank| (0.0..1.0).contains(rank));
         let rank = self.optional(param::RANK, in_range, InvalidRequest::Rank)?;
         Ok(rank.unwrap_or(0.0))
     }
 
-    /// Whether the attempt says that it is a retry.
+    /// Reports whether the attempt is marked as a retry.
     pub(super) fn is_retry(&self) -> bool {
         self.params
             .raw(param::IS_RETRY)
@@ -145,12 +145,12 @@
     }
 }
 
-/// A raw value that is the name of an attempt.
+/// Parses the name of an attempt from a raw JSON value.
 fn attempt_name(raw: &str) -> Option<AttemptName> {
     attempt_name::parse(&text(raw)?)
 }
 
-/// A raw value that is an idempotency key.
+/// Parses an idempotency key from a raw JSON value.
 fn idempotency_key(raw: &str) -> Option<IdempotencyKey> {
     let digits = text(raw)?;
     let is_key = digits.len() == IDEMPOTENCY_KEY_DIGITS
@@ -161,12 +161,13 @@
     IdempotencyKey::from_str_radix(&digits, 16).ok()
 }
 
-/// A raw value that is the key of an upstream call: 16 hex digits, as a name has.
+/// Parses the key of an upstream call from a raw JSON value: 16 hex digits, like the name of an attempt.
 fn subject(raw: &str) -> Option<u64> {
     u64::from_str_radix(attempt_name::as_text(&attempt_name(raw)?), 16).ok()
 }
 
-/// A raw value that is a string of base64, no longer than a body: the engine takes nothing else.
+/// Returns the raw value if it is a base64 string no longer than [`MAX_BODY_BYTES`]. The engine accepts nothing
+/// else.
 fn base64_body(raw: &str) -> Option<&str> {
     let text = text(raw)?;
     let digits = text.trim_end_matches('=');
--- a/crates/server/src/downstream/request_validation/tests.rs
+++ b/crates/server/src/downstream/request_validation/tests.rs
@@ -1,8 +1,8 @@
-//! How long a client waits, by what its request carries.
+//! Tests of the time for which a client waits, with and without a timeout in its request.
 
 use super::*;
 
-/// Settings of one handler with a timeout of 8 s; `CARRIES` stands for whether requests carry their own.
+/// Settings with one handler whose timeout is 8 s. `CARRIES` is replaced by whether requests carry a timeout.
 const SETTINGS: &str = r#"{"classes": [
  {"name": "quote", "aim_us": 2000000, "hard_limit_us": 8000000, "importance": 1.0, "effect": "read_like"}],
  "tenants": [], "family_info": {"n_cores": 4, "memory_kb": 4000.0, "blowup": 4.0, "key_kb": 2.0,
@@ -12,10 +12,10 @@
   "meters": ["core_use", "on_cores", "heap_share", "links"]},
  "permissions": {"retry_after": true, "max_retry_after_us": 1000000},
  "rules": {"tip_multiple": 5.0, "drain_grace_us": 2000000}, "servers": 3}"#;
-/// When requests reach the machine, in Unix milliseconds.
+/// The time at which requests reach the machine, in Unix milliseconds.
 const ARRIVED_MS: u64 = 1_764_576_000_000;
 
-/// How long the client of a request waits that is read so late; it carries a timeout of 500 ms.
+/// Returns how long the client of a request waits that is read after `read_delay` and carries a timeout of 500 ms.
 fn client_waits(carries: bool, read_delay: Duration) -> Duration {
     let text = SETTINGS.replace("CARRIES", &carries.to_string());
     let settings = madderbay_settings::read(text.as_bytes()).expect("settings");
@@ -32,7 +32,7 @@
     request.expect("valid").client_waits
 }
 
-/// A timeout that has run out was taken for none: its answer waited 2 s for the disk.
+/// Guards against treating an expired timeout as a missing one: the answer then waited 2 s for the disk.
 #[test]
 fn client_whose_timeout_has_run_out_waits_no_more() {
     let late = client_waits(true, Duration::from_millis(900));
@@ -41,7 +41,8 @@
     assert_eq!(in_time, Duration::from_millis(400));
 }
 
-/// Where requests carry none, the wait follows the handler's timeout as the decision module's deadline does.
+/// Where requests carry no timeout, the wait follows the handler's timeout, as the deadline of the decision module
+/// does.
 #[test]
 fn client_without_timeout_waits_as_long_as_its_handler_allows() {
     let waits = client_waits(false, Duration::from_millis(900));
--- a/crates/server/src/downstream/response.rs
+++ b/crates/server/src/downstream/response.rs
@@ -1,7 +1,7 @@
-//! Encodes what goes to a client: JSON-RPC answers, errors and notices, one a line.
+//! Encodes messages to clients: JSON-RPC answers, errors and notices, one per line.
 //!
-//! Owns nothing. Is given: the buffer of a connection and the values of one message. Never decides what is
-//! answered, and never fails: writing to a vector can't.
+//! The functions append to the buffer of a connection. They don't decide what is answered, and they can't fail
+//! because writing to a vector can't.
 
 use crate::downstream::wire_names::{VERSION, answer, envelope, error_code, error_message, method};
 use madderbay::time::Duration;
@@ -13,14 +13,14 @@
     ($out:expr, $($arg:tt)*) => { let _ = write!($out, $($arg)*); };
 }
 
-/// The load report, if there is one, after a comma if others stand before it.
+/// Appends the load report, if there is one, with `comma` before it.
 fn load_report(out: &mut Vec<u8>, value: Option<f64>, comma: &str) {
     if let Some(value) = value {
         put!(out, "{comma}\"{}\":{value}", answer::LOAD_REPORT);
     }
 }
 
-/// The envelope up to the value of the result or the error, whichever `outcome` names.
+/// Appends the envelope up to the first member of the result or the error, whichever `outcome` names.
 fn begin(out: &mut Vec<u8>, id: impl Display, outcome: &str) {
     put!(
         out,
@@ -30,7 +30,7 @@
     );
 }
 
-/// Code and message of an error.
+/// Appends the code and the message of an error.
 fn error_head(out: &mut Vec<u8>, code: i32, message: impl Display) {
     put!(
         out,
@@ -40,14 +40,15 @@
     );
 }
 
-/// An error up to the members of its data.
+/// Appends an error up to the first member of its data.
 fn begin_error_data(out: &mut Vec<u8>, id: u64, code: i32, message: &str) {
     begin(out, id, envelope::ERROR);
     error_head(out, code, message);
     put!(out, ",\"{}\":{{", envelope::DATA);
 }
 
-/// A completed request, with the engine's result as it came: a JSON string with its quotes.
+/// Encodes the answer to a completed request. `result` is the engine's result as received: a JSON string with its
+/// quotes.
 pub fn completed(out: &mut Vec<u8>, id: u64, result: &str, report: Option<f64>) {
     begin(out, id, envelope::RESULT);
     put!(out, "\"{}\":{result}", answer::BODY);
@@ -55,8 +56,8 @@
     out.extend_from_slice(b"}}\n");
 }
 
-/// A request that was rejected and never ran. A `retry_after` under a millisecond is left out; `last` says that
-/// no other server would admit it either.
+/// Encodes the answer to a request that was rejected and never ran. A `retry_after` of less than a millisecond is
+/// omitted. `last` states that no other server would admit the request either.
 pub fn rejected(
     out: &mut Vec<u8>,
     id: u64,
@@ -79,14 +80,14 @@
     out.extend_from_slice(b"}}}\n");
 }
 
-/// A request that failed after a possible effect.
+/// Encodes the answer to a request that failed after a possible effect.
 pub fn failed(out: &mut Vec<u8>, id: u64, report: Option<f64>) {
     begin_error_data(out, id, error_code::FAILED, error_message::FAILED);
     load_report(out, report, "");
     out.extend_from_slice(b"}}}\n");
 }
 
-/// The answer of a health check.
+/// Encodes the answer to a health check.
 pub fn health(out: &mut Vec<u8>, id: u64, healthy: bool, report: Option<f64>) {
     begin(out, id, envelope::RESULT);
     put!(out, "\"{}\":{healthy}", answer::HEALTHY);
@@ -94,7 +95,7 @@
     out.extend_from_slice(b"}}\n");
 }
 
-/// A line that can't be served, with its id as far as that could be read.
+/// Encodes the error for a line that can't be served, with the line's id if it could be read.
 pub fn invalid(out: &mut Vec<u8>, id: Option<u64>, code: i32, message: impl Display) {
     match id {
         Some(id) => begin(out, id, envelope::ERROR),
@@ -104,7 +105,7 @@
     out.extend_from_slice(b"}}\n");
 }
 
-/// The notice that a connection is to end.
+/// Encodes the notice that a connection is about to end.
 pub fn connection_ending(out: &mut Vec<u8>) {
     put!(
         out,
--- a/crates/server/src/downstream/wire_names/tests.rs
+++ b/crates/server/src/downstream/wire_names/tests.rs
@@ -1,4 +1,4 @@
-//! The words and codes of the downstream wire, which clients and load balancers depend on.
+//! Guards the names and codes of the JSON-RPC protocol, on which clients and load balancers depend.
 
 use super::*;
 
