--- a/crates/server/src/upstream/calls/dispatcher.rs
+++ b/crates/server/src/upstream/calls/dispatcher.rs
@@ -1,8 +1,8 @@
-//! Which call is on which connection.
+//! Assigns calls to connections.
 //!
-//! The dispatcher owns the calls in flight, the connections that they are on and the idle ones. It is given the time,
-//! calls to send, replies and ends of connections. It opens no connection itself: it lists those that it wants, and
-//! hands each one's bytes to an outbox.
+//! `CallDispatcher` owns the calls in flight, their connections and the idle connections. It is given the time, the
+//! calls to send, the replies and the ends of connections. It opens no connections itself: it lists those that the
+//! driver has to open, and writes the bytes of each to an outbox.
 
 use super::wire_names::{CALL, CRLF};
 use crate::support::attempt_name::{self, AttemptName};
@@ -15,8 +15,8 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// A connection idle for longer takes no more calls: the catalogue may have closed or forgotten it, and a call that
-/// meets its reset can't be told from one that ran.
+/// Idle time after which a connection takes no more calls. The catalogue may have closed or dropped it, and a call
+/// that fails with a reset can't be told from one that ran.
 const MAX_IDLE_TIME: Duration = Duration::from_millis(1_000);
 
 /// A call in flight.
@@ -24,32 +24,32 @@
     request: u64,
     name: AttemptName,
     sent_at: Timestamp,
-    /// Where its bytes begin in all that its connection sends.
+    /// The offset of its first byte in the bytes that its connection sends.
     first_byte: u64,
 }
 
 /// A connection to the catalogue or to a backend.
 struct CallConnection {
     id: u64,
-    /// Nothing: to the catalogue, wherever that is.
+    /// The backend that it leads to; `None` for the catalogue, whatever its address.
     backend: Option<SocketAddr>,
     outbox: Outbox,
     call: Option<CallInFlight>,
-    /// Requests in flight that have called here: a second copy of a reply may still come, so their next calls are
-    /// made elsewhere.
+    /// Attempts in flight that have called on this connection. A duplicate of a reply may still arrive, so their
+    /// next calls use other connections.
     served_attempts: HashSet<AttemptName>,
     last_used: Timestamp,
-    /// It leads to an address that the catalogue has left.
+    /// It leads to a former address of the catalogue.
     is_outdated: bool,
 }
 
 impl CallConnection {
-    /// Whether it may take one more call, once it carries none.
+    /// Reports whether it may take one more call once it carries none.
     fn is_reusable(&self, now: Timestamp) -> bool {
         !self.is_outdated && now - self.last_used < MAX_IDLE_TIME
     }
 
-    /// Whether it may take a call of this attempt now.
+    /// Reports whether it may take a call of this attempt now.
     fn accepts(&self, now: Timestamp, name: &AttemptName, backend: Option<SocketAddr>) -> bool {
         self.backend == backend
             && self.call.is_none()
@@ -57,7 +57,7 @@
             && !self.served_attempts.contains(name)
     }
 
-    /// Puts a call on the connection.
+    /// Sends a call on this connection.
     fn send(&mut self, call: CallInFlight, timeout: Duration, body: &[u8]) {
         let name = call.name;
         self.call = Some(call);
@@ -74,50 +74,50 @@
     }
 }
 
-/// A connection that the driver is to open.
+/// A connection that the driver has to open.
 pub struct WantedConnection {
-    /// Its number, under which replies and its end are reported.
+    /// Its number, with which its replies and its end are reported.
     pub id: u64,
-    /// What is to be sent on it.
+    /// The outbox of the connection.
     pub outbox: Outbox,
-    /// The backend that it leads to; nothing: to the catalogue.
+    /// The backend to connect to; `None` for the catalogue.
     pub backend: Option<SocketAddr>,
 }
 
 /// A call that ended without a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndedCall {
-    /// The request that called.
+    /// The id of the request that made the call.
     pub request: u64,
-    /// How it ended; `Unreachable` where nothing of it was sent.
+    /// The outcome; `Unreachable` if no byte of it was sent.
     pub outcome: Outcome,
-    /// The time since it was sent.
+    /// The time since the call was sent.
     pub elapsed: Duration,
 }
 
 /// A call that ended with its reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RepliedCall {
-    /// The request that called.
+    /// The id of the request that made the call.
     pub request: u64,
-    /// The time since it was sent.
+    /// The time since the call was sent.
     pub elapsed: Duration,
 }
 
-/// All calls in flight and the connections that they are on; no more than the runs in flight.
+/// All calls in flight and their connections. There are no more calls than runs in flight.
 #[derive(Default)]
 pub struct CallDispatcher {
     connections: Vec<CallConnection>,
-    /// The number of the connection that was wanted last.
+    /// The number of the connection that was requested last.
     last_id: u64,
     wanted: Vec<WantedConnection>,
-    /// Notifies the driver of wanted connections.
+    /// Notifies the driver of connections to open.
     connection_wanted: Rc<Notify>,
 }
 
 impl CallDispatcher {
-    /// Sends a call to the catalogue, or to a backend, which may take `timeout`. Returns the number of the connection
-    /// that it is on.
+    /// Sends a call with this timeout to a backend, or to the catalogue if `backend` is `None`. Returns the number
+    /// of the connection that carries it.
     pub fn fetch(
         &mut self,
         now: Timestamp,
@@ -138,14 +138,14 @@
         connection.id
     }
 
-    /// An idle connection that may take the call, else a new one.
+    /// Returns an idle connection that may take the call, or a new one.
     fn connection_for(
         &mut self,
         now: Timestamp,
         name: &AttemptName,
         backend: Option<SocketAddr>,
     ) -> &mut CallConnection {
-        // The one used last is the least likely to have been forgotten.
+        // The connection used last is the least likely to have been dropped by the peer.
         let indices = 0..self.connections.len();
         let reusable = indices
             .filter(|index| self.connections[*index].accepts(now, name, backend))
@@ -176,17 +176,17 @@
         self.connections.len() - 1
     }
 
-    /// Takes the connections that are to be opened, in their order.
+    /// Takes the list of connections to open, in the order in which they were requested.
     pub fn take_wanted(&mut self) -> Vec<WantedConnection> {
         std::mem::take(&mut self.wanted)
     }
 
-    /// What is notified of wanted connections.
+    /// Returns the notification of connections to open.
     pub(super) fn connection_wanted(&self) -> Rc<Notify> {
         self.connection_wanted.clone()
     }
 
-    /// Abandons the call of an attempt, and its connection with it: what was not sent never will be.
+    /// Abandons the call of an attempt and closes its connection. Bytes that were not written are discarded.
     pub fn abandon(&mut self, now: Timestamp, name: &AttemptName) -> Option<EndedCall> {
         self.remove(now, Outcome::TimedOut, |connection| {
             let call = connection.call.as_ref();
@@ -194,15 +194,15 @@
         })
     }
 
-    /// Abandons the call on a connection, and the connection with it.
+    /// Abandons the call on a connection and closes the connection.
     pub fn abandon_on(&mut self, now: Timestamp, connection_id: u64) -> Option<EndedCall> {
         self.remove(now, Outcome::TimedOut, |connection| {
             connection.id == connection_id && connection.call.is_some()
         })
     }
 
-    /// Takes a reply on a connection. Returns the call that it ends; nothing if the reply is not that of the call in
-    /// flight there.
+    /// Handles a reply on a connection. Returns the call that it ends, or `None` if the reply does not belong to
+    /// the call in flight there.
     pub fn replied(
         &mut self,
         now: Timestamp,
@@ -224,15 +224,15 @@
         })
     }
 
-    /// A connection is over, and with it the call on it, if there is one.
+    /// Removes a connection that has ended. Returns the call on it, if there was one.
     pub fn connection_ended(&mut self, now: Timestamp, connection_id: u64) -> Option<EndedCall> {
         self.remove(now, Outcome::Disconnected, |connection| {
             connection.id == connection_id
         })
     }
 
-    /// Removes a connection. The call on it has never run where nothing of it was sent, else it ended as
-    /// `outcome_if_sent`.
+    /// Removes a connection and returns the call on it. The call never ran if no byte of it was sent; otherwise its
+    /// outcome is `outcome_if_sent`.
     fn remove(
         &mut self,
         now: Timestamp,
@@ -255,14 +255,16 @@
         })
     }
 
-    /// The request of this attempt is over: it makes no more calls, so that no late reply can be mistaken.
+    /// Records that the request of this attempt has ended. It makes no more calls, so a late reply can't be
+    /// mistaken for that of another of its calls.
     pub fn request_finished(&mut self, name: &AttemptName) {
         for connection in &mut self.connections {
             connection.served_attempts.remove(name);
         }
     }
 
-    /// The catalogue has moved: calls in flight may still come back, new ones go to the new address.
+    /// Handles a new address of the catalogue. Calls in flight may still be answered; new ones go to the new
+    /// address.
     pub fn catalogue_moved(&mut self, now: Timestamp) {
         let to_catalogue = |connection: &&mut CallConnection| connection.backend.is_none();
         for connection in self.connections.iter_mut().filter(to_catalogue) {
@@ -271,7 +273,7 @@
         self.close_idle(now);
     }
 
-    /// Closes the connections that carry no call and may take none any more.
+    /// Closes the connections that carry no call and may take no further one.
     pub fn close_idle(&mut self, now: Timestamp) {
         self.connections.retain(|connection| {
             let keep = connection.call.is_some() || connection.is_reusable(now);
@@ -282,7 +284,7 @@
         });
     }
 
-    /// The number of calls in flight.
+    /// Returns the number of calls in flight.
     pub fn calls_in_flight(&self) -> usize {
         let carries_call = |connection: &&CallConnection| connection.call.is_some();
         self.connections.iter().filter(carries_call).count()
--- a/crates/server/src/upstream/calls/driver.rs
+++ b/crates/server/src/upstream/calls/driver.rs
@@ -1,4 +1,4 @@
-//! The driver of calls: it opens the connections that the dispatcher wants and carries bytes until each is over.
+//! The driver of calls: opens the connections that the dispatcher requests and moves bytes until each is closed.
 
 use super::dispatcher::{CallDispatcher, WantedConnection};
 use super::reply_reader::{Reply, ReplyReader};
@@ -12,32 +12,33 @@
 use std::time::Duration as StdDuration;
 use tokio::sync::watch;
 
-/// A connection that was not made by then proves as much as a refused one: on it no call ran.
+/// Timeout of connecting. A connection that was not established by then proves as much as a refused one: no call
+/// ran on it.
 const CONNECT_TIMEOUT: StdDuration = StdDuration::from_millis(500);
 
 /// The owner of the calls, which is notified of how they end.
 pub trait CallObserver {
-    /// The calls that it owns.
+    /// Returns the dispatcher that the observer owns.
     fn dispatcher(&mut self) -> &mut CallDispatcher;
-    /// Whether one more connection may be opened beside so many.
+    /// Reports whether one more connection may be opened while `open` are open.
     fn may_connect(&self, open: usize) -> bool;
-    /// A reply came on a connection.
+    /// Called when a reply was read on a connection.
     fn reply_read(&mut self, now: Timestamp, connection_id: u64, reply: &Reply);
-    /// A connection is over, and with it the call on it, if there is one.
+    /// Called when a connection has ended, and with it the call on it, if there is one.
     fn call_connection_ended(&mut self, now: Timestamp, connection_id: u64);
-    /// A reply could not be read.
+    /// Called when a reply could not be read.
     fn reply_unreadable(&mut self);
 }
 
-/// Opens the connections that the dispatcher wants and serves each until it is over, without an end. While the
-/// catalogue has no address no connection to it can be made, and no call runs there.
+/// Opens the connections that the dispatcher requests and serves each until it ends. Never returns. While the
+/// catalogue has no address, no connection to it can be opened, and no call runs there.
 pub async fn run<C: CallObserver + 'static>(
     mut catalogue: watch::Receiver<Option<SocketAddr>>,
     clock: Rc<Clock>,
     core: Rc<RefCell<C>>,
 ) {
     let connection_wanted = core.borrow_mut().dispatcher().connection_wanted();
-    // Each open connection holds a clone, so that their number is known.
+    // Each open connection holds a clone, whose count is the number of open connections.
     let open = Rc::new(());
     loop {
         let address = *catalogue.borrow_and_update();
@@ -66,7 +67,7 @@
     }
 }
 
-/// Serves one connection, and reports its end.
+/// Serves one connection and reports its end.
 async fn serve_to_end<C: CallObserver>(
     catalogue: Option<SocketAddr>,
     connection: &WantedConnection,
@@ -86,7 +87,7 @@
         .call_connection_ended(clock.now(), connection.id);
 }
 
-/// Connects, and moves bytes until the connection is over or its replies can't be read.
+/// Connects and moves bytes until the connection ends or its replies can't be read.
 async fn serve<C: CallObserver>(
     address: Option<SocketAddr>,
     connection: &WantedConnection,
--- a/crates/server/src/upstream/calls/reply_reader.rs
+++ b/crates/server/src/upstream/calls/reply_reader.rs
@@ -1,37 +1,37 @@
-//! The replies on one connection, cut out of its bytes.
+//! Parses the replies on one connection.
 //!
-//! The reader owns the bytes of a reply that is not complete yet. It is given bytes as they come and never keeps more
-//! than one reply may have.
+//! `ReplyReader` owns the bytes of an incomplete reply. It is fed bytes and buffers no more than one reply may
+//! have.
 
 use super::wire_names::{CRLF, outcome};
 use crate::support::attempt_name::AttemptName;
 use madderbay::interface::Outcome;
 
-/// Length of a name, in bytes.
+/// Length of the name of an attempt, in bytes.
 const NAME_BYTES: usize = 16;
-/// Longer than the first line of any legal reply, in bytes.
+/// Maximum length of the first line of a reply, in bytes. Every legal line is shorter.
 const MAX_LINE_BYTES: usize = 64;
-/// Longer than any legal body, in bytes.
+/// Maximum length of a body, in bytes. Every legal body is shorter.
 const MAX_BODY_BYTES: usize = 64 << 10;
 
-/// One reply.
+/// A reply to a call.
 #[derive(Debug)]
 pub struct Reply<'a> {
-    /// The attempt that called.
+    /// The name of the attempt that made the call.
     pub name: AttemptName,
-    /// How the call ended.
+    /// The outcome of the call.
     pub outcome: Outcome,
-    /// The body of a completed call, else empty.
+    /// The body of a completed call; empty for other outcomes.
     pub body: &'a [u8],
 }
 
-/// A reply at the start of some bytes, and the number of bytes that it takes.
+/// A reply at the start of a buffer, and the number of bytes that it takes.
 struct ParsedReply<'a> {
     reply: Reply<'a>,
     length: usize,
 }
 
-/// Why bytes are no reply. Nothing after them on their connection can be read.
+/// The reason why bytes are not a valid reply. Nothing after them on the connection can be read.
 #[derive(Debug, thiserror::Error)]
 enum ReplyError {
     #[error("the line is too long or does not begin with a name")]
@@ -51,12 +51,12 @@
 /// Reads the replies of one connection.
 #[derive(Default)]
 pub struct ReplyReader {
-    /// The bytes that were not used yet.
+    /// The bytes of an incomplete reply.
     buffered: Vec<u8>,
 }
 
 impl ReplyReader {
-    /// Calls `on_reply` for every complete reply. False when the stream can't be read on.
+    /// Calls `on_reply` for every complete reply. Returns false when the stream can't be read any further.
     pub fn feed(&mut self, bytes: &[u8], mut on_reply: impl FnMut(Reply)) -> bool {
         self.buffered.extend_from_slice(bytes);
         let mut used = 0;
@@ -75,10 +75,10 @@
     }
 }
 
-/// The reply that the bytes begin with; nothing while it is not complete.
+/// Parses the reply at the start of `bytes`. Returns `None` while it is incomplete.
 fn parse(bytes: &[u8]) -> Result<Option<ParsedReply<'_>>, ReplyError> {
     let Some(line_end) = bytes.iter().take(MAX_LINE_BYTES).position(|b| *b == b'\n') else {
-        // Noise is found before its line ends, which may be never.
+        // Detects invalid input before the line ends, which may never happen.
         return if may_become_line(bytes) {
             Ok(None)
         } else {
@@ -109,7 +109,7 @@
     }))
 }
 
-/// The reply of a completed call, whose body begins at `start`; nothing while it is not complete.
+/// Parses the reply of a completed call, whose body begins at `start`. Returns `None` while it is incomplete.
 fn parse_body<'a>(
     bytes: &'a [u8],
     start: usize,
@@ -136,7 +136,7 @@
     }
 }
 
-/// Whether bytes without an end of line may be the beginning of a reply's line.
+/// Reports whether bytes without a line end may be the beginning of a reply's first line.
 fn may_become_line(bytes: &[u8]) -> bool {
     let begins_with_name = bytes.iter().take(NAME_BYTES).all(u8::is_ascii_hexdigit);
     let space_after_name = bytes.get(NAME_BYTES).is_none_or(|byte| *byte == b' ');
--- a/crates/server/src/upstream/calls/wire_names.rs
+++ b/crates/server/src/upstream/calls/wire_names.rs
@@ -1,26 +1,26 @@
-//! The words of the catalogue's protocol, which backends speak too, each written once.
+//! The names that the protocol of the catalogue uses, which backends speak too.
 //!
-//! A call is a line `FETCH NAME TIMEOUT_MS LENGTH` and its body; a reply is a line `NAME OUTCOME` or, with a body,
-//! `NAME DATA LENGTH`. Lines and bodies end in CR LF. Owns: these words. Never changes with the names of the code: the
-//! catalogue and the backends read and write them.
+//! A call is a line `FETCH NAME TIMEOUT_MS LENGTH` and its body. A reply is a line `NAME OUTCOME` or, with a body,
+//! `NAME DATA LENGTH`. Lines and bodies end with CR LF. The catalogue and the backends read and write these names,
+//! so they stay the same when names in the code change.
 
-/// What ends a line, and a body.
+/// The end of a line and of a body.
 pub(super) const CRLF: &[u8] = b"\r\n";
 
-/// Begins a call.
+/// The first word of a call.
 pub(super) const CALL: &str = "FETCH";
 
-/// Outcomes of calls, as replies have them.
+/// Outcomes of calls, as written in replies.
 pub(super) mod outcome {
     /// The call has a result, which is the reply's body.
     pub(crate) const COMPLETED: &str = "DATA";
-    /// It was rejected and never ran.
+    /// The call was rejected and never ran.
     pub(crate) const REJECTED: &str = "LATER";
-    /// It failed.
+    /// The call failed.
     pub(crate) const FAILED: &str = "FAULT";
-    /// It did not end within its timeout.
+    /// The call did not end within its timeout.
     pub(crate) const TIMED_OUT: &str = "TOOSLOW";
-    /// No run waits for it.
+    /// No run waits for the call.
     pub(crate) const UNREACHABLE: &str = "NOUSE";
 }
 
--- a/crates/server/src/upstream/calls/wire_names/tests.rs
+++ b/crates/server/src/upstream/calls/wire_names/tests.rs
@@ -1,4 +1,4 @@
-//! The words of the catalogue's wire, which catalogue and backends depend on.
+//! Guards the names of the catalogue's protocol, on which the catalogue and the backends depend.
 
 use super::*;
 
--- a/crates/server/src/upstream/engine.rs
+++ b/crates/server/src/upstream/engine.rs
@@ -1,9 +1,9 @@
-//! The link to the engine, which runs requests: commands as lines out, notices as lines in, both in order.
+//! The link to the engine, which runs requests. Commands are sent and notices are received as lines, both in order.
 //!
-//! `EngineLink` owns the sending side and knows which commands the engine has surely read; `NoticeReader` owns the
-//! reading side and how far it came, over all links; `run` makes the link and makes it again where it was lost.
-//! What a notice means for a request is decided by the `EngineObserver`. The words of the wire stand in `wire_names`
-//! alone.
+//! `EngineLink` owns the sending side and knows which commands the engine has certainly read. `NoticeReader` owns
+//! the receiving side and the number of the last notice read, over all links. `run` opens the link and reopens it
+//! when it is lost. The `EngineObserver` decides what a notice means for a request. The names of the protocol are
+//! in `wire_names`.
 
 mod command;
 mod driver;
@@ -25,17 +25,18 @@
 pub use read_proof::{LinkAnswers, ReadProof};
 pub use wire_names::RUN_QUEUE_GAUGE;
 
-/// The owner of the link, which is notified of what the engine says.
+/// The owner of the link, which is notified of what the engine reports.
 pub trait EngineObserver {
-    /// The link that it owns.
+    /// Returns the link that the observer owns.
     fn link(&mut self) -> &mut EngineLink;
-    /// The engine is up.
+    /// Called when the engine is up.
     fn engine_up(&mut self, now: Timestamp, start: EngineStart);
-    /// The gauges arrived; `notices_lost` where notices before them were lost for good.
+    /// Called when the gauges arrive. `notices_lost` tells that earlier notices were lost for good.
     fn gauges_read(&mut self, now: Timestamp, values: &[f64], notices_lost: bool);
-    /// A run waits for a call: the notice's serial, which is the call's number, and the body in base64.
+    /// Called when a run waits for a call. `serial` is the serial of the notice, which is also the number of the
+    /// call; `body` is in base64.
     fn call_needed(&mut self, now: Timestamp, name: &AttemptName, serial: u64, body: &str);
-    /// A run ended after `elapsed`; `result` is the JSON value as it was written.
+    /// Called when a run ended after `elapsed`. `result` is the JSON value as it was written.
     fn run_ended(
         &mut self,
         now: Timestamp,
@@ -44,10 +45,10 @@
         elapsed: Duration,
         result: &str,
     );
-    /// A command was not carried out.
+    /// Called when the engine did not carry out a command.
     fn command_declined(&mut self, now: Timestamp, command: DeclinedCommand, name: &AttemptName);
-    /// A notice could not be read.
+    /// Called when a notice could not be read.
     fn notice_unreadable(&mut self);
-    /// The link is lost.
+    /// Called when the link is lost.
     fn link_lost(&mut self);
 }
--- a/crates/server/src/upstream/engine/command.rs
+++ b/crates/server/src/upstream/engine/command.rs
@@ -1,6 +1,7 @@
-//! The commands about one run, as lines of the engine's wire.
+//! Encodes the commands about one run as lines of the engine's protocol.
 //!
-//! Owns nothing. Is given the attempt and what the command carries; writes bytes and never sends them.
+//! The functions are given the attempt and the content of the command. They return bytes; sending them is up to the
+//! caller.
 
 use super::wire_names::{command, member};
 use crate::support::attempt_name::{self, AttemptName};
@@ -9,27 +10,27 @@
 use std::fmt::Arguments;
 use std::io::Write;
 
-/// Room for a command without a body, in bytes.
+/// Initial capacity for a command without a body, in bytes.
 const SHORT_LINE_BYTES: usize = 64;
 
-/// What the engine is to do about the run of an attempt.
+/// A command to the engine about the run of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub enum EngineCommand<'a> {
     /// Run the request.
     Run {
         /// The name of the handler as a JSON string with its quotes.
         handler: &'a str,
-        /// The body as it came: base64 in a JSON string with its quotes.
+        /// The body as received: base64 in a JSON string with its quotes.
         body: &'a str,
     },
     /// Cancel the run.
     Cancel,
-    /// Hand the run the reply to the call that it waits at.
+    /// Pass the run the reply to the call that it waits for.
     Reply {
         /// The body of the reply.
         body: &'a [u8],
     },
-    /// Let the run go on without the call that it waits at.
+    /// Let the run continue without the call that it waits for.
     SkipCall {
         /// The number of that call.
         serial: u64,
@@ -37,7 +38,7 @@
 }
 
 impl EngineCommand<'_> {
-    /// The command as a line, with its end.
+    /// Encodes the command as a line, including the line end.
     pub fn line(&self, attempt: &AttemptName) -> Vec<u8> {
         match self {
             EngineCommand::Run { handler, body } => line(
@@ -63,7 +64,7 @@
     }
 }
 
-/// One line; `members` are the further members, each with a comma before it.
+/// Encodes one line. `members` are the further members, each preceded by a comma.
 fn line(kind: &str, attempt: &AttemptName, members: Arguments) -> Vec<u8> {
     let mut line = Vec::with_capacity(SHORT_LINE_BYTES);
     // Writing to a vector can't fail.
--- a/crates/server/src/upstream/engine/command/tests.rs
+++ b/crates/server/src/upstream/engine/command/tests.rs
@@ -1,10 +1,10 @@
-//! Commands as the engine reads them.
+//! Tests of the encoding of commands.
 
 use super::*;
 
 const ATTEMPT: &AttemptName = b"00000000000000af";
 
-/// The line of a command about [`ATTEMPT`].
+/// Encodes a command about [`ATTEMPT`].
 fn text(command: EngineCommand) -> String {
     String::from_utf8(command.line(ATTEMPT)).expect("a line is text")
 }
--- a/crates/server/src/upstream/engine/driver.rs
+++ b/crates/server/src/upstream/engine/driver.rs
@@ -1,5 +1,5 @@
-//! The driver of the link: it connects to the engine, carries bytes, and connects again where the link was lost or the
-//! engine's address has changed.
+//! The driver of the link: connects to the engine, moves bytes, and reconnects when the link is lost or the
+//! engine's address changes.
 
 use super::{EngineObserver, NoticeReader};
 use crate::support::clock::Clock;
@@ -13,22 +13,23 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// Backoff before a lost link is made again: ends of runs, and answers with them, wait as long.
+/// Backoff before a lost link is reopened. Until then the ends of runs, and the answers that depend on them, are
+/// delayed.
 const RECONNECT_BACKOFF: Duration = Duration::from_millis(2);
-/// Time that a connection may take to be made.
+/// Timeout of connecting to the engine.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Backoff where nobody listens.
+/// Backoff after a failed attempt to connect.
 const UNREACHABLE_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Why a link ended.
+/// The reason why a link ended.
 enum LinkEnd {
     /// It was closed or broken.
     Lost(std::io::Result<()>),
-    /// The engine's new address has accepted this connection.
+    /// The engine accepted this connection at its new address.
     Replaced(TcpStream),
 }
 
-/// Keeps a link to the engine, without an end: it is made again where it was lost, or at another address.
+/// Keeps a link to the engine, and never returns: the link is reopened when it is lost or when the address changes.
 pub async fn run<C: EngineObserver>(
     mut address: watch::Receiver<SocketAddr>,
     clock: Rc<Clock>,
@@ -38,7 +39,7 @@
     let mut replacement = None;
     loop {
         let stream = match replacement.take() {
-            // An address that came while this one was being connected to is left for `connect_to_new_address`.
+            // If the address changed while this stream was being connected, `connect_to_new_address` handles it.
             Some(stream) => stream,
             None => connect_to_current_address(&mut address).await,
         };
@@ -80,7 +81,7 @@
     end
 }
 
-/// A connection to the address of the moment, tried again until there is one.
+/// Connects to the current address, and retries until that succeeds.
 async fn connect_to_current_address(address: &mut watch::Receiver<SocketAddr>) -> TcpStream {
     loop {
         let current = *address.borrow_and_update();
@@ -92,7 +93,8 @@
     }
 }
 
-/// A connection to the address after the next change of it, once there is one: the link before goes on until then.
+/// Waits for the next change of the address and connects to it, and retries until that succeeds. The current link
+/// stays in use until then.
 async fn connect_to_new_address(address: &mut watch::Receiver<SocketAddr>) -> TcpStream {
     if address.changed().await.is_err() {
         pending::<()>().await;
--- a/crates/server/src/upstream/engine/notice.rs
+++ b/crates/server/src/upstream/engine/notice.rs
@@ -1,6 +1,6 @@
-//! One notice of the engine: its members, read from a line and mapped to the code's terms.
+//! Parses one notice of the engine: its members, read from a line and mapped to the terms of the code.
 //!
-//! Owns nothing. Is given the text of a line. Never says what a notice means for a request.
+//! A notice borrows the text of its line. What it means for a request is decided elsewhere.
 
 use super::wire_names::{NEW_ENGINE, command, member, run_outcome};
 use crate::support::attempt_name::AttemptName;
@@ -10,10 +10,10 @@
 use std::borrow::Cow;
 use std::fmt::{Display, Formatter};
 
-/// The result of a run without one, as a JSON value.
+/// The result, as a JSON value, of a run that has none.
 const NO_RESULT: &str = "\"\"";
 
-/// Why a line is no notice.
+/// The reason why a line is not a valid notice.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum NoticeError {
     #[error("the line is no JSON object")]
@@ -24,7 +24,7 @@
     Member(&'static str),
 }
 
-/// How and when the engine came up. It prints as the engine's own word for how.
+/// How and when the engine started. Displayed as the word that the engine sent.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineStart<'a> {
     mode: &'a str,
@@ -32,17 +32,17 @@
 }
 
 impl<'a> EngineStart<'a> {
-    /// The start of an engine that is up since `age`; `mode` is its own word.
+    /// Creates the start of an engine that has been up for `age`. `mode` is the word that the engine sent.
     pub fn new(mode: &'a str, age: Duration) -> EngineStart<'a> {
         EngineStart { mode, age }
     }
 
-    /// Whether the engine came up with this server, its caches cold.
+    /// Reports whether the engine started together with this server, with cold caches.
     pub fn is_new(&self) -> bool {
         self.mode == NEW_ENGINE
     }
 
-    /// The time since the engine came up.
+    /// Returns the time since the engine started.
     pub fn age(&self) -> Duration {
         self.age
     }
@@ -54,22 +54,22 @@
     }
 }
 
-/// A command that the engine did not carry out. It prints as its kind on the wire.
+/// A command that the engine did not carry out. Displayed as its kind in the protocol.
 #[derive(Clone, Copy, Debug)]
 pub struct DeclinedCommand<'a>(&'a str);
 
 impl<'a> DeclinedCommand<'a> {
-    /// The command of this kind on the wire.
+    /// Creates a declined command from its kind in the protocol.
     pub(super) fn new(kind: &'a str) -> DeclinedCommand<'a> {
         DeclinedCommand(kind)
     }
 
-    /// Whether it was the command to run a request.
+    /// Reports whether it was the command to run a request.
     pub fn is_run(&self) -> bool {
         self.0 == command::RUN
     }
 
-    /// Whether it was the command to cancel a run.
+    /// Reports whether it was the command to cancel a run.
     pub fn is_cancel(&self) -> bool {
         self.0 == command::CANCEL
     }
@@ -81,35 +81,35 @@
     }
 }
 
-/// The members of a notice.
+/// A notice as its members.
 pub(super) struct Notice<'a> {
     members: JsonObject<'a>,
 }
 
 impl<'a> Notice<'a> {
-    /// Reads the members of a line.
+    /// Parses the members of a line.
     pub(super) fn read(line: &'a [u8]) -> Result<Notice<'a>, NoticeError> {
         let text = std::str::from_utf8(line).map_err(|_| NoticeError::Json)?;
         let members = JsonObject::read(text).ok_or(NoticeError::Json)?;
         Ok(Notice { members })
     }
 
-    /// The text of a member that must be there.
+    /// Returns the text of a required member.
     fn text(&self, member: &'static str) -> Result<Cow<'a, str>, NoticeError> {
         self.members.text(member).ok_or(NoticeError::Member(member))
     }
 
-    /// The kind of the notice.
+    /// Returns the kind of the notice.
     pub(super) fn kind(&self) -> Result<Cow<'a, str>, NoticeError> {
         self.text(member::KIND)
     }
 
-    /// The number of the notice, if it is one that is counted.
+    /// Returns the serial of the notice, if notices of its kind have one.
     pub(super) fn serial(&self) -> Option<u64> {
         self.members.unsigned(member::SERIAL)
     }
 
-    /// The attempt that the notice is about.
+    /// Returns the name of the attempt that the notice is about.
     pub(super) fn attempt_name(&self) -> Result<AttemptName, NoticeError> {
         let name = self.text(member::ATTEMPT_NAME)?;
         name.as_bytes()
@@ -117,18 +117,19 @@
             .map_err(|_| NoticeError::Member(member::ATTEMPT_NAME))
     }
 
-    /// How the engine came up, in its own word.
+    /// Returns the member whose meaning depends on the kind: the outcome of a run, the declined command, or how the
+    /// engine started.
     pub(super) fn detail(&self) -> Result<Cow<'a, str>, NoticeError> {
         self.text(member::DETAIL)
     }
 
-    /// A duration; zero without one.
+    /// Returns the duration, or zero if the notice has none.
     pub(super) fn duration(&self) -> Duration {
         let millis = self.members.number(member::DURATION_MS);
         millis.map_or(Duration::ZERO, |ms| Duration::from_secs_f64(ms / 1e3))
     }
 
-    /// How a run ended.
+    /// Returns the outcome of a run.
     pub(super) fn run_outcome(&self) -> Result<Outcome, NoticeError> {
         match &*self.detail()? {
             run_outcome::COMPLETED => Ok(Outcome::Completed),
@@ -139,17 +140,17 @@
         }
     }
 
-    /// The body of the call that a run waits at, in base64.
+    /// Returns the body, in base64, of the call that a run waits for.
     pub(super) fn call_body(&self) -> Result<Cow<'a, str>, NoticeError> {
         self.text(member::BODY)
     }
 
-    /// The result of a run as it was written.
+    /// Returns the result of a run as it was written.
     pub(super) fn result(&self) -> &'a str {
         self.members.raw(member::BODY).unwrap_or(NO_RESULT)
     }
 
-    /// The gauges as they were written, without the brackets around them.
+    /// Returns the gauges as they were written, without the enclosing brackets.
     pub(super) fn gauge_list(&self) -> Result<&'a str, NoticeError> {
         let array = self.members.raw(member::GAUGES);
         array
@@ -157,13 +158,13 @@
             .ok_or(NoticeError::Member(member::GAUGES))
     }
 
-    /// The number of the query that gauges answer.
+    /// Returns the number of the query that the gauges answer.
     pub(super) fn query(&self) -> Result<u64, NoticeError> {
         unsigned(&self.text(member::QUERY)?).ok_or(NoticeError::Member(member::QUERY))
     }
 }
 
-/// The numbers of a list with commas between them.
+/// Parses a comma-separated list of numbers.
 pub(super) fn gauge_values(list: &str) -> Result<Vec<f64>, NoticeError> {
     let values: Option<Vec<f64>> = list.split(',').map(|value| number(value.trim())).collect();
     values.ok_or(NoticeError::Member(member::GAUGES))
--- a/crates/server/src/upstream/engine/notice_reader.rs
+++ b/crates/server/src/upstream/engine/notice_reader.rs
@@ -1,7 +1,8 @@
-//! The reading side of the link.
+//! The receiving side of the link.
 //!
-//! The reader outlives its links: the last serial that was read tells where the next one continues. It is given bytes
-//! and hands each notice to the observer; a notice that can't be read is counted there and skipped.
+//! A reader outlives its links: the serial of the last notice read tells where the next link continues. It is given
+//! bytes and passes each notice to the observer. A notice that can't be read is reported to the observer and
+//! skipped.
 
 use super::EngineObserver;
 use super::notice::{DeclinedCommand, EngineStart, Notice, NoticeError, gauge_values};
@@ -9,18 +10,19 @@
 use crate::support::io::LineSplitter;
 use madderbay::time::Timestamp;
 
-/// Longer than any legal notice, in bytes: a result of 4 KiB in base64, each byte escaped.
+/// Maximum length of a notice, in bytes. Every legal notice is shorter: a result of 4 KiB in base64 with each byte
+/// escaped.
 const MAX_LINE_BYTES: usize = 64 << 10;
-/// Reads notices, over all links to the engine.
+/// Reads the notices of all links to the engine.
 pub struct NoticeReader {
     lines: LineSplitter,
     position: Position,
 }
 
-/// How far the notices were read.
+/// The position in the sequence of notices.
 #[derive(Default)]
 struct Position {
-    /// The number of the last notice that was read.
+    /// The serial of the last notice that was read.
     serial: u64,
     /// Notices were lost for good, and the observer was not told yet.
     notices_lost: bool,
@@ -36,12 +38,12 @@
 }
 
 impl NoticeReader {
-    /// A fresh link begins: half a line of the last one is dropped.
+    /// Starts a new link. The incomplete line of the previous link is discarded.
     pub fn link_opened(&mut self) {
         self.lines = LineSplitter::with_max_line_bytes(MAX_LINE_BYTES);
     }
 
-    /// Reads what came on the link. False when the link can't be read on.
+    /// Reads bytes that were received on the link. Returns false when the link can't be read any further.
     pub fn feed(&mut self, now: Timestamp, bytes: &[u8], core: &mut impl EngineObserver) -> bool {
         let position = &mut self.position;
         self.lines.feed(bytes, |line| {
@@ -59,7 +61,7 @@
 }
 
 impl Position {
-    /// Reads one line and notifies the observer. A notice that was read before is skipped.
+    /// Parses one line and notifies the observer. A notice that was read before is skipped.
     fn read(
         &mut self,
         now: Timestamp,
@@ -91,7 +93,7 @@
                 if !core.link().gauges_answered(notice.query()?) {
                     return Ok(());
                 }
-                // The query counts as answered also where a gauge is no number.
+                // The query counts as answered even if a gauge is not a number.
                 let gauges = gauge_values(list)?;
                 core.gauges_read(now, &gauges, std::mem::take(&mut self.notices_lost));
             }
@@ -106,7 +108,7 @@
         Ok(())
     }
 
-    /// Goes on to a serial. False where it was read before.
+    /// Advances to a serial. Returns false if it was read before.
     fn advance(&mut self, serial: u64) -> bool {
         if serial <= self.serial {
             return false;
--- a/crates/server/src/upstream/engine/read_proof.rs
+++ b/crates/server/src/upstream/engine/read_proof.rs
@@ -1,28 +1,29 @@
-//! What proves that the engine has read a command: the answer to a query that was sent behind it on the same link.
+//! Proof that the engine has read a command: the answer to a query that was sent after the command on the same
+//! link.
 //!
-//! Owns: which queries of one link were answered. Is given each answer. A new link begins without one, so that neither
-//! the loss of a link nor the next link can pass for an answer.
+//! `LinkAnswers` records which queries of one link were answered. A new link starts without any answer, so that
+//! neither the loss of a link nor the next link counts as an answer.
 
-/// Proves that a command was read, once the query of this number is answered on the link that carried both.
+/// Proves that a command was read once the query with this number is answered on the link that carried both.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadProof {
     link: u64,
     query: u64,
 }
 
-/// The queries of one link that were answered. Queries are numbered over all links, in the order in which they are sent.
+/// The answered queries of one link. Queries are numbered over all links, in the order in which they are sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkAnswers {
-    /// The number of the link, in the order in which links are made.
+    /// The number of the link, counted in the order in which links are opened.
     link: u64,
-    /// The last query before the link.
+    /// The last query that was sent before this link was opened.
     last_query_before: u64,
-    /// The last query that was answered; `last_query_before` where none was.
+    /// The last query that was answered, or `last_query_before` if there is none.
     last_answered: u64,
 }
 
 impl LinkAnswers {
-    /// The answers on the link that follows, which has none yet; `last_query` is the last query that was sent before.
+    /// Returns the answers of the next link, which has none yet. `last_query` is the last query sent before it.
     pub(super) fn for_next_link(self, last_query: u64) -> LinkAnswers {
         LinkAnswers {
             link: self.link + 1,
@@ -31,18 +32,19 @@
         }
     }
 
-    /// The last query that needs no answer any more: it was answered, or sent before this link.
+    /// Returns the last query that needs no answer any more: it was answered, or sent before this link.
     pub(super) fn last_answered(self) -> u64 {
         self.last_answered
     }
 
-    /// The proof that the answer to a query will give on this link.
+    /// Returns the proof that the answer to `query` on this link will give.
     pub(super) fn proof_by_answer_to(self, query: u64) -> ReadProof {
         let link = self.link;
         ReadProof { link, query }
     }
 
-    /// A query was answered. False where it is none of this link, whose queries go up to `last_query`.
+    /// Records the answer to a query. Returns false if the query does not belong to this link, whose queries end
+    /// with `last_query`.
     pub(super) fn answered(&mut self, query: u64, last_query: u64) -> bool {
         let is_of_link = self.last_query_before < query && query <= last_query;
         if is_of_link {
@@ -51,7 +53,7 @@
         is_of_link
     }
 
-    /// Whether these answers prove what was sent with `proof`.
+    /// Reports whether these answers prove that the command with this proof was read.
     pub fn prove(self, proof: ReadProof) -> bool {
         self.link == proof.link && self.last_answered >= proof.query
     }
--- a/crates/server/src/upstream/engine/wire_names/tests.rs
+++ b/crates/server/src/upstream/engine/wire_names/tests.rs
@@ -1,4 +1,4 @@
-//! The words of the engine's wire, which the engine depends on.
+//! Guards the names of the engine's protocol, on which the engine depends.
 
 use super::*;
 
--- a/crates/server/src/upstream/mod.rs
+++ b/crates/server/src/upstream/mod.rs
@@ -1,5 +1,6 @@
-//! What this server calls: the engine that runs requests, and the catalogue or backends that runs call. Each is a
-//! state machine without I/O and a driver over sockets. They notify the core through traits and decide nothing.
+//! The links to what this server calls: the engine that runs requests, and the catalogue or the backends that runs
+//! call. Each consists of a state machine without I/O and a driver over sockets. They notify the core through
+//! traits and make no decisions.
 
 /// Calls to the catalogue and to backends.
 pub mod calls;
