--- a/crates/server/src/downstream/registration.rs
+++ b/crates/server/src/downstream/registration.rs
@@ -34,15 +34,15 @@
 /// The reason why a connection to the registry is given up.
 #[derive(Debug, thiserror::Error)]
 enum ReportError {
-    #[error("can't be reached: {0}")]
+    #[error("registry unreachable: {0}")]
     Unreachable(std::io::Error),
-    #[error("no connection in time")]
+    #[error("connecting to the registry timed out")]
     ConnectTimeout,
-    #[error("connection over: {0:?}")]
+    #[error("connection ended: {0:?}")]
     ConnectionEnded(std::io::Result<()>),
-    #[error("a report was not answered in time")]
+    #[error("report not answered within the timeout")]
     AnswerTimeout,
-    #[error("a report was answered {0}")]
+    #[error("report answered with status {0}")]
     NotAccepted(u16),
 }
 
--- a/crates/server/src/downstream/registration/wire_names/tests.rs
+++ b/crates/server/src/downstream/registration/wire_names/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn registry_wire_has_these_words() {
+fn registry_protocol_keeps_its_names() {
     assert_eq!((METHOD, INSTANCES_PATH), ("PUT", "/v1/instances/"));
     let words = [STATE, STATE_READY, STATE_DRAINING];
     assert_eq!(words, ["state", "ready", "draining"]);
--- a/crates/server/src/downstream/wire_names/tests.rs
+++ b/crates/server/src/downstream/wire_names/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn downstream_wire_has_these_methods_and_version() {
+fn methods_and_version_keep_their_names() {
     use method::*;
     assert_eq!(VERSION, "2.0");
     let words = [WITHDRAW, HEALTH_CHECK, CONNECTION_ENDING];
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn downstream_wire_has_these_members_of_envelopes() {
+fn envelope_members_keep_their_names() {
     use envelope::*;
     let words = [super::envelope::VERSION, ID, METHOD, PARAMS];
     assert_eq!(words, ["jsonrpc", "id", "method", "params"]);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn downstream_wire_has_these_params() {
+fn params_keep_their_names() {
     use param::*;
     let words = [ATTEMPT_NAME, WITHDRAWN_ID, SENT_AT, BODY, MEMORY_KB];
     assert_eq!(words, ["ref", "id", "since", "bytes", "room"]);
@@ -31,14 +31,14 @@
 }
 
 #[test]
-fn downstream_wire_has_these_members_of_answers() {
+fn answer_members_keep_their_names() {
     use answer::*;
     let words = [BODY, HEALTHY, LOAD_REPORT, RETRY_AFTER_MS, NO_SERVER_ADMITS];
     assert_eq!(words, ["bytes", "fit", "pressure", "cooldown", "nowhere"]);
 }
 
 #[test]
-fn downstream_wire_has_these_errors() {
+fn error_codes_and_messages_are_unchanged() {
     use error_code::*;
     let codes = [
         PARSE_ERROR,
--- a/crates/server/src/support/config.rs
+++ b/crates/server/src/support/config.rs
@@ -1,7 +1,8 @@
-//! The configuration of one server: the file that `RELAY_CONFIG` names, and the variables that override it.
+//! The configuration of one server: the file that `RELAY_CONFIG` names and the environment variables that override
+//! it.
 //!
-//! This module owns the form of that file. It is given bytes and environment variables, and never waits: whether
-//! an incomplete file is read again is decided by the caller, by `ConfigError::is_incomplete_file`.
+//! This module defines the format of the file. It is given bytes and environment variables, and never waits: the
+//! caller decides, with `ConfigError::is_incomplete_file`, whether to read an incomplete file again.
 
 use madderbay_settings::{self as settings, Settings, SettingsError};
 use serde::Deserialize;
@@ -14,7 +15,7 @@
     listen: String,
     engine: String,
     registry: String,
-    /// Absent where this server has no upstream.
+    /// Absent if this server has no upstream.
     catalog: Option<String>,
     #[serde(default)]
     seed: String,
@@ -29,30 +30,30 @@
     sockets: usize,
 }
 
-/// Why there is no valid configuration.
+/// The reason why there is no valid configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The environment names no file.
-    #[error("RELAY_CONFIG names no configuration")]
+    /// The environment variable `RELAY_CONFIG` is not set.
+    #[error("RELAY_CONFIG is not set to the path of a configuration")]
     NoPath,
-    /// The file can't be read; it may not have been created yet.
+    /// The file can't be read. It may not have been created yet.
     #[error("configuration {path}: {source}")]
     Unreadable {
-        /// The path as `RELAY_CONFIG` has it.
+        /// The path in `RELAY_CONFIG`.
         path: String,
-        /// What the system reported.
+        /// The error of the system.
         source: std::io::Error,
     },
-    /// The file ends inside its JSON value; it may still be being written.
+    /// The file ends inside its JSON value. It may still be being written.
     #[error("{0}")]
     Truncated(#[source] ConfigContentError),
-    /// The file is complete, and wrong.
+    /// The file is complete but invalid.
     #[error("{0}")]
     Invalid(#[source] ConfigContentError),
 }
 
 impl ConfigError {
-    /// Whether the same file may be valid a moment later, because it is not there yet or not complete.
+    /// Reports whether the same file may become valid later, because it does not exist or is incomplete.
     pub fn is_incomplete_file(&self) -> bool {
         matches!(
             self,
@@ -61,27 +62,27 @@
     }
 }
 
-/// What is wrong with the content of a configuration.
+/// The reason why the content of a configuration is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigContentError {
-    /// The text is no JSON, or a member is missing or of another type.
+    /// The text is not JSON, or a member is missing or has the wrong type.
     #[error("configuration: {0}")]
     Json(#[source] serde_json::Error),
-    /// The server's name is empty, or has a character that the registry's paths can't carry.
-    #[error("configuration: name '{0}' can't stand in a path")]
+    /// The server's name is empty, or has a character that is not allowed in the registry's paths.
+    #[error("configuration: name '{0}' is empty or not allowed in a URL path")]
     Name(String),
-    /// A member that has to be an IP address and a port is not.
-    #[error("configuration: {member}: '{text}' is no address and port")]
+    /// A member that must be an IP address and a port is not.
+    #[error("configuration: {member}: '{text}' is not an IP address and port")]
     Address {
-        /// The member of the file.
+        /// The name of the member.
         member: &'static str,
         /// Its value.
         text: String,
     },
     /// The seed is not a hexadecimal number of 64 bits.
-    #[error("configuration: seed '{0}' is not hexadecimal")]
+    #[error("configuration: seed '{0}' is not a hexadecimal number of 64 bits")]
     Seed(String),
-    /// The platform's settings are wrong.
+    /// The platform's settings are invalid.
     #[error("{0}")]
     Settings(#[source] SettingsError),
 }
@@ -90,30 +91,30 @@
 pub struct Config {
     /// The server's name, unique in its fleet.
     pub name: String,
-    /// Where load balancers connect.
+    /// The address on which load balancers connect.
     pub listen: SocketAddr,
-    /// Where the engine is.
+    /// The address of the engine.
     pub engine: SocketAddr,
-    /// Where the registry is.
+    /// The address of the registry.
     pub registry: SocketAddr,
-    /// Where the upstream catalogue is, if there is one.
+    /// The address of the upstream catalogue, if there is one.
     pub catalogue: Option<SocketAddr>,
-    /// Seed of all random draws.
+    /// Seed of all random numbers.
     pub seed: u64,
     /// Time between the signal to stop and the kill, in milliseconds.
     pub stop_ms: u64,
     /// Memory that the process may use, in MiB.
     pub memory_mb: usize,
-    /// File descriptors that the process may use.
+    /// Number of file descriptors that the process may use.
     pub max_descriptors: usize,
     /// The platform's settings.
     pub settings: Settings,
-    /// The settings as they stand in the file, to compare them with another file's.
+    /// The settings as written in the file, to compare them with those of another file.
     settings_text: Box<str>,
 }
 
 impl Config {
-    /// The members that differ in `other` and that only a restart can apply.
+    /// Returns the members that differ in `other` and that only a restart can apply.
     pub fn restart_only_differences(&self, other: &Config) -> Vec<&'static str> {
         let limits = |c: &Config| (c.memory_mb, c.max_descriptors);
         let differences = [
@@ -126,17 +127,18 @@
         differing.map(|(member, _)| member).collect()
     }
 
-    /// Compares values where the texts differ: spaces and the order of members don't count.
+    /// Reports whether the settings are equal. If the texts differ, their values are compared: white space and the
+    /// order of members don't matter.
     fn has_same_settings(&self, other: &Config) -> bool {
         let value = |c: &Config| serde_json::from_str::<serde_json::Value>(&c.settings_text).ok();
         self.settings_text == other.settings_text || value(self) == value(other)
     }
 }
 
-/// Reads the file that `RELAY_CONFIG` names, and the variables of the environment that override it.
+/// Reads the file that `RELAY_CONFIG` names and the environment variables that override it.
 ///
 /// # Errors
-/// Without the variable, without a readable file, and where the content is wrong.
+/// Returns an error if the variable is not set, the file can't be read or its content is invalid.
 pub fn load() -> Result<Config, ConfigError> {
     let path = std::env::var("RELAY_CONFIG").map_err(|_| ConfigError::NoPath)?;
     let json = match std::fs::read(&path) {
@@ -152,7 +154,7 @@
     })
 }
 
-/// Reads the content of a configuration. `RELAY_NAME` and `RELAY_LISTEN`, looked up by `variable`, override the
+/// Parses the content of a configuration. `RELAY_NAME` and `RELAY_LISTEN`, looked up by `variable`, override the
 /// file's members.
 ///
 /// # Errors
@@ -180,12 +182,12 @@
     })
 }
 
-/// Whether the text ends before the JSON value that it begins.
+/// Reports whether the text ends inside its JSON value.
 fn is_truncated(json: &[u8]) -> bool {
     serde_json::from_slice::<serde::de::IgnoredAny>(json).is_err_and(|e| e.is_eof())
 }
 
-/// A name is a part of the path of a report to the registry.
+/// Validates the server's name, which is part of the path of its reports to the registry.
 fn name(text: String) -> Result<String, ConfigContentError> {
     let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
     if text.is_empty() || !text.bytes().all(is_allowed) {
--- a/crates/server/src/support/io.rs
+++ b/crates/server/src/support/io.rs
@@ -1,8 +1,8 @@
-//! The thin drivers between sockets and state machines: bytes in, bytes out, nothing understood.
+//! Drivers that connect sockets to state machines. They move bytes and know no protocol.
 //!
-//! An `Outbox` owns what is still to be written to one peer and how its connection is to end. The `drive` functions
-//! own a connection's reading and writing. `LineSplitter` cuts bytes into lines. None of them knows a protocol or
-//! decides when a connection ends.
+//! An `Outbox` owns the bytes that are still to be written to one peer, and how its connection is to be closed. The
+//! `drive` functions read from and write to a connection. `LineSplitter` splits bytes into lines. None of them
+//! decides when a connection is closed.
 
 mod driver;
 mod line_splitter;
@@ -18,10 +18,10 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Makes a connection.
+/// Opens a connection.
 ///
 /// # Errors
-/// Those of the system, and `TimedOut` where it is not made within `limit`.
+/// Returns the error of the system, or `TimedOut` if the connection is not established within `limit`.
 pub async fn connect(address: SocketAddr, limit: Duration) -> std::io::Result<TcpStream> {
     timeout(limit, TcpStream::connect(address))
         .await
--- a/crates/server/src/support/io/driver.rs
+++ b/crates/server/src/support/io/driver.rs
@@ -1,4 +1,5 @@
-//! The drivers of connections: they read for a state machine and write its outbox, until either side ends.
+//! Drivers of connections: they feed what they read to a state machine and write its outbox, until either side
+//! closes the connection.
 
 use super::outbox::{OutboxState, READ_BUFFER_BYTES};
 use socket2::SockRef;
@@ -8,20 +9,21 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A peer that leaves this many bytes unread is not read from.
+/// Number of unwritten bytes at which nothing more is read from a peer, because it does not read its answers.
 const MAX_UNWRITTEN_BYTES: usize = 16 << 10;
-/// Reads in a row before other connections have their turn.
+/// Maximum number of consecutive reads before other connections get their turn.
 const MAX_READS_PER_TURN: usize = 4;
-/// Reads in a row of what had come before a connection's end; a peer that sends more does not delay it.
+/// Maximum number of reads of what arrived before a connection's end. A peer that sends more does not delay the
+/// end.
 const MAX_FINAL_READS: usize = 16;
-/// Time for which a connection that was shut is read on, for its peer to read the last answers and end it too: a
-/// close over unread bytes resets the connection, and those answers are lost with it.
+/// Time for which a connection is still read after its write side was shut down, so that its peer can read the last
+/// answers and close it too. Closing a connection with unread bytes resets it, and those answers are lost.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Bytes that are read in that time at most.
+/// Maximum number of bytes that are read in that time.
 const MAX_LINGER_BYTES: usize = 64 << 10;
 
-/// Reads what is ready and feeds it; an empty feed tells that the peer will send no more. Returns whether to read on,
-/// which `feed` may deny.
+/// Reads what is ready and passes it to `feed`. An empty slice tells that the peer will send no more. Returns
+/// whether to continue reading, which `feed` may refuse.
 fn read_ready(stream: &TcpStream, feed: &mut impl FnMut(&[u8]) -> bool) -> std::io::Result<bool> {
     let mut buffer = [0; READ_BUFFER_BYTES];
     for _ in 0..MAX_READS_PER_TURN {
@@ -42,8 +44,9 @@
     Ok(true)
 }
 
-/// Reads what has come, past what the runtime knows of it; nothing where none has. The buffer lives for this call
-/// only: one kept over an await would be part of each connection.
+/// Reads directly from the socket, bypassing the runtime's readiness state. Returns the number of bytes, or `None`
+/// if nothing has arrived. The buffer is local to this call: one kept across an await would be part of the state of
+/// each connection.
 fn read_bypassing_runtime(
     stream: &TcpStream,
     mut feed: impl FnMut(&[u8]),
@@ -59,8 +62,8 @@
     }
 }
 
-/// Serves one connection until it breaks or `outbox` is closed and written. After the last feed only writing goes on:
-/// whoever is fed closes `outbox` when nothing more is owed.
+/// Serves one connection until it fails or `outbox` is closed and written. Once `feed` refuses to read on, only
+/// writing continues: the state machine closes `outbox` when it has nothing more to answer.
 async fn serve(
     stream: &TcpStream,
     outbox: &OutboxState,
@@ -83,11 +86,11 @@
     }
 }
 
-/// Serves one connection until it breaks or `outbox` is closed and written; what its peer sends after that is not
+/// Serves one connection until it fails or `outbox` is closed and written. What the peer sends after that is not
 /// read.
 ///
 /// # Errors
-/// Those of the connection.
+/// Returns the I/O errors of the connection.
 pub async fn drive(
     stream: &TcpStream,
     outbox: &OutboxState,
@@ -97,12 +100,12 @@
     serve(stream, outbox, &mut true, &mut feed).await
 }
 
-/// The same for a peer who may send until it has seen the end. What had come before is read first, past what the
-/// runtime knows of it: this process may have been paused between its coming and the end, and a request in it is owed
-/// an answer on this connection, which goes on for it.
+/// Serves one connection like [`drive`], for a peer that may send until it has seen the end. What arrived before
+/// the end is read first, bypassing the runtime's readiness state: this process may have been paused between the
+/// arrival and the end. A request among it must be answered on this connection, which stays open for it.
 ///
 /// # Errors
-/// Those of the connection.
+/// Returns the I/O errors of the connection.
 pub async fn drive_peer(
     stream: &TcpStream,
     outbox: &OutboxState,
@@ -136,8 +139,9 @@
     Ok(())
 }
 
-/// Tells the peer that nothing more is sent and reads on to its end, within bounds, or until the place of this
-/// connection is wanted. What is read crossed the end: its sender sends it again on another connection.
+/// Shuts down the write side and reads until the peer closes the connection, within bounds, or until the connection
+/// is to be closed promptly. Requests that are read meanwhile were sent before the peer saw the end; their sender
+/// sends them again on another connection.
 async fn linger(stream: &TcpStream, outbox: &OutboxState) {
     if SockRef::from(stream).shutdown(Shutdown::Write).is_err() {
         return;
@@ -151,7 +155,7 @@
     .await;
 }
 
-/// Reads and drops what comes until the peer's end, or so much that it is not waited for.
+/// Reads and discards bytes until the peer closes the connection or [`MAX_LINGER_BYTES`] are read.
 async fn discard_to_end(stream: &TcpStream) {
     let mut bytes = 0;
     while bytes < MAX_LINGER_BYTES && stream.readable().await.is_ok() {
@@ -166,17 +170,18 @@
     }
 }
 
-/// Waits until the connection is to end without waiting for its peer.
+/// Waits until the connection is to be closed without waiting for its peer.
 async fn prompt_close_requested(outbox: &OutboxState) {
     while !outbox.closes_promptly() {
         outbox.changed().await;
     }
 }
 
-/// Serves a link that this server made: it is over once the peer sends no more, or nothing that can be read.
+/// Serves a connection that this server opened. It ends once the peer sends no more, or something that can't be
+/// read.
 ///
 /// # Errors
-/// Those of the connection.
+/// Returns the I/O errors of the connection.
 pub async fn drive_link(
     stream: &TcpStream,
     outbox: &OutboxState,
--- a/crates/server/src/support/io/line_splitter.rs
+++ b/crates/server/src/support/io/line_splitter.rs
@@ -1,15 +1,15 @@
-//! Cuts a stream of bytes into lines.
+//! Splits a stream of bytes into lines.
 //!
-//! It owns the bytes of the line that is not complete yet, and never keeps more than the longest legal line.
+//! `LineSplitter` owns the bytes of the incomplete line, and buffers no more than the longest legal line.
 
-/// Cuts a stream of bytes into lines of a bounded length.
+/// Splits a stream of bytes into lines of a bounded length.
 pub struct LineSplitter {
     partial_line: Vec<u8>,
     max_line_bytes: usize,
 }
 
 impl LineSplitter {
-    /// A splitter for lines of so many bytes at most, their ends not counted.
+    /// Creates a splitter for lines of at most `max_line_bytes`, not counting their ends.
     pub fn with_max_line_bytes(max_line_bytes: usize) -> LineSplitter {
         LineSplitter {
             partial_line: vec![],
@@ -17,12 +17,13 @@
         }
     }
 
-    /// Whether a part of a line was read.
+    /// Reports whether an incomplete line is buffered.
     pub fn has_partial_line(&self) -> bool {
         !self.partial_line.is_empty()
     }
 
-    /// Calls `on_line` for every complete line, without its LF or CR LF. False once a line is longer than the bound.
+    /// Calls `on_line` for every complete line, without its LF or CR LF. Returns false once a line exceeds the
+    /// maximum length.
     pub fn feed(&mut self, mut bytes: &[u8], mut on_line: impl FnMut(&[u8])) -> bool {
         while let Some(end) = bytes.iter().position(|b| *b == b'\n') {
             let (line, rest) = bytes.split_at(end);
--- a/crates/server/src/support/io/outbox.rs
+++ b/crates/server/src/support/io/outbox.rs
@@ -1,7 +1,7 @@
-//! What is still to be written to one peer, and how its connection is to end.
+//! The bytes that are still to be written to one peer, and how its connection is to be closed.
 //!
-//! State machines put bytes in and ask for the end; the driver of the connection writes and ends it. Nothing here
-//! waits or reads.
+//! State machines append bytes and request the close; the driver of the connection writes and closes it. Apart from
+//! waiting for a change, nothing here waits, and nothing reads.
 
 use std::cell::{Cell, RefCell};
 use std::io::ErrorKind;
@@ -9,19 +9,20 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Bytes of one read of a socket; an outbox that is written keeps no larger buffer.
+/// Size of the buffer for one read of a socket, in bytes. An outbox whose bytes are all written keeps no larger
+/// buffer.
 pub(super) const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// How a connection is to end.
+/// How a connection is to be closed.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 enum CloseMode {
     #[default]
     Open,
-    /// Once all is written and what has come is read; its peer may end it then.
+    /// Once everything is written and what has arrived is read. The peer is given time to close it too.
     Graceful,
-    /// The same, and its place is wanted: its peer is not waited for.
+    /// Like `Graceful`, but without waiting for the peer, because room is needed for another connection.
     Prompt,
-    /// Now.
+    /// At once. Unwritten bytes are discarded.
     Cut,
 }
 
@@ -29,9 +30,9 @@
 #[derive(Default)]
 pub struct OutboxState {
     bytes: RefCell<Vec<u8>>,
-    /// Number of all bytes ever put in.
+    /// Number of bytes ever appended.
     queued: Cell<u64>,
-    /// Number of all bytes ever handed to the socket: with `queued` it tells how far a message had come.
+    /// Number of bytes ever passed to the socket. Compared with `queued`, it tells how much of a message was sent.
     written: Cell<u64>,
     close_mode: Cell<CloseMode>,
     changed: Notify,
@@ -41,7 +42,7 @@
 pub type Outbox = Rc<OutboxState>;
 
 impl OutboxState {
-    /// Appends what `write` writes.
+    /// Appends the bytes that `write` produces.
     pub fn put(&self, write: impl FnOnce(&mut Vec<u8>)) {
         let mut bytes = self.bytes.borrow_mut();
         let before = bytes.len();
@@ -56,80 +57,80 @@
         self.changed.notify_one();
     }
 
-    /// Ends the connection once all is written.
+    /// Closes the connection once everything is written.
     pub fn close(&self) {
         if self.close_mode.get() == CloseMode::Open {
             self.end(CloseMode::Graceful);
         }
     }
 
-    /// Ends the connection once all is written, without waiting for the peer: its place is wanted.
+    /// Closes the connection once everything is written, without waiting for the peer, to make room for another.
     pub fn close_promptly(&self) {
         if self.close_mode.get() != CloseMode::Cut {
             self.end(CloseMode::Prompt);
         }
     }
 
-    /// Ends the connection now; what was not written never is.
+    /// Closes the connection at once. Unwritten bytes are discarded.
     pub fn cut(&self) {
         self.bytes.borrow_mut().clear();
         self.end(CloseMode::Cut);
     }
 
-    /// Takes the end back, except after a cut: something came before it that is owed an answer.
+    /// Cancels the close, except after a cut, because something arrived before it that must be answered.
     pub fn reopen(&self) {
         if self.close_mode.get() != CloseMode::Cut {
             self.close_mode.set(CloseMode::Open);
         }
     }
 
-    /// Whether the connection is to end.
+    /// Reports whether the connection is to be closed.
     pub fn is_closing(&self) -> bool {
         self.close_mode.get() != CloseMode::Open
     }
 
-    /// Whether the connection is to end without waiting for the peer.
+    /// Reports whether the connection is to be closed without waiting for the peer.
     pub fn closes_promptly(&self) -> bool {
         matches!(self.close_mode.get(), CloseMode::Prompt | CloseMode::Cut)
     }
 
-    /// Whether the connection is to end now.
+    /// Reports whether the connection is to be closed at once.
     pub(super) fn is_cut(&self) -> bool {
         self.close_mode.get() == CloseMode::Cut
     }
 
-    /// The number of bytes ever put in.
+    /// Returns the number of bytes ever appended.
     pub fn queued(&self) -> u64 {
         self.queued.get()
     }
 
-    /// The number of bytes ever handed to the socket.
+    /// Returns the number of bytes ever passed to the socket.
     pub fn written(&self) -> u64 {
         self.written.get()
     }
 
-    /// Whether nothing waits to be written.
+    /// Reports whether nothing waits to be written.
     pub fn is_empty(&self) -> bool {
         self.bytes.borrow().is_empty()
     }
 
-    /// Takes what was put in, as a socket would.
+    /// Takes the unwritten bytes and counts them as written, as a socket would.
     pub fn take(&self) -> Vec<u8> {
         self.written.set(self.queued.get());
         std::mem::take(&mut self.bytes.borrow_mut())
     }
 
-    /// The number of bytes that wait to be written, because the peer does not read them.
+    /// Returns the number of bytes that wait to be written, because the peer does not read them.
     pub(super) fn unwritten(&self) -> usize {
         self.bytes.borrow().len()
     }
 
-    /// Waits for the next change, or returns at once where one was not waited for yet.
+    /// Waits for the next change. Returns at once if there was a change since the last wait.
     pub(super) async fn changed(&self) {
         self.changed.notified().await;
     }
 
-    /// Writes what the socket accepts now.
+    /// Writes as much as the socket accepts now.
     pub(super) fn flush(&self, stream: &TcpStream) -> std::io::Result<()> {
         let mut bytes = self.bytes.borrow_mut();
         let mut written = 0;
--- a/crates/server/src/support/json.rs
+++ b/crates/server/src/support/json.rs
@@ -1,8 +1,8 @@
-//! A scanner of JSON text: it finds the members of an object and leaves their values as the bytes that came.
+//! Reads JSON text: finds the members of an object and returns their values as the text that was received.
 //!
-//! Nothing is copied or converted before it is asked for, so that values can be handed on as they were written. The
-//! scanner accepts what RFC 8259 allows, nested to a bound. The functions that convert a value are given one that the
-//! scanner found.
+//! Nothing is copied or converted before it is requested, so that values can be passed on as they were written. The
+//! scanner accepts what RFC 8259 allows, up to a nesting depth. The functions that convert a value expect one that
+//! the scanner found.
 
 mod scanner;
 mod string;
@@ -12,22 +12,22 @@
 
 pub use string::text;
 
-/// Unsigned integers up to this bound are exact as floating-point numbers.
+/// Bound below which every unsigned integer is exact as a floating-point number.
 const MAX_EXACT_UNSIGNED: f64 = 9e15;
 
-/// A member of an object, its name and its value as they were written.
+/// A member of an object: its name and its value as written.
 struct Member<'a> {
     name: &'a str,
     value: &'a str,
 }
 
-/// The members of one object, each value as it was written.
+/// The members of one object, each value as written.
 pub struct JsonObject<'a> {
     members: Vec<Member<'a>>,
 }
 
 impl<'a> JsonObject<'a> {
-    /// Finds the members. Nothing if the text is no JSON object, or more than one value.
+    /// Finds the members of an object. Returns `None` if the text is not exactly one JSON object.
     pub fn read(text: &'a str) -> Option<JsonObject<'a>> {
         let mut scanner = Scanner::new(text);
         let mut members = vec![];
@@ -37,7 +37,7 @@
         scanner.is_at_end().then_some(JsonObject { members })
     }
 
-    /// The value of a member as it was written; of several by one name the last.
+    /// Returns the value of a member as written. If several members have the name, the last one counts.
     pub fn raw(&self, name: &str) -> Option<&'a str> {
         let has_name = |member: &&Member| text(member.name).is_some_and(|n| n == name);
         self.members
@@ -47,23 +47,23 @@
             .map(|member| member.value)
     }
 
-    /// The text of a member that is a string.
+    /// Returns the text of a member that is a string.
     pub fn text(&self, name: &str) -> Option<Cow<'a, str>> {
         text(self.raw(name)?)
     }
 
-    /// The value of a member that is a finite number.
+    /// Returns the value of a member that is a finite number.
     pub fn number(&self, name: &str) -> Option<f64> {
         number(self.raw(name)?)
     }
 
-    /// The value of a member that is an unsigned integer.
+    /// Returns the value of a member that is an unsigned integer.
     pub fn unsigned(&self, name: &str) -> Option<u64> {
         unsigned(self.raw(name)?)
     }
 }
 
-/// Whether the text is one JSON value of any kind.
+/// Reports whether the text is one JSON value of any kind.
 pub fn is_value(text: &str) -> bool {
     let mut scanner = Scanner::new(text);
     scanner.skip_space();
@@ -72,7 +72,7 @@
     is_value && scanner.is_at_end()
 }
 
-/// A number, if the value is one and finite.
+/// Parses a number. Returns `None` if the value is not a finite number.
 pub fn number(raw: &str) -> Option<f64> {
     if raw.starts_with(|c: char| c == '-' || c.is_ascii_digit()) {
         raw.parse().ok().filter(|n: &f64| n.is_finite())
@@ -81,7 +81,7 @@
     }
 }
 
-/// An unsigned integer, also where it is written as `3.0` or `3e2`.
+/// Parses an unsigned integer, which may also be written as `3.0` or `3e2`.
 pub fn unsigned(raw: &str) -> Option<u64> {
     let exact = |n: f64| {
         let is_exact = (0.0..MAX_EXACT_UNSIGNED).contains(&n) && n.fract() == 0.0;
--- a/crates/server/src/support/json/scanner.rs
+++ b/crates/server/src/support/json/scanner.rs
@@ -1,22 +1,22 @@
-//! The grammar of JSON over a text.
+//! A scanner for the grammar of JSON.
 
-/// Deeper nesting than any message has; a bound on the scanner's own stack.
+/// Maximum nesting depth. No valid message is nested as deeply; it bounds the scanner's use of the stack.
 const MAX_DEPTH: usize = 32;
 
-/// A position in a text. A method that finds something else than it is named for returns nothing, and leaves the
-/// scanner at a position without meaning.
+/// A scanner at a position in a text. A method that does not find what it is named for returns `None` and leaves
+/// the position unspecified.
 pub(super) struct Scanner<'a> {
     text: &'a str,
     position: usize,
 }
 
 impl<'a> Scanner<'a> {
-    /// A scanner at the start of the text.
+    /// Creates a scanner at the start of the text.
     pub(super) fn new(text: &'a str) -> Scanner<'a> {
         Scanner { text, position: 0 }
     }
 
-    /// Whether all of the text was scanned.
+    /// Reports whether all of the text was scanned.
     pub(super) fn is_at_end(&self) -> bool {
         self.position == self.text.len()
     }
@@ -32,12 +32,13 @@
         }
     }
 
-    /// Takes this byte.
+    /// Consumes this byte.
     fn take(&mut self, byte: u8) -> Option<()> {
         (self.peek() == Some(byte)).then(|| self.position += 1)
     }
 
-    /// Takes an object at this depth of nesting, and calls `on_member` with each member's name and value as written.
+    /// Consumes an object at this nesting depth, and calls `on_member` with the name and the value of each member
+    /// as written.
     pub(super) fn object(
         &mut self,
         depth: usize,
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Takes an array at this depth of nesting.
+    /// Consumes an array at this nesting depth.
     fn array(&mut self, depth: usize) -> Option<()> {
         self.take(b'[')?;
         self.skip_space();
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Takes any value, and returns it as it is written.
+    /// Consumes any value, and returns it as written.
     pub(super) fn value(&mut self, depth: usize) -> Option<&'a str> {
         if depth > MAX_DEPTH {
             return None;
@@ -96,7 +97,7 @@
         Some(&self.text[start..self.position])
     }
 
-    /// Takes `true`, `false` or `null`.
+    /// Consumes `true`, `false` or `null`.
     fn keyword(&mut self) -> Option<()> {
         let rest = &self.text[self.position..];
         let mut keywords = ["true", "false", "null"].into_iter();
@@ -104,7 +105,7 @@
         Some(())
     }
 
-    /// Takes a string, and returns it as it is written.
+    /// Consumes a string, and returns it as written.
     fn string(&mut self) -> Option<&'a str> {
         let start = self.position;
         self.take(b'"')?;
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Takes an escape in a string.
+    /// Consumes an escape sequence in a string.
     fn escape(&mut self) -> Option<()> {
         let bytes = &self.text.as_bytes()[self.position + 1..];
         let is_hex = |digits: &[u8]| digits.iter().all(u8::is_ascii_hexdigit);
@@ -133,7 +134,7 @@
         Some(())
     }
 
-    /// Takes one digit or more.
+    /// Consumes one or more digits.
     fn digits(&mut self) -> Option<()> {
         let start = self.position;
         while self.peek().is_some_and(|b| b.is_ascii_digit()) {
@@ -142,7 +143,7 @@
         (self.position > start).then_some(())
     }
 
-    /// Takes a number.
+    /// Consumes a number.
     fn number(&mut self) -> Option<()> {
         let _ = self.take(b'-');
         if self.take(b'0').is_none() {
--- a/crates/server/src/support/json/string.rs
+++ b/crates/server/src/support/json/string.rs
@@ -1,16 +1,16 @@
-//! The text of JSON strings.
+//! Decodes JSON strings.
 
 use std::borrow::Cow;
 
-/// UTF-16 units that begin a surrogate pair.
+/// UTF-16 code units that begin a surrogate pair.
 const HIGH_SURROGATES: std::ops::Range<u32> = 0xd800..0xdc00;
-/// The first unit that ends a surrogate pair.
+/// The first UTF-16 code unit that ends a surrogate pair.
 const FIRST_LOW_SURROGATE: u32 = 0xdc00;
-/// The first character that is written as a pair.
+/// The first character that is encoded as a surrogate pair.
 const FIRST_PAIRED_CHARACTER: u32 = 0x10000;
 
-/// The text of a string value, its escapes resolved. Nothing if the value is no string; a lone half of a surrogate
-/// pair is no text.
+/// Returns the text of a JSON string with its escapes decoded. Returns `None` if the value is not a string or has
+/// an unpaired surrogate.
 ///
 /// # Panics
 /// May panic on a string that the scanner does not accept.
@@ -40,7 +40,7 @@
     Some(Cow::Owned(resolved))
 }
 
-/// Takes the digits of a `\u` escape, and those of a second one where the first is half of a surrogate pair.
+/// Consumes the digits of a `\u` escape, and a second escape if the first is the first half of a surrogate pair.
 fn take_unicode_escape(rest: &mut &str) -> Option<char> {
     let unit = take_hex_unit(rest)?;
     if !HIGH_SURROGATES.contains(&unit) {
@@ -51,7 +51,7 @@
     char::from_u32(FIRST_PAIRED_CHARACTER + ((unit - HIGH_SURROGATES.start) << 10) + low)
 }
 
-/// Takes four hexadecimal digits.
+/// Consumes four hexadecimal digits.
 fn take_hex_unit(rest: &mut &str) -> Option<u32> {
     let unit = u32::from_str_radix(rest.get(..4)?, 16).ok()?;
     *rest = &rest[4..];
--- a/crates/server/src/support/logging.rs
+++ b/crates/server/src/support/logging.rs
@@ -1,13 +1,14 @@
-//! The program's logger: one line an event on standard error, `LEVEL component: event, key=value, key=value`.
+//! The program's logger, which writes one line per event to standard error: `LEVEL component: event, key=value,
+//! key=value`.
 //!
-//! It owns the level, the queue of lines and the thread that writes them. It is given lines by the macros of the
-//! `log` crate, and text that is written as it is by `plain`. It never blocks whoever logs: a line that does not
-//! fit the queue is counted and dropped, and so is each further line of a place in the code that logs too often.
-//! Both counts are reported in lines of their own.
+//! The module owns the level, the queue of lines and the thread that writes them. Lines come from the macros of the
+//! `log` crate; `plain` accepts text that is written unchanged. Logging never blocks the caller: a line that does
+//! not fit in the queue is counted and dropped, and so is each further line of a place in the code that logs too
+//! often. Both counts are reported in log lines of their own.
 //!
-//! `tracing` with `tracing-appender` would bring the queue and the thread. The limit of each place, the counts of
-//! what was not written, text in order with the lines, and a flush that ends within a bound at any time would still
-//! be code of this module, on a larger interface. The module therefore keeps the `log` crate.
+//! `tracing` with `tracing-appender` would provide the queue and the thread. The limit per place in the code, the
+//! counts of what was not written, text in order with the lines, and a flush that returns within a bound at any
+//! time would still have to be implemented here, on a larger interface. The module therefore keeps the `log` crate.
 
 mod place_limit;
 mod writer;
@@ -19,14 +20,14 @@
 
 /// Upper bound on the time that [`flush`] waits.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
-/// The level without a configured one, and in place of one that is unknown.
+/// The level if none is configured or the configured one is unknown.
 const DEFAULT_LEVEL: LevelFilter = LevelFilter::Info;
 
 static LOGGER: Logger = Logger {
     queue: LogQueue::new(),
 };
 
-/// What the `log` crate hands its records to.
+/// The logger that the `log` crate passes its records to.
 struct Logger {
     queue: LogQueue,
 }
@@ -55,8 +56,8 @@
     }
 }
 
-/// Starts the logger at the level that `level` names. Without one, and where it is unknown, `info` is used; an
-/// unknown level is logged. Later calls change the level only.
+/// Starts the logger at the level that `level` names. If it is missing or unknown, `info` is used; an unknown level
+/// is logged. Later calls only change the level.
 pub fn start(level: Option<&str>) {
     LOGGER.queue.start_writer();
     let _ = log::set_logger(&LOGGER);
@@ -68,13 +69,13 @@
     }
 }
 
-/// Writes text as it is, after the lines before it, whatever the level. Like a line it is counted and dropped where
-/// the queue is full.
+/// Writes text unchanged, after the lines queued before it, whatever the level. Like a line, it is counted and
+/// dropped if the queue is full.
 pub fn plain(text: String) {
     LOGGER.queue.send(Entry::Text(text));
 }
 
-/// Waits until all that is queued was written, for 200 ms at most.
+/// Waits until everything queued was written, for 200 ms at most.
 pub fn flush() {
     LOGGER.flush();
 }
--- a/crates/server/src/support/logging/place_limit.rs
+++ b/crates/server/src/support/logging/place_limit.rs
@@ -1,32 +1,32 @@
-//! The limit on the lines of one place in the code, so that a place that repeats itself hides no other line.
+//! The limit on the log lines per place in the code, so that one that logs repeatedly does not hide other lines.
 //!
-//! It owns the limiter of each place in the current interval. It is given each line's place and the time; it reads no
-//! clock and writes nothing.
+//! `PlaceLimit` owns the limiter of each place in the current interval. It is given the place of each line and the
+//! time. It reads no clock and writes nothing.
 
 use crate::support::rate_limiter::{RateLimiter, Refill};
 use madderbay::time::{Duration, Timestamp};
 use std::collections::HashMap;
 
-/// Lines of one place that are written in an interval; the others are counted.
+/// Maximum number of lines per place that are written in an interval. Further ones are only counted.
 const MAX_LINES_PER_PLACE: u32 = 5;
-/// The time over which the lines of one place are counted, the same for all places.
+/// The interval over which lines are counted, the same for all places.
 pub(super) const INTERVAL: Duration = Duration::from_millis(10_000);
 
-/// A place in the code that logs.
+/// A place in the code that writes a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct Place {
     /// Path of the module.
     pub(super) module: &'static str,
-    /// Line in its file.
+    /// Line number in the file of the module.
     pub(super) line: u32,
 }
 
-/// How many lines of a place were not written in an interval.
+/// The number of lines of a place that were not written in an interval.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct SuppressedLines {
-    /// The place.
+    /// The place that logged them.
     pub(super) place: Place,
-    /// The number of its lines that were counted only.
+    /// The number of its lines that were only counted.
     pub(super) count: u64,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl PlaceLimit {
-    /// Begins the first interval.
+    /// Creates a limit whose first interval starts now.
     pub(super) fn new(now: Timestamp) -> PlaceLimit {
         PlaceLimit {
             interval_start: now,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Counts a line, and returns whether the place is within its limit.
+    /// Counts a line. Returns whether its place is within the limit.
     pub(super) fn admit(&mut self, now: Timestamp, place: Place) -> bool {
         let limiter = self.places.entry(place).or_insert_with(|| {
             let refill = Refill::EachInterval(INTERVAL);
@@ -54,7 +54,8 @@
         limiter.try_take(now)
     }
 
-    /// Ends the interval if its time is over, and returns the places that were over the limit in it, in order.
+    /// Ends the interval if its time is over, and returns the places that exceeded the limit in it, sorted. Returns
+    /// `None` during the interval.
     pub(super) fn end_interval(&mut self, now: Timestamp) -> Option<Vec<SuppressedLines>> {
         if now - self.interval_start < INTERVAL {
             return None;
--- a/crates/server/src/support/logging/place_limit/tests.rs
+++ b/crates/server/src/support/logging/place_limit/tests.rs
@@ -1,4 +1,4 @@
-//! The numbers here are those of the on-call page.
+//! Tests of the limit per place in the code. The numbers are those of the on-call page.
 
 use super::*;
 
--- a/crates/server/src/support/logging/writer.rs
+++ b/crates/server/src/support/logging/writer.rs
@@ -1,7 +1,7 @@
-//! The queue of lines and the thread that writes them to standard error.
+//! The queue of log lines and the thread that writes them to standard error.
 //!
-//! The queue owns the count of entries that did not fit it. The thread owns the limit of each place and its clock.
-//! Whoever sends never waits for standard error; only a flush waits, and for a bounded time.
+//! The queue owns the count of entries that did not fit. The thread owns the limit per place in the code and its
+//! clock. Senders never wait for standard error; only a flush waits, for a bounded time.
 
 use super::place_limit::{INTERVAL, Place, PlaceLimit};
 use crate::support::clock::{self, MonotonicClock};
@@ -14,14 +14,14 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, sync_channel};
 use std::time::{Duration, Instant};
 
-/// Entries that may wait for standard error.
+/// Maximum number of entries that wait for standard error.
 const MAX_QUEUED_ENTRIES: usize = 1_024;
-/// Longest time without an entry after which the thread looks whether an interval is over.
+/// Maximum time that the thread waits for an entry before it checks whether an interval has ended.
 const MAX_WAIT_FOR_ENTRY: Duration = Duration::from_micros(INTERVAL.as_micros());
-/// Stack of the thread, in bytes.
+/// Stack size of the thread, in bytes.
 const STACK_BYTES: usize = 64 << 10;
 
-/// What is sent to the thread.
+/// A message to the thread.
 pub(super) enum Entry {
     /// A line of the log.
     Line {
@@ -29,21 +29,21 @@
         place: Place,
         message: String,
     },
-    /// Text that is written as it is.
+    /// Text that is written unchanged.
     Text(String),
     /// A request to notify the sender once everything before it was written.
     Flush { written: SyncSender<()> },
 }
 
-/// The sending side.
+/// The sending side of the log queue.
 pub(super) struct LogQueue {
     sender: OnceLock<SyncSender<Entry>>,
-    /// Entries that did not fit since the last report.
+    /// Number of entries that did not fit since the last report.
     dropped: AtomicU64,
 }
 
 impl LogQueue {
-    /// A queue without a thread: what is sent before [`start_writer`](LogQueue::start_writer) is discarded.
+    /// Creates a queue without a thread. What is sent before [`start_writer`](LogQueue::start_writer) is discarded.
     pub(super) const fn new() -> LogQueue {
         LogQueue {
             sender: OnceLock::new(),
@@ -64,7 +64,7 @@
             });
     }
 
-    /// Queues an entry; one that does not fit is counted and dropped.
+    /// Queues an entry. If the queue is full, the entry is counted and dropped.
     pub(super) fn send(&self, entry: Entry) {
         let Some(sender) = self.sender.get() else {
             return;
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Waits until what was queued before is written, for `timeout` at most.
+    /// Waits until everything queued before is written, for `timeout` at most.
     pub(super) fn flush(&self, timeout: Duration) {
         let (written, wait) = sync_channel(1);
         self.send(Entry::Flush { written });
@@ -82,7 +82,7 @@
     }
 }
 
-/// The writing side, on its own thread.
+/// The receiving side of the log queue, on its own thread.
 struct Writer {
     dropped: &'static AtomicU64,
     limit: PlaceLimit,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Writes what is received until the queue is gone.
+    /// Writes the received entries until the queue is closed.
     fn run(mut self, entries: &Receiver<Entry>) {
         loop {
             let entry = match entries.recv_timeout(MAX_WAIT_FOR_ENTRY) {
@@ -116,7 +116,8 @@
         }
     }
 
-    /// What was not written in an interval that is over; nothing while it lasts.
+    /// If an interval has ended, returns the report of the lines that were not written in it; otherwise an empty
+    /// text.
     fn report_of_ended_interval(&mut self, now: Timestamp) -> String {
         let mut text = String::new();
         let Some(suppressed_lines) = self.limit.end_interval(now) else {
@@ -137,7 +138,8 @@
         text
     }
 
-    /// Appends an entry to what is written next. Returns whom to notify after that, where the entry asks for it.
+    /// Appends an entry to the text that is written next. Returns the channel on which to confirm the write, if the
+    /// entry is a flush.
     fn append(
         &mut self,
         now: Timestamp,
@@ -150,7 +152,7 @@
                 place,
                 message,
             } => {
-                // Lines below `info` were asked for, and are not limited.
+                // Lines below `info` were explicitly enabled and are not limited.
                 if level > Level::Info || self.limit.admit(now, place) {
                     let _ = writeln!(text, "{level} {message}");
                 }
--- a/crates/server/src/support/logging/writer/tests.rs
+++ b/crates/server/src/support/logging/writer/tests.rs
@@ -1,4 +1,4 @@
-//! The numbers here are those of the on-call page.
+//! Tests of the queue and the writer of the log. The numbers are those of the on-call page.
 
 use super::*;
 use std::rc::Rc;
@@ -80,7 +80,8 @@
     assert!(start.elapsed() >= Duration::from_millis(20));
 }
 
-/// Debug lines are never left out: counting them as suppressed sent operators looking for lines that were there.
+/// Debug lines are never suppressed. When they were counted as suppressed, operators looked for missing lines that
+/// had been written.
 #[test]
 fn lines_below_info_are_not_counted_as_suppressed() {
     let mut writer = writer(&DROPPED);
--- a/crates/server/src/support/metrics.rs
+++ b/crates/server/src/support/metrics.rs
@@ -1,8 +1,8 @@
-//! Counts of what the server reads, sends and answers, printed one line each in a fixed order.
+//! Counters of what the server reads, sends and answers, printed one per line in a fixed order.
 //!
-//! `Counters` owns the counts. It is told of each event by a method named for that, in `events`; nobody else changes a
-//! count. `table` declares each printed line once, with its name and where its value is. The names and their order are
-//! an interface: operators' pages and programs depend on them. Nothing here is given back to decisions.
+//! `Counters` owns the counts. Each kind of event has a method in `events` that counts it; nothing else changes a
+//! count. `table` declares each printed line once, with its name and value. The names and their order are a public
+//! interface, on which operators' pages and programs depend. Decisions don't use the counts.
 
 mod events;
 mod table;
@@ -11,7 +11,7 @@
 use madderbay::time::Duration;
 use std::fmt::Write;
 
-/// How often runs ended in each way.
+/// Number of runs by outcome.
 #[derive(Default)]
 struct RunOutcomes {
     completed: u64,
@@ -21,7 +21,7 @@
 }
 
 impl RunOutcomes {
-    /// Counts an end. One that a run can't have counts as a run that had already ended.
+    /// Counts the end of a run. An outcome that a run can't have counts as a run that had already ended.
     fn count(&mut self, outcome: Outcome) {
         *match outcome {
             Outcome::Completed => &mut self.completed,
@@ -32,7 +32,7 @@
     }
 }
 
-/// How often calls ended in each way.
+/// Number of calls by outcome.
 #[derive(Default)]
 struct CallOutcomes {
     completed: u64,
@@ -44,7 +44,7 @@
 }
 
 impl CallOutcomes {
-    /// Counts an end. One that a call can't have counts as a connection that was lost.
+    /// Counts the end of a call. An outcome that a call can't have counts as a lost connection.
     fn count(&mut self, outcome: Outcome) {
         *match outcome {
             Outcome::Completed => &mut self.completed,
@@ -57,7 +57,7 @@
     }
 }
 
-/// How often something was late, and by how much at most.
+/// Number of late events, and the longest delay.
 #[derive(Default)]
 struct Lateness {
     late: u64,
@@ -65,31 +65,31 @@
 }
 
 impl Lateness {
-    /// Counts a delay over `limit`; the longest delay is kept in any case.
+    /// Counts a delay that exceeds `limit`. The longest delay is recorded in any case.
     fn observe(&mut self, delay: Duration, limit: Duration) {
         self.late += u64::from(delay > limit);
         self.longest = self.longest.max(delay);
     }
 
-    /// The longest delay, in whole milliseconds.
+    /// Returns the longest delay, in whole milliseconds.
     fn longest_millis(&self) -> u64 {
         self.longest.as_micros() / 1000
     }
 }
 
-/// How often requests were answered in each way.
+/// Number of answered requests by kind of answer.
 #[derive(Default)]
 struct Answers {
-    /// With a complete result.
+    /// Answered with a complete result.
     completed: u64,
-    /// With a result, but without the optional calls.
+    /// Answered with a result, but without the optional calls.
     partial: u64,
     rejected: u64,
-    /// With an error after a possible effect.
+    /// Answered with an error after a possible effect.
     failed: u64,
 }
 
-/// What became of the connections of load balancers.
+/// Number of connections of load balancers that were accepted, evicted or over the limit.
 #[derive(Default)]
 struct ConnectionCounts {
     accepted: u64,
@@ -97,7 +97,7 @@
     over_limit: u64,
 }
 
-/// What peers sent that could not be read.
+/// Number of messages of peers that could not be read, by kind.
 #[derive(Default)]
 struct UnreadableInput {
     lines: u64,
@@ -105,14 +105,14 @@
     replies: u64,
 }
 
-/// What became of the reports to the registry.
+/// Number of reports to the registry by outcome.
 #[derive(Default)]
 struct ReportCounts {
     accepted: u64,
     failed: u64,
 }
 
-/// The counts of one server since its start.
+/// The counters of one server since its start.
 #[derive(Default)]
 pub struct Counters {
     /// Names of the handlers, by index.
@@ -142,16 +142,16 @@
     late_reads: Lateness,
 }
 
-/// What is open at the time of printing.
+/// Gauges of the load at the time of printing.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadGauges {
-    /// Requests that are owed an answer.
+    /// Requests that are not answered yet.
     pub open_requests: usize,
-    /// Requests in flight, also those whose answer is out while their run still ends.
+    /// Requests in flight, including those that are answered while their run has not ended.
     pub requests_in_flight: usize,
-    /// Those in flight that are answered, or whose client is gone, while their run has not ended.
+    /// Requests in flight that are answered, or whose client is gone, while their run has not ended.
     pub requests_answered: usize,
-    /// Connections of load balancers.
+    /// Open connections of load balancers.
     pub connections: usize,
     /// Calls in flight.
     pub calls_in_flight: usize,
@@ -160,7 +160,7 @@
 }
 
 impl Counters {
-    /// Counters of a server with handlers of these names, all at 0.
+    /// Creates counters for handlers with these names, all at 0.
     pub fn new(handlers: &[String]) -> Counters {
         Counters {
             handlers: handlers.to_vec(),
@@ -171,15 +171,17 @@
     }
 }
 
-/// Lines of the form `counter NAME VALUE`; the names of one part begin with the part's and a point.
+/// Lines of the form `counter NAME VALUE`. The names of a part of the server begin with the part's name and a
+/// point.
 pub struct Lines {
     part: &'static str,
-    /// The lines so far, each with its end.
+    /// The lines so far, each with its line end.
     pub text: String,
 }
 
 impl Lines {
-    /// No lines yet, of the part with this name; an empty name is that of the server's own counters.
+    /// Creates an empty list of lines for a part of the server. The name of the part is empty for the server's own
+    /// counters.
     pub fn of(part: &'static str) -> Lines {
         Lines {
             part,
--- a/crates/server/src/support/metrics/table.rs
+++ b/crates/server/src/support/metrics/table.rs
@@ -1,25 +1,25 @@
-//! The printed lines: each declared once, in the order in which they are printed.
+//! The printed lines, each declared once, in the order in which they are printed.
 
 use super::{Counters, Lines, LoadGauges};
 
-/// One printed line: its name, and where its value is.
+/// One printed line: its name and the function that returns its value.
 struct Metric {
     name: &'static str,
     value: fn(&Counters, &LoadGauges) -> u64,
 }
 
-/// A line with this name, whose value `value` finds.
+/// Declares a line with this name and this function for its value.
 const fn metric(name: &'static str, value: fn(&Counters, &LoadGauges) -> u64) -> Metric {
     Metric { name, value }
 }
 
-/// A line of each handler: `NAME.HANDLER`, and where the values of all handlers are.
+/// A line for each handler, named `NAME.HANDLER`, and the function that returns the values of all handlers.
 struct HandlerMetric {
     name: &'static str,
     values: fn(&Counters) -> &[u64],
 }
 
-/// The lines of each handler, in their order.
+/// The lines that are printed for each handler, in order.
 const HANDLER_METRICS: [HandlerMetric; 2] = [
     HandlerMetric {
         name: "read",
@@ -31,7 +31,7 @@
     },
 ];
 
-/// All other lines, in their order.
+/// All other lines, in order.
 const METRICS: [Metric; 43] = [
     metric("answered.done", |counters, _| counters.answers.completed),
     metric("answered.partial", |counters, _| counters.answers.partial),
@@ -105,7 +105,7 @@
 ];
 
 impl Counters {
-    /// All counters and gauges as lines, in their fixed order.
+    /// Returns all counters and gauges as lines, in their fixed order.
     pub fn lines(&self, gauges: &LoadGauges) -> String {
         let mut lines = Lines::of("");
         for (index, handler) in self.handlers.iter().enumerate() {
--- a/crates/server/src/support/mod.rs
+++ b/crates/server/src/support/mod.rs
@@ -1,19 +1,19 @@
-//! What all stages use: clocks, configuration, counters, the log, JSON text, names of attempts, limits on how often
-//! something happens, and bytes between sockets and state machines. Nothing here knows a stage or takes a decision.
+//! Utilities for all other modules: clocks, configuration, counters, the log, JSON text, names of attempts, rate
+//! limits, and I/O between sockets and state machines. They depend on none of those modules and make no decisions.
 
-/// The name that an attempt has upstream.
+/// The name of an attempt, the same in all protocols.
 pub mod attempt_name;
-/// The Unix clock and the monotonic one.
+/// The Unix clock and the monotonic clock.
 pub mod clock;
 /// The server's configuration file.
 pub mod config;
-/// Drivers between sockets and state machines.
+/// Drivers that connect sockets to state machines.
 pub mod io;
-/// JSON text, taken apart and put together without a tree.
+/// Reads JSON text without building a tree.
 pub mod json;
 /// The logger.
 pub mod logging;
-/// What is counted, and how it is printed.
+/// The counters and their printed form.
 pub mod metrics;
 /// A limit on how often something may happen.
 pub mod rate_limiter;
--- a/crates/server/src/support/rate_limiter.rs
+++ b/crates/server/src/support/rate_limiter.rs
@@ -1,20 +1,20 @@
-//! A limit on how often something may happen, with a count of what was over the limit.
+//! A limit on how often something may happen, with a count of what exceeded it.
 //!
-//! `RateLimiter` owns the permits that are left. It is given the time and reads no clock. It never delays anything:
-//! what gets no permit is left out by whoever asked.
+//! `RateLimiter` owns the available permits. It is given the time and reads no clock. It never delays anything: the
+//! caller leaves out what gets no permit.
 
 use madderbay::time::{Duration, Timestamp};
 
-/// When permits that were taken are given back.
+/// When permits are returned.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Refill {
-    /// All of them at once, when this interval has passed since the last time.
+    /// All at once, when this interval has passed since the last refill.
     EachInterval(Duration),
-    /// So many a second, never more than the limiter began with. They are added up when none is left.
+    /// This many per second, up to the initial number. They are added when no permit is left.
     PerSecond(f64),
 }
 
-/// Permits for something that may happen a bounded number of times.
+/// Permits for something that may happen a limited number of times.
 ///
 /// ```
 /// use madderbay::time::{Duration, Timestamp};
@@ -31,14 +31,14 @@
 pub struct RateLimiter {
     max_permits: f64,
     refill: Refill,
-    /// Permits that are left, in fractions where they come back by the second.
+    /// The permits that are left, including fractions where they are returned per second.
     permits: f64,
     refilled_at: Timestamp,
     refused: u64,
 }
 
 impl RateLimiter {
-    /// A limiter with all its permits, at most `max_permits` at a time.
+    /// Creates a limiter with all its permits, of which there are never more than `max_permits`.
     pub fn new(now: Timestamp, max_permits: u32, refill: Refill) -> RateLimiter {
         let max_permits = f64::from(max_permits);
         RateLimiter {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Takes a permit; returns whether there was one. One that is refused is counted.
+    /// Takes a permit, and returns whether there was one. A refusal is counted.
     pub fn try_take(&mut self, now: Timestamp) -> bool {
         self.refill(now);
         if self.has_permit() {
@@ -61,12 +61,12 @@
         false
     }
 
-    /// Whether a permit is left, as of the last refill.
+    /// Reports whether a permit is left, as of the last refill.
     pub fn has_permit(&self) -> bool {
         self.permits >= 1.0
     }
 
-    /// Gives back the permits that are due; returns whether it was time to.
+    /// Returns the permits that are due. Reports whether any were due.
     pub fn refill(&mut self, now: Timestamp) -> bool {
         let elapsed = now - self.refilled_at;
         let (is_due, permits) = match self.refill {
@@ -83,12 +83,12 @@
         is_due
     }
 
-    /// How often no permit was left, since this was last taken.
+    /// Returns the number of refusals since the count was last taken.
     pub fn refused(&self) -> u64 {
         self.refused
     }
 
-    /// The same, and counts anew.
+    /// Returns the number of refusals and resets the count.
     pub fn take_refused(&mut self) -> u64 {
         std::mem::take(&mut self.refused)
     }
--- a/crates/server/src/upstream/calls/reply_reader.rs
+++ b/crates/server/src/upstream/calls/reply_reader.rs
@@ -36,15 +36,15 @@
 enum ReplyError {
     #[error("the line is too long or does not begin with a name")]
     Line,
-    #[error("the line is no text that ends in CR LF")]
+    #[error("the line is not text that ends with CR LF")]
     LineEnd,
-    #[error("the name has not 16 bytes")]
+    #[error("the name is not 16 bytes long")]
     Name,
     #[error("the outcome is missing or unknown")]
     Outcome,
-    #[error("the length of the body is missing, no number or too large")]
+    #[error("the length of the body is missing, not a number or too large")]
     BodyLength,
-    #[error("the body does not end in CR LF")]
+    #[error("the body does not end with CR LF")]
     BodyEnd,
 }
 
--- a/crates/server/src/upstream/calls/wire_names/tests.rs
+++ b/crates/server/src/upstream/calls/wire_names/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn catalogue_wire_has_these_words() {
+fn catalogue_protocol_keeps_its_names() {
     use outcome::*;
     assert_eq!((CALL, CRLF), ("FETCH", &b"\r\n"[..]));
     let words = [COMPLETED, REJECTED, FAILED, TIMED_OUT, UNREACHABLE];
--- a/crates/server/src/upstream/engine/notice.rs
+++ b/crates/server/src/upstream/engine/notice.rs
@@ -16,7 +16,7 @@
 /// The reason why a line is not a valid notice.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum NoticeError {
-    #[error("the line is no JSON object")]
+    #[error("the line is not a JSON object")]
     Json,
     #[error("the kind of the notice is unknown")]
     Kind,
--- a/crates/server/src/upstream/engine/notice_reader.rs
+++ b/crates/server/src/upstream/engine/notice_reader.rs
@@ -54,7 +54,7 @@
         })
     }
 
-    /// The serial of the last notice that was read.
+    /// Returns the serial of the last notice that was read.
     pub fn serial(&self) -> u64 {
         self.position.serial
     }
--- a/crates/server/src/upstream/engine/wire_names/tests.rs
+++ b/crates/server/src/upstream/engine/wire_names/tests.rs
@@ -3,14 +3,14 @@
 use super::*;
 
 #[test]
-fn engine_wire_has_these_commands() {
+fn commands_keep_their_names() {
     use command::*;
     let words = [ATTACH, RUN, CANCEL, REPLY, SKIP_CALL, QUERY_GAUGES];
     assert_eq!(words, ["ATTACH", "RUN", "HALT", "FEED", "SKIP", "STAT"]);
 }
 
 #[test]
-fn engine_wire_has_these_notices() {
+fn notices_keep_their_names() {
     use notice::*;
     let words = [
         ENGINE_UP,
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn engine_wire_has_these_members() {
+fn members_keep_their_names() {
     use member::*;
     let words = [KIND, ATTEMPT_NAME, SERIAL, HANDLER, BODY];
     assert_eq!(words, ["msg", "call", "serial", "service", "blob"]);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn engine_wire_has_these_outcomes_and_gauges() {
+fn outcomes_and_gauges_keep_their_names() {
     use run_outcome::*;
     let words = [COMPLETED, FAILED, CANCELLED, ALREADY_ENDED];
     assert_eq!(words, ["good", "bad", "cut", "gone"]);
