--- a/crates/server/src/downstream/connection.rs
+++ b/crates/server/src/downstream/connection.rs
@@ -26,7 +26,7 @@
 /// requests are open.
 const IDLE_RECHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The number of bytes that a peer has read, and the time since which it has read no more.
+/// The number of bytes written to a peer, and the time since which none was written.
 struct WriteProgress {
     written_bytes: u64,
     since: Timestamp,
--- a/crates/server/src/downstream/connections.rs
+++ b/crates/server/src/downstream/connections.rs
@@ -146,7 +146,8 @@
     /// ended.
     ///
     /// # Errors
-    /// The id is in use, or the connection has [`MAX_OPEN_REQUESTS`](crate::downstream::open_requests::MAX_OPEN_REQUESTS) open.
+    /// The id is in use, or the connection has
+    /// [`MAX_OPEN_REQUESTS`](crate::downstream::open_requests::MAX_OPEN_REQUESTS) open.
     pub fn check_open(&self, id: u64, rpc_id: u64) -> Result<(), OpenRequestError> {
         match self.table.get(&id) {
             Some(connection) => connection.check_open(rpc_id),
--- a/crates/server/src/downstream/request_validation/tests.rs
+++ b/crates/server/src/downstream/request_validation/tests.rs
@@ -34,7 +34,7 @@
 
 /// Guards against treating an expired timeout as a missing one: the answer then waited 2 s for the disk.
 #[test]
-fn client_whose_timeout_has_run_out_waits_no_more() {
+fn client_with_expired_timeout_does_not_wait() {
     let late = client_waits(true, Duration::from_millis(900));
     assert_eq!(late, Duration::ZERO);
     let in_time = client_waits(true, Duration::from_millis(100));
@@ -44,7 +44,7 @@
 /// Where requests carry no timeout, the wait follows the handler's timeout, as the deadline of the decision module
 /// does.
 #[test]
-fn client_without_timeout_waits_as_long_as_its_handler_allows() {
+fn client_without_timeout_waits_for_the_timeout_of_its_handler() {
     let waits = client_waits(false, Duration::from_millis(900));
     assert_eq!(waits, Duration::from_millis(7_100));
 }
--- a/crates/server/src/support/config.rs
+++ b/crates/server/src/support/config.rs
@@ -33,7 +33,7 @@
 /// The reason why there is no valid configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The environment variable `RELAY_CONFIG` is not set.
+    /// The environment variable `RELAY_CONFIG` is not set, or not valid Unicode.
     #[error("RELAY_CONFIG is not set to the path of a configuration")]
     NoPath,
     /// The file can't be read. It may not have been created yet.
--- a/crates/server/src/support/logging/place_limit.rs
+++ b/crates/server/src/support/logging/place_limit.rs
@@ -1,4 +1,5 @@
-//! The limit on the log lines per place in the code, so that one that logs repeatedly does not hide other lines.
+//! The limit on the log lines per place in the code, so that a place that logs repeatedly does not hide other
+//! lines.
 //!
 //! `PlaceLimit` owns the limiter of each place in the current interval. It is given the place of each line and the
 //! time. It reads no clock and writes nothing.
--- a/crates/server/src/support/logging/place_limit/tests.rs
+++ b/crates/server/src/support/logging/place_limit/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn end_of_interval_reports_suppressed_lines_in_order_and_starts_anew() {
+fn end_of_interval_reports_suppressed_lines_in_order_and_resets_counts() {
     let mut limit = PlaceLimit::new(START);
     for (line, times) in [(9, 7), (3, 6), (5, 5)] {
         (0..times).for_each(|_| {
--- a/crates/server/src/support/logging/writer/tests.rs
+++ b/crates/server/src/support/logging/writer/tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn lines_begin_with_their_level_and_text_stays_as_it_is() {
+fn lines_begin_with_their_level_and_text_is_unchanged() {
     let mut writer = writer(&DROPPED);
     let entries = [line(Level::Warn, 1), Entry::Text("counter open 0\n".into())];
     let text = written(&mut writer, entries);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn ended_interval_reports_what_was_not_written() {
+fn ended_interval_reports_lines_that_were_not_written() {
     static DROPPED_HERE: AtomicU64 = AtomicU64::new(3);
     let mut writer = writer(&DROPPED_HERE);
     written(&mut writer, (0..7).map(|_| line(Level::Warn, 12)));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn full_queue_counts_what_it_drops_and_blocks_nobody() {
+fn full_queue_counts_dropped_entries_and_does_not_block() {
     let queue = LogQueue::new();
     queue.send(Entry::Text("discarded before the start".into()));
     let (sender, entries) = sync_channel(MAX_QUEUED_ENTRIES);
--- a/crates/server/src/support/rate_limiter.rs
+++ b/crates/server/src/support/rate_limiter.rs
@@ -5,7 +5,7 @@
 
 use madderbay::time::{Duration, Timestamp};
 
-/// When permits are returned.
+/// When permits are restored.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Refill {
     /// All at once, when this interval has passed since the last refill.
@@ -31,7 +31,7 @@
 pub struct RateLimiter {
     max_permits: f64,
     refill: Refill,
-    /// The permits that are left, including fractions where they are returned per second.
+    /// The permits that are left, including fractions where they are restored per second.
     permits: f64,
     refilled_at: Timestamp,
     refused: u64,
@@ -66,7 +66,7 @@
         self.permits >= 1.0
     }
 
-    /// Returns the permits that are due. Reports whether any were due.
+    /// Restores the permits that are due. Returns whether a refill was due.
     pub fn refill(&mut self, now: Timestamp) -> bool {
         let elapsed = now - self.refilled_at;
         let (is_due, permits) = match self.refill {
