--- a/crates/server/src/downstream/registration.rs
+++ b/crates/server/src/downstream/registration.rs
@@ -1,13 +1,14 @@
-//! Reports to the registry over one persistent HTTP/1.1 connection.
+//! Reports the state of this server to the registry over one persistent HTTP/1.1 connection.
 //!
-//! Owns: that connection and the interval of the reports. Is given: the registry's address, which may change, the
-//! server's name, and from the core whether this server takes work. Sends one report at a time. Never decides
-//! whether the server is ready, and never ends the program: a report that fails is made again.
+//! This module owns the connection and the interval between reports. The caller passes the registry's address,
+//! which may change, the server's name and the event loop, which knows whether this server accepts requests. One
+//! report is in flight at a time. A failed report is sent again; it never ends the program. Whether the server is
+//! ready is decided elsewhere.
 
 mod http;
 mod wire_names;
 
-use self::http::NO_CONTENT;
+use self::http::STATUS_NO_CONTENT;
 use crate::core::event_loop::SharedEventLoop;
 use crate::support::io::{Outbox, drive_link};
 use crate::support::metrics::Counters;
@@ -21,29 +22,32 @@
 
 pub use http::{ResponseReader, encode_report};
 
-/// Interval between two reports: an entry lapses 3 s after the last, so two reports may get lost.
+/// Interval between two reports. The registry's entry expires 3 s after the last report, so two reports may be
+/// lost.
 const REPORT_INTERVAL: Duration = Duration::from_millis(800);
-/// A connection or an answer that takes longer has failed, and the report is made again on a new connection.
+/// Timeout of connecting to the registry and of the answer to a report. After it, the report is sent again on a new
+/// connection.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(700);
-/// Pause after a report that failed.
+/// Pause after a failed report.
 const RETRY_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Why a connection to the registry can't be used any longer.
+/// The reason why a connection to the registry is given up.
 #[derive(Debug, thiserror::Error)]
 enum ReportError {
-    #[error("can't be reached: {0}")]
+    #[error("registry unreachable: {0}")]
     Unreachable(std::io::Error),
-    #[error("no connection in time")]
+    #[error("connecting to the registry timed out")]
     ConnectTimeout,
-    #[error("connection over: {0:?}")]
+    #[error("connection ended: {0:?}")]
     ConnectionEnded(std::io::Result<()>),
-    #[error("a report was not answered in time")]
+    #[error("report not answered within the timeout")]
     AnswerTimeout,
-    #[error("a report was answered {0}")]
+    #[error("report answered with status {0}")]
     NotAccepted(u16),
 }
 
-/// Reports at an interval, and at once when what is reported, or to whom, changes. Runs until it is dropped.
+/// Sends a report at a fixed interval, and at once when the reported state or the registry's address changes. Runs
+/// until the future is dropped.
 pub async fn run(
     mut address: watch::Receiver<SocketAddr>,
     name: String,
@@ -56,12 +60,12 @@
             error = report_on_one_connection(registry, &name, &event_loop) => error,
         };
         log::warn!("registry: report failed, error={error}");
-        count(&event_loop, Counters::report_failed);
+        update_counters(&event_loop, Counters::report_failed);
         let _ = timeout(RETRY_BACKOFF, address.changed()).await;
     }
 }
 
-/// Reports on one connection until that fails.
+/// Sends reports on one connection until one fails. Returns the error.
 async fn report_on_one_connection(
     registry: SocketAddr,
     name: &str,
@@ -94,26 +98,26 @@
     }
 }
 
-/// Counts what became of a report.
-fn count(event_loop: &SharedEventLoop, change: impl FnOnce(&mut Counters)) {
+/// Applies `change` to the counters of the server.
+fn update_counters(event_loop: &SharedEventLoop, change: impl FnOnce(&mut Counters)) {
     change(event_loop.borrow_mut().counters_mut());
 }
 
-/// The reports on one connection.
+/// The state of one connection to the registry.
 struct Reporter<'a> {
     host: String,
     name: &'a str,
     outbox: Outbox,
-    /// Notified for each answer; its status is in `status`.
+    /// Notified of each answer, whose status code is in `status`.
     answered: Notify,
     status: Cell<u16>,
-    /// Notified when another state is to be reported.
+    /// Notified when the state to report has changed.
     state_changed: Rc<Notify>,
     event_loop: &'a SharedEventLoop,
 }
 
 impl Reporter<'_> {
-    /// Sends a report and awaits its answer, again and again, until one fails.
+    /// Sends a report and waits for its answer, repeatedly, until one fails. Returns the error.
     async fn run(&self) -> ReportError {
         loop {
             let ready = self.event_loop.borrow().is_ready();
@@ -125,10 +129,10 @@
             {
                 return ReportError::AnswerTimeout;
             }
-            if self.status.get() != NO_CONTENT {
+            if self.status.get() != STATUS_NO_CONTENT {
                 return ReportError::NotAccepted(self.status.get());
             }
-            count(self.event_loop, Counters::report_accepted);
+            update_counters(self.event_loop, Counters::report_accepted);
             let _ = timeout(REPORT_INTERVAL, self.state_changed.notified()).await;
         }
     }
--- a/crates/server/src/upstream/engine/wire_names/tests.rs
+++ b/crates/server/src/upstream/engine/wire_names/tests.rs
@@ -1,16 +1,16 @@
-//! The words of the engine's wire, which the engine depends on.
+//! Guards the names of the engine's protocol, on which the engine depends.
 
 use super::*;
 
 #[test]
-fn engine_wire_has_these_commands() {
+fn commands_keep_their_names() {
     use command::*;
     let words = [ATTACH, RUN, CANCEL, REPLY, SKIP_CALL, QUERY_GAUGES];
     assert_eq!(words, ["ATTACH", "RUN", "HALT", "FEED", "SKIP", "STAT"]);
 }
 
 #[test]
-fn engine_wire_has_these_notices() {
+fn notices_keep_their_names() {
     use notice::*;
     let words = [
         ENGINE_UP,
@@ -24,16 +24,16 @@
 }
 
 #[test]
-fn engine_wire_has_these_members() {
+fn members_keep_their_names() {
     use member::*;
     let words = [KIND, ATTEMPT_NAME, SERIAL, HANDLER, BODY];
     assert_eq!(words, ["msg", "call", "serial", "service", "blob"]);
-    let words = [QUERY, GAUGES, HOW, DURATION_MS];
+    let words = [QUERY, GAUGES, DETAIL, DURATION_MS];
     assert_eq!(words, ["cookie", "stats", "how", "duration"]);
 }
 
 #[test]
-fn engine_wire_has_these_outcomes_and_gauges() {
+fn outcomes_and_gauges_keep_their_names() {
     use run_outcome::*;
     let words = [COMPLETED, FAILED, CANCELLED, ALREADY_ENDED];
     assert_eq!(words, ["good", "bad", "cut", "gone"]);
