--- a/crates/server/src/core/arrivals.rs
+++ b/crates/server/src/core/arrivals.rs
@@ -30,7 +30,7 @@
             let deadline = Deadline::ConnectionIdle(opened.id);
             executor.deadlines.insert(now + limit, deadline);
         }
-        self.await_first_request(opened)
+        self.schedule_first_request_check(opened)
     }
 
     /// A connection was accepted that exceeds the limit on connections. Gives its number.
@@ -41,11 +41,11 @@
             .downstream
             .connections_mut()
             .open_over_limit(now, outbox);
-        self.await_first_request(opened)
+        self.schedule_first_request_check(opened)
     }
 
     /// Sets the deadline of a connection's first request. Gives the connection's number.
-    fn await_first_request(&mut self, opened: OpenedConnection) -> u64 {
+    fn schedule_first_request_check(&mut self, opened: OpenedConnection) -> u64 {
         let deadline = Deadline::FirstRequest(opened.id);
         self.executor
             .deadlines
@@ -162,7 +162,7 @@
             return Ok(());
         }
         self.enter_request(now, recipient, &request);
-        if !self.is_deciding() {
+        if !self.has_decider() {
             // Nothing can run before the engine is up, and there is no decision module yet that could be told.
             self.executor.reject(arrival.id, Duration::ZERO, false);
         } else if self.is_over_limit(connection) && arrival.retry_of == 0 {
--- a/crates/server/src/core/backend_selector.rs
+++ b/crates/server/src/core/backend_selector.rs
@@ -21,7 +21,7 @@
     /// Why the call gets no retry.
     fn retry(
         &self,
-        former: &UpstreamAttempt,
+        previous: &UpstreamAttempt,
         call: FailedCall,
     ) -> Result<UpstreamAttempt, RetryRefusal>;
     /// Begins a retry of a call after the backoff that the decision module has waited for.
@@ -30,7 +30,7 @@
     /// Why the call gets no retry.
     fn retry_after_backoff(
         &self,
-        former: &UpstreamAttempt,
+        previous: &UpstreamAttempt,
     ) -> Result<UpstreamAttempt, RetryRefusal>;
     /// The time from the first attempt of a call until its hedge is due.
     ///
--- a/crates/server/src/core/concurrency_limits.rs
+++ b/crates/server/src/core/concurrency_limits.rs
@@ -74,14 +74,14 @@
         add_pool(&mut lines, &pool);
     }
     if let Some(calls) = limiter.call_usage() {
-        lines.add("calls.limit", bounded(calls.limit as usize));
-        lines.add("calls.out", bounded(calls.in_flight));
+        lines.add("calls.limit", zero_if_unbounded(calls.limit as usize));
+        lines.add("calls.out", zero_if_unbounded(calls.in_flight));
     }
     lines.add(
         "calls.limit_changes",
-        bounded(limiter.change_count() as usize),
+        zero_if_unbounded(limiter.change_count() as usize),
     );
-    lines.add("hung", bounded(limiter.hung()));
+    lines.add("hung", zero_if_unbounded(limiter.hung()));
     lines.text
 }
 
@@ -94,11 +94,11 @@
         ("runs_most", pool.max_runs),
         ("calls_most", pool.max_calls),
     ] {
-        lines.add(&format!("{}.{name}", pool.name), bounded(value));
+        lines.add(&format!("{}.{name}", pool.name), zero_if_unbounded(value));
     }
 }
 
 /// `usize::MAX` stands for no limit.
-fn bounded(value: usize) -> u64 {
+fn zero_if_unbounded(value: usize) -> u64 {
     if value == usize::MAX { 0 } else { value as u64 }
 }
--- a/crates/server/src/core/deadlines/tests.rs
+++ b/crates/server/src/core/deadlines/tests.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn removes_only_the_deadline_of_its_instant() {
+fn removes_deadline_only_at_its_instant() {
     let mut deadlines = deadlines();
     deadlines.insert(at(10), Deadline::Hedge(1));
     deadlines.remove(at(11), Deadline::Hedge(1));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn counts_next_tick_from_the_deadline_before() {
+fn schedules_next_tick_from_previous_deadline() {
     let mut deadlines = deadlines();
     let interval = Duration::from_millis(10);
     deadlines.tick_timer().set(at(0), interval);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn sets_deadlines_of_idle_connections_anew() {
+fn replaces_deadlines_of_idle_connections() {
     let mut deadlines = deadlines();
     deadlines.insert(at(5), Deadline::ConnectionIdle(1));
     deadlines.insert(at(6), Deadline::FirstRequest(1));
--- a/crates/server/src/core/deferred_events/tests.rs
+++ b/crates/server/src/core/deferred_events/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn hands_over_ended_requests_then_calls_then_runs() {
+fn pops_ended_requests_then_calls_then_runs() {
     let mut events = DeferredEvents::default();
     events.run_not_sent(1);
     events.call_not_made(2);
--- a/crates/server/src/core/dispatch.rs
+++ b/crates/server/src/core/dispatch.rs
@@ -68,9 +68,9 @@
         else {
             return Ok(CallTarget::Catalogue);
         };
-        if let Some(former) = request.call.former_attempt() {
+        if let Some(previous) = request.call.previous_attempt() {
             return selector
-                .retry_after_backoff(former)
+                .retry_after_backoff(previous)
                 .map(CallTarget::Backend);
         }
         let first = selector.pick(request.handler);
@@ -138,7 +138,7 @@
         request.call.attempt_sent(BackendAttempt {
             upstream_connection,
             attempt,
-            since: self.now,
+            sent_at: self.now,
         });
     }
 
@@ -156,13 +156,13 @@
         let Some(ended) = request.call.take_attempt(end.upstream_connection) else {
             return CallProgress::Ended;
         };
-        let other_attempts = request.call.has_attempts();
+        let has_other_attempts = request.call.has_attempts();
         let attempt_outcome = end.attempt_outcome();
         self.backends.finish(&ended.attempt, attempt_outcome);
         if end.outcome == Outcome::Completed {
-            self.end_overtaken_attempts(id, ended.since);
+            self.end_remaining_attempts(id, ended.sent_at);
             CallProgress::Ended
-        } else if other_attempts {
+        } else if has_other_attempts {
             CallProgress::Continues
         } else {
             self.retry(id, &ended.attempt, attempt_outcome)
@@ -170,11 +170,11 @@
     }
 
     /// An attempt succeeded that was sent at `since`: ends the others. One that was sent before lost to a hedge.
-    fn end_overtaken_attempts(&mut self, id: u64, since: Timestamp) {
+    fn end_remaining_attempts(&mut self, id: u64, sent_at: Timestamp) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        let all_later = request.call.attempts().iter().all(|a| a.since >= since);
+        let all_later = request.call.attempts().iter().all(|a| a.sent_at >= sent_at);
         let outcome = if all_later {
             AttemptOutcome::Cancelled
         } else {
@@ -187,7 +187,7 @@
     fn retry(
         &mut self,
         id: u64,
-        former: &UpstreamAttempt,
+        previous: &UpstreamAttempt,
         outcome: AttemptOutcome,
     ) -> CallProgress {
         let (Some(selector), Some(request)) = (self.backends.selector(), self.requests.get(id))
@@ -201,7 +201,7 @@
             is_idempotent: self.backends.is_idempotent(request.handler),
             time_left,
         };
-        match selector.retry(former, call) {
+        match selector.retry(previous, call) {
             Ok(attempt) => {
                 self.send_attempt(id, attempt, time_left);
                 CallProgress::Continues
--- a/crates/server/src/core/dispatch/tests.rs
+++ b/crates/server/src/core/dispatch/tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn call_that_may_have_run_is_never_taken_for_one_that_did_not() {
+fn call_that_may_have_run_is_never_reported_as_not_run() {
     for outcome in [
         Outcome::Failed,
         Outcome::TimedOut,
--- a/crates/server/src/core/durability.rs
+++ b/crates/server/src/core/durability.rs
@@ -44,7 +44,7 @@
 }
 
 /// Pending work, and the record that it waits for.
-struct Waiting {
+struct WaitingWork {
     sequence: SequenceNumber,
     work: PendingWork,
 }
@@ -54,7 +54,7 @@
     results: DurableResults,
     batches: Sender<Batch>,
     /// In the order of sequence numbers.
-    waiting: VecDeque<Waiting>,
+    waiting: VecDeque<WaitingWork>,
     commits: u64,
 }
 
@@ -74,7 +74,7 @@
     settings: &IdempotencyStoreConfig,
     window_micros: u64,
 ) -> Result<OpenedStore, StoreError> {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let storage = DirectoryStorage::open(&settings.directory)?;
     let limits = LogLimits {
         disk_bytes: disk_limit_bytes(settings),
@@ -84,7 +84,7 @@
     Ok(OpenedStore {
         log,
         recovery,
-        recovery_time: began.elapsed(),
+        recovery_time: started_at.elapsed(),
     })
 }
 
@@ -177,7 +177,7 @@
         let sequence = self
             .results
             .record_intent(key, window.fingerprint, attempt_id, window.end);
-        self.wait_for(sequence, PendingWork::Run { request });
+        self.enqueue(sequence, PendingWork::Run { request });
         Ok(())
     }
 
@@ -194,18 +194,18 @@
             .results
             .record_result(key, result.map(str::as_bytes), expires_at);
         let result = result.map(Into::into);
-        self.wait_for(sequence, PendingWork::Response { request, result });
+        self.enqueue(sequence, PendingWork::Response { request, result });
     }
 
     /// Records that the run of an intent was never sent or never started; nothing waits for that.
     pub fn record_not_run(&mut self, key: u128, expires_at: Timestamp) {
         let sequence = self.results.record_not_run(key, expires_at);
-        self.wait_for(sequence, PendingWork::Nothing);
+        self.enqueue(sequence, PendingWork::Nothing);
     }
 
     /// Keeps work until the record with this sequence number is on disk.
-    fn wait_for(&mut self, sequence: SequenceNumber, work: PendingWork) {
-        self.waiting.push_back(Waiting { sequence, work });
+    fn enqueue(&mut self, sequence: SequenceNumber, work: PendingWork) {
+        self.waiting.push_back(WaitingWork { sequence, work });
     }
 
     /// Hands all records that are not yet on their way to the writer's thread. Gives their failure where that has ended.
--- a/crates/server/src/core/engine_commands.rs
+++ b/crates/server/src/core/engine_commands.rs
@@ -60,7 +60,7 @@
         for (id, request) in requests.sorted_mut(|request| request.commands.has_unproven()) {
             // What the lost link proved is settled now: the link after this one knows nothing of its answers.
             if !request.commands.is_unproven(answers) {
-                request.commands.all_read();
+                request.commands.mark_all_read();
                 continue;
             }
             runs += 1;
--- a/crates/server/src/core/event_loop.rs
+++ b/crates/server/src/core/event_loop.rs
@@ -239,12 +239,12 @@
 /// Decisions.
 impl EventLoop {
     /// Whether there is a decision module: nothing runs before.
-    pub(super) fn is_deciding(&self) -> bool {
+    pub(super) fn has_decider(&self) -> bool {
         self.decider.is_some()
     }
 
     /// Whether the decision module still counts a request: queued, or its run has not ended.
-    pub(super) fn has_not_ended(&self, id: u64) -> bool {
+    pub(super) fn is_tracked_by_decider(&self, id: u64) -> bool {
         self.decider
             .as_ref()
             .is_some_and(|decider| decider.contains(id))
@@ -255,7 +255,7 @@
     /// The module begins now and not when the engine did, which may be an hour ago: its timer would count as that
     /// late, and a stop requested before the first tick would never come due. An engine that came up cold a while
     /// ago so counts as colder than it is.
-    pub(super) fn begin_deciding(&mut self, now: Timestamp, engine_is_new: bool) {
+    pub(super) fn start_decider(&mut self, now: Timestamp, engine_is_new: bool) {
         self.settings.machine.starts_cold |= engine_is_new;
         let mut decider = self.settings.decider(now, self.seed);
         self.executor.now = now;
--- a/crates/server/src/core/idempotent_runs/tests.rs
+++ b/crates/server/src/core/idempotent_runs/tests.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn waits_for_no_disk_where_results_are_in_memory() {
+fn cached_results_do_not_wait_for_disk() {
     let mut runs = runs_in_memory();
     assert_eq!(start(&mut runs), RunRelease::Now);
     assert!(!runs.record_result(now(), 1, KEY, Some("\"YQ==\"")));
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn releases_nothing_as_durable_where_the_commit_failed() {
+fn releases_work_as_not_durable_after_failed_commit() {
     let (mut runs, batches) = durable_runs();
     start(&mut runs);
     assert!(runs.record_result(now(), 1, KEY, Some("\"YQ==\"")));
@@ -103,7 +103,7 @@
 
 /// A writer's thread that has ended takes no batch: its records fail at once, and no new run waits for the disk.
 #[test]
-fn fails_records_where_the_writer_has_ended() {
+fn fails_records_after_writer_thread_has_ended() {
     let (mut runs, batches) = durable_runs();
     start(&mut runs);
     drop(batches);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn asks_the_store_only_for_keys_of_earlier_incarnations() {
+fn looks_up_only_keys_missing_from_table_in_store() {
     let (mut runs, _batches) = durable_runs();
     // The table has the key: its fingerprint is checked there, not in the store.
     assert!(matches!(
--- a/crates/server/src/core/in_flight.rs
+++ b/crates/server/src/core/in_flight.rs
@@ -173,14 +173,14 @@
         self.by_id.values_mut()
     }
 
-    /// The requests for which `is_wanted` holds, in the order of their ids.
+    /// The requests for which `predicate` holds, in the order of their ids.
     pub(super) fn sorted_mut(
         &mut self,
-        is_wanted: impl Fn(&InFlightRequest) -> bool,
+        predicate: impl Fn(&InFlightRequest) -> bool,
     ) -> Vec<(u64, &mut InFlightRequest)> {
         let all = self.by_id.iter_mut().map(|(id, request)| (*id, request));
-        let mut wanted: Vec<_> = all.filter(|(_, request)| is_wanted(request)).collect();
-        wanted.sort_by_key(|(id, _)| *id);
-        wanted
+        let mut matching: Vec<_> = all.filter(|(_, request)| predicate(request)).collect();
+        matching.sort_by_key(|(id, _)| *id);
+        matching
     }
 }
--- a/crates/server/src/core/quota_gate.rs
+++ b/crates/server/src/core/quota_gate.rs
@@ -99,7 +99,7 @@
     abandoned_calls: AbandonedCalls<BudgetId>,
     rates_taken_at: Timestamp,
     /// The quota of calls that are under no budget: what the settings give this server, if there are such calls.
-    other_quota: f64,
+    quota_outside_budgets: f64,
 }
 
 impl QuotaGate {
@@ -129,7 +129,7 @@
             requests: HashMap::new(),
             abandoned_calls: AbandonedCalls::new(upstream.abandoned_call_lifetime),
             rates_taken_at: Timestamp::default(),
-            other_quota: if all_calls_covered {
+            quota_outside_budgets: if all_calls_covered {
                 0.0
             } else {
                 upstream.quota
@@ -138,10 +138,10 @@
     }
 
     /// The longest that a call of a handler may be waited for, at most `patience`.
-    pub fn max_call_wait(&self, handler: HandlerId, patience: Duration) -> Duration {
+    pub fn max_call_wait(&self, handler: HandlerId, timeout: Duration) -> Duration {
         let budget = self.handlers[handler.index()].budget;
-        budget.map_or(patience, |budget| {
-            patience.min(self.budgets[budget.index()].group.max_call_wait)
+        budget.map_or(timeout, |budget| {
+            timeout.min(self.budgets[budget.index()].group.max_call_wait)
         })
     }
 
@@ -182,7 +182,7 @@
     /// All calls that this server may have in flight.
     pub fn total_quota(&self) -> f64 {
         let usable_calls: usize = self.budgets.iter().map(|b| b.usable_calls).sum();
-        usable_calls as f64 + self.other_quota
+        usable_calls as f64 + self.quota_outside_budgets
     }
 
     /// One ceiling for each budget.
@@ -209,7 +209,7 @@
         };
         let start_interval = if usable_calls == 0 {
             self.source.time_until_capacity(id)
-        } else if demand.fills(runs) {
+        } else if demand.is_saturated(runs) {
             Duration::from_secs_f64(demand.mean_call_secs() / usable_calls as f64)
         } else {
             Duration::ZERO
@@ -239,9 +239,9 @@
             always_calls,
             ..
         } = request;
-        if let Some(former) = self.requests.insert(id, request) {
-            self.demand_mut(budget).leave(former.stage, always_calls);
-            if former.stage == RequestStage::Calling {
+        if let Some(previous) = self.requests.insert(id, request) {
+            self.demand_mut(budget).leave(previous.stage, always_calls);
+            if previous.stage == RequestStage::Calling {
                 self.end_call(now, budget, true);
             }
         }
@@ -249,8 +249,8 @@
     }
 
     /// The end of a call is reported to the source: now, or, where it may go on upstream, when that is over.
-    fn end_call(&mut self, now: Timestamp, budget: BudgetId, may_go_on: bool) {
-        let ended = if may_go_on {
+    fn end_call(&mut self, now: Timestamp, budget: BudgetId, may_still_run: bool) {
+        let ended = if may_still_run {
             self.abandoned_calls.abandon(now, budget)
         } else {
             Some(budget)
@@ -278,8 +278,8 @@
 
 /// The first budget that the calls of a handler are under.
 fn budget_of(handler: HandlerId, groups: &[QuotaGroup]) -> Option<BudgetId> {
-    let is_of_handler = |group: &QuotaGroup| group.handlers.contains(&handler);
-    groups.iter().position(is_of_handler).map(BudgetId::new)
+    let covers_handler = |group: &QuotaGroup| group.handlers.contains(&handler);
+    groups.iter().position(covers_handler).map(BudgetId::new)
 }
 
 impl RequestObserver for QuotaGate {
@@ -317,8 +317,8 @@
         if end == Completion::Success {
             demand.record_call((now - request.since).as_secs_f64());
         }
-        let may_go_on = matches!(end, Completion::TimedOut | Completion::Cancelled);
-        self.end_call(now, request.budget, may_go_on);
+        let may_still_run = matches!(end, Completion::TimedOut | Completion::Cancelled);
+        self.end_call(now, request.budget, may_still_run);
     }
 
     fn call_skipped(&mut self, now: Timestamp, id: u64) {
--- a/crates/server/src/core/quota_gate/demand.rs
+++ b/crates/server/src/core/quota_gate/demand.rs
@@ -78,8 +78,8 @@
     }
 
     /// Whether requests are queued while `runs` requests are beyond the queue.
-    pub(super) fn fills(&self, runs: usize) -> bool {
-        self.queued > 0 && self.running + self.awaiting_call + self.calling >= runs
+    pub(super) fn is_saturated(&self, max_runs: usize) -> bool {
+        self.queued > 0 && self.running + self.awaiting_call + self.calling >= max_runs
     }
 
     /// Moving average of the duration of successful calls, in seconds; 0 before the first.
--- a/crates/server/src/core/run_commands.rs
+++ b/crates/server/src/core/run_commands.rs
@@ -85,7 +85,7 @@
     fn submit_kind(&mut self, kind: CommandKind, line: Vec<u8>, link: &EngineLink) {
         let command = UnprovenCommand { line, kind };
         match &mut self.held_back {
-            Some(held_back) => push_unless_repeated(held_back, command),
+            Some(held_back) => push_unless_repeated_cancel(held_back, command),
             None => self.send(command, link),
         }
     }
@@ -100,10 +100,10 @@
     /// Sends a command, and keeps it until the engine has surely read it.
     fn send(&mut self, command: UnprovenCommand, link: &EngineLink) {
         if self.proof.is_some_and(|proof| link.is_proven(proof)) {
-            self.all_read();
+            self.mark_all_read();
         }
         self.proof = link.send(&command.line);
-        push_unless_repeated(&mut self.unproven, command);
+        push_unless_repeated_cancel(&mut self.unproven, command);
     }
 
     /// The last command was the reply to a call, which begins at this position in the bytes of the link.
@@ -120,7 +120,7 @@
     }
 
     /// The engine has read all commands.
-    pub(super) fn all_read(&mut self) {
+    pub(super) fn mark_all_read(&mut self) {
         self.unproven.clear();
         self.proof = None;
     }
@@ -179,7 +179,7 @@
 
 /// Appends a command, unless it is the cancellation that stands last already. It is repeated for as long as the run does
 /// not end, which may be until the engine is back.
-fn push_unless_repeated(commands: &mut Vec<UnprovenCommand>, command: UnprovenCommand) {
+fn push_unless_repeated_cancel(commands: &mut Vec<UnprovenCommand>, command: UnprovenCommand) {
     let last = commands.last().map(|last| last.kind);
     if command.kind != CommandKind::Cancel || last != Some(CommandKind::Cancel) {
         commands.push(command);
--- a/crates/server/src/core/run_commands/tests.rs
+++ b/crates/server/src/core/run_commands/tests.rs
@@ -12,12 +12,12 @@
 /// A link that is up, and what it sends.
 fn link_up() -> (EngineLink, Outbox) {
     let mut link = EngineLink::default();
-    let outbox = restore(&mut link);
+    let outbox = reconnect(&mut link);
     (link, outbox)
 }
 
 /// Links again, up to where what was missed has been read; gives what the new link sends.
-fn restore(link: &mut EngineLink) -> Outbox {
+fn reconnect(link: &mut EngineLink) -> Outbox {
     let outbox = Outbox::default();
     link.attach(outbox.clone(), 0);
     outbox.take();
@@ -26,7 +26,7 @@
 }
 
 /// The link is lost, as the commands of one run are told.
-fn lose(link: &mut EngineLink, commands: &mut RunCommands) {
+fn lose_link(link: &mut EngineLink, commands: &mut RunCommands) {
     commands.link_lost(link.written_bytes());
     link.lost();
 }
@@ -52,35 +52,35 @@
 }
 
 #[test]
-fn resends_command_that_no_gauges_proved() {
+fn resends_command_not_proven_by_a_gauge_answer() {
     let (mut link, _) = link_up();
     let mut commands = RunCommands::default();
     commands.submit(RUN.into(), &link);
-    lose(&mut link, &mut commands);
-    let outbox = restore(&mut link);
+    lose_link(&mut link, &mut commands);
+    let outbox = reconnect(&mut link);
     assert!(commands.is_unproven(link.proven_before()));
     assert_eq!(commands.resend(&link), ResendOutcome::Resent);
     assert_eq!(outbox.take(), RUN);
 }
 
 #[test]
-fn resends_nothing_that_the_engine_has_read() {
+fn does_not_resend_commands_that_the_engine_has_read() {
     let (mut link, _) = link_up();
     let mut commands = RunCommands::default();
     commands.submit(RUN.into(), &link);
-    commands.all_read();
-    lose(&mut link, &mut commands);
-    restore(&mut link);
+    commands.mark_all_read();
+    lose_link(&mut link, &mut commands);
+    reconnect(&mut link);
     assert!(!commands.is_unproven(link.proven_before()));
 }
 
 #[test]
-fn resends_reply_of_which_nothing_was_written() {
+fn resends_reply_that_was_not_written() {
     let (mut link, _) = link_up();
     let mut commands = RunCommands::default();
     send_reply(&mut commands, &link);
-    lose(&mut link, &mut commands);
-    let outbox = restore(&mut link);
+    lose_link(&mut link, &mut commands);
+    let outbox = reconnect(&mut link);
     assert_eq!(commands.resend(&link), ResendOutcome::Resent);
     assert_eq!(outbox.take(), REPLY);
 }
@@ -91,8 +91,8 @@
     let mut commands = RunCommands::default();
     send_reply(&mut commands, &link);
     outbox.take();
-    lose(&mut link, &mut commands);
-    let outbox = restore(&mut link);
+    lose_link(&mut link, &mut commands);
+    let outbox = reconnect(&mut link);
     assert_eq!(commands.resend(&link), ResendOutcome::ReplyInDoubt);
     assert_eq!(outbox.take(), b"");
     assert!(!commands.is_unproven(link.proven_before()));
@@ -105,7 +105,7 @@
     let mut commands = RunCommands::default();
     commands.submit(RUN.into(), &link);
     link.query_gauges(true);
-    lose(&mut link, &mut commands);
+    lose_link(&mut link, &mut commands);
     let outbox = Outbox::default();
     link.attach(outbox.clone(), 0);
     commands.submit(CANCEL.into(), &link);
@@ -118,12 +118,12 @@
 /// The engine's word that the run waits at a call was on its way when the run was cancelled: it proves the run read, and
 /// not the cancellation.
 #[test]
-fn resends_cancel_that_crossed_the_runs_call() {
+fn resends_cancel_submitted_before_call_notice_was_read() {
     let (mut link, _) = link_up();
     let mut commands = RunCommands::default();
     commands.submit(RUN.into(), &link);
     commands.cancel(CANCEL.into(), &link);
-    lose(&mut link, &mut commands);
+    lose_link(&mut link, &mut commands);
     let outbox = Outbox::default();
     link.attach(outbox.clone(), 0);
     commands.run_reached_call();
@@ -141,56 +141,56 @@
     let mut commands = RunCommands::default();
     send_reply(&mut commands, &link);
     outbox.take();
-    lose(&mut link, &mut commands);
+    lose_link(&mut link, &mut commands);
     link.attach(Outbox::default(), 0);
-    lose(&mut link, &mut commands);
-    let outbox = restore(&mut link);
+    lose_link(&mut link, &mut commands);
+    let outbox = reconnect(&mut link);
     assert_eq!(commands.resend(&link), ResendOutcome::ReplyInDoubt);
     assert_eq!(outbox.take(), b"");
 }
 
 /// A reply that waited for the next link is in doubt like any other once that link has carried it.
 #[test]
-fn never_resends_reply_twice_that_waited_for_a_link() {
+fn never_resends_reply_a_second_time_after_a_later_loss() {
     let (mut link, _) = link_up();
     let mut commands = RunCommands::default();
-    lose(&mut link, &mut commands);
+    lose_link(&mut link, &mut commands);
     commands.reply(REPLY.into(), &link);
-    let outbox = restore(&mut link);
+    let outbox = reconnect(&mut link);
     assert_eq!(commands.resend(&link), ResendOutcome::Resent);
     assert_eq!(outbox.take(), REPLY);
-    lose(&mut link, &mut commands);
-    let outbox = restore(&mut link);
+    lose_link(&mut link, &mut commands);
+    let outbox = reconnect(&mut link);
     assert_eq!(commands.resend(&link), ResendOutcome::ReplyInDoubt);
     assert_eq!(outbox.take(), b"");
 }
 
 /// A run that was cancelled behind a reply in doubt is cancelled on the next link too.
 #[test]
-fn resends_cancel_behind_reply_in_doubt() {
+fn resends_cancel_submitted_after_reply_in_doubt() {
     let (mut link, outbox) = link_up();
     let mut commands = RunCommands::default();
     commands.reply(REPLY.into(), &link);
     commands.cancel(CANCEL.into(), &link);
     outbox.take();
-    lose(&mut link, &mut commands);
-    let outbox = restore(&mut link);
+    lose_link(&mut link, &mut commands);
+    let outbox = reconnect(&mut link);
     assert_eq!(commands.resend(&link), ResendOutcome::ReplyInDoubt);
     assert_eq!(outbox.take(), CANCEL);
 }
 
 /// While there is no link, a cancellation is repeated every 300 ms: it is kept once, or an hour takes 0.5 MB a run.
 #[test]
-fn keeps_repeated_cancel_once() {
+fn stores_repeated_cancel_once() {
     let (mut link, _) = link_up();
     let mut commands = RunCommands::default();
     commands.submit(RUN.into(), &link);
-    lose(&mut link, &mut commands);
+    lose_link(&mut link, &mut commands);
     for _ in 0..1_000 {
         commands.cancel(CANCEL.into(), &link);
     }
     assert_eq!(commands.unproven_bytes(), RUN.len() + CANCEL.len());
-    let outbox = restore(&mut link);
+    let outbox = reconnect(&mut link);
     assert_eq!(commands.resend(&link), ResendOutcome::Resent);
     assert_eq!(outbox.take(), [RUN, CANCEL].concat());
     commands.cancel(CANCEL.into(), &link);
--- a/crates/server/src/core/run_commands/tests/histories.rs
+++ b/crates/server/src/core/run_commands/tests/histories.rs
@@ -37,7 +37,7 @@
     /// The server's timer ticks.
     Tick,
     /// The link breaks.
-    Lose,
+    LoseLink,
     /// A new link is made.
     Attach,
     /// The last answer to a query of a former link comes on this one.
@@ -54,7 +54,7 @@
         12 => Just(Step::Read),
         12 => Just(Step::Receive),
         4 => Just(Step::Tick),
-        3 => Just(Step::Lose),
+        3 => Just(Step::LoseLink),
         6 => Just(Step::Attach),
         1 => Just(Step::LateAnswer),
     ]
@@ -110,7 +110,7 @@
             return;
         }
         if !self.commands.is_unproven(self.link.proven_before()) {
-            self.commands.all_read();
+            self.commands.mark_all_read();
         } else if self.commands.resend(&self.link) == ResendOutcome::ReplyInDoubt {
             let call = self.last_reply;
             self.replies_in_doubt.push(call);
@@ -202,9 +202,9 @@
     }
 }
 
-/// The number behind `mark`.
-fn number_in<T: std::str::FromStr>(line: &str, mark: &str) -> T {
-    let (_, rest) = line.split_once(mark).expect("the member");
+/// The number behind `prefix`.
+fn number_in<T: std::str::FromStr>(line: &str, prefix: &str) -> T {
+    let (_, rest) = line.split_once(prefix).expect("the member");
     let digits = rest.split(|c: char| !c.is_ascii_digit()).next();
     digits
         .and_then(|digits| digits.parse().ok())
@@ -221,7 +221,7 @@
 }
 
 impl History {
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::Start if self.server.submitted.is_empty() => self.server.submit(RUN),
             Step::Cancel if !self.server.submitted.is_empty() => self.server.cancel(),
@@ -243,7 +243,7 @@
                 }
             }
             Step::Tick => self.server.link.on_tick(),
-            Step::Lose if self.outbox.is_some() => {
+            Step::LoseLink if self.outbox.is_some() => {
                 self.outbox = None;
                 self.server.link_lost();
                 self.engine.link_lost();
@@ -281,20 +281,20 @@
 
     /// Lets all that is on its way arrive, over a link that stays.
     fn settle(&mut self) {
-        self.take(Step::Attach);
+        self.apply(Step::Attach);
         for _ in 0..3 {
-            self.take(Step::Tick);
-            self.take(Step::Write);
+            self.apply(Step::Tick);
+            self.apply(Step::Write);
             while !self.engine.unread.is_empty() {
-                self.take(Step::Read);
+                self.apply(Step::Read);
             }
             while !self.engine.to_server.is_empty() {
-                self.take(Step::Receive);
+                self.apply(Step::Receive);
             }
         }
-        self.take(Step::Write);
+        self.apply(Step::Write);
         while !self.engine.unread.is_empty() {
-            self.take(Step::Read);
+            self.apply(Step::Read);
         }
     }
 
@@ -305,7 +305,7 @@
     }
 
     /// What the engine has not read is kept, unless it is in doubt.
-    fn check_nothing_is_forgotten(&self) -> Result<(), TestCaseError> {
+    fn check_no_command_lost(&self) -> Result<(), TestCaseError> {
         let unproven = &self.server.commands.unproven;
         for command in &self.server.submitted {
             let line = format!("{command}\n").into_bytes();
@@ -313,14 +313,14 @@
             let is_read = self.engine.has_read(command);
             prop_assert!(
                 is_kept || is_read || self.is_in_doubt(command),
-                "'{command}' is forgotten"
+                "'{command}' is lost"
             );
         }
         Ok(())
     }
 
     /// No reply is read twice, and no cancellation before the run.
-    fn check_reads(&self) -> Result<(), TestCaseError> {
+    fn check_commands_read(&self) -> Result<(), TestCaseError> {
         let read = &self.engine.read;
         for line in read.iter().filter(|line| line.starts_with("reply")) {
             let reads = read.iter().filter(|other| *other == line).count();
@@ -331,21 +331,24 @@
             let started = first(RUN);
             prop_assert!(
                 started.is_some_and(|started| started < cancelled),
-                "cancelled first"
+                "the cancellation was read before the run"
             );
         }
         Ok(())
     }
 
     /// Once all has arrived, a cancellation is the engine's last word.
-    fn check_end(&self) -> Result<(), TestCaseError> {
+    fn check_final_state(&self) -> Result<(), TestCaseError> {
         for command in &self.server.submitted {
             let arrived = self.engine.has_read(command) || self.is_in_doubt(command);
-            prop_assert!(arrived, "'{command}' never arrives");
+            prop_assert!(arrived, "'{command}' was never read");
         }
         let last = |command: &str| self.engine.read.iter().rposition(|line| line == command);
         if let Some(cancelled) = last(CANCEL) {
-            prop_assert!(last(RUN) < Some(cancelled), "the run begins again");
+            prop_assert!(
+                last(RUN) < Some(cancelled),
+                "the run was started again after its cancellation"
+            );
         }
         Ok(())
     }
@@ -360,18 +363,18 @@
     })]
 
     #[test]
-    fn forgets_no_command_and_repeats_no_reply_whatever_the_order(
+    fn loses_no_command_and_duplicates_no_reply(
         steps in proptest::collection::vec(any_step(), 1..120)
     ) {
         let mut history = History::default();
-        history.take(Step::Attach);
+        history.apply(Step::Attach);
         for step in &steps {
-            history.take(*step);
-            history.check_nothing_is_forgotten()?;
-            history.check_reads()?;
+            history.apply(*step);
+            history.check_no_command_lost()?;
+            history.check_commands_read()?;
         }
         history.settle();
-        history.check_reads()?;
-        history.check_end()?;
+        history.check_commands_read()?;
+        history.check_final_state()?;
     }
 }
--- a/crates/server/src/core/stored_results.rs
+++ b/crates/server/src/core/stored_results.rs
@@ -53,12 +53,12 @@
         match released {
             ReleasedWork::Durable(work) => {
                 for work in work {
-                    self.carry_out(work);
+                    self.release_work(work);
                 }
             }
             ReleasedWork::NotDurable(work) => {
                 for work in work {
-                    self.give_up(work);
+                    self.fail_work(work);
                 }
             }
         }
@@ -66,7 +66,7 @@
     }
 
     /// The record of some work is durable.
-    fn carry_out(&mut self, work: PendingWork) {
+    fn release_work(&mut self, work: PendingWork) {
         match work {
             PendingWork::Run { request } => self.executor.release_run(request),
             PendingWork::Response { request, result } => {
@@ -78,7 +78,7 @@
     }
 
     /// The record of some work can't be made durable: nothing runs, and no result is an answer.
-    fn give_up(&mut self, work: PendingWork) {
+    fn fail_work(&mut self, work: PendingWork) {
         match work {
             PendingWork::Run { request } => self.executor.deferred_events.run_not_sent(request),
             PendingWork::Response { request, .. } => {
--- a/crates/server/src/core/turns.rs
+++ b/crates/server/src/core/turns.rs
@@ -50,18 +50,18 @@
     fn idle_deadline_reached(&mut self, now: Timestamp, connection: u64) {
         let connections = self.executor.downstream.connections_mut();
         let next_check = connections.idle_deadline_reached(now, connection);
-        self.check_again(next_check, Deadline::ConnectionIdle(connection));
+        self.schedule_check(next_check, Deadline::ConnectionIdle(connection));
     }
 
     /// Checks a new connection that should have carried a request, and sets the next check.
     fn first_request_deadline_reached(&mut self, now: Timestamp, connection: u64) {
         let connections = self.executor.downstream.connections_mut();
         let next_check = connections.first_request_deadline_reached(now, connection);
-        self.check_again(next_check, Deadline::FirstRequest(connection));
+        self.schedule_check(next_check, Deadline::FirstRequest(connection));
     }
 
     /// Sets the next check of a connection, if there is to be one.
-    fn check_again(&mut self, at: Option<Timestamp>, deadline: Deadline) {
+    fn schedule_check(&mut self, at: Option<Timestamp>, deadline: Deadline) {
         if let Some(at) = at {
             self.executor.deadlines.insert(at, deadline);
         }
--- a/crates/server/src/core/upstream_call.rs
+++ b/crates/server/src/core/upstream_call.rs
@@ -13,7 +13,7 @@
     /// The backend, as its selector knows the attempt.
     pub(super) attempt: UpstreamAttempt,
     /// When it was sent.
-    pub(super) since: Timestamp,
+    pub(super) sent_at: Timestamp,
 }
 
 /// The last attempt that was sent, and for which call.
@@ -80,7 +80,7 @@
     }
 
     /// The last attempt of this same call, if it was sent before.
-    pub(super) fn former_attempt(&self) -> Option<&UpstreamAttempt> {
+    pub(super) fn previous_attempt(&self) -> Option<&UpstreamAttempt> {
         let last = self.last_attempt.as_ref()?;
         (last.call_serial == self.serial).then_some(&last.attempt)
     }
@@ -109,8 +109,8 @@
     }
 
     /// When the oldest attempt that is out was sent.
-    pub(super) fn oldest_attempt(&self) -> Option<Timestamp> {
-        self.attempts.iter().map(|a| a.since).min()
+    pub(super) fn oldest_sent_at(&self) -> Option<Timestamp> {
+        self.attempts.iter().map(|a| a.sent_at).min()
     }
 
     /// Takes the attempt on a connection, if there is one.
--- a/crates/server/src/core/upstream_events.rs
+++ b/crates/server/src/core/upstream_events.rs
@@ -77,10 +77,10 @@
             return;
         };
         request.call.take_deadline();
-        if let Some(since) = request.call.oldest_attempt() {
+        if let Some(sent_at) = request.call.oldest_sent_at() {
             executor.now = now;
             executor.end_attempts(id, AttemptOutcome::TimedOut);
-            self.call_ended(now, id, Outcome::TimedOut, now - since);
+            self.call_ended(now, id, Outcome::TimedOut, now - sent_at);
             return;
         }
         let name = request.name;
@@ -109,14 +109,14 @@
         executor.now = now;
         let in_doubt = executor.engine_commands.resend(&mut executor.requests);
         for id in in_doubt {
-            self.go_without_call(now, id);
+            self.skip_call_or_fail(now, id);
         }
     }
 
     /// A run can't have the reply to its call: none can be made, or it is unknown whether the run has read it. If the
     /// call is optional the run is told to skip it by its serial number, which has no effect on a run that went on. Any
     /// other request fails.
-    fn go_without_call(&mut self, now: Timestamp, id: u64) {
+    fn skip_call_or_fail(&mut self, now: Timestamp, id: u64) {
         let Some(request) = self.executor.requests.unanswered(id) else {
             return;
         };
@@ -129,8 +129,8 @@
     }
 
     /// Whether the run of a request has not ended though nobody waits for its answer.
-    fn is_run_open_for_nobody(&self, id: u64) -> bool {
-        self.has_not_ended(id) && self.executor.requests.unanswered(id).is_none()
+    fn is_run_orphaned(&self, id: u64) -> bool {
+        self.is_tracked_by_decider(id) && self.executor.requests.unanswered(id).is_none()
     }
 
     /// The engine declined to run a request: nothing ran or will, and a further attempt of its key is a new one.
@@ -178,8 +178,8 @@
     fn engine_up(&mut self, now: Timestamp, start: EngineStart) {
         let age_ms = start.age().as_micros() / 1000;
         log::info!("engine: up, how={start}, age_ms={age_ms}");
-        if !self.is_deciding() && !self.executor.downstream.status().is_draining() {
-            self.begin_deciding(now, start.is_new());
+        if !self.has_decider() && !self.executor.downstream.status().is_draining() {
+            self.start_decider(now, start.is_new());
         }
         let link = self.executor.engine_commands.link_mut();
         link.query_gauges(true);
@@ -212,7 +212,7 @@
             request.call.requested(serial, vec![]);
             log::warn!("engine: call body is not base64, serial={serial}");
             executor.counters.notice_unreadable();
-            return self.go_without_call(now, id);
+            return self.skip_call_or_fail(now, id);
         };
         request.call.requested(serial, body);
         executor.now = now;
@@ -254,7 +254,7 @@
         };
         if command.is_run() {
             self.run_declined(now, id);
-        } else if command.is_cancel() && self.is_run_open_for_nobody(id) {
+        } else if command.is_cancel() && self.is_run_orphaned(id) {
             // Nobody waits for the run, and no end of it will come. It may have had its effect.
             self.run_ended(now, name, Outcome::Cancelled, Duration::ZERO, "");
         }
