--- a/crates/server/src/core/backend_selector.rs
+++ b/crates/server/src/core/backend_selector.rs
@@ -1,7 +1,7 @@
-//! The choice among several backends, as the core asks for it.
+//! Selection of backends for the calls of the core.
 //!
-//! Owns: the selector that the operator's backends give, and which handlers are idempotent. Never chooses a
-//! backend itself and never sends a call.
+//! A [`BackendSelector`] selects the backends that the operator has set. `BackendRouting` holds the
+//! selector, and which handlers are idempotent; it neither selects backends nor sends calls itself.
 
 use madderbay::interface::{Handler, HandlerId};
 use madderbay::time::Duration;
@@ -11,60 +11,61 @@
 };
 use std::rc::Rc;
 
-/// Selects backends for calls, judges them by the outcomes, and allows retries and hedges. It reads a clock of its own.
+/// Selects backends for calls, judges them by the outcomes of attempts, and allows or refuses
+/// retries and hedges. It has a clock of its own.
 pub trait BackendSelector {
     /// Selects a backend for the call of a handler; `None` if its calls go to the catalogue.
     fn pick(&self, handler: HandlerId) -> Option<UpstreamAttempt>;
-    /// Begins a retry of a call, at once and at another backend than the former attempt.
+    /// Begins an immediate retry of a call, at another backend than the previous attempt.
     ///
     /// # Errors
-    /// Why the call gets no retry.
+    /// The reason why the call is not retried.
     fn retry(
         &self,
         previous: &UpstreamAttempt,
         call: FailedCall,
     ) -> Result<UpstreamAttempt, RetryRefusal>;
-    /// Begins a retry of a call after the backoff that the decision module has waited for.
+    /// Begins a retry of a call after the decision module has waited for the backoff.
     ///
     /// # Errors
-    /// Why the call gets no retry.
+    /// The reason why the call is not retried.
     fn retry_after_backoff(
         &self,
         previous: &UpstreamAttempt,
     ) -> Result<UpstreamAttempt, RetryRefusal>;
-    /// The time from the first attempt of a call until its hedge is due.
+    /// Returns the time from the first attempt of a call until its hedge is due.
     ///
     /// # Errors
-    /// Why the call gets no hedge.
+    /// The reason why the call is not hedged.
     fn hedge_delay(
         &self,
         first: &UpstreamAttempt,
         call: HedgeCandidate,
     ) -> Result<Duration, HedgeRefusal>;
-    /// Begins the hedge of a call that is due, `time_left` before the deadline of the call.
+    /// Begins the hedge of a call. `time_left` is the time until the deadline of the call.
     ///
     /// # Errors
-    /// Why the call gets no hedge.
+    /// The reason why the call is not hedged.
     fn hedge(
         &self,
         in_flight: &UpstreamAttempt,
         time_left: Duration,
     ) -> Result<UpstreamAttempt, HedgeRefusal>;
-    /// An attempt ended. Its outcome counts for or against the backend.
+    /// Records the outcome of an attempt that has ended, which counts for or against the backend.
     fn finish(&self, attempt: &UpstreamAttempt, outcome: AttemptOutcome);
-    /// The counters of the backends, a line each.
+    /// Returns the counters of the backends, one line each.
     fn counters(&self) -> String;
 }
 
-/// The selector, if the operator set backends, and what it may do with the calls of each handler.
+/// The selector, if the operator has set backends, and which handlers are idempotent.
 pub(super) struct BackendRouting {
     selector: Option<Rc<dyn BackendSelector>>,
-    /// By handler: its calls may be made twice.
+    /// For each handler, whether its calls may be made twice.
     idempotent: Vec<bool>,
 }
 
 impl BackendRouting {
-    /// Without a selector: all calls go to the catalogue.
+    /// Creates a routing without a selector, which sends all calls to the catalogue.
     pub(super) fn new(settings: &Settings) -> BackendRouting {
         BackendRouting {
             selector: None,
@@ -81,24 +82,24 @@
         self.selector = Some(selector);
     }
 
-    /// The selector, if there is one.
+    /// Returns the selector, if there is one.
     pub(super) fn selector(&self) -> Option<&Rc<dyn BackendSelector>> {
         self.selector.as_ref()
     }
 
-    /// Whether the calls of a handler may be made twice.
+    /// Reports whether the calls of a handler may be made twice.
     pub(super) fn is_idempotent(&self, handler: HandlerId) -> bool {
         self.idempotent[handler.index()]
     }
 
-    /// An attempt ended.
+    /// Passes the outcome of an attempt that has ended to the selector.
     pub(super) fn finish(&self, attempt: &UpstreamAttempt, outcome: AttemptOutcome) {
         if let Some(selector) = &self.selector {
             selector.finish(attempt, outcome);
         }
     }
 
-    /// The counters of the backends, a line each.
+    /// Returns the counters of the backends, one line each.
     pub(super) fn counters(&self) -> String {
         self.selector
             .as_ref()
--- a/crates/server/src/core/durability.rs
+++ b/crates/server/src/core/durability.rs
@@ -1,8 +1,9 @@
-//! Durable results on the running server: the table of them, and the work that waits for the disk.
+//! Durable results of requests with an idempotency key, and the work that waits for the disk.
 //!
-//! `DurabilityQueue` owns the table and the list of pending work. It is driven by the core and never waits for
-//! the disk: it hands batches to the writer's thread, which reports by `StorageEvent`s how far they are durable.
-//! `open` and `start` are what a start of the server takes to get there.
+//! [`DurabilityQueue`] owns the table of durable results and the list of pending work. It is driven
+//! by the core and never waits for the disk: it sends batches of records to the writer thread,
+//! which reports with a [`StorageEvent`] how far records are durable. At startup, [`open`] recovers
+//! the records of earlier incarnations, and [`start`] starts the writer thread.
 
 mod writer;
 
@@ -25,51 +26,52 @@
 
 pub use writer::StorageEvent;
 
-/// What is done once its record is durable, or once the record can't be made durable.
+/// Work that is done once its record is durable, or once the record can't be made durable.
 pub enum PendingWork {
-    /// The command to run a request is sent.
+    /// Send the command that runs a request.
     Run {
-        /// The request.
+        /// The id of the request.
         request: u64,
     },
-    /// A request whose run is over is answered.
+    /// Answer a request whose run has ended.
     Response {
-        /// The request.
+        /// The id of the request.
         request: u64,
         /// The result of its run; `None` for a run without a result.
         result: Option<Box<str>>,
     },
-    /// Nothing waits for the record.
+    /// No work waits for the record.
     Nothing,
 }
 
-/// Pending work, and the record that it waits for.
+/// Pending work, and the sequence number of the record that it waits for.
 struct WaitingWork {
     sequence: SequenceNumber,
     work: PendingWork,
 }
 
-/// The durable results of this server, the batches on their way to the disk and the work that waits for them.
+/// The durable results of this server, the channel to the writer thread, and the work that waits
+/// for records to become durable.
 pub struct DurabilityQueue {
     results: DurableResults,
     batches: Sender<Batch>,
-    /// In the order of sequence numbers.
+    /// Pending work in the order of sequence numbers.
     waiting: VecDeque<WaitingWork>,
     commits: u64,
 }
 
-/// A store that is open and read, before anything is listened on.
+/// A store that was opened and recovered at startup, before the server listens on any socket.
 pub struct OpenedStore {
     log: WriteAheadLog<DirectoryStorage>,
     recovery: Recovery,
     recovery_time: StdDuration,
 }
 
-/// Opens the directory and reads what earlier incarnations left. `window_micros` is the longest time in which a
-/// key may be repeated.
+/// Opens the directory and reads the records of earlier incarnations. `window_micros` is the
+/// longest time in which a key may be repeated, in microseconds.
 ///
 /// # Errors
-/// Where the directory can't be opened, locked or read, or holds what this program doesn't know.
+/// If the directory can't be opened, locked or read, or contains data of an unknown format.
 pub fn open(
     settings: &IdempotencyStoreConfig,
     window_micros: u64,
@@ -88,10 +90,10 @@
     })
 }
 
-/// Takes over what was recovered and starts the writer's thread.
+/// Loads the recovered records and starts the writer thread.
 ///
 /// # Errors
-/// Where the system refuses the thread.
+/// If the operating system can't start the thread.
 pub fn start(
     opened: OpenedStore,
     settings: &IdempotencyStoreConfig,
@@ -117,13 +119,13 @@
     Ok((DurabilityQueue::new(results, batch_sender), event_receiver))
 }
 
-/// The operator's limit on the store's segments.
+/// Returns the operator's limit on the total size of the store's segments, in bytes.
 fn disk_limit_bytes(settings: &IdempotencyStoreConfig) -> u64 {
     (settings.disk_mb as u64) << 20
 }
 
 impl DurabilityQueue {
-    /// Creates a queue without pending work. Batches are written by the receiver of `batches`.
+    /// Creates a queue without pending work. The receiver of `batches` writes the batches to disk.
     pub fn new(results: DurableResults, batches: Sender<Batch>) -> DurabilityQueue {
         DurabilityQueue {
             results,
@@ -138,16 +140,16 @@
         self.results.lookup(key, request_hash)
     }
 
-    /// Checks whether one more intent may be recorded, and counts a rejection.
+    /// Checks whether one more intent can be recorded, and counts a rejection if not.
     ///
     /// # Errors
-    /// Where no intent can be recorded now.
+    /// If no intent can be recorded now.
     pub fn admit_intent(&mut self) -> Result<(), IntentError> {
         self.results.admit_intent()
     }
 
-    /// Takes the result of a run that an earlier incarnation started. Returns whether there is such a run without a
-    /// result so far.
+    /// Records the result of a run that an earlier incarnation started. Returns whether there was
+    /// such a run without a result so far.
     pub fn complete_recovered_run(
         &mut self,
         attempt_id: &AttemptName,
@@ -156,16 +158,16 @@
         self.results.complete_recovered_run(attempt_id, result)
     }
 
-    /// Forgets what earlier incarnations recorded and what has expired.
+    /// Removes the runs of earlier incarnations that have expired.
     pub fn expire(&mut self, now: Timestamp) {
         self.results.expire(now);
     }
 
-    /// Records the intent to run a request; its command waits until the intent is durable. `window` is what is known
-    /// of its key.
+    /// Records the intent to run a request. The command that runs it is sent once the intent is
+    /// durable. `window` is the window of its key.
     ///
     /// # Errors
-    /// Where no intent can be recorded now.
+    /// If no intent can be recorded now.
     pub fn record_intent(
         &mut self,
         request: u64,
@@ -181,8 +183,8 @@
         Ok(())
     }
 
-    /// Records the end of a request's run; its answer waits until that is durable. A run without a result has
-    /// `None`.
+    /// Records the end of a request's run. The answer is sent once the record is durable. `result`
+    /// is `None` for a run without a result.
     pub fn record_result(
         &mut self,
         request: u64,
@@ -197,18 +199,19 @@
         self.enqueue(sequence, PendingWork::Response { request, result });
     }
 
-    /// Records that the run of an intent was never sent or never started; nothing waits for that.
+    /// Records that an intended run was never sent or never started. No work waits for this record.
     pub fn record_not_run(&mut self, key: u128, expires_at: Timestamp) {
         let sequence = self.results.record_not_run(key, expires_at);
         self.enqueue(sequence, PendingWork::Nothing);
     }
 
-    /// Keeps work until the record with this sequence number is on disk.
+    /// Queues work until the record with this sequence number is durable.
     fn enqueue(&mut self, sequence: SequenceNumber, work: PendingWork) {
         self.waiting.push_back(WaitingWork { sequence, work });
     }
 
-    /// Hands all records that are not yet on their way to the writer's thread. Gives their failure where that has ended.
+    /// Sends all records that were not sent yet to the writer thread. Returns their failure if the
+    /// thread has ended.
     pub fn flush(&mut self) -> Option<StorageEvent> {
         let batch = self.results.take_batch()?;
         let sequence = batch.last;
@@ -216,26 +219,28 @@
         sent.err().map(|_| StorageEvent::writer_ended(sequence))
     }
 
-    /// The records up to `sequence` are durable, and the store has `disk_bytes` now. Returns the work that waited
-    /// for them.
+    /// Handles the report that the records up to `sequence` are durable and that the store occupies
+    /// `disk_bytes`. Returns the work that waited for them.
     pub fn on_committed(&mut self, sequence: SequenceNumber, disk_bytes: u64) -> Vec<PendingWork> {
         self.commits += 1;
         self.results.on_committed(sequence, disk_bytes);
         self.take_work(sequence)
     }
 
-    /// The records up to `sequence` can't be made durable. Returns the work that waited for them.
+    /// Handles the report that the records up to `sequence` can't be made durable. Returns the work
+    /// that waited for them.
     pub fn on_commit_failed(&mut self, sequence: SequenceNumber) -> Vec<PendingWork> {
         self.results.on_commit_failed(sequence);
         self.take_work(sequence)
     }
 
-    /// After a failure, the store can be written again, and has `disk_bytes` now.
+    /// Handles the report that, after a failure, the store can be written again and occupies
+    /// `disk_bytes`.
     pub fn on_storage_recovered(&mut self, disk_bytes: u64) {
         self.results.on_storage_recovered(disk_bytes);
     }
 
-    /// The work that waits for records up to a sequence number, in order.
+    /// Removes and returns the work that waits for records up to a sequence number, in order.
     fn take_work(&mut self, up_to: SequenceNumber) -> Vec<PendingWork> {
         let count = self
             .waiting
@@ -244,7 +249,7 @@
         released.map(|waiting| waiting.work).collect()
     }
 
-    /// The counters, one line each.
+    /// Returns the counters, one line each.
     pub fn counters(&self) -> String {
         let mut lines = Lines::of("kept");
         let usage = self.results.usage();
--- a/crates/server/src/core/durability/writer.rs
+++ b/crates/server/src/core/durability/writer.rs
@@ -1,7 +1,8 @@
-//! The thread that writes durable results.
+//! The thread that writes durable results to disk.
 //!
-//! [`Writer`] owns the write-ahead log. It is given batches over a channel, commits them and reports each commit. It
-//! never touches the table of results and ends with either channel.
+//! [`Writer`] owns the write-ahead log. It receives batches over a channel, commits them and
+//! reports each commit. It does not access the table of results, and it ends when either channel is
+//! closed.
 
 use crate::support::clock::unix_micros;
 use madderbay_idempotency_store::storage::DirectoryStorage;
@@ -12,62 +13,66 @@
 use std::time::{Duration as StdDuration, Instant};
 use tokio::sync::mpsc::UnboundedSender;
 
-/// How often expired segments are removed, and a failed storage is tried again.
+/// Interval at which expired segments are removed, and at which a storage that failed is tried
+/// again.
 const MAINTENANCE_INTERVAL: StdDuration = StdDuration::from_millis(500);
-/// Name of the thread, as the system shows it.
+/// Name of the thread, as the operating system shows it.
 const THREAD_NAME: &str = "store-writer";
-/// Stack of the thread.
+/// Stack size of the thread, in bytes.
 const STACK_BYTES: usize = 256 << 10;
 
-/// A report of the writer's thread.
+/// A report of the writer thread.
 pub enum StorageEvent {
     /// All records up to `sequence` are durable.
     Written {
-        /// The last record of what was committed.
+        /// Sequence number of the last record that was committed.
         sequence: SequenceNumber,
-        /// Bytes of all segments now.
+        /// Total size of all segments, in bytes.
         disk_bytes: u64,
     },
-    /// A commit failed; no record up to `sequence` that is not yet reported counts as durable.
+    /// A commit failed. Records up to `sequence` that have not been reported as durable yet do not
+    /// count as durable.
     Failed {
-        /// The last record of what was to be committed.
+        /// Sequence number of the last record that was to be committed.
         sequence: SequenceNumber,
-        /// What the system reported.
+        /// The error that was reported.
         error: io::Error,
     },
-    /// After a failure, the storage can be written again.
+    /// The storage can be written again after a failure.
     Recovered {
-        /// Bytes of all segments now.
+        /// Total size of all segments, in bytes.
         disk_bytes: u64,
     },
 }
 
 impl StorageEvent {
-    /// The writer's thread has ended, and with it all commits; no record up to `sequence` that is not yet reported is
-    /// durable.
+    /// Returns the report for a writer thread that has ended and commits nothing any more. Records
+    /// up to `sequence` that have not been reported as durable yet are not durable.
     pub(super) fn writer_ended(sequence: SequenceNumber) -> StorageEvent {
         let error = io::Error::other("the writer's thread has ended");
         StorageEvent::Failed { sequence, error }
     }
 
-    /// The same for all records, those that are not made yet included.
+    /// Returns the report for a writer thread that has ended, for all records, including those that
+    /// have not been made yet.
     pub fn writer_ended_for_good() -> StorageEvent {
         StorageEvent::writer_ended(SequenceNumber::MAX)
     }
 }
 
-/// The state of the thread.
+/// The state of the writer thread.
 struct Writer {
     log: WriteAheadLog<DirectoryStorage>,
     batches: Receiver<Batch>,
     events: UnboundedSender<StorageEvent>,
-    /// Whether all batches that wait share one sync, or each record has its own.
+    /// Whether all waiting batches share one sync; otherwise each record has its own.
     grouped: bool,
     has_failed: bool,
     last_maintenance: Instant,
 }
 
-/// Starts the thread. With `grouped`, all batches that wait share one sync; otherwise each record has its own.
+/// Starts the writer thread. With `grouped`, all waiting batches share one sync; otherwise each
+/// record has its own.
 pub(super) fn spawn(
     log: WriteAheadLog<DirectoryStorage>,
     batches: Receiver<Batch>,
@@ -105,7 +110,7 @@
         }
     }
 
-    /// Commits a batch, and with it those that wait where batches are grouped.
+    /// Commits a batch, together with the waiting batches if batches are grouped.
     fn write(&mut self, mut batch: Batch) -> StorageEvent {
         if self.grouped {
             self.append_waiting(&mut batch);
@@ -127,7 +132,7 @@
         }
     }
 
-    /// Adds the batches that have arrived meanwhile, so that they share the sync.
+    /// Adds the batches that have arrived in the meantime, so that they share the sync.
     fn append_waiting(&mut self, batch: &mut Batch) {
         while let Ok(next) = self.batches.try_recv() {
             batch.last = next.last;
@@ -135,7 +140,7 @@
         }
     }
 
-    /// Commits with one sync, or with one for each record. The first failure ends it.
+    /// Commits with one sync, or with one sync for each record. Stops at the first failure.
     fn commit(&mut self, batch: &Batch) -> io::Result<()> {
         let entries_per_sync = if self.grouped {
             batch.entries.len().max(1)
@@ -148,7 +153,8 @@
             .try_for_each(|entries| self.log.commit(unix_micros(), entries))
     }
 
-    /// After a failure, writes without any record; says whether that works again.
+    /// After a failure, commits without any record to find out whether the storage can be written
+    /// again. Returns a report if it can.
     fn retry_after_failure(&mut self) -> Option<StorageEvent> {
         if !self.has_failed || self.log.commit(unix_micros(), &[]).is_err() {
             return None;
@@ -158,7 +164,7 @@
         Some(StorageEvent::Recovered { disk_bytes })
     }
 
-    /// Removes them once in [`MAINTENANCE_INTERVAL`].
+    /// Removes expired segments, at most once per [`MAINTENANCE_INTERVAL`].
     fn remove_expired_segments(&mut self) {
         if self.last_maintenance.elapsed() >= MAINTENANCE_INTERVAL {
             self.log.remove_expired_segments(unix_micros());
--- a/crates/server/src/core/event_loop.rs
+++ b/crates/server/src/core/event_loop.rs
@@ -1,8 +1,9 @@
-//! The core's event loop: owns the decision module, hands each event to it and settles each turn.
+//! The event loop of the core: passes each event to the decision module, and lets the module settle
+//! once per turn.
 //!
-//! Owns: the decision module, and the executor of its actions. Is given: each event by a method call with the
-//! time, in `arrivals`, `stored_results`, `upstream_events` and `turns`. What it sends is put into outboxes. Knows no
-//! socket and no clock.
+//! [`EventLoop`] owns the decision module and the executor of its actions. Each event is a method
+//! call with the current time; these methods are in `arrivals`, `stored_results`, `upstream_events`
+//! and `turns`. Outgoing bytes are written to outboxes. The event loop uses no socket and no clock.
 
 use super::backend_selector::BackendSelector;
 use super::concurrency_limits;
@@ -25,36 +26,37 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Advertised Retry-After where connections or write-ahead records are short.
+/// Retry-After that is advertised when the limit on connections is exceeded or no write-ahead
+/// record can be made.
 const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 
-/// The event loop as its drivers share it, all on one thread.
+/// The event loop as it is shared by its drivers, which all run on one thread.
 pub type SharedEventLoop = Rc<RefCell<EventLoop>>;
 
-/// The core, sans I/O.
+/// The core of the server, which does no I/O itself.
 pub struct EventLoop {
-    /// Created when the engine is up; nothing is decided before.
+    /// The decision module, which is created when the engine is up. Nothing is decided before.
     decider: Option<Decider>,
     /// The platform's settings.
     settings: Settings,
-    /// Seeds the decision module and the concurrency limiter.
+    /// Seed of the decision module and of the concurrency limiter.
     seed: u64,
-    /// The index of the gauge that gives the engine's run queue.
+    /// Index of the gauge that gives the length of the engine's run queue, if the settings have it.
     run_queue_gauge: Option<usize>,
-    /// The engine's gauges, as they were read last.
+    /// The latest gauges read from the engine.
     gauges: Gauges,
-    /// Descriptors that downstream connections and upstream calls may take together.
+    /// Maximum number of file descriptors of downstream connections and upstream calls together.
     max_descriptors: usize,
-    /// Carries out what the decision module decides.
+    /// Carries out the actions of the decision module.
     pub(super) executor: ActionExecutor,
-    /// Notified when an event has to be settled by a turn.
+    /// Notified when an event needs a turn.
     work_pending: Rc<Notify>,
 }
 
 /// Set-up.
 impl EventLoop {
-    /// An event loop without connections, before the engine is up. Results in memory take up to
-    /// `max_cached_bytes`.
+    /// Creates an event loop without connections, before the engine is up. Results in memory take
+    /// at most `max_cached_bytes`.
     pub fn new(
         now: Timestamp,
         seed: u64,
@@ -75,26 +77,27 @@
         }
     }
 
-    /// Limits the descriptors that downstream connections and upstream calls take together.
+    /// Limits the number of file descriptors of downstream connections and upstream calls together.
     pub fn limit_descriptors(&mut self, descriptors: usize) {
         self.max_descriptors = descriptors;
     }
 
-    /// Sets concurrency limits by pool. Without, nothing binds but the decision module's own limits.
+    /// Sets the concurrency limits of the pools. Without them, only the decision module's own
+    /// limits apply.
     pub fn set_concurrency_limits(&mut self, now: Timestamp, plan: ConcurrencyConfig) {
         let calls = concurrency_limits::call_requirements(&self.settings);
         let limiter = ConcurrencyLimiter::new(now, self.seed, plan, &calls);
         self.executor.limits.set_concurrency(limiter);
     }
 
-    /// Sets the fleet's quotas; what may be used of them is asked of `source`.
+    /// Sets the fleet's quotas; `source` tells how much of them this server may use.
     pub fn set_quota_source(&mut self, source: Rc<dyn QuotaSource>, groups: Vec<QuotaGroup>) {
         let calls = concurrency_limits::call_requirements(&self.settings);
         let gate = QuotaGate::new(source, groups, &calls, &self.settings.upstream);
         self.executor.limits.set_quota_gate(gate);
     }
 
-    /// Sets backends: the calls of their handlers go where `selector` says.
+    /// Sets backends: `selector` selects them for the calls of their handlers.
     pub fn set_backend_selector(&mut self, selector: Rc<dyn BackendSelector>) {
         self.executor.backends.set_selector(selector);
     }
@@ -105,98 +108,99 @@
     }
 }
 
-/// State, for drivers and operators.
+/// State for drivers and operators.
 impl EventLoop {
-    /// Requests whose answer or run is still open.
+    /// Returns the number of requests that are not answered or whose run has not ended.
     pub fn in_flight_count(&self) -> usize {
         self.executor.requests.len()
     }
 
-    /// What was counted since the start.
+    /// Returns the counters since the start.
     pub fn counters(&self) -> &Counters {
         &self.executor.counters
     }
 
-    /// The same, for what is counted outside the core.
+    /// Returns the counters, to count events outside the core.
     pub fn counters_mut(&mut self) -> &mut Counters {
         &mut self.executor.counters
     }
 
-    /// The calls that are out.
+    /// Returns the upstream calls that are in flight.
     pub fn calls(&self) -> &CallDispatcher {
         &self.executor.calls
     }
 
-    /// The calls that are out or wait to be sent, for the driver that makes them.
+    /// Returns the upstream calls that are in flight or wait to be sent, for the driver that makes
+    /// them.
     pub fn calls_mut(&mut self) -> &mut CallDispatcher {
         &mut self.executor.calls
     }
 
-    /// The link to the engine, for the driver that keeps it.
+    /// Returns the link to the engine, for the driver that maintains it.
     pub fn engine_link_mut(&mut self) -> &mut EngineLink {
         self.executor.engine_commands.link_mut()
     }
 
-    /// The load balancers' connections.
+    /// Returns the connections of the load balancers.
     pub fn connections_mut(&mut self) -> &mut Connections {
         self.executor.downstream.connections_mut()
     }
 
-    /// Asks for a turn.
+    /// Requests a turn.
     pub(super) fn request_turn(&self) {
         self.work_pending.notify_one();
     }
 
-    /// Notified when the core has work that a turn settles.
+    /// Returns what is notified when the core has work for a turn.
     pub fn work_pending(&self) -> Rc<Notify> {
         self.work_pending.clone()
     }
 
-    /// Notified when what the registry is told has changed.
+    /// Returns what is notified when the status that is reported to the registry has changed.
     pub fn report_changed(&self) -> Rc<Notify> {
         self.executor.downstream.status().changed()
     }
 
-    /// Whether the registry is told that this server takes work.
+    /// Reports whether the registry is told that this server accepts requests.
     pub fn is_ready(&self) -> bool {
         let status = self.executor.downstream.status();
         !status.is_draining()
             && (status.is_healthy() || !self.settings.endpoint_lists_follow_health)
     }
 
-    /// Whether no request is open and nothing waits to be written on any connection.
+    /// Reports whether no request is open and no bytes wait to be written on any connection.
     pub fn is_quiescent(&self) -> bool {
         self.executor.downstream.connections().is_quiescent()
     }
 
-    /// Whether no connection is open.
+    /// Reports whether no connection is open.
     pub fn has_no_connections(&self) -> bool {
         self.executor.downstream.connections().is_empty()
     }
 
-    /// Whether a request of this handler can be answered without its call.
+    /// Reports whether a request of this handler can be answered without its upstream call.
     pub(super) fn has_partial_answer(&self, handler: HandlerId) -> bool {
         self.settings.handlers[handler.index()].has_partial_answer()
     }
 
-    /// Descriptors that the downstream connections leave for upstream calls.
+    /// Returns the number of file descriptors that downstream connections leave for upstream calls.
     pub(super) fn descriptors_for_calls(&self) -> usize {
         let downstream = self.executor.downstream.connections().len();
         self.max_descriptors.saturating_sub(downstream)
     }
 
-    /// The engine's gauges, as they were read last.
+    /// Returns the latest gauges read from the engine.
     pub(super) fn gauges(&self) -> Gauges {
         self.gauges
     }
 
-    /// The engine's gauges were read, in the order of the settings.
+    /// Stores gauges that were read from the engine. `values` are in the order of the settings.
     pub(super) fn record_gauges(&mut self, values: &[f64]) {
         let run_queue = self.run_queue_gauge.and_then(|index| values.get(index));
         self.gauges.run_queue = run_queue.copied();
     }
 
-    /// The handler of a method.
+    /// Returns the handler of a method, if there is one.
     pub fn handler(&self, method: &str) -> Option<HandlerId> {
         self.executor.validator.handler(method)
     }
@@ -204,7 +208,8 @@
     /// Checks the parameters of a request to `handler`.
     ///
     /// # Errors
-    /// As [`RequestValidator::validate`](crate::downstream::request_validation::RequestValidator::validate).
+    /// The errors of
+    /// [`RequestValidator::validate`](crate::downstream::request_validation::RequestValidator::validate).
     pub fn validate<'a>(
         &mut self,
         now: Timestamp,
@@ -216,7 +221,7 @@
         executor.validator.validate(now, handler, params, keys)
     }
 
-    /// All counters, one line each.
+    /// Returns all counters, one line each.
     pub fn counter_lines(&self) -> String {
         let executor = &self.executor;
         let requests_in_flight = executor.requests.len();
@@ -238,23 +243,26 @@
 
 /// Decisions.
 impl EventLoop {
-    /// Whether there is a decision module: nothing runs before.
+    /// Reports whether the decision module has been created; no request runs before.
     pub(super) fn has_decider(&self) -> bool {
         self.decider.is_some()
     }
 
-    /// Whether the decision module still counts a request: queued, or its run has not ended.
+    /// Reports whether the decision module still tracks a request: it is queued, or its run has not
+    /// ended.
     pub(super) fn is_tracked_by_decider(&self, id: u64) -> bool {
         self.decider
             .as_ref()
             .is_some_and(|decider| decider.contains(id))
     }
 
-    /// Creates the decision module. `engine_is_new`: the engine came up with this server, with cold caches.
+    /// Creates the decision module. `engine_is_new` tells that the engine was started together with
+    /// this server and that its caches are cold.
     ///
-    /// The module begins now and not when the engine did, which may be an hour ago: its timer would count as that
-    /// late, and a stop requested before the first tick would never come due. An engine that came up cold a while
-    /// ago so counts as colder than it is.
+    /// The decision module starts now and not when the engine did, which may be an hour ago.
+    /// Otherwise its timer would count as an hour late, and a stop that is requested before the
+    /// first tick would never become due. Therefore an engine that started cold a while ago is
+    /// treated as colder than it is.
     pub(super) fn start_decider(&mut self, now: Timestamp, engine_is_new: bool) {
         self.settings.machine.starts_cold |= engine_is_new;
         let mut decider = self.settings.decider(now, self.seed);
@@ -264,14 +272,14 @@
         self.decider = Some(decider);
     }
 
-    /// Hands the operator's limits to the decision module before it settles.
+    /// Passes the operator's limits to the decision module before it settles.
     pub(super) fn update_limits(&mut self, now: Timestamp) {
         if let Some(decider) = &mut self.decider {
             self.executor.limits.update_decider(now, decider);
         }
     }
 
-    /// Lets the decision module handle an event, and asks for a turn.
+    /// Lets the decision module handle an event, and requests a turn.
     pub(super) fn decide(
         &mut self,
         now: Timestamp,
@@ -281,8 +289,8 @@
         self.request_turn();
     }
 
-    /// Lets the decision module handle an event, then those that its actions gave rise to. Nothing happens before
-    /// the engine is up.
+    /// Lets the decision module handle an event, then processes the deferred events that its
+    /// actions have caused. Does nothing before the engine is up.
     pub(super) fn decide_within_turn(
         &mut self,
         now: Timestamp,
@@ -312,7 +320,8 @@
         }
     }
 
-    /// The Retry-After where connections or write-ahead records are short.
+    /// Returns the Retry-After for requests that are rejected because the limit on connections is
+    /// exceeded or no write-ahead record can be made.
     pub(super) fn unavailable_retry_after(&self) -> Duration {
         UNAVAILABLE_RETRY_AFTER.min(self.settings.downstream.max_retry_after)
     }
@@ -320,14 +329,14 @@
 
 /// Draining.
 impl EventLoop {
-    /// Begins draining: health checks and the registry are told so, clients are notified that their connections
-    /// are to end, and the decision module ends its work within `remaining`.
+    /// Begins draining: health checks and the registry report it, clients are notified that their
+    /// connections will end, and the decision module ends its work within `remaining`.
     pub fn drain(&mut self, now: Timestamp, remaining: Duration) {
         self.executor.downstream.begin_draining();
         self.decide(now, |decider, _| decider.drain(now, remaining));
     }
 
-    /// Ends every connection once its open requests are answered.
+    /// Ends each connection once its open requests are answered.
     pub fn close_connections(&mut self) {
         self.executor.downstream.connections_mut().close_all();
     }
--- a/crates/server/src/core/idempotent_runs.rs
+++ b/crates/server/src/core/idempotent_runs.rs
@@ -1,8 +1,9 @@
-//! The one run of each idempotency key: what this incarnation knows of it, and its records on disk.
+//! The run of each idempotency key: its state in this incarnation, and its records on disk.
 //!
-//! Owns: the table of keys, and the queue of durable results if the operator wants these. Is given: the stages of the
-//! runs whose requests have a key, and the reports of the writer's thread. Says which runs and answers wait for the
-//! disk. Never sends a run and never answers a request.
+//! [`IdempotentRuns`] owns the table of keys, and the queue of durable results if the operator has
+//! enabled these. It is notified of the stages of runs whose requests have a key and of the reports
+//! of the writer thread, and tells which runs and answers wait for the disk. It neither sends runs
+//! nor answers requests.
 
 use super::durability::{DurabilityQueue, PendingWork, StorageEvent};
 use crate::downstream::idempotency_table::{
@@ -14,15 +15,15 @@
 use madderbay_idempotency_store::{IntentError, Lookup};
 use madderbay_settings::Settings;
 
-/// What the idempotency store says of an attempt that has just been read.
+/// What the idempotency store holds for an attempt that has just been read.
 pub(super) enum StoredOutcome {
-    /// The store has nothing to say: the attempt is one of this incarnation's, or of a new request.
+    /// Nothing: the attempt belongs to a request of this incarnation or to a new one.
     NotStored,
-    /// The request is new, and no write-ahead record of its run can be made now.
+    /// The request is new, but no write-ahead record of its run can be made now.
     IntentNotAdmitted,
     /// An earlier incarnation ran the request, with this result.
     Completed(String),
-    /// An earlier incarnation may have run the request, and has no result of it.
+    /// An earlier incarnation may have run the request, but there is no result of it.
     NoResult,
 }
 
@@ -35,11 +36,11 @@
     OnceDurable,
 }
 
-/// The work that waited for records that are on disk now, or never will be.
+/// Work that waited for records which are durable now or never will be.
 pub(super) enum ReleasedWork {
-    /// Its records are durable.
+    /// Work whose records are durable.
     Durable(Vec<PendingWork>),
-    /// Its records can't be made durable.
+    /// Work whose records can't be made durable.
     NotDurable(Vec<PendingWork>),
 }
 
@@ -51,7 +52,8 @@
 
 /// Set-up and state.
 impl IdempotentRuns {
-    /// No keys yet; results are in memory only, where they take up to `max_cached_bytes`.
+    /// Creates a table without keys. Results are in memory only, where they take at most
+    /// `max_cached_bytes`.
     pub(super) fn new(settings: &Settings, max_cached_bytes: usize) -> IdempotentRuns {
         IdempotentRuns {
             table: IdempotencyTable::new(settings, max_cached_bytes),
@@ -64,19 +66,19 @@
         self.durability = Some(queue);
     }
 
-    /// The keys of this incarnation.
+    /// Returns the keys of this incarnation.
     pub(super) fn table(&self) -> &IdempotencyTable {
         &self.table
     }
 
-    /// The counters of durable results, a line each; none where results are in memory only.
+    /// Returns the counters of durable results, one line each; none if results are in memory only.
     pub(super) fn counters(&self) -> String {
         self.durability
             .as_ref()
             .map_or(String::new(), DurabilityQueue::counters)
     }
 
-    /// Removes what has expired.
+    /// Removes expired keys and results.
     pub(super) fn expire(&mut self, now: Timestamp) {
         if let Some(durability) = &mut self.durability {
             durability.expire(now);
@@ -87,10 +89,10 @@
 
 /// Attempts.
 impl IdempotentRuns {
-    /// Looks up what an earlier incarnation recorded of a key that this one does not know.
+    /// Looks up what an earlier incarnation recorded for a key that this one does not know.
     ///
     /// # Errors
-    /// Where the key was used with another handler or body.
+    /// If the key was used with another handler or body.
     pub(super) fn stored_outcome(
         &mut self,
         key: IdempotencyKey,
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Enters an attempt with its key until the end of its window.
+    /// Adds an attempt with its key, which is kept until the end of its window.
     pub(super) fn insert_key(
         &mut self,
         id: u64,
@@ -125,7 +127,8 @@
         self.table.insert(id, key, handler, window);
     }
 
-    /// Removes the key whose newest attempt has this id: a further attempt of it is a new request.
+    /// Removes the key whose newest attempt has this id. A further attempt with the key is a new
+    /// request.
     pub(super) fn remove_key_of_newest_attempt(&mut self, id: u64) {
         self.table.remove_key_of_newest_attempt(id);
     }
@@ -138,10 +141,11 @@
 
 /// Runs.
 impl IdempotentRuns {
-    /// The one run of a key is to start. Where results are durable, its intent is recorded first.
+    /// Marks the run of a key as started. If results are durable, its intent is recorded before it
+    /// is sent.
     ///
     /// # Errors
-    /// Where no intent can be recorded now.
+    /// If no intent can be recorded now.
     pub(super) fn begin_run(
         &mut self,
         now: Timestamp,
@@ -161,13 +165,14 @@
         Ok(RunRelease::OnceDurable)
     }
 
-    /// The one run of a key ended, with its result if it completed. Gives the attempts that joined it.
+    /// Records that the run of a key has ended, with its result if it completed. Returns the
+    /// attempts that joined it.
     pub(super) fn run_ended(&mut self, key: IdempotencyKey, result: Option<&str>) -> Vec<u64> {
         self.table.run_ended(key, result)
     }
 
-    /// Records the result of a run. Returns whether its answer waits for the record; it does not where results are in
-    /// memory only.
+    /// Records the result of a run. Returns whether its answer waits for the record; it does not if
+    /// results are in memory only.
     pub(super) fn record_result(
         &mut self,
         now: Timestamp,
@@ -183,7 +188,7 @@
         true
     }
 
-    /// Records that the run of a key, recorded as intended, never took place.
+    /// Records that the run of a key never took place, although its intent was recorded.
     pub(super) fn record_not_run(&mut self, now: Timestamp, key: IdempotencyKey) {
         let expiry = self.expiry(now, key);
         if let Some(durability) = &mut self.durability {
@@ -191,13 +196,13 @@
         }
     }
 
-    /// When the window of a key ends.
+    /// Returns when the window of a key ends, or `now` if the key is unknown.
     fn expiry(&self, now: Timestamp, key: IdempotencyKey) -> Timestamp {
         self.table.window(key).map_or(now, |window| window.end)
     }
 
-    /// A run ended that this incarnation did not start. Returns whether it is one of an earlier incarnation that had no
-    /// result so far; its outcome is recorded then.
+    /// Handles the end of a run that this incarnation did not start. Returns whether it is a run of
+    /// an earlier incarnation without a result so far; its outcome is recorded in that case.
     pub(super) fn complete_recovered_run(
         &mut self,
         attempt: &AttemptName,
@@ -215,14 +220,16 @@
     }
 }
 
-/// The disk.
+/// Durable storage.
 impl IdempotentRuns {
-    /// Hands all records that are not yet on their way to the writer's thread. Gives their failure where that has ended.
+    /// Sends all records that were not sent yet to the writer thread. Returns their failure if the
+    /// thread has ended.
     pub(super) fn flush(&mut self) -> Option<StorageEvent> {
         self.durability.as_mut()?.flush()
     }
 
-    /// The writer's thread has reported how far records are durable. Gives the work that waited for that.
+    /// Handles a report of the writer thread on how far records are durable. Returns the work that
+    /// waited for these records.
     pub(super) fn storage_event(&mut self, event: StorageEvent) -> Option<ReleasedWork> {
         let durability = self.durability.as_mut()?;
         match event {
--- a/crates/server/src/core/idempotent_runs/tests.rs
+++ b/crates/server/src/core/idempotent_runs/tests.rs
@@ -1,4 +1,4 @@
-//! When a run and its answer wait for the disk.
+//! Tests of which runs and answers wait for the disk.
 
 use super::*;
 use madderbay::time::Duration;
@@ -23,7 +23,7 @@
     Timestamp::from_micros(1_000_000)
 }
 
-/// Runs with results in memory only, and one request that holds [`KEY`].
+/// Returns runs with results in memory only, and one request that has [`KEY`].
 fn runs_in_memory() -> IdempotentRuns {
     let settings = madderbay_settings::read(SETTINGS.as_bytes()).expect("settings");
     let mut runs = IdempotentRuns::new(&settings, 1_000);
@@ -35,7 +35,7 @@
     runs
 }
 
-/// The same with durable results, and what goes to the writer's thread.
+/// Returns the same with durable results, and the receiver of the batches for the writer thread.
 fn durable_runs() -> (IdempotentRuns, Receiver<Batch>) {
     let mut runs = runs_in_memory();
     let (sender, batches) = channel();
@@ -101,7 +101,8 @@
     ));
 }
 
-/// A writer's thread that has ended takes no batch: its records fail at once, and no new run waits for the disk.
+/// A writer thread that has ended takes no batches: records fail at once, and no new run can record
+/// its intent.
 #[test]
 fn fails_records_after_writer_thread_has_ended() {
     let (mut runs, batches) = durable_runs();
@@ -118,7 +119,7 @@
 #[test]
 fn looks_up_only_keys_missing_from_table_in_store() {
     let (mut runs, _batches) = durable_runs();
-    // The table has the key: its fingerprint is checked there, not in the store.
+    // The table has this key, so its fingerprint is checked there and not in the store.
     assert!(matches!(
         runs.stored_outcome(KEY, FINGERPRINT + 1),
         Ok(StoredOutcome::NotStored)
--- a/crates/server/src/core/in_flight.rs
+++ b/crates/server/src/core/in_flight.rs
@@ -1,7 +1,8 @@
-//! The requests in flight: what the run, the call and the answer of each still need.
+//! The requests in flight, each with the state that its run, its call and its answer need.
 //!
-//! Owns: the table of these requests, by id and by the name of the attempt. Is given: requests that were read,
-//! until they are answered and their runs are over. Does no I/O and decides nothing.
+//! [`InFlightRequests`] is the table of these requests, indexed by id and by the name of the
+//! attempt. A request is added when it was read, and removed when it is answered and its run has
+//! ended. This module does no I/O and makes no decisions.
 
 use super::downstream_answers::Recipient;
 use super::run_commands::RunCommands;
@@ -16,9 +17,9 @@
 
 /// A request that was read.
 pub(super) struct InFlightRequest {
-    /// The name of the attempt, which the engine and the upstream servers know it by.
+    /// The name of the attempt, by which the engine and the upstream servers identify it.
     pub(super) name: AttemptName,
-    /// The downstream connection that it came on, and its JSON-RPC id there.
+    /// The downstream connection that the request arrived on, and its JSON-RPC id there.
     pub(super) recipient: Recipient,
     /// The index of its handler.
     pub(super) handler: HandlerId,
@@ -26,24 +27,24 @@
     pub(super) key: Option<IdempotencyKey>,
     /// Hash of handler and body, the same for all attempts of a key.
     pub(super) fingerprint: u64,
-    /// The body as it was read, until the run has it.
+    /// The body as it was read; empty once the run has been started with it.
     body: Box<str>,
-    /// The decision module has started its run.
+    /// Whether the decision module has started its run.
     is_started: bool,
-    /// It was answered, or its client is gone.
+    /// Whether it was answered or its client is gone.
     is_settled: bool,
-    /// Its run went on without an optional call.
+    /// Whether its run continued without an optional call.
     is_partial: bool,
-    /// When its answer leaves at the latest.
+    /// The latest time at which its answer is sent.
     pub(super) answer_deadline: Timestamp,
-    /// The call that its run waits at.
+    /// The upstream call that its run waits for.
     pub(super) call: UpstreamCall,
     /// The engine commands of its run.
     pub(super) commands: RunCommands,
 }
 
 impl InFlightRequest {
-    /// A request that has just been read on a connection and is not started.
+    /// Creates the entry of a request that has just been read and whose run has not been started.
     pub(super) fn new(
         now: Timestamp,
         recipient: Recipient,
@@ -65,28 +66,28 @@
         }
     }
 
-    /// The decision module starts the run of the request. Gives the body, which the run has from now on.
+    /// Marks the run of the request as started, and returns the body for it.
     pub(super) fn start(&mut self) -> Box<str> {
         self.is_started = true;
         std::mem::take(&mut self.body)
     }
 
-    /// Whether the decision module has started its run.
+    /// Reports whether the decision module has started its run.
     pub(super) fn is_started(&self) -> bool {
         self.is_started
     }
 
-    /// The request is answered, or its client gone. Returns whether it was so already.
+    /// Marks the request as answered or its client as gone. Returns whether it was marked already.
     pub(super) fn settle(&mut self) -> bool {
         std::mem::replace(&mut self.is_settled, true)
     }
 
-    /// Its run goes on without an optional call.
+    /// Records that its run continues without an optional call.
     pub(super) fn call_skipped(&mut self) {
         self.is_partial = true;
     }
 
-    /// Whether its run went on without an optional call.
+    /// Reports whether its run continued without an optional call.
     pub(super) fn is_partial(&self) -> bool {
         self.is_partial
     }
@@ -97,11 +98,11 @@
 pub(super) struct StartedRun {
     /// The id of its request.
     pub(super) request: u64,
-    /// The name of the attempt, by which the engine knows the run.
+    /// The name of the attempt, by which the engine identifies the run.
     pub(super) attempt: AttemptName,
 }
 
-/// The table of requests whose answer or run is open.
+/// The table of requests that are not answered or whose run has not ended.
 #[derive(Default)]
 pub(super) struct InFlightRequests {
     by_id: HashMap<u64, InFlightRequest>,
@@ -109,45 +110,45 @@
 }
 
 impl InFlightRequests {
-    /// Enters a request; neither its id nor its name is in the table yet.
+    /// Adds a request. Neither its id nor its name may be in the table yet.
     pub(super) fn insert(&mut self, id: u64, request: InFlightRequest) {
         self.ids_by_name.insert(request.name, id);
         self.by_id.insert(id, request);
     }
 
-    /// Removes a request, if it is in the table.
+    /// Removes and returns a request, if it is in the table.
     pub(super) fn remove(&mut self, id: u64) -> Option<InFlightRequest> {
         let request = self.by_id.remove(&id)?;
         self.ids_by_name.remove(&request.name);
         Some(request)
     }
 
-    /// The request with this id.
+    /// Returns the request with this id.
     pub(super) fn get(&self, id: u64) -> Option<&InFlightRequest> {
         self.by_id.get(&id)
     }
 
-    /// The request with this id.
+    /// Returns the request with this id.
     pub(super) fn get_mut(&mut self, id: u64) -> Option<&mut InFlightRequest> {
         self.by_id.get_mut(&id)
     }
 
-    /// The request with this id, unless it was answered or its client is gone.
+    /// Returns the request with this id, unless it was answered or its client is gone.
     pub(super) fn unanswered(&self, id: u64) -> Option<&InFlightRequest> {
         self.by_id.get(&id).filter(|request| !request.is_settled)
     }
 
-    /// The id of the request by the name of its attempt.
+    /// Returns the id of the request whose attempt has this name.
     pub(super) fn id(&self, name: &AttemptName) -> Option<u64> {
         self.ids_by_name.get(name).copied()
     }
 
-    /// The number of requests.
+    /// Returns the number of requests.
     pub(super) fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// The number of requests that are owed an answer.
+    /// Returns the number of requests that still need an answer.
     pub(super) fn unanswered_count(&self) -> usize {
         self.by_id
             .values()
@@ -155,7 +156,7 @@
             .count()
     }
 
-    /// The runs that were started, in the order of the requests' ids.
+    /// Returns the runs that were started, in the order of their request ids.
     pub(super) fn started(&self) -> Vec<StartedRun> {
         let started = self.by_id.iter().filter(|(_, request)| request.is_started);
         let mut runs: Vec<StartedRun> = started
@@ -168,12 +169,12 @@
         runs
     }
 
-    /// All requests, in no order.
+    /// Returns all requests, in no particular order.
     pub(super) fn values_mut(&mut self) -> impl Iterator<Item = &mut InFlightRequest> {
         self.by_id.values_mut()
     }
 
-    /// The requests for which `predicate` holds, in the order of their ids.
+    /// Returns the requests for which `predicate` holds, in the order of their ids.
     pub(super) fn sorted_mut(
         &mut self,
         predicate: impl Fn(&InFlightRequest) -> bool,
--- a/crates/server/src/core/mod.rs
+++ b/crates/server/src/core/mod.rs
@@ -1,40 +1,46 @@
-//! The core: owns the decision module, hands it what happens and carries out what it decides. Sans I/O: it knows
-//! no socket and no clock, is given the time with each event, and writes into outboxes.
+//! The core of the server: it passes events to the decision module and carries out its decisions.
+//! It does no I/O itself (sans I/O): it uses no socket and no clock, is given the time with each
+//! event, and writes outgoing bytes to outboxes.
 //!
-//! What happens arrives in `arrivals` (load balancers), `upstream_events` (engine, catalogue, backends),
-//! `stored_results` (the disk) and `turns` (time); each hands it to the decision module in `event_loop`.
-//! The module's `actions` are carried out by the `executor`: `answers` to clients, `engine_commands` to the
-//! engine, and `dispatch` of calls to catalogue and backends.
+//! Events enter through `arrivals` (load balancers), `upstream_events` (engine, catalogue and
+//! backends), `stored_results` (the disk) and `turns` (time), which pass them to the decision
+//! module in `event_loop`. The actions that the decision module answers with are in `actions` and
+//! are carried out by the `executor`, by means of `answers` to clients, `engine_commands` to the
+//! engine, and `dispatch` of calls to the catalogue and the backends.
 //!
-//! Each piece of state has one owner: `in_flight` the requests, with the `run_commands` and the `upstream_call`
-//! of each; `downstream_answers` the downstream connections, with the `server_status` that answers carry;
-//! `engine_commands` the link to the engine; `idempotent_runs` the idempotency keys, with the queue of `durability`;
-//! `deadlines` what is due, with the tick; `deferred_events` what the decision module is told after it has acted;
-//! `request_limits` the operator's limits, which follow each request as a `request_observer`; `backend_selector` the
-//! choice among backends.
+//! Each piece of state has one owner:
+//!
+//! - `in_flight`: the requests in flight, with the `run_commands` and the `upstream_call` of each.
+//! - `downstream_answers`: the downstream connections, with the `server_status` that answers carry.
+//! - `engine_commands`: the link to the engine.
+//! - `idempotent_runs`: the idempotency keys, with the queue of `durability`.
+//! - `deadlines`: all deadlines, and the timer of the tick.
+//! - `deferred_events`: events that the decision module is given after it has acted.
+//! - `request_limits`: the operator's limits, each of which is a `request_observer`.
+//! - `backend_selector`: the selection of backends.
 
 mod actions;
 mod answers;
 mod arrivals;
-/// The choice among backends, as the core asks for it.
+/// Selection of backends for the calls of the core.
 pub mod backend_selector;
-/// Concurrency limits by pool, from the operator file.
+/// Concurrency limits of pools, from the operator file.
 pub mod concurrency_limits;
 mod deadlines;
 mod deferred_events;
 mod dispatch;
 mod downstream_answers;
-/// Durable results: what waits for the disk, and the thread that writes.
+/// Durable results: the work that waits for the disk, and the thread that writes to it.
 pub mod durability;
 mod engine_commands;
-/// The core itself, as its drivers call it.
+/// The event loop, as its drivers call it.
 pub mod event_loop;
 mod executor;
 /// Names of handlers in the operator file.
 pub mod handler_names;
 mod idempotent_runs;
 mod in_flight;
-/// Quotas of the fleet, as the core meets them.
+/// Enforcement of the fleet's quotas.
 pub mod quota_gate;
 mod request_limits;
 mod request_observer;
--- a/crates/server/src/core/quota_gate.rs
+++ b/crates/server/src/core/quota_gate.rs
@@ -1,9 +1,10 @@
-//! Quotas of the fleet as the core meets them: which requests stand under which budget, the demand for calls that
-//! they add up to, and the ceilings for the decisions.
+//! Enforcement of the fleet's quotas in the core: the budget of each request, the demand for calls
+//! under each budget, and the ceilings for the decision module.
 //!
-//! `QuotaGate` owns the requests by stage and the calls that were abandoned and may go on upstream. It is given
-//! every change of a request as a `RequestObserver`. What this server may use, it asks of a `QuotaSource`; it
-//! never knows of leases or of other servers.
+//! [`QuotaGate`] tracks the stage of each request and the abandoned calls that may still run
+//! upstream. It is notified of every change of a request as a `RequestObserver`. How much of a
+//! quota this server may use is told by a [`QuotaSource`]; the gate knows nothing of leases or
+//! other servers.
 
 mod demand;
 
@@ -18,50 +19,54 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Runs above the usable calls, where all runs call: those that are on their way to a call.
+/// Runs that are allowed beyond the usable calls where every run makes a call: those that have not
+/// reached their call yet.
 const EXTRA_RUNS: usize = 2;
-/// Upper bound on an advertised Retry-After, because capacity may be granted sooner.
+/// Upper bound on the interval between starts that an advertised Retry-After is based on, because
+/// capacity may be granted sooner.
 const MAX_START_INTERVAL: Duration = Duration::from_millis(5_000);
-/// How often the rates of tenants are taken from the source.
+/// Interval at which the rates of tenants are read from the source.
 const TENANT_RATES_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Knows what this server may use of the fleet's quotas, and takes its demand. It has a clock of its own.
+/// Tells how much of the fleet's quotas this server may use, and is told this server's demand. It
+/// has a clock of its own.
 pub trait QuotaSource {
-    /// The calls under a budget that may be in flight now.
+    /// Returns the number of calls under a budget that may be in flight now.
     fn usable_calls(&self, budget: BudgetId) -> usize;
-    /// Starts one more call under a budget; returns whether it may be made.
+    /// Starts one more call under a budget. Returns whether the call may be made.
     fn try_start_call(&self, budget: BudgetId) -> bool;
-    /// A call under a budget has ended.
+    /// Records that a call under a budget has ended.
     fn call_ended(&self, budget: BudgetId);
-    /// The calls under a budget that wait for capacity or will need it.
+    /// Sets the number of calls under a budget that wait for capacity or will need it.
     fn set_waiting_calls(&self, budget: BudgetId, calls: usize);
-    /// How long a budget that has no capacity may be without it.
+    /// Returns how long a budget without capacity may stay without it.
     fn time_until_capacity(&self, budget: BudgetId) -> Duration;
-    /// A request of a tenant has been read.
+    /// Counts a request of a tenant that has been read.
     fn count_request(&self, handler: HandlerId, tenant: TenantId);
-    /// The rates that this server may take of its tenants' allowances, of those that are counted.
+    /// Returns the rates that this server may use of the quotas of its tenants, for the tenants
+    /// that are counted.
     fn tenant_rates(&self) -> Vec<TenantRate>;
 }
 
-/// Requests a second that this server may take of one tenant.
+/// The rate of requests that this server may accept from one tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantRate {
     /// The tenant's index in the settings.
     pub tenant: TenantId,
-    /// Requests a second.
+    /// Requests per second.
     pub per_second: f64,
 }
 
 /// One budget, as it applies to this server's handlers.
 #[derive(Clone, Debug)]
 pub struct QuotaGroup {
-    /// The handlers whose calls are under it.
+    /// The handlers whose calls are under the budget.
     pub handlers: Vec<HandlerId>,
-    /// The longest that a call under it is waited for.
+    /// The longest timeout of a call under the budget.
     pub max_call_wait: Duration,
 }
 
-/// How one handler stands to the budgets.
+/// How the budgets apply to one handler.
 #[derive(Clone, Copy)]
 struct HandlerQuota {
     /// The budget that its calls are under, if any.
@@ -76,15 +81,15 @@
     budget: BudgetId,
     always_calls: bool,
     stage: RequestStage,
-    /// When it came to this stage.
+    /// When it entered this stage.
     since: Timestamp,
 }
 
-/// One budget, with what this server's requests want and may use of it.
+/// One budget, with this server's demand for calls and the calls that it may use.
 struct BudgetUse {
     group: QuotaGroup,
     demand: Demand,
-    /// Its usable calls, as of the last update.
+    /// The number of calls that may be in flight, as of the last update.
     usable_calls: usize,
 }
 
@@ -92,18 +97,19 @@
 pub struct QuotaGate {
     source: Rc<dyn QuotaSource>,
     handlers: Vec<HandlerQuota>,
-    /// In the order of [`BudgetId`]s.
+    /// Indexed by [`BudgetId`].
     budgets: Vec<BudgetUse>,
     requests: HashMap<u64, TrackedRequest>,
-    /// Each with the budget that it is under.
+    /// The abandoned calls, each with its budget.
     abandoned_calls: AbandonedCalls<BudgetId>,
     rates_taken_at: Timestamp,
-    /// The quota of calls that are under no budget: what the settings give this server, if there are such calls.
+    /// The quota of calls that are under no budget: the quota in the settings, or 0 if there are no
+    /// such calls.
     quota_outside_budgets: f64,
 }
 
 impl QuotaGate {
-    /// Creates a gate without requests. `call_requirements` has one entry for each handler.
+    /// Creates a gate without requests. `call_requirements` has one entry per handler.
     pub fn new(
         source: Rc<dyn QuotaSource>,
         groups: Vec<QuotaGroup>,
@@ -137,7 +143,8 @@
         }
     }
 
-    /// The longest that a call of a handler may be waited for, at most `patience`.
+    /// Returns the timeout of a call of a handler: `timeout`, or the longest timeout under the
+    /// handler's budget if that is shorter.
     pub fn max_call_wait(&self, handler: HandlerId, timeout: Duration) -> Duration {
         let budget = self.handlers[handler.index()].budget;
         budget.map_or(timeout, |budget| {
@@ -145,19 +152,21 @@
         })
     }
 
-    /// Starts one more call of a handler, where its budget has capacity. The call must not be made on `false`.
+    /// Starts one more call of a handler if its budget has capacity. If this returns `false`, the
+    /// call must not be made.
     pub fn try_start_call(&mut self, handler: HandlerId) -> bool {
         let budget = self.handlers[handler.index()].budget;
         budget.is_none_or(|budget| self.source.try_start_call(budget))
     }
 
-    /// A request of a tenant has been read.
+    /// Counts a request of a tenant that has been read.
     pub fn count_request(&self, handler: HandlerId, tenant: TenantId) {
         self.source.count_request(handler, tenant);
     }
 
-    /// Ends abandoned calls whose time is over, reports changed demand to the source and takes the usable calls from
-    /// it. Returns whether they changed, and with them the ceilings.
+    /// Ends abandoned calls that can't be running upstream any more, reports changed demand to the
+    /// source and reads the usable calls from it. Returns whether the usable calls, and with them
+    /// the ceilings, have changed.
     pub fn update(&mut self, now: Timestamp) -> bool {
         self.end_abandoned_calls(now);
         let mut has_changed = false;
@@ -172,25 +181,25 @@
         has_changed
     }
 
-    /// Reports the end of those that can't be running upstream any more.
+    /// Reports the end of abandoned calls that can't be running upstream any more.
     fn end_abandoned_calls(&mut self, now: Timestamp) {
         while let Some(budget) = self.abandoned_calls.pop_ended(now) {
             self.source.call_ended(budget);
         }
     }
 
-    /// All calls that this server may have in flight.
+    /// Returns the total number of calls that this server may have in flight.
     pub fn total_quota(&self) -> f64 {
         let usable_calls: usize = self.budgets.iter().map(|b| b.usable_calls).sum();
         usable_calls as f64 + self.quota_outside_budgets
     }
 
-    /// One ceiling for each budget.
+    /// Returns the ceiling of each budget.
     pub fn ceilings(&self) -> impl Iterator<Item = Ceiling> {
         BudgetId::first(self.budgets.len()).map(|budget| self.ceiling(budget))
     }
 
-    /// Runs, calls and the interval between starts under one budget.
+    /// Returns the ceiling of one budget: runs, calls and the interval between starts.
     fn ceiling(&self, id: BudgetId) -> Ceiling {
         let BudgetUse {
             group,
@@ -222,7 +231,8 @@
         }
     }
 
-    /// The rates of tenants; nothing where they were taken a short time ago.
+    /// Returns the rates of tenants, or nothing if they were read less than `TENANT_RATES_INTERVAL`
+    /// ago.
     pub fn tenant_rates(&mut self, now: Timestamp) -> Vec<TenantRate> {
         let is_fresh = now - self.rates_taken_at < TENANT_RATES_INTERVAL;
         if is_fresh && now >= self.rates_taken_at {
@@ -232,7 +242,8 @@
         self.source.tenant_rates()
     }
 
-    /// A request is at another stage. A call that it leaves without an end is abandoned.
+    /// Records that a request has entered a stage. If it leaves a call that has not ended, the call
+    /// is abandoned.
     fn track(&mut self, now: Timestamp, id: u64, request: TrackedRequest) {
         let TrackedRequest {
             budget,
@@ -248,7 +259,8 @@
         self.demand_mut(budget).enter(request.stage, always_calls);
     }
 
-    /// The end of a call is reported to the source: now, or, where it may go on upstream, when that is over.
+    /// Reports the end of a call to the source: at once, or, if the call may still run upstream,
+    /// when it can't be running any more.
     fn end_call(&mut self, now: Timestamp, budget: BudgetId, may_still_run: bool) {
         let ended = if may_still_run {
             self.abandoned_calls.abandon(now, budget)
@@ -266,7 +278,7 @@
 }
 
 impl BudgetUse {
-    /// A budget without demand, and without a bound until the first update.
+    /// Creates a budget without demand, whose calls are unbounded until the first update.
     fn new(group: QuotaGroup) -> BudgetUse {
         BudgetUse {
             group,
@@ -276,7 +288,7 @@
     }
 }
 
-/// The first budget that the calls of a handler are under.
+/// Returns the first budget that the calls of a handler are under.
 fn budget_of(handler: HandlerId, groups: &[QuotaGroup]) -> Option<BudgetId> {
     let covers_handler = |group: &QuotaGroup| group.handlers.contains(&handler);
     groups.iter().position(covers_handler).map(BudgetId::new)
@@ -335,7 +347,7 @@
     }
 
     fn request_answered(&mut self, now: Timestamp, id: u64) {
-        // It makes no further call.
+        // A request that was answered makes no further call.
         self.request_finished(now, id);
     }
 
--- a/crates/server/src/core/run_commands.rs
+++ b/crates/server/src/core/run_commands.rs
@@ -1,42 +1,47 @@
-//! The engine commands of one run: those that are held back, and those that the engine may not have read.
+//! The engine commands of one run: those that are held back, and those that the engine may not have
+//! read.
 //!
-//! Owns: these commands, until the engine has surely read them. Is given: the link to the engine. Never decides
-//! a command, and never opens or ends the link.
+//! [`RunCommands`] keeps each command until it is proven that the engine has read it, and sends
+//! unproven commands again when the link is restored. It neither decides on commands nor opens or
+//! closes the link.
 //!
-//! Invariant: a command leaves `unproven` once an answer to a query that was sent behind it on the same link has
-//! arrived, or a notice of the run that proves as much. Nothing else proves it: no new link, and no silence.
+//! Invariant: a command leaves `unproven` once it is proven that the engine has read it: by an
+//! answer to a query that was sent after it on the same link, or by a notice of the run that proves
+//! the same. Nothing else is proof, neither a new link nor silence.
 
 use crate::upstream::engine::{EngineLink, LinkAnswers, ReadProof};
 
-/// What a new link makes of a run's unproven commands.
+/// The result of sending a run's unproven commands again on a new link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ResendOutcome {
-    /// There are none, or they were sent again.
+    /// There were none, or all were sent again.
     Resent,
-    /// All were sent again but for the reply to a call: the run may have read it or still wait for it. A reply does not
-    /// say which call it is for, so a second copy could meet the run's next call.
+    /// All were sent again except the reply to a call, which the run may have read or may still
+    /// wait for. A reply does not say which call it is for, so the run could take a second copy as
+    /// the reply to its next call.
     ReplyInDoubt,
 }
 
-/// How far the reply to a call has come.
+/// Whether the reply to a call has been sent and may have been read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReplyProgress {
-    /// No link has carried it, as far as is known.
+    /// As far as is known, it was not written to any link.
     Unsent,
-    /// It begins at this position in the bytes of the link of the moment.
+    /// It was sent on the current link, where it begins at this byte position.
     SentAt(u64),
-    /// A link that was lost had carried it: the run may have read it.
+    /// It was written to a link that was then lost, so the run may have read it.
     InDoubt,
 }
 
-/// What a command may be done with that the engine may not have read.
+/// The kind of an unproven command, which decides how it may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CommandKind {
-    /// It has no further effect where it is read twice.
+    /// A command that has no further effect when it is read twice.
     Repeatable,
-    /// The same; the run may go on to a call before it reads this.
+    /// A cancellation. It has no further effect when it is read twice; the run may still reach a
+    /// call before the engine reads it.
     Cancel,
-    /// It is the reply to a call.
+    /// The reply to a call.
     Reply(ReplyProgress),
 }
 
@@ -53,12 +58,13 @@
     held_back: Option<Vec<UnprovenCommand>>,
     /// Commands that the engine may not have read, in the order in which they were submitted.
     unproven: Vec<UnprovenCommand>,
-    /// What proves that the engine has read all of them; nothing where the last was not sent on a link yet.
+    /// The answer that will prove that the engine has read all of them; `None` if the last one has
+    /// not been sent on a link yet.
     proof: Option<ReadProof>,
 }
 
 impl RunCommands {
-    /// Holds the commands of this run back until they are released.
+    /// Holds back the commands of this run until they are released.
     pub(super) fn hold_back(&mut self) {
         self.held_back = Some(vec![]);
     }
@@ -73,7 +79,7 @@
         self.submit_kind(CommandKind::Cancel, line, link);
     }
 
-    /// Sends the reply to the call that the run waits at, or holds it back.
+    /// Sends the reply to the call that the run waits for, or holds it back.
     pub(super) fn reply(&mut self, line: Vec<u8>, link: &EngineLink) {
         let position = link.queued_bytes();
         self.submit_kind(CommandKind::Reply(ReplyProgress::Unsent), line, link);
@@ -90,14 +96,14 @@
         }
     }
 
-    /// Sends what was held back; commands are held back no more.
+    /// Sends the commands that were held back. Further commands are not held back.
     pub(super) fn release(&mut self, link: &EngineLink) {
         for command in self.held_back.take().into_iter().flatten() {
             self.send(command, link);
         }
     }
 
-    /// Sends a command, and keeps it until the engine has surely read it.
+    /// Sends a command, and keeps it until it is proven that the engine has read it.
     fn send(&mut self, command: UnprovenCommand, link: &EngineLink) {
         if self.proof.is_some_and(|proof| link.is_proven(proof)) {
             self.mark_all_read();
@@ -106,26 +112,29 @@
         push_unless_repeated_cancel(&mut self.unproven, command);
     }
 
-    /// The last command was the reply to a call, which begins at this position in the bytes of the link.
+    /// Marks the last command as the reply to a call, which begins at this byte position of the
+    /// link.
     pub(super) fn reply_sent_at(&mut self, position: u64) {
         if let Some(reply) = self.unproven.last_mut() {
             reply.kind = CommandKind::Reply(ReplyProgress::SentAt(position));
         }
     }
 
-    /// The run has come to a call: the engine has read what led to it, but perhaps not a cancellation.
+    /// Handles the notice that the run has reached a call: the engine has read all commands that
+    /// led to it, but perhaps not a cancellation.
     pub(super) fn run_reached_call(&mut self) {
         self.unproven
             .retain(|command| command.kind == CommandKind::Cancel);
     }
 
-    /// The engine has read all commands.
+    /// Marks all commands as read by the engine.
     pub(super) fn mark_all_read(&mut self) {
         self.unproven.clear();
         self.proof = None;
     }
 
-    /// The link was lost after so many bytes: a reply that begins behind them was surely not read.
+    /// Handles the loss of the link after `written_bytes` were written. A reply that begins at or
+    /// after that position was certainly not read.
     pub(super) fn link_lost(&mut self, written_bytes: u64) {
         for command in &mut self.unproven {
             let CommandKind::Reply(ReplyProgress::SentAt(position)) = command.kind else {
@@ -140,24 +149,25 @@
         }
     }
 
-    /// Whether some commands are not proven to be read yet.
+    /// Reports whether there are commands that the engine is not proven to have read.
     pub(super) fn has_unproven(&self) -> bool {
         !self.unproven.is_empty()
     }
 
-    /// Whether some commands may not have been read, where `answers` arrived on the lost link.
+    /// Reports whether there are commands that the engine may not have read, given the answers that
+    /// arrived on the lost link.
     pub(super) fn is_unproven(&self, answers: LinkAnswers) -> bool {
         let is_proven = self.proof.is_some_and(|proof| answers.prove(proof));
         self.has_unproven() && !is_proven
     }
 
-    /// Bytes of the commands that the engine may not have read.
+    /// Returns the total size of the commands that the engine may not have read, in bytes.
     pub(super) fn unproven_bytes(&self) -> usize {
         self.unproven.iter().map(|command| command.line.len()).sum()
     }
 
-    /// Sends the unproven commands again, except a reply in doubt. What was submitted before and behind it is sent: it
-    /// may be read twice.
+    /// Sends the unproven commands again, except a reply in doubt. The commands before and after
+    /// such a reply are sent, because they may be read twice.
     pub(super) fn resend(&mut self, link: &EngineLink) -> ResendOutcome {
         let unproven = self.unproven.len();
         self.unproven
@@ -177,8 +187,8 @@
     }
 }
 
-/// Appends a command, unless it is the cancellation that stands last already. It is repeated for as long as the run does
-/// not end, which may be until the engine is back.
+/// Appends a command, unless it is a cancellation and the last command is one too. A cancellation
+/// is repeated until the run ends, which may not be before the engine is back.
 fn push_unless_repeated_cancel(commands: &mut Vec<UnprovenCommand>, command: UnprovenCommand) {
     let last = commands.last().map(|last| last.kind);
     if command.kind != CommandKind::Cancel || last != Some(CommandKind::Cancel) {
--- a/crates/server/src/core/run_commands/tests.rs
+++ b/crates/server/src/core/run_commands/tests.rs
@@ -1,4 +1,4 @@
-//! Which commands go out, which go out again on the next link, and which are in doubt.
+//! Tests of which commands are sent, which are sent again on the next link, and which are in doubt.
 
 mod histories;
 
@@ -9,14 +9,15 @@
 const CANCEL: &[u8] = b"cancel\n";
 const REPLY: &[u8] = b"reply\n";
 
-/// A link that is up, and what it sends.
+/// Returns a link that is up, and its outbox.
 fn link_up() -> (EngineLink, Outbox) {
     let mut link = EngineLink::default();
     let outbox = reconnect(&mut link);
     (link, outbox)
 }
 
-/// Links again, up to where what was missed has been read; gives what the new link sends.
+/// Attaches a new link and restores it, as if all missed notices had been read. Returns the outbox
+/// of the new link.
 fn reconnect(link: &mut EngineLink) -> Outbox {
     let outbox = Outbox::default();
     link.attach(outbox.clone(), 0);
@@ -25,13 +26,13 @@
     outbox
 }
 
-/// The link is lost, as the commands of one run are told.
+/// Loses the link, and notifies the commands of one run of it.
 fn lose_link(link: &mut EngineLink, commands: &mut RunCommands) {
     commands.link_lost(link.written_bytes());
     link.lost();
 }
 
-/// Sends a reply as the engine commands do.
+/// Sends a reply and records its position on the link.
 fn send_reply(commands: &mut RunCommands, link: &EngineLink) {
     let position = link.queued_bytes();
     commands.submit(REPLY.into(), link);
@@ -98,7 +99,8 @@
     assert!(!commands.is_unproven(link.proven_before()));
 }
 
-/// The lost link had a query for the gauges open, which nobody answered: it proves nothing about the run.
+/// A query for the gauges was open on the lost link and was not answered, so it proves nothing
+/// about the run.
 #[test]
 fn resends_run_with_cancel_sent_between_links() {
     let (mut link, _) = link_up();
@@ -115,8 +117,8 @@
     assert_eq!(outbox.take(), [RUN, CANCEL].concat());
 }
 
-/// The engine's word that the run waits at a call was on its way when the run was cancelled: it proves the run read, and
-/// not the cancellation.
+/// The engine's notice that the run waits for a call was under way when the run was cancelled. It
+/// proves that the engine has read the run command, but not the cancellation.
 #[test]
 fn resends_cancel_submitted_before_call_notice_was_read() {
     let (mut link, _) = link_up();
@@ -134,7 +136,8 @@
     assert_eq!(outbox.take(), CANCEL);
 }
 
-/// The loss of a link that was never up says nothing about a reply that an earlier link had carried.
+/// The loss of a link that was never up proves nothing about a reply that was written to an earlier
+/// link.
 #[test]
 fn never_resends_reply_in_doubt_after_a_second_loss() {
     let (mut link, outbox) = link_up();
@@ -149,7 +152,8 @@
     assert_eq!(outbox.take(), b"");
 }
 
-/// A reply that waited for the next link is in doubt like any other once that link has carried it.
+/// A reply that was submitted while there was no link is in doubt like any other once it was
+/// written to the next link and that link is lost.
 #[test]
 fn never_resends_reply_a_second_time_after_a_later_loss() {
     let (mut link, _) = link_up();
@@ -165,7 +169,7 @@
     assert_eq!(outbox.take(), b"");
 }
 
-/// A run that was cancelled behind a reply in doubt is cancelled on the next link too.
+/// A run that was cancelled after a reply in doubt is cancelled on the next link too.
 #[test]
 fn resends_cancel_submitted_after_reply_in_doubt() {
     let (mut link, outbox) = link_up();
@@ -179,7 +183,8 @@
     assert_eq!(outbox.take(), CANCEL);
 }
 
-/// While there is no link, a cancellation is repeated every 300 ms: it is kept once, or an hour takes 0.5 MB a run.
+/// While there is no link, a cancellation is repeated every 300 ms. It is stored only once;
+/// otherwise it would take 0.5 MB per run and hour.
 #[test]
 fn stores_repeated_cancel_once() {
     let (mut link, _) = link_up();
--- a/crates/server/src/core/run_commands/tests/histories.rs
+++ b/crates/server/src/core/run_commands/tests/histories.rs
@@ -1,7 +1,9 @@
-//! Drawn histories of one run's commands over links that break, against an engine that remembers everything.
+//! Random histories of one run's commands over links that break, against a model of the engine that
+//! records every command it reads.
 //!
-//! The engine reads what was written of a link, in order, as far as the history lets it. Its notices outlive the link;
-//! its answers to queries do not, but an answer to a former link may come on a later one.
+//! The engine reads the bytes written to a link, in order, as far as the history lets it. Its
+//! notices survive the loss of the link. Its answers to queries do not, but an answer to an earlier
+//! link may arrive on a later one.
 
 use super::super::*;
 use crate::support::attempt_name::AttemptName;
@@ -17,18 +19,18 @@
 const CANCEL: &str = "cancel";
 const HELLO: &str = "{\"msg\":\"HELLO\",\"how\":\"old\",\"duration\":3600000}\n";
 
-/// One step of a history. A step that can't be taken is passed over.
+/// One step of a history. A step that is not possible is skipped.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     /// The server starts the run.
     Start,
     /// The server cancels the run.
     Cancel,
-    /// The server answers the call that the run waits at.
+    /// The server replies to the call that the run waits for.
     Reply,
-    /// The run comes to a call.
+    /// The run reaches a call.
     ReachCall,
-    /// The server writes what it has sent to the link.
+    /// The server writes the bytes that it has queued for the link.
     Write,
     /// The engine reads the next line of the link.
     Read,
@@ -40,7 +42,7 @@
     LoseLink,
     /// A new link is made.
     Attach,
-    /// The last answer to a query of a former link comes on this one.
+    /// The last answer to a query on an earlier link arrives on the current one.
     LateAnswer,
 }
 
@@ -60,14 +62,14 @@
     ]
 }
 
-/// The server's side: the link, the commands of the run, and what it knows of the run.
+/// The server's side: the link, the commands of the run, and what the server knows of the run.
 #[derive(Default)]
 struct Server {
     link: EngineLink,
     commands: RunCommands,
-    /// The call that the run waits at, as the server knows.
+    /// The call that the run waits for, as far as the server knows.
     call: Option<u64>,
-    /// The reply that may have been read when its link was lost.
+    /// The calls whose replies may have been read when the link was lost.
     replies_in_doubt: Vec<u64>,
     last_reply: u64,
     submitted: Vec<String>,
@@ -135,20 +137,20 @@
     }
 }
 
-/// The engine's side: what it has read and said, over all links.
+/// The engine's side: what it has read and sent, over all links.
 #[derive(Default)]
 struct Engine {
-    /// Lines of the link of the moment that were written and not read.
+    /// Lines that were written to the current link and not read yet.
     unread: VecDeque<String>,
-    /// Lines to the server on the link of the moment.
+    /// Lines to the server on the current link.
     to_server: VecDeque<String>,
     /// All commands that were read.
     read: Vec<String>,
-    /// All notices, the serial of the first being 1.
+    /// All notices; the first one has the serial number 1.
     notices: Vec<String>,
-    /// The call that the run waits at.
+    /// The call that the run waits for.
     call: Option<u64>,
-    /// The last query that was answered on a former link.
+    /// The last answer to a query on an earlier link.
     late_answer: Option<String>,
     last_answer: Option<String>,
 }
@@ -202,7 +204,7 @@
     }
 }
 
-/// The number behind `prefix`.
+/// Parses the number that follows `prefix`.
 fn number_in<T: std::str::FromStr>(line: &str, prefix: &str) -> T {
     let (_, rest) = line.split_once(prefix).expect("the member");
     let digits = rest.split(|c: char| !c.is_ascii_digit()).next();
@@ -211,7 +213,7 @@
         .expect("a number")
 }
 
-/// A history of a server and its engine.
+/// The state of a history: a server and its engine.
 #[derive(Default)]
 struct History {
     server: Server,
@@ -279,7 +281,7 @@
         self.outbox = Some(outbox);
     }
 
-    /// Lets all that is on its way arrive, over a link that stays.
+    /// Delivers all that is under way, over a link that is not lost.
     fn settle(&mut self) {
         self.apply(Step::Attach);
         for _ in 0..3 {
@@ -298,13 +300,14 @@
         }
     }
 
-    /// Whether a command was given up knowingly: a reply in doubt.
+    /// Reports whether a command was given up deliberately: a reply in doubt.
     fn is_in_doubt(&self, command: &str) -> bool {
         let calls = &self.server.replies_in_doubt;
         calls.iter().any(|call| command == format!("reply {call}"))
     }
 
-    /// What the engine has not read is kept, unless it is in doubt.
+    /// Checks that the server keeps each command that the engine has not read, unless it is in
+    /// doubt.
     fn check_no_command_lost(&self) -> Result<(), TestCaseError> {
         let unproven = &self.server.commands.unproven;
         for command in &self.server.submitted {
@@ -319,7 +322,7 @@
         Ok(())
     }
 
-    /// No reply is read twice, and no cancellation before the run.
+    /// Checks that no reply is read twice, and no cancellation before the run command.
     fn check_commands_read(&self) -> Result<(), TestCaseError> {
         let read = &self.engine.read;
         for line in read.iter().filter(|line| line.starts_with("reply")) {
@@ -337,7 +340,8 @@
         Ok(())
     }
 
-    /// Once all has arrived, a cancellation is the engine's last word.
+    /// Checks, once everything has been delivered, that no command is missing and that the run is
+    /// not started again after its cancellation.
     fn check_final_state(&self) -> Result<(), TestCaseError> {
         for command in &self.server.submitted {
             let arrived = self.engine.has_read(command) || self.is_in_doubt(command);
--- a/crates/server/src/core/stored_results.rs
+++ b/crates/server/src/core/stored_results.rs
@@ -1,7 +1,8 @@
-//! Durable results in the core: attempts of requests that an earlier incarnation ran are answered from its store,
-//! and reports of the writer's thread release the runs and answers that wait for them.
+//! Durable results in the core: attempts of requests that an earlier incarnation ran are answered
+//! from its store, and reports of the writer thread release the runs and answers that wait for
+//! them.
 //!
-//! It owns no state; that is in [`idempotent_runs`](super::idempotent_runs).
+//! The state is in [`idempotent_runs`](super::idempotent_runs).
 
 use super::downstream_answers::{Answer, Recipient};
 use super::durability::{PendingWork, StorageEvent};
@@ -12,11 +13,12 @@
 use madderbay::time::Timestamp;
 
 impl EventLoop {
-    /// Answers an attempt of a request whose intent an earlier incarnation recorded; it never runs again. An attempt
-    /// of a new request is rejected here where no intent can be recorded. Returns whether the attempt was answered.
+    /// Answers an attempt of a request whose intent was recorded by an earlier incarnation; such a
+    /// request never runs again. Rejects an attempt of a new request if no intent can be recorded.
+    /// Returns whether the attempt was answered.
     ///
     /// # Errors
-    /// Where the key was used with another handler or body.
+    /// If the key was used with another handler or body.
     pub(super) fn answer_from_store(
         &mut self,
         now: Timestamp,
@@ -44,7 +46,7 @@
         Ok(true)
     }
 
-    /// The writer's thread has reported how far records are durable.
+    /// Handles a report of the writer thread on how far records are durable.
     pub fn storage_event(&mut self, now: Timestamp, event: StorageEvent) {
         self.executor.now = now;
         let Some(released) = self.executor.idempotent_runs.storage_event(event) else {
@@ -65,7 +67,7 @@
         self.decide(now, |_, _| ());
     }
 
-    /// The record of some work is durable.
+    /// Carries out work whose record is durable.
     fn release_work(&mut self, work: PendingWork) {
         match work {
             PendingWork::Run { request } => self.executor.release_run(request),
@@ -77,7 +79,8 @@
         }
     }
 
-    /// The record of some work can't be made durable: nothing runs, and no result is an answer.
+    /// Handles work whose record can't be made durable: its run is not sent, and its result is not
+    /// used as an answer.
     fn fail_work(&mut self, work: PendingWork) {
         match work {
             PendingWork::Run { request } => self.executor.deferred_events.run_not_sent(request),
