--- a/crates/server/src/core/actions.rs
+++ b/crates/server/src/core/actions.rs
@@ -1,10 +1,11 @@
-//! The actions of the decision module: one short function an action.
+//! The actions of the decision module: one short function for each action.
 //!
-//! Is given: the id of a request and what is to be done about it. An action on a request that is not in flight
-//! any more has no effect. Decides nothing: what can't be done is reported back as a deferred event.
+//! An action on a request that is no longer in flight has no effect. No decisions are made here: an
+//! action that can't be carried out is reported back as a deferred event.
 //!
-//! The core calls some of them itself: `arrivals` rejects what comes before the engine is up or over the limit on
-//! connections, and `upstream_events` gives up what a lost link or a declined command has ended.
+//! The core also calls some actions itself: `arrivals` rejects requests that arrive before the
+//! engine is up or that exceed the limit on connections, and `upstream_events` gives up requests
+//! and runs that were ended by a lost link or a declined command.
 
 use super::deadlines::Deadline;
 use super::executor::ActionExecutor;
@@ -24,14 +25,14 @@
         }
     }
 
-    /// Sends the reply to the call that the run of a request waits at.
+    /// Sends the reply to the call that the run of a request waits for.
     pub(super) fn send_reply(&mut self, id: u64, body: &[u8]) {
         if let Some(request) = self.requests.get_mut(id) {
             self.engine_commands.send_reply(request, body);
         }
     }
 
-    /// The write-ahead record of a run is durable: the run is sent.
+    /// Sends the run of a request, when its write-ahead record is durable.
     pub(super) fn release_run(&mut self, id: u64) {
         if let Some(request) = self.requests.get_mut(id) {
             self.engine_commands.release(request);
@@ -129,7 +130,7 @@
     }
 
     fn join_attempt(&mut self, id: u64) {
-        // It waits for the run of another attempt and needs none of its own.
+        // The request waits for the run of another attempt and needs none of its own.
         self.observe(id, |observer, now| observer.request_finished(now, id));
         let Some(request) = self.requests.get(id) else {
             return;
--- a/crates/server/src/core/answers.rs
+++ b/crates/server/src/core/answers.rs
@@ -1,8 +1,8 @@
-//! The final answers of requests, each given once, and the removal of requests that are over.
+//! The final answers of requests, each given once, and the removal of requests that have ended.
 //!
-//! Is given: how a run ended, or that there was none. Writes the answer to the connection's outbox, counts it,
-//! and answers the attempts that joined the same run. With durable results an answer waits until its result is
-//! on disk. Never decides which answer a request gets.
+//! An answer is written to the outbox of its connection and counted, and the attempts that joined
+//! the same run are answered too. With durable results, an answer waits until its result is on
+//! disk. Which answer a request gets is decided elsewhere.
 
 use super::deadlines::Deadline;
 use super::downstream_answers::Answer;
@@ -14,7 +14,7 @@
 use madderbay::time::Duration;
 
 impl ActionExecutor {
-    /// Gives a request its final answer, unless it has one.
+    /// Gives a request its final answer, unless it is settled already.
     fn answer(&mut self, id: u64, answer: Answer) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -30,7 +30,7 @@
         self.downstream.request_settled(recipient);
     }
 
-    /// Answers a request with the result of a run, or with an error without one.
+    /// Answers a request with the result of a run, or with an error if there is none.
     pub(super) fn answer_run(&mut self, id: u64, result: Option<&str>) {
         let is_partial = self
             .requests
@@ -39,7 +39,7 @@
         self.answer(id, Answer::of_run(result, is_partial));
     }
 
-    /// Answers that a request was rejected and never ran.
+    /// Answers a request as rejected: it never ran.
     pub(super) fn answer_rejected(&mut self, id: u64, retry_after: Duration, is_final: bool) {
         let answer = Answer::Rejected {
             retry_after,
@@ -48,7 +48,7 @@
         self.answer(id, answer);
     }
 
-    /// Answers a request that joined a run with the result of that, and removes it.
+    /// Answers a request that joined a run with the result of that run, and removes the request.
     pub(super) fn answer_joined(&mut self, id: u64, result: Option<&str>) {
         if self.requests.get(id).is_none() {
             return;
@@ -63,7 +63,7 @@
         self.deferred_events.ended(id, outcome);
     }
 
-    /// The one run of a key ended: answers the attempts that joined it.
+    /// Handles the end of the run of a key: answers the attempts that joined it.
     pub(super) fn answer_all_joined(&mut self, key: Option<IdempotencyKey>, result: Option<&str>) {
         let joined = key.map_or(vec![], |key| self.idempotent_runs.run_ended(key, result));
         for id in joined {
@@ -71,8 +71,9 @@
         }
     }
 
-    /// The run of a request with an idempotency key ended. Where results are durable, its answer waits until
-    /// this one is, and the request stays in flight. False where it does not wait, or where nothing ran.
+    /// Handles the end of the run of a request with an idempotency key. If results are durable, the
+    /// answer waits until this result is, and the request stays in flight. Returns `false` if the
+    /// answer does not wait or nothing ran.
     pub(super) fn answer_once_durable(
         &mut self,
         id: u64,
@@ -101,7 +102,8 @@
         true
     }
 
-    /// The result of a request is durable, or can't be made so: answers it and those that joined it.
+    /// Answers a request and those that joined it, when its result is durable or can't be made
+    /// durable.
     pub(super) fn durable_answer_ready(&mut self, id: u64, result: Option<&str>) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -114,8 +116,8 @@
         self.remove(id);
     }
 
-    /// A run that the decision module started was not sent: rejects its request and those that joined it. A
-    /// further attempt of the key is a new request.
+    /// Handles a run that the decision module started but that was not sent: rejects its request
+    /// and those that joined it. A further attempt with the key is a new request.
     pub(super) fn reject_run_not_sent(&mut self, id: u64, retry_after: Duration) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -134,8 +136,8 @@
         }
     }
 
-    /// The run of a request that is answered, or whose client is gone, is given up: it counts as cancelled. Those that
-    /// joined it fail, since it may have had its effect.
+    /// Gives up the run of a request that is answered or whose client is gone. The run counts as
+    /// cancelled. Requests that joined it fail, since it may have had its effect.
     pub(super) fn run_abandoned(&mut self, id: u64) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -154,7 +156,8 @@
         self.remove(id);
     }
 
-    /// A request is answered or its client gone: a call for it is given up, and unless it runs it is over.
+    /// Marks a request as answered or its client as gone: gives up its call, and removes the
+    /// request unless its run has been started.
     pub(super) fn request_settled(&mut self, id: u64) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -169,7 +172,7 @@
         }
     }
 
-    /// Removes a request that is over, with the call that is out for it.
+    /// Removes a request that has ended, and gives up its call in flight.
     pub(super) fn remove(&mut self, id: u64) {
         self.cancel_call(id);
         self.observe(id, |observer, now| observer.request_finished(now, id));
--- a/crates/server/src/core/arrivals.rs
+++ b/crates/server/src/core/arrivals.rs
@@ -1,9 +1,8 @@
-//! What load balancers send, handed to the decision module: connections, requests, withdrawn attempts and
-//! health checks.
+//! Events from load balancers: connections, requests, withdrawn attempts and health checks.
 //!
-//! Is given: connections that were opened or ended, and requests that were read and validated. Answers at once
-//! what a former incarnation has answered and what can't be admitted here; all else the decision module decides.
-//! Never parses a line.
+//! Validated requests are passed to the decision module, except those that are answered here:
+//! requests that an earlier incarnation has answered, and requests that can't be admitted. Lines
+//! are parsed elsewhere.
 
 use super::deadlines::Deadline;
 use super::downstream_answers::Recipient;
@@ -20,7 +19,7 @@
 
 /// Connections.
 impl EventLoop {
-    /// A connection was accepted. Gives its number.
+    /// Handles an accepted connection. Returns its number.
     pub fn connection_opened(&mut self, now: Timestamp, outbox: Outbox) -> u64 {
         let executor = &mut self.executor;
         executor.counters.connection_accepted();
@@ -33,7 +32,7 @@
         self.schedule_first_request_check(opened)
     }
 
-    /// A connection was accepted that exceeds the limit on connections. Gives its number.
+    /// Handles an accepted connection that exceeds the limit on connections. Returns its number.
     pub fn connection_opened_over_limit(&mut self, now: Timestamp, outbox: Outbox) -> u64 {
         let executor = &mut self.executor;
         executor.counters.connection_over_limit();
@@ -44,7 +43,7 @@
         self.schedule_first_request_check(opened)
     }
 
-    /// Sets the deadline of a connection's first request. Gives the connection's number.
+    /// Sets the deadline of a connection's first request. Returns the number of the connection.
     fn schedule_first_request_check(&mut self, opened: OpenedConnection) -> u64 {
         let deadline = Deadline::FirstRequest(opened.id);
         self.executor
@@ -53,23 +52,24 @@
         opened.id
     }
 
-    /// The number of open connections that exceed the limit on connections.
+    /// Returns the number of open connections that exceed the limit on connections.
     pub fn connections_over_limit(&self) -> usize {
         self.executor.downstream.connections().over_limit_count()
     }
 
-    /// Whether a connection exceeds the limit on connections.
+    /// Reports whether a connection exceeds the limit on connections.
     fn is_over_limit(&self, connection: u64) -> bool {
         let connections = self.executor.downstream.connections();
         connections.is_over_limit(connection)
     }
 
-    /// The number of open connections.
+    /// Returns the number of open connections.
     pub fn connection_count(&self) -> usize {
         self.executor.downstream.connections().len()
     }
 
-    /// Evicts a connection without open requests in favour of a new one; false if there is none.
+    /// Evicts a connection without open requests in favour of a new one. Returns `false` if there
+    /// is none.
     pub fn evict_connection(&mut self, now: Timestamp) -> bool {
         let evicted = self.executor.downstream.connections_mut().evict(now);
         if evicted {
@@ -78,8 +78,8 @@
         evicted
     }
 
-    /// The peer broke the protocol, and its requests can't be told from noise: all that are open on the
-    /// connection fail, and it ends.
+    /// Handles a violation of the protocol after which the peer's requests can't be told from
+    /// noise: fails all open requests of the connection and ends it.
     pub fn reject_connection(&mut self, now: Timestamp, connection: u64) {
         let connections = self.executor.downstream.connections();
         let Some(open_requests) = connections.open_requests(connection) else {
@@ -92,7 +92,8 @@
         self.input_ended(connection);
     }
 
-    /// The peer sends no more, or nothing that can be read: its open requests are still answered.
+    /// Handles a peer that sends no more, or nothing that can be read. Its open requests are still
+    /// answered.
     pub fn input_ended(&mut self, connection: u64) {
         self.executor
             .downstream
@@ -100,7 +101,7 @@
             .input_ended(connection);
     }
 
-    /// A connection is gone, and with it the clients of its open requests.
+    /// Handles the end of a connection; the clients of its open requests are gone with it.
     pub fn connection_closed(&mut self, now: Timestamp, connection: u64) {
         let connections = self.executor.downstream.connections_mut();
         let Some(open_requests) = connections.remove(connection) else {
@@ -114,7 +115,7 @@
         }
     }
 
-    /// The outbox of a connection, while that is open.
+    /// Returns the outbox of a connection while that is open.
     pub fn outbox(&self, connection: u64) -> Option<&Outbox> {
         self.executor.downstream.connections().outbox(connection)
     }
@@ -122,7 +123,8 @@
     /// Checks that a request with this JSON-RPC id may be opened on a connection.
     ///
     /// # Errors
-    /// As [`Connections::check_open`](crate::downstream::connections::Connections::check_open).
+    /// The errors of
+    /// [`Connections::check_open`](crate::downstream::connections::Connections::check_open).
     pub fn check_open(&self, connection: u64, rpc_id: u64) -> Result<(), OpenRequestError> {
         let connections = self.executor.downstream.connections();
         connections.check_open(connection, rpc_id)
@@ -137,11 +139,12 @@
 
 /// Requests.
 impl EventLoop {
-    /// A request was read and validated. It is answered from a former incarnation, rejected, or handed to the
-    /// decision module.
+    /// Handles a request that was read and validated: answers it from the results of an earlier
+    /// incarnation, rejects it, or passes it to the decision module.
     ///
     /// # Errors
-    /// The name of the attempt is in use, or its idempotency key came with another body.
+    /// If the name of the attempt is in use, or its idempotency key was used with another handler
+    /// or body.
     pub fn request_arrived(
         &mut self,
         now: Timestamp,
@@ -163,10 +166,12 @@
         }
         self.enter_request(now, recipient, &request);
         if !self.has_decider() {
-            // Nothing can run before the engine is up, and there is no decision module yet that could be told.
+            // Nothing can run before the engine is up, and there is no decision module yet that
+            // could be notified.
             self.executor.reject(arrival.id, Duration::ZERO, false);
         } else if self.is_over_limit(connection) && arrival.retry_of == 0 {
-            // A retry with an idempotency key is admitted: it shares the outcome of the first attempt.
+            // A retry with an idempotency key is admitted, since it shares the outcome of the first
+            // attempt.
             let retry_after = self.unavailable_retry_after();
             self.executor.reject(arrival.id, retry_after, false);
             return Ok(());
@@ -177,7 +182,7 @@
         Ok(())
     }
 
-    /// Counts a request and enters it into the table.
+    /// Counts a request and adds it to the table of requests in flight.
     fn enter_request(&mut self, now: Timestamp, recipient: Recipient, request: &ValidatedRequest) {
         let arrival = &request.arrival;
         let executor = &mut self.executor;
@@ -192,7 +197,8 @@
             .count_request(arrival.handler, arrival.tenant);
     }
 
-    /// A client withdrew an attempt, named by its JSON-RPC id or by the name of the attempt.
+    /// Handles the withdrawal of an attempt by its client, which names it by its JSON-RPC id or by
+    /// the name of the attempt.
     pub fn attempt_withdrawn(
         &mut self,
         now: Timestamp,
@@ -210,7 +216,8 @@
         }
     }
 
-    /// The request by the name of its attempt, if it came on this connection: a client can't withdraw another's.
+    /// Returns the request whose attempt has this name if it arrived on this connection: a client
+    /// can't withdraw the request of another.
     fn request_of_connection(&self, name: &AttemptName, connection: u64) -> Option<u64> {
         let requests = &self.executor.requests;
         let id = requests.id(name)?;
@@ -218,7 +225,7 @@
         (request.recipient.connection == connection).then_some(id)
     }
 
-    /// The client of a request no longer waits for its answer.
+    /// Handles a client that no longer waits for the answer of its request.
     fn client_gone(&mut self, now: Timestamp, id: u64) {
         let Some(request) = self.executor.requests.unanswered(id) else {
             return;
@@ -234,8 +241,8 @@
         self.executor.request_settled(id);
     }
 
-    /// Answers a request with an error. The decision module is told that its client is gone, which is how it gives up a
-    /// request that was answered without it.
+    /// Answers a request with an error. The decision module is told that the client is gone, which
+    /// makes it give up a request that was answered without it.
     pub(super) fn fail_request(&mut self, now: Timestamp, id: u64) {
         self.executor.now = now;
         self.executor.fail(id);
--- a/crates/server/src/core/concurrency_limits.rs
+++ b/crates/server/src/core/concurrency_limits.rs
@@ -1,7 +1,7 @@
-//! Concurrency limits by pool: the plan of them, from the operator file and the platform's settings, and their
-//! counters.
+//! Concurrency limits of pools: how they are planned from the operator file and the platform's
+//! settings, and their counters.
 //!
-//! It owns no state; the limits are in a `ConcurrencyLimiter`, which the core owns.
+//! This module has no state; the limits are in a `ConcurrencyLimiter`, which the core owns.
 
 use crate::core::handler_names::{HandlerResolver, UnknownHandlers};
 use crate::support::metrics::Lines;
@@ -13,11 +13,11 @@
 use madderbay_operator_config::concurrency as operator;
 use madderbay_settings::Settings;
 
-/// Plans the pools and the reserve of the operator file. The groups of upstream servers are left empty; they follow
-/// from the backends.
+/// Plans the pools and the reserve of the operator file. The groups of upstream servers are left
+/// empty, since they follow from the backends.
 ///
 /// # Errors
-/// Where a pool or the reserve names an unknown handler.
+/// If a pool or the reserve names an unknown handler.
 pub fn plan(
     section: &operator::PoolsConfig,
     settings: &Settings,
@@ -49,13 +49,13 @@
     handlers.finish(plan)
 }
 
-/// Whether each handler's runs make calls, in the order of handlers.
+/// Returns the call requirement of each handler, in the order of handlers.
 pub fn call_requirements(settings: &Settings) -> Vec<CallRequirement> {
     let handlers = settings.handlers.iter();
     handlers.map(Handler::call_requirement).collect()
 }
 
-/// What the outcome of a call says about the upstream servers.
+/// Returns what the outcome of a call says about the upstream servers.
 pub fn completion(outcome: Outcome) -> Completion {
     match outcome {
         Outcome::Completed => Completion::Success,
@@ -67,7 +67,7 @@
     }
 }
 
-/// The counters, one line each. A limit that is unbounded is reported as 0.
+/// Returns the counters, one line each. A limit that is unbounded is reported as 0.
 pub fn counters(limiter: &ConcurrencyLimiter) -> String {
     let mut lines = Lines::of("pools");
     for pool in limiter.pool_usage() {
@@ -85,7 +85,7 @@
     lines.text
 }
 
-/// What a pool uses, and its limits.
+/// Adds the lines with the usage and the limits of a pool.
 fn add_pool(lines: &mut Lines, pool: &PoolUsage) {
     for (name, value) in [
         ("held", pool.queued),
@@ -98,7 +98,7 @@
     }
 }
 
-/// `usize::MAX` stands for no limit.
+/// Returns a value as it is counted: 0 for `usize::MAX`, which stands for no limit.
 fn zero_if_unbounded(value: usize) -> u64 {
     if value == usize::MAX { 0 } else { value as u64 }
 }
--- a/crates/server/src/core/deadlines.rs
+++ b/crates/server/src/core/deadlines.rs
@@ -1,24 +1,25 @@
-//! The deadlines of the core: one ordered structure for all of them, and the decision module's timer.
+//! The deadlines of the core in one ordered set, and the decision module's timer.
 //!
-//! Owns: what is due and when. Is given: instants, and the time. Never reads a clock and never acts on a
-//! deadline: the event loop does.
+//! The current time is passed to each method; no clock is read here. The event loop acts on the
+//! deadlines that have been reached.
 
 use crate::downstream::connections::IdleDeadline;
 use madderbay::time::{Duration, Timestamp};
 use std::collections::BTreeSet;
 
-/// What is due. Deadlines of one instant are reached in the order of the variants, then of the ids.
+/// What is due. Deadlines at the same instant are reached in the order of the variants, then of the
+/// ids.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Deadline {
     /// The upstream call of this request times out.
     CallTimeout(u64),
     /// The upstream call of this request may be hedged.
     Hedge(u64),
-    /// This connection reaches the limit on idling.
+    /// This connection reaches the limit on idle time.
     ConnectionIdle(u64),
     /// This connection must have carried its first request.
     FirstRequest(u64),
-    /// The answer of this request leaves, although its result is not durable yet.
+    /// This request is answered although its result is not durable yet.
     DurableAnswer(u64),
     /// Expired entries and idle connections are removed.
     Maintenance,
@@ -39,7 +40,7 @@
 }
 
 impl Deadlines {
-    /// The timer is not set, and maintenance is due at once.
+    /// Creates the deadlines. The timer is not set, and maintenance is due at once.
     pub(super) fn new(now: Timestamp) -> Deadlines {
         let mut deadlines = Deadlines {
             scheduled: BTreeSet::new(),
@@ -54,25 +55,25 @@
         self.scheduled.insert(ScheduledDeadline { at, deadline });
     }
 
-    /// Removes a deadline that was set for this instant; nothing happens if there is none.
+    /// Removes the deadline that was set for this instant, if there is one.
     pub(super) fn remove(&mut self, at: Timestamp, deadline: Deadline) {
         self.scheduled.remove(&ScheduledDeadline { at, deadline });
     }
 
-    /// Removes and gives the first deadline that has been reached.
+    /// Removes and returns the first deadline that has been reached.
     pub(super) fn pop_due(&mut self, now: Timestamp) -> Option<Deadline> {
         let first = *self.scheduled.first().filter(|first| first.at <= now)?;
         self.scheduled.remove(&first);
         Some(first.deadline)
     }
 
-    /// The instant of the first deadline or of the tick, whichever is earlier.
+    /// Returns the instant of the first deadline or of the tick, whichever is earlier.
     pub(super) fn next(&self) -> Option<Timestamp> {
         let first = self.scheduled.first().map(|first| first.at);
         [self.tick.deadline, first].into_iter().flatten().min()
     }
 
-    /// Sets the deadlines of idle connections anew.
+    /// Replaces the deadlines of idle connections.
     pub(super) fn replace_idle(&mut self, idle_deadlines: impl Iterator<Item = IdleDeadline>) {
         self.scheduled
             .retain(|scheduled| !matches!(scheduled.deadline, Deadline::ConnectionIdle(_)));
@@ -81,12 +82,12 @@
         }
     }
 
-    /// The decision module's timer.
+    /// Returns the decision module's timer.
     pub(super) fn tick_timer(&mut self) -> &mut TickTimer {
         &mut self.tick
     }
 
-    /// Whether the tick is overdue by more than `tolerance`.
+    /// Reports whether the tick is overdue by more than `tolerance`.
     pub(super) fn is_tick_overdue(&self, now: Timestamp, tolerance: Duration) -> bool {
         self.tick.is_overdue(now, tolerance)
     }
@@ -96,13 +97,13 @@
 #[derive(Debug)]
 pub(super) struct TickTimer {
     deadline: Option<Timestamp>,
-    /// The deadline that was reached last. The next one is counted from there, so that the lateness of each
-    /// tick does not add up to fewer ticks.
+    /// The deadline that was reached last. The next deadline is counted from it, so that late ticks
+    /// do not reduce the number of ticks.
     last_deadline: Timestamp,
 }
 
 impl TickTimer {
-    /// A timer that is not set.
+    /// Creates a timer that is not set.
     fn new(now: Timestamp) -> TickTimer {
         TickTimer {
             deadline: None,
@@ -110,24 +111,24 @@
         }
     }
 
-    /// Counts the next deadline from now on.
+    /// Counts the next deadline from `now`.
     pub(super) fn restart(&mut self, now: Timestamp) {
         self.last_deadline = now;
     }
 
-    /// Sets the timer to `after` its last deadline, but no nearer than half of that.
+    /// Sets the timer to `after` its last deadline, but at least half of `after` from now.
     pub(super) fn set(&mut self, now: Timestamp, after: Duration) {
         self.deadline = Some((self.last_deadline + after).max(now + after.mul_f64(0.5)));
     }
 
-    /// Takes the deadline if it has been reached; the timer is not set then.
+    /// Returns the deadline if it has been reached; the timer is then no longer set.
     pub(super) fn take_due(&mut self, now: Timestamp) -> Option<Timestamp> {
         let due = self.deadline.take_if(|deadline| *deadline <= now)?;
         self.last_deadline = due;
         Some(due)
     }
 
-    /// Whether the deadline passed more than `tolerance` ago.
+    /// Reports whether the deadline passed more than `tolerance` ago.
     fn is_overdue(&self, now: Timestamp, tolerance: Duration) -> bool {
         self.deadline
             .is_some_and(|deadline| now - deadline > tolerance)
--- a/crates/server/src/core/deadlines/tests.rs
+++ b/crates/server/src/core/deadlines/tests.rs
@@ -1,4 +1,4 @@
-//! The order of deadlines, and the tick among them.
+//! Tests of the order of deadlines and of the tick.
 
 use super::*;
 
@@ -6,7 +6,7 @@
     Timestamp::from_micros(millis * 1_000)
 }
 
-/// Deadlines without the maintenance that is due at the start.
+/// Returns deadlines without the maintenance that is due at the start.
 fn deadlines() -> Deadlines {
     let mut deadlines = Deadlines::new(at(0));
     assert_eq!(deadlines.pop_due(at(0)), Some(Deadline::Maintenance));
@@ -52,7 +52,7 @@
     assert_eq!(deadlines.next(), Some(at(10)));
     assert!(!deadlines.is_tick_overdue(at(12), Duration::from_millis(2)));
     assert!(deadlines.is_tick_overdue(at(13), Duration::from_millis(2)));
-    // Reached 3 ms late: the next one is not counted from then.
+    // This tick is reached 3 ms late; the next one is not counted from then.
     assert_eq!(deadlines.tick_timer().take_due(at(13)), Some(at(10)));
     deadlines.tick_timer().set(at(13), interval);
     assert_eq!(deadlines.next(), Some(at(20)));
--- a/crates/server/src/core/deferred_events/tests.rs
+++ b/crates/server/src/core/deferred_events/tests.rs
@@ -1,4 +1,4 @@
-//! The order in which deferred events are handed over.
+//! Tests of the order in which deferred events are processed.
 
 use super::*;
 
--- a/crates/server/src/core/dispatch.rs
+++ b/crates/server/src/core/dispatch.rs
@@ -1,7 +1,7 @@
-//! The upstream calls of runs: to the catalogue, or to backends with retries and hedges.
+//! Sends the upstream calls of runs: to the catalogue, or to backends with retries and hedges.
 //!
-//! Is given: a call to be made, and how each of its attempts ended. Asks the backend selector where an attempt
-//! goes, and whether there may be another. Never reads a reply and never judges a backend.
+//! The backend selector selects the backend of each attempt, decides whether there may be another
+//! attempt, and judges the backends. Replies are read elsewhere.
 
 use super::deadlines::Deadline;
 use super::executor::ActionExecutor;
@@ -15,25 +15,25 @@
 
 /// Where a call goes.
 pub(super) enum CallTarget {
-    /// The one catalogue of the configuration.
+    /// The catalogue, the one shared dependency of the configuration.
     Catalogue,
-    /// A backend, as its selector knows the attempt.
+    /// A backend, with the attempt as the backend selector identifies it.
     Backend(UpstreamAttempt),
 }
 
-/// How an attempt ended, on which upstream connection.
+/// How an attempt ended, and on which upstream connection.
 #[derive(Clone, Copy)]
 pub(super) struct AttemptEnd {
     /// The number of the connection that carried it.
     pub(super) upstream_connection: u64,
     /// How it ended.
     pub(super) outcome: Outcome,
-    /// The upstream server said so itself.
+    /// Whether the upstream server itself reported this outcome.
     pub(super) replied: bool,
 }
 
 impl AttemptEnd {
-    /// What this says about a backend.
+    /// Returns the outcome that is reported to the backend selector.
     fn attempt_outcome(&self) -> AttemptOutcome {
         match self.outcome {
             Outcome::Completed => AttemptOutcome::Success,
@@ -48,12 +48,13 @@
     }
 }
 
-/// Whether a call is over with one of its attempts.
+/// Whether a call has ended with one of its attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallProgress {
-    /// Another attempt of it is out.
+    /// Another attempt of the call is in flight.
     Continues,
-    /// It is over. So is a call that has no attempt at a backend: one to the catalogue, or of a request that has ended.
+    /// The call has ended. So has a call that has no attempt at a backend: a call to the catalogue,
+    /// or one of a request that has ended.
     Ended,
 }
 
@@ -62,7 +63,7 @@
     /// catalogue.
     ///
     /// # Errors
-    /// The same call was made before, and gets no retry.
+    /// If the same call was made before and is not retried.
     pub(super) fn select_target(&self, id: u64) -> Result<CallTarget, RetryRefusal> {
         let (Some(selector), Some(request)) = (self.backends.selector(), self.requests.get(id))
         else {
@@ -77,14 +78,14 @@
         Ok(first.map_or(CallTarget::Catalogue, CallTarget::Backend))
     }
 
-    /// Gives back a target that is not called after all.
+    /// Releases a target that is not called after all.
     pub(super) fn release_target(&self, target: &CallTarget) {
         if let CallTarget::Backend(attempt) = target {
             self.backends.finish(attempt, AttemptOutcome::Cancelled);
         }
     }
 
-    /// Sends the call that the run of a request waits at.
+    /// Sends the call that the run of a request waits for.
     pub(super) fn send_call(&mut self, id: u64, timeout: Duration, target: CallTarget) {
         match target {
             CallTarget::Catalogue => self.send_to_catalogue(id, timeout),
@@ -106,7 +107,8 @@
         }
     }
 
-    /// The time after which the first attempt of a call is hedged, if it is.
+    /// Returns the time after which the first attempt of a call is hedged, or `None` if it is not
+    /// hedged.
     fn hedge_delay(&self, id: u64, first: &UpstreamAttempt, timeout: Duration) -> Option<Duration> {
         let handler = self.requests.get(id)?.handler;
         let call = HedgeCandidate {
@@ -142,7 +144,8 @@
         });
     }
 
-    /// An attempt of a call ended. Reports it to the selector, and makes another one if none is out.
+    /// Handles the end of an attempt of a call: reports it to the selector, and retries a failed
+    /// call if no other attempt is in flight.
     pub(super) fn attempt_ended(
         &mut self,
         now: Timestamp,
@@ -169,7 +172,8 @@
         }
     }
 
-    /// An attempt succeeded that was sent at `since`: ends the others. One that was sent before lost to a hedge.
+    /// Ends the remaining attempts of a call after an attempt that was sent at `sent_at` has
+    /// succeeded. If one of them was sent earlier, they lost to a hedge.
     fn end_remaining_attempts(&mut self, id: u64, sent_at: Timestamp) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -183,7 +187,7 @@
         self.end_attempts(id, outcome);
     }
 
-    /// Retries a call at once at another backend, if the retry policy allows it.
+    /// Retries a call immediately at another backend, if the retry policy allows it.
     fn retry(
         &mut self,
         id: u64,
@@ -210,7 +214,8 @@
         }
     }
 
-    /// The hedge of a call is due: sends it if only the first attempt is out, and the hedge policy allows it.
+    /// Handles the deadline of a hedge: sends the hedge if only one attempt is in flight and the
+    /// hedge policy allows it.
     pub(super) fn hedge_deadline_reached(&mut self, now: Timestamp, id: u64) {
         self.now = now;
         let Some(request) = self.requests.get_mut(id) else {
@@ -230,7 +235,7 @@
         }
     }
 
-    /// Ends all attempts of a call that are out, all with the same outcome.
+    /// Ends all attempts of a call that are in flight, all with the same outcome.
     pub(super) fn end_attempts(&mut self, id: u64, outcome: AttemptOutcome) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -244,7 +249,7 @@
         }
     }
 
-    /// Gives up the call that is out for a request, if there is one.
+    /// Gives up the call in flight of a request, if there is one.
     pub(super) fn cancel_call(&mut self, id: u64) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
--- a/crates/server/src/core/dispatch/tests.rs
+++ b/crates/server/src/core/dispatch/tests.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt says about its backend, and whether the call may have run.
+//! Tests of what the end of an attempt says about its backend, and whether the call may have run.
 
 use super::*;
 
@@ -11,7 +11,8 @@
     end.attempt_outcome()
 }
 
-/// A call that its backend says never ran was taken for cancelled: one that may not run twice got no retry.
+/// Guards against treating a call that its backend did not run as cancelled: a call that may not
+/// run twice then got no retry.
 #[test]
 fn call_that_its_backend_did_not_run_may_be_retried() {
     let refused = outcome_of(Outcome::Unreachable, true);
--- a/crates/server/src/core/downstream_answers.rs
+++ b/crates/server/src/core/downstream_answers.rs
@@ -1,8 +1,9 @@
-//! What goes out to clients: the answers of requests and of health checks.
+//! Answers to clients, for requests and for health checks.
 //!
-//! Owns: the downstream connections, and the status that answers carry. Is given: an answer and who it is for; it
-//! writes the answer to the connection's outbox and counts it. Never decides which answer a request gets, and does not
-//! know which requests have one: [`answers`](super::answers) sees to it that each gets one.
+//! [`DownstreamAnswers`] owns the downstream connections and the status that answers carry. It
+//! writes an answer to the outbox of the recipient's connection and counts it. Which answer a
+//! request gets is decided elsewhere; [`answers`](super::answers) ensures that each request gets
+//! one.
 
 use super::server_status::ServerStatus;
 use crate::downstream::connections::Connections;
@@ -10,12 +11,12 @@
 use crate::support::metrics::Counters;
 use madderbay::time::{Duration, Timestamp};
 
-/// Who an answer is for.
+/// The recipient of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Recipient {
     /// The number of the downstream connection.
     pub(super) connection: u64,
-    /// The JSON-RPC id of the call on that connection.
+    /// The JSON-RPC id of the request on that connection.
     pub(super) rpc_id: u64,
 }
 
@@ -26,7 +27,7 @@
     Completed {
         /// The result as the engine wrote it: a JSON string with its quotes.
         result: &'a str,
-        /// The run went on without an optional call.
+        /// Whether the run continued without an optional call.
         is_partial: bool,
     },
     /// The request failed after a possible effect.
@@ -35,13 +36,13 @@
     Rejected {
         /// How long the client is advised to stay away; zero for no advice.
         retry_after: Duration,
-        /// No other server would admit it either.
+        /// Whether no other server would admit it either.
         is_final: bool,
     },
 }
 
 impl<'a> Answer<'a> {
-    /// The answer of a run: failed without a result.
+    /// Returns the answer for a run: [`Answer::Failed`] if there is no result.
     pub(super) fn of_run(result: Option<&'a str>, is_partial: bool) -> Answer<'a> {
         match result {
             Some(result) => Answer::Completed { result, is_partial },
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Counts the answer as what it is.
+    /// Counts the answer by its kind.
     fn count(self, counters: &mut Counters) {
         match self {
             Answer::Completed { is_partial, .. } => counters.request_completed(is_partial),
@@ -73,7 +74,7 @@
     }
 }
 
-/// The downstream connections, with what answers say of this server.
+/// The downstream connections, and the status that answers carry.
 #[derive(Default)]
 pub(super) struct DownstreamAnswers {
     connections: Connections,
@@ -81,22 +82,22 @@
 }
 
 impl DownstreamAnswers {
-    /// The connections.
+    /// Returns the connections.
     pub(super) fn connections(&self) -> &Connections {
         &self.connections
     }
 
-    /// The connections, for what happens on them beside answers.
+    /// Returns the connections, for changes other than answers.
     pub(super) fn connections_mut(&mut self) -> &mut Connections {
         &mut self.connections
     }
 
-    /// What this server tells others of itself.
+    /// Returns the status that this server reports to others.
     pub(super) fn status(&self) -> &ServerStatus {
         &self.status
     }
 
-    /// The same, for the decision module's actions to change.
+    /// Returns the status, for the decision module's actions to change.
     pub(super) fn status_mut(&mut self) -> &mut ServerStatus {
         &mut self.status
     }
@@ -116,13 +117,13 @@
         answer.count(counters);
     }
 
-    /// A request was answered or withdrawn, and is not open on its connection any more.
+    /// Records that a request was answered or withdrawn and is no longer open on its connection.
     pub(super) fn request_settled(&mut self, recipient: Recipient) {
         self.connections
             .request_settled(recipient.connection, recipient.rpc_id);
     }
 
-    /// Answers a health check: not healthy while draining.
+    /// Answers a health check. A server that is draining is not healthy.
     pub(super) fn answer_health_check(&mut self, now: Timestamp, recipient: Recipient) {
         let is_healthy = self.status.is_healthy() && !self.status.is_draining();
         let load_report = self.status.load_report();
@@ -131,8 +132,8 @@
         });
     }
 
-    /// Begins draining: health checks and the registry are told so, and every connection is notified that it is to
-    /// end.
+    /// Begins draining: health checks and the registry report it, and every connection is notified
+    /// that it will end.
     pub(super) fn begin_draining(&mut self) {
         self.status.begin_draining();
         self.connections.drain();
--- a/crates/server/src/core/engine_commands.rs
+++ b/crates/server/src/core/engine_commands.rs
@@ -1,22 +1,22 @@
-//! Commands to the engine, and what becomes of them when the link is lost.
+//! Commands to the engine, and how they are sent again after the link was lost.
 //!
-//! Owns: the sending side of the link. Is given: the request whose run a command is about, or the news that the link is
-//! lost or up again. Sends commands over the link, or holds them back while a run waits for its write-ahead record.
-//! Never reads what the engine reports and never decides a command.
+//! [`EngineCommands`] owns the sending side of the link. It sends commands about the runs of
+//! requests, or holds them back while a run waits for its write-ahead record. Notices of the engine
+//! are read elsewhere, and commands are decided elsewhere.
 
 use super::in_flight::{InFlightRequest, InFlightRequests};
 use super::run_commands::ResendOutcome;
 use crate::support::attempt_name;
 use crate::upstream::engine::{EngineCommand, EngineLink};
 
-/// The commands of all runs, on their way to the engine.
+/// Sends the commands of all runs to the engine.
 #[derive(Default)]
 pub(super) struct EngineCommands {
     link: EngineLink,
 }
 
 impl EngineCommands {
-    /// The link, for the driver that keeps it.
+    /// Returns the link, for the driver that maintains it.
     pub(super) fn link_mut(&mut self) -> &mut EngineLink {
         &mut self.link
     }
@@ -33,17 +33,18 @@
         }
     }
 
-    /// The write-ahead record of a run is durable: the engine gets the commands that were held back.
+    /// Sends the commands that were held back, when the write-ahead record of a run is durable.
     pub(super) fn release(&self, request: &mut InFlightRequest) {
         request.commands.release(&self.link);
     }
 
-    /// Sends the reply to the call that a run waits at.
+    /// Sends the reply to the call that a run waits for.
     pub(super) fn send_reply(&self, request: &mut InFlightRequest, body: &[u8]) {
         self.send(request, EngineCommand::Reply { body });
     }
 
-    /// The link is lost. A reply of which nothing was sent is known not to have been read.
+    /// Handles the loss of the link. A reply of which no byte was written is known not to have been
+    /// read.
     pub(super) fn link_lost(&mut self, requests: &mut InFlightRequests) {
         let written_bytes = self.link.written_bytes();
         for request in requests.values_mut() {
@@ -52,13 +53,15 @@
         self.link.lost();
     }
 
-    /// The link is up again: sends what may not have reached the engine. Gives the requests whose runs may have
-    /// read the reply to their call, or may still wait for it.
+    /// Sends the commands again that may not have reached the engine, when the link is up again.
+    /// Returns the requests whose runs may have read the reply to their call or may still wait for
+    /// it.
     pub(super) fn resend(&self, requests: &mut InFlightRequests) -> Vec<u64> {
         let answers = self.link.proven_before();
         let (mut runs, mut in_doubt) = (0, vec![]);
         for (id, request) in requests.sorted_mut(|request| request.commands.has_unproven()) {
-            // What the lost link proved is settled now: the link after this one knows nothing of its answers.
+            // Commands that the lost link proved to be read are dropped now, because the next link
+            // knows nothing of the answers on the lost one.
             if !request.commands.is_unproven(answers) {
                 request.commands.mark_all_read();
                 continue;
--- a/crates/server/src/core/executor.rs
+++ b/crates/server/src/core/executor.rs
@@ -1,12 +1,14 @@
 //! The executor of the decision module's actions.
 //!
-//! Owns: the table of requests in flight, and one context each for what their runs, calls and answers go through: the
-//! engine link, the calls, the connections, the runs with an idempotency key, the deadlines. A context has its state to
-//! itself and is changed by its methods alone. Is given: the actions of the decision module, and what the event loop
-//! reports. Decides nothing; knows no socket and no clock.
+//! [`ActionExecutor`] owns the table of requests in flight and the components that their runs,
+//! calls and answers use: the engine link, the calls, the connections, the runs with an idempotency
+//! key, and the deadlines. The state of a component is private and changes through its methods
+//! only. The executor carries out the actions of the decision module and handles the events that
+//! the event loop reports. It makes no decisions and uses no socket and no clock.
 //!
-//! The steps are in files of their own: [`actions`](super::actions) has the actions, [`answers`](super::answers) the
-//! ways to an answer, [`dispatch`](super::dispatch) those to backends and catalogue.
+//! The steps are in separate files: [`actions`](super::actions) has the actions,
+//! [`answers`](super::answers) how requests are answered, and [`dispatch`](super::dispatch) how
+//! calls are sent to backends and the catalogue.
 
 use super::backend_selector::BackendRouting;
 use super::deadlines::Deadlines;
@@ -24,36 +26,36 @@
 use madderbay_concurrency::RequestStage;
 use madderbay_settings::Settings;
 
-/// Carries out what the decision module decides.
+/// Carries out the actions of the decision module.
 pub(super) struct ActionExecutor {
     /// The time of the event that is being handled.
     pub(super) now: Timestamp,
-    /// The requests whose answer or run is open.
+    /// The requests that are not answered or whose run has not ended.
     pub(super) requests: InFlightRequests,
-    /// The downstream connections and the answers that leave by them.
+    /// The downstream connections, and the answers that are sent on them.
     pub(super) downstream: DownstreamAnswers,
-    /// Knows the handlers' names as the engine has them.
+    /// Validates requests, and knows the names that the engine uses for handlers.
     pub(super) validator: RequestValidator,
     /// The runs of requests with an idempotency key.
     pub(super) idempotent_runs: IdempotentRuns,
-    /// The commands of runs, on their way to the engine.
+    /// Sends the commands of runs to the engine.
     pub(super) engine_commands: EngineCommands,
-    /// The upstream calls that are out.
+    /// The upstream calls that are in flight.
     pub(super) calls: CallDispatcher,
-    /// The operator's limits, which follow each request.
+    /// The operator's limits, which observe each request.
     pub(super) limits: RequestLimits,
-    /// The choice among backends.
+    /// Selection of backends.
     pub(super) backends: BackendRouting,
-    /// What the decision module is told after it has acted.
+    /// The events that the decision module is given after it has acted.
     pub(super) deferred_events: DeferredEvents,
-    /// What is due and when, with the decision module's timer.
+    /// The deadlines, with the decision module's timer.
     pub(super) deadlines: Deadlines,
-    /// What is counted since the start.
+    /// The counters since the start.
     pub(super) counters: Counters,
 }
 
 impl ActionExecutor {
-    /// An executor without requests. Results in memory take up to `max_cached_bytes`.
+    /// Creates an executor without requests. Results in memory take at most `max_cached_bytes`.
     pub(super) fn new(
         now: Timestamp,
         settings: &Settings,
--- a/crates/server/src/core/handler_names.rs
+++ b/crates/server/src/core/handler_names.rs
@@ -1,6 +1,7 @@
-//! Names of handlers in the operator file, resolved to indices into the platform's settings.
+//! Resolution of handler names in the operator file to indices into the platform's settings.
 //!
-//! `HandlerResolver` owns what was not found while one section is planned, so that all of it is reported together.
+//! [`HandlerResolver`] collects the unknown names while one section is planned, so that all of them
+//! are reported together.
 
 use madderbay::interface::HandlerId;
 use madderbay_operator_config::{Names, OperatorFileError};
@@ -11,20 +12,20 @@
 pub struct UnknownHandlers(Vec<OperatorFileError>);
 
 impl UnknownHandlers {
-    /// One line for each of them.
+    /// Returns one line for each unknown handler.
     pub fn lines(&self) -> Vec<String> {
         self.0.iter().map(ToString::to_string).collect()
     }
 }
 
-/// Resolves the names of one section.
+/// Resolves the handler names of one section.
 pub struct HandlerResolver<'a> {
     known: &'a [String],
     unknown: Vec<OperatorFileError>,
 }
 
 impl<'a> HandlerResolver<'a> {
-    /// Resolves against the handlers' names in the order of their indices.
+    /// Creates a resolver for the known names of handlers, in the order of their indices.
     pub fn new(known: &'a [String]) -> HandlerResolver<'a> {
         HandlerResolver {
             known,
@@ -32,7 +33,8 @@
         }
     }
 
-    /// The handlers; none of them where one is unknown, which [`finish`](Self::finish) then reports.
+    /// Returns the handlers with these names. If one is unknown, returns no handlers, and
+    /// [`finish`](Self::finish) reports the unknown one.
     pub fn resolve(&mut self, names: &Names) -> Vec<HandlerId> {
         match names.indices(self.known, "handler") {
             Ok(indices) => indices.into_iter().map(HandlerId::new).collect(),
@@ -43,7 +45,7 @@
         }
     }
 
-    /// Returns the section's plan where all names were known.
+    /// Returns the section's plan if all names were known.
     ///
     /// # Errors
     /// All unknown names.
--- a/crates/server/src/core/request_limits.rs
+++ b/crates/server/src/core/request_limits.rs
@@ -1,8 +1,9 @@
-//! The limits that the operator sets beside the decision module's own: concurrency limits by pool, and quotas
-//! that the whole fleet shares.
+//! The limits that the operator sets in addition to the decision module's own: concurrency limits
+//! of pools, and quotas that the whole fleet shares.
 //!
-//! Owns: the concurrency limiter and the quota gate, where there are any. Is given: each stage of each request.
-//! Hands ceilings to the decision module. Never rejects or ends a request.
+//! [`RequestLimits`] owns the concurrency limiter and the quota gate, if there are any, notifies
+//! them of each stage of each request, and passes their ceilings to the decision module. It never
+//! rejects or ends a request.
 
 use super::concurrency_limits;
 use super::quota_gate::QuotaGate;
@@ -12,7 +13,7 @@
 use madderbay::time::{Duration, Timestamp};
 use madderbay_concurrency::ConcurrencyLimiter;
 
-/// The operator's limits; without any, nothing binds but the decision module's own.
+/// The operator's limits. Without any, only the decision module's own limits apply.
 #[derive(Default)]
 pub(super) struct RequestLimits {
     concurrency: Option<ConcurrencyLimiter>,
@@ -20,7 +21,7 @@
 }
 
 impl RequestLimits {
-    /// Sets the concurrency limits by pool.
+    /// Sets the concurrency limits of pools.
     pub(super) fn set_concurrency(&mut self, limiter: ConcurrencyLimiter) {
         self.concurrency = Some(limiter);
     }
@@ -30,12 +31,12 @@
         self.quota_gate = Some(gate);
     }
 
-    /// Whether calls are under a quota of the fleet.
+    /// Reports whether calls are under a quota of the fleet.
     pub(super) fn has_quotas(&self) -> bool {
         self.quota_gate.is_some()
     }
 
-    /// Notifies whoever follows requests: the limiter first, then the gate.
+    /// Notifies the observers of requests: first the limiter, then the gate.
     pub(super) fn observe(&mut self, notify: impl Fn(&mut dyn RequestObserver)) {
         if let Some(limiter) = &mut self.concurrency {
             notify(limiter);
@@ -45,14 +46,14 @@
         }
     }
 
-    /// A request of a tenant was read.
+    /// Counts a request of a tenant that was read.
     pub(super) fn count_request(&self, handler: HandlerId, tenant: TenantId) {
         if let Some(gate) = &self.quota_gate {
             gate.count_request(handler, tenant);
         }
     }
 
-    /// Takes quota for one more call of a handler; false if none is available.
+    /// Acquires quota for one more call of a handler. Returns `false` if none is available.
     pub(super) fn acquire_call(&mut self, handler: HandlerId) -> bool {
         match &mut self.quota_gate {
             Some(gate) => gate.try_start_call(handler),
@@ -60,7 +61,7 @@
         }
     }
 
-    /// The timeout of a call, shortened to that of the handler's quota.
+    /// Returns the timeout of a call, shortened to that of the handler's quota.
     pub(super) fn call_timeout(&self, handler: HandlerId, timeout: Duration) -> Duration {
         match &self.quota_gate {
             Some(gate) => gate.max_call_wait(handler, timeout),
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Hands quotas, tenants' rates and ceilings to the decision module, those that may have changed.
+    /// Passes quotas, tenants' rates and ceilings to the decision module if they may have changed.
     pub(super) fn update_decider(&mut self, now: Timestamp, decider: &mut Decider) {
         let quota_changed = self.update_quotas(now, decider);
         let limiter = self.concurrency.as_ref();
@@ -78,7 +79,8 @@
         }
     }
 
-    /// Hands over what the fleet's quotas allow; gives whether that changed.
+    /// Passes the fleet's quotas and the tenants' rates to the decision module. Returns whether the
+    /// quotas have changed.
     fn update_quotas(&mut self, now: Timestamp, decider: &mut Decider) -> bool {
         let Some(gate) = &mut self.quota_gate else {
             return false;
@@ -96,7 +98,7 @@
         changed
     }
 
-    /// Hands over the ceilings of all pools and quotas.
+    /// Passes the ceilings of all pools and quotas to the decision module.
     fn update_ceilings(&mut self, now: Timestamp, decider: &mut Decider) {
         let workers = decider.status().concurrency_limit;
         let mut ceilings = match &mut self.concurrency {
@@ -108,7 +110,7 @@
         self.log_limit_changes();
     }
 
-    /// Logs how the limit on calls has changed since the last time.
+    /// Logs the changes of the limit on calls since the last time.
     fn log_limit_changes(&mut self) {
         let Some(limiter) = &mut self.concurrency else {
             return;
@@ -123,7 +125,7 @@
         }
     }
 
-    /// The counters of the pools, a line each.
+    /// Returns the counters of the pools, one line each.
     pub(super) fn counters(&self) -> String {
         self.concurrency
             .as_ref()
--- a/crates/server/src/core/request_observer.rs
+++ b/crates/server/src/core/request_observer.rs
@@ -1,26 +1,26 @@
-//! Who follows each request in flight from its arrival to its end: concurrency limits, and quotas of the fleet.
+//! Observers of the requests in flight: the concurrency limits, and the quotas of the fleet.
 //!
-//! An observer is given every stage of every request. It never ends a request; what it finds reaches the
-//! decision module as ceilings.
+//! An observer is notified of every stage of every request, from its arrival to its end. It never
+//! ends a request; its limits reach the decision module as ceilings.
 
 use madderbay::interface::HandlerId;
 use madderbay::time::Timestamp;
 use madderbay_concurrency::limit::Completion;
 use madderbay_concurrency::{ConcurrencyLimiter, RequestStage};
 
-/// Follows requests in flight. Requests are named by their ids, handlers by their indices.
+/// Observes requests in flight. Requests are identified by their ids, handlers by their indices.
 pub(super) trait RequestObserver {
-    /// A request is new or has reached another stage.
+    /// Called when a request is new or has reached another stage.
     fn set_stage(&mut self, now: Timestamp, id: u64, handler: HandlerId, stage: RequestStage);
-    /// This process was stalled until now.
+    /// Called when this process was stalled until now.
     fn process_stalled(&mut self, _now: Timestamp) {}
-    /// The upstream call of a request ended.
+    /// Called when the upstream call of a request has ended.
     fn call_finished(&mut self, now: Timestamp, id: u64, end: Completion);
-    /// The run of a request goes on without its call.
+    /// Called when the run of a request continues without its call.
     fn call_skipped(&mut self, now: Timestamp, id: u64);
-    /// A request is answered, and its run goes on.
+    /// Called when a request was answered and its run continues.
     fn request_answered(&mut self, now: Timestamp, id: u64);
-    /// A request is over, or needs no run of its own.
+    /// Called when a request has ended or needs no run of its own.
     fn request_finished(&mut self, now: Timestamp, id: u64);
 }
 
--- a/crates/server/src/core/server_status.rs
+++ b/crates/server/src/core/server_status.rs
@@ -1,7 +1,7 @@
-//! What this server tells others of itself: its health, its load, and whether it is draining.
+//! The status that this server reports to others: its health, its load, and whether it is draining.
 //!
-//! Owns: these three, and the notification for the registry's driver. Is given: what the decision module sets.
-//! Never judges health, and never sends anything.
+//! [`ServerStatus`] holds what the decision module has set, and notifies the registry's driver of
+//! changes. It neither judges the health nor sends anything itself.
 
 use std::rc::Rc;
 use tokio::sync::Notify;
@@ -26,27 +26,27 @@
 }
 
 impl ServerStatus {
-    /// Whether the decision module finds the server healthy.
+    /// Reports whether the decision module considers the server healthy.
     pub(super) fn is_healthy(&self) -> bool {
         self.healthy
     }
 
-    /// Whether the server is shutting down gracefully.
+    /// Reports whether the server is shutting down gracefully.
     pub(super) fn is_draining(&self) -> bool {
         self.draining
     }
 
-    /// The load report for answers, once there is one.
+    /// Returns the load report for answers, once there is one.
     pub(super) fn load_report(&self) -> Option<f64> {
         self.load_report
     }
 
-    /// Notified when health changes and when draining begins.
+    /// Returns what is notified when the health changes and when draining begins.
     pub(super) fn changed(&self) -> Rc<Notify> {
         self.changed.clone()
     }
 
-    /// Sets the health.
+    /// Sets whether the server is healthy. A change is logged and notified.
     pub(super) fn set_health(&mut self, healthy: bool) {
         if std::mem::replace(&mut self.healthy, healthy) != healthy {
             let state = if healthy { "healthy" } else { "unhealthy" };
--- a/crates/server/src/core/turns.rs
+++ b/crates/server/src/core/turns.rs
@@ -1,23 +1,26 @@
-//! The turns of the event loop: after all that was ready has been taken in, deadlines, tick and decisions.
+//! The turns of the event loop. A turn is run after all events that were ready have been processed.
 //!
-//! Is given: the time. A turn handles each deadline that has been reached in order, then the decision module's
-//! tick, and lets the module settle. Never waits: the driver sleeps until [`EventLoop::next_deadline`].
+//! A turn handles the deadlines that have been reached, in order, then the decision module's tick,
+//! and then lets the module settle. A turn never waits: the driver sleeps until
+//! [`EventLoop::next_deadline`].
 
 use super::deadlines::Deadline;
 use super::event_loop::EventLoop;
 use madderbay::time::{Duration, Timestamp};
 
-/// Interval between two removals of expired entries and idle connections: much finer than the life of either.
+/// Interval between two removals of expired entries and idle connections, which is much shorter
+/// than the lifetime of either.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(1_000);
 
 impl EventLoop {
-    /// When the next turn is due at the latest.
+    /// Returns the latest time at which the next turn is due.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         self.executor.deadlines.next()
     }
 
-    /// One turn, after all that was ready has been taken in: the deadlines that have been reached, the decision
-    /// module's tick, and its decisions.
+    /// Runs one turn, after all events that were ready have been processed: handles the deadlines
+    /// that have been reached and the decision module's tick, and lets the module make its
+    /// decisions.
     pub fn run_turn(&mut self, now: Timestamp) {
         self.executor.now = now;
         while let Some(deadline) = self.executor.deadlines.pop_due(now) {
@@ -40,34 +43,36 @@
             Deadline::FirstRequest(connection) => {
                 self.first_request_deadline_reached(now, connection);
             }
-            // The disk is slower than the client's timeout: a result that is not durable can't be its answer.
+            // The disk is slower than the client's timeout. A result that is not durable can't be
+            // sent as the answer.
             Deadline::DurableAnswer(id) => self.executor.answer_run(id, None),
             Deadline::Maintenance => self.maintain(now),
         }
     }
 
-    /// Checks a connection at its limit on idling, and sets the next check.
+    /// Checks a connection that has reached the limit on idle time, and schedules the next check.
     fn idle_deadline_reached(&mut self, now: Timestamp, connection: u64) {
         let connections = self.executor.downstream.connections_mut();
         let next_check = connections.idle_deadline_reached(now, connection);
         self.schedule_check(next_check, Deadline::ConnectionIdle(connection));
     }
 
-    /// Checks a new connection that should have carried a request, and sets the next check.
+    /// Checks a new connection that should have carried a request by now, and schedules the next
+    /// check.
     fn first_request_deadline_reached(&mut self, now: Timestamp, connection: u64) {
         let connections = self.executor.downstream.connections_mut();
         let next_check = connections.first_request_deadline_reached(now, connection);
         self.schedule_check(next_check, Deadline::FirstRequest(connection));
     }
 
-    /// Sets the next check of a connection, if there is to be one.
+    /// Schedules the next check of a connection, if there is to be one.
     fn schedule_check(&mut self, at: Option<Timestamp>, deadline: Deadline) {
         if let Some(at) = at {
             self.executor.deadlines.insert(at, deadline);
         }
     }
 
-    /// Removes what has expired and closes what is idle or stalled.
+    /// Removes expired entries, and closes idle and stalled connections.
     fn maintain(&mut self, now: Timestamp) {
         let executor = &mut self.executor;
         executor.calls.close_idle(now);
@@ -78,7 +83,7 @@
             .insert(now + MAINTENANCE_INTERVAL, Deadline::Maintenance);
     }
 
-    /// The decision module's tick, if its timer has reached the deadline.
+    /// Runs the decision module's tick if its timer has reached the deadline.
     fn tick_if_due(&mut self, now: Timestamp) {
         let Some(deadline) = self.executor.deadlines.tick_timer().take_due(now) else {
             return;
--- a/crates/server/src/core/upstream_events.rs
+++ b/crates/server/src/core/upstream_events.rs
@@ -1,8 +1,8 @@
-//! What the engine and the upstream servers report, handed to the decision module: runs and calls, and how they
-//! ended.
+//! Events from the engine and the upstream servers: runs and calls, and how they ended.
 //!
-//! Is given: each notice of the engine and each reply of the catalogue or a backend. Answers the requests whose
-//! runs are over. Never reads a socket and never parses a line.
+//! Notices of the engine and replies of the catalogue or a backend are passed to the decision
+//! module, and the requests whose runs have ended are answered. Sockets are read and lines are
+//! parsed elsewhere.
 
 use super::concurrency_limits;
 use super::deadlines::Deadline;
@@ -18,13 +18,14 @@
 use madderbay_concurrency::RequestStage;
 use madderbay_upstream::AttemptOutcome;
 
-/// A tick that is overdue by more says that this process was stalled, and so that all replies are read late.
+/// If a tick is overdue by more than this, the process was stalled, and so all replies are read
+/// late.
 const STALL_THRESHOLD: Duration = Duration::from_millis(30);
 
 /// Ends of runs and calls.
 impl EventLoop {
-    /// The run of a request ended, and the request was answered or waits for nothing: removes it, answers those
-    /// that joined the run, and reports the end.
+    /// Removes a request whose run has ended and that was answered or needs no answer, answers the
+    /// requests that joined the run, and reports the end to the decision module.
     fn remove_ended_run(
         &mut self,
         now: Timestamp,
@@ -46,7 +47,7 @@
         });
     }
 
-    /// A call is over with all its attempts.
+    /// Handles the end of a call with all its attempts.
     fn call_ended(&mut self, now: Timestamp, id: u64, outcome: Outcome, elapsed: Duration) {
         let executor = &mut self.executor;
         executor.counters.call_ended(outcome);
@@ -70,7 +71,7 @@
         });
     }
 
-    /// A call is not over at its deadline.
+    /// Handles a call that has not ended at its deadline.
     pub(super) fn call_timed_out(&mut self, now: Timestamp, id: u64) {
         let executor = &mut self.executor;
         let Some(request) = executor.requests.get_mut(id) else {
@@ -90,9 +91,10 @@
     }
 }
 
-/// The engine's start, its runs, and its link after a loss.
+/// The start of the engine, its runs, and recovery after the link was lost.
 impl EventLoop {
-    /// Notices were lost for good: any run may have ended, so all that were started fail and none is sent again.
+    /// Handles the permanent loss of notices: any run may have ended, so all runs that were started
+    /// fail and none is sent again.
     fn fail_started_runs(&mut self, now: Timestamp) {
         let started = self.executor.requests.started();
         log::warn!("engine: notices lost, runs_failed={}", started.len());
@@ -102,8 +104,9 @@
         }
     }
 
-    /// All notices that were missed have been read: sends again what may not have reached the engine. That starts
-    /// nothing twice, since all runs that ended meanwhile are known.
+    /// Sends the commands again that may not have reached the engine, after all missed notices have
+    /// been read. No run is started twice, since all runs that have ended in the meantime are
+    /// known.
     fn resend_commands(&mut self, now: Timestamp) {
         let executor = &mut self.executor;
         executor.now = now;
@@ -113,9 +116,10 @@
         }
     }
 
-    /// A run can't have the reply to its call: none can be made, or it is unknown whether the run has read it. If the
-    /// call is optional the run is told to skip it by its serial number, which has no effect on a run that went on. Any
-    /// other request fails.
+    /// Handles a run that can't get the reply to its call: no call can be made, or it is unknown
+    /// whether the run has read the reply. If the call is optional, the run is told to skip it by
+    /// its serial number, which has no effect on a run that has continued. Otherwise the request
+    /// fails.
     fn skip_call_or_fail(&mut self, now: Timestamp, id: u64) {
         let Some(request) = self.executor.requests.unanswered(id) else {
             return;
@@ -128,12 +132,13 @@
         }
     }
 
-    /// Whether the run of a request has not ended though nobody waits for its answer.
+    /// Reports whether the run of a request has not ended although nobody waits for its answer.
     fn is_run_orphaned(&self, id: u64) -> bool {
         self.is_tracked_by_decider(id) && self.executor.requests.unanswered(id).is_none()
     }
 
-    /// The engine declined to run a request: nothing ran or will, and a further attempt of its key is a new one.
+    /// Handles a run that the engine declined: nothing has run or will run, and a further attempt
+    /// with its key is a new request.
     fn run_declined(&mut self, now: Timestamp, id: u64) {
         let outcome = Outcome::AlreadyEnded;
         self.executor.now = now;
@@ -145,7 +150,8 @@
             .remove_key_of_newest_attempt(id);
     }
 
-    /// A run ended that is not in flight. It may be one of a former incarnation, which proves its outcome.
+    /// Handles the end of a run that is not in flight. It may be a run of an earlier incarnation,
+    /// whose outcome is then recorded.
     fn unknown_run_ended(&mut self, name: &AttemptName, outcome: Outcome, result: &str) {
         let executor = &mut self.executor;
         let result = (outcome == Outcome::Completed).then_some(result);
@@ -173,8 +179,8 @@
         self.executor.counters.engine_link_lost();
     }
 
-    /// The engine is up. The first time, the decision module begins; not while draining, when no work is taken
-    /// on any more.
+    /// Handles the notice that the engine is up. The decision module is created the first time, but
+    /// not while the server is draining and accepts no more work.
     fn engine_up(&mut self, now: Timestamp, start: EngineStart) {
         let age_ms = start.age().as_micros() / 1000;
         log::info!("engine: up, how={start}, age_ms={age_ms}");
@@ -186,7 +192,7 @@
         self.request_turn();
     }
 
-    /// The gauges. After a lost link they arrive behind all notices that were missed.
+    /// Handles gauges that were read. After a lost link they arrive after all missed notices.
     fn gauges_read(&mut self, now: Timestamp, values: &[f64], notices_lost: bool) {
         self.record_gauges(values);
         let link_restored = self.executor.engine_commands.link_mut().restored();
@@ -198,7 +204,7 @@
         }
     }
 
-    /// A run waits at a call.
+    /// Handles a run that waits for a call.
     fn call_needed(&mut self, now: Timestamp, name: &AttemptName, serial: u64, body: &str) {
         let executor = &mut self.executor;
         let Some(id) = executor.requests.id(name) else {
@@ -222,7 +228,7 @@
         });
     }
 
-    /// A run is over. A request that still waits for it is answered with its outcome.
+    /// Handles the end of a run. A request that still waits for it is answered with its outcome.
     fn run_ended(
         &mut self,
         now: Timestamp,
@@ -245,7 +251,7 @@
         self.remove_ended_run(now, id, outcome, run_time, result);
     }
 
-    /// The engine did not carry a command out: it knows no such request.
+    /// Handles a command that the engine did not carry out because it knows no such request.
     fn command_declined(&mut self, now: Timestamp, command: DeclinedCommand, name: &AttemptName) {
         self.executor.counters.command_declined();
         log::debug!("engine: command declined, command={command}");
@@ -255,7 +261,8 @@
         if command.is_run() {
             self.run_declined(now, id);
         } else if command.is_cancel() && self.is_run_orphaned(id) {
-            // Nobody waits for the run, and no end of it will come. It may have had its effect.
+            // Nobody waits for the run, and the engine will not report its end. It may have had its
+            // effect.
             self.run_ended(now, name, Outcome::Cancelled, Duration::ZERO, "");
         }
     }
@@ -274,7 +281,7 @@
         self.executor.counters.reply_unreadable();
     }
 
-    /// The reply to a call was read.
+    /// Handles a reply to a call.
     fn reply_read(&mut self, now: Timestamp, upstream_connection: u64, reply: &Reply) {
         let outcome = reply.outcome;
         let calls = &mut self.executor.calls;
@@ -297,7 +304,7 @@
         self.call_ended(now, id, outcome, call.elapsed);
     }
 
-    /// An upstream connection is over, and with it the call on it.
+    /// Handles the end of an upstream connection, and of the call on it.
     fn call_connection_ended(&mut self, now: Timestamp, upstream_connection: u64) {
         let calls = &mut self.executor.calls;
         let Some(call) = calls.connection_ended(now, upstream_connection) else {
