--- a/crates/server/src/core/backend_selector.rs
+++ b/crates/server/src/core/backend_selector.rs
@@ -1,7 +1,8 @@
 //! Selection of backends for the calls of the core.
 //!
-//! A [`BackendSelector`] selects the backends that the operator has set. `BackendRouting` holds the
-//! selector, and which handlers are idempotent; it neither selects backends nor sends calls itself.
+//! A `BackendSelector` selects among the backends that the operator has set. `BackendRouting` holds
+//! the selector, and which handlers are idempotent; it neither selects backends nor sends calls
+//! itself.
 
 use madderbay::interface::{Handler, HandlerId};
 use madderbay::time::Duration;
--- a/crates/server/src/core/concurrency_limits.rs
+++ b/crates/server/src/core/concurrency_limits.rs
@@ -98,7 +98,7 @@
     }
 }
 
-/// Returns a value as it is counted: 0 for `usize::MAX`, which stands for no limit.
+/// Returns 0 for `usize::MAX`, which stands for no limit, and any other value unchanged.
 fn zero_if_unbounded(value: usize) -> u64 {
     if value == usize::MAX { 0 } else { value as u64 }
 }
--- a/crates/server/src/core/durability.rs
+++ b/crates/server/src/core/durability.rs
@@ -1,9 +1,9 @@
 //! Durable results of requests with an idempotency key, and the work that waits for the disk.
 //!
-//! [`DurabilityQueue`] owns the table of durable results and the list of pending work. It is driven
+//! `DurabilityQueue` owns the table of durable results and the list of pending work. It is driven
 //! by the core and never waits for the disk: it sends batches of records to the writer thread,
-//! which reports with a [`StorageEvent`] how far records are durable. At startup, [`open`] recovers
-//! the records of earlier incarnations, and [`start`] starts the writer thread.
+//! which reports with a `StorageEvent` how far records are durable. At startup, `open` recovers the
+//! records of earlier incarnations, and `start` starts the writer thread.
 
 mod writer;
 
--- a/crates/server/src/core/event_loop.rs
+++ b/crates/server/src/core/event_loop.rs
@@ -1,7 +1,7 @@
 //! The event loop of the core: passes each event to the decision module, and lets the module settle
 //! once per turn.
 //!
-//! [`EventLoop`] owns the decision module and the executor of its actions. Each event is a method
+//! `EventLoop` owns the decision module and the executor of its actions. Each event is a method
 //! call with the current time; these methods are in `arrivals`, `stored_results`, `upstream_events`
 //! and `turns`. Outgoing bytes are written to outboxes. The event loop uses no socket and no clock.
 
@@ -151,12 +151,13 @@
         self.work_pending.notify_one();
     }
 
-    /// Returns what is notified when the core has work for a turn.
+    /// Returns the handle that is notified when the core has work for a turn.
     pub fn work_pending(&self) -> Rc<Notify> {
         self.work_pending.clone()
     }
 
-    /// Returns what is notified when the status that is reported to the registry has changed.
+    /// Returns the handle that is notified when the status that is reported to the registry has
+    /// changed.
     pub fn report_changed(&self) -> Rc<Notify> {
         self.executor.downstream.status().changed()
     }
@@ -256,8 +257,8 @@
             .is_some_and(|decider| decider.contains(id))
     }
 
-    /// Creates the decision module. `engine_is_new` tells that the engine was started together with
-    /// this server and that its caches are cold.
+    /// Creates the decision module. `engine_is_new` is set if the engine was started together with
+    /// this server, so that its caches are cold.
     ///
     /// The decision module starts now and not when the engine did, which may be an hour ago.
     /// Otherwise its timer would count as an hour late, and a stop that is requested before the
--- a/crates/server/src/core/handler_names.rs
+++ b/crates/server/src/core/handler_names.rs
@@ -1,6 +1,6 @@
 //! Resolution of handler names in the operator file to indices into the platform's settings.
 //!
-//! [`HandlerResolver`] collects the unknown names while one section is planned, so that all of them
+//! `HandlerResolver` collects the unknown names while one section is planned, so that all of them
 //! are reported together.
 
 use madderbay::interface::HandlerId;
--- a/crates/server/src/core/idempotent_runs.rs
+++ b/crates/server/src/core/idempotent_runs.rs
@@ -2,7 +2,7 @@
 //!
 //! [`IdempotentRuns`] owns the table of keys, and the queue of durable results if the operator has
 //! enabled these. It is notified of the stages of runs whose requests have a key and of the reports
-//! of the writer thread, and tells which runs and answers wait for the disk. It neither sends runs
+//! of the writer thread, and states which runs and answers wait for the disk. It neither sends runs
 //! nor answers requests.
 
 use super::durability::{DurabilityQueue, PendingWork, StorageEvent};
--- a/crates/server/src/core/quota_gate.rs
+++ b/crates/server/src/core/quota_gate.rs
@@ -1,10 +1,10 @@
 //! Enforcement of the fleet's quotas in the core: the budget of each request, the demand for calls
 //! under each budget, and the ceilings for the decision module.
 //!
-//! [`QuotaGate`] tracks the stage of each request and the abandoned calls that may still run
-//! upstream. It is notified of every change of a request as a `RequestObserver`. How much of a
-//! quota this server may use is told by a [`QuotaSource`]; the gate knows nothing of leases or
-//! other servers.
+//! `QuotaGate` tracks the stage of each request and the abandoned calls that may still run
+//! upstream. It is notified of every change of a request as a `RequestObserver`. A `QuotaSource`
+//! provides how much of each quota this server may use; the gate knows nothing of leases or other
+//! servers.
 
 mod demand;
 
@@ -28,8 +28,8 @@
 /// Interval at which the rates of tenants are read from the source.
 const TENANT_RATES_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Tells how much of the fleet's quotas this server may use, and is told this server's demand. It
-/// has a clock of its own.
+/// Provides how much of the fleet's quotas this server may use, and receives this server's demand.
+/// It has a clock of its own.
 pub trait QuotaSource {
     /// Returns the number of calls under a budget that may be in flight now.
     fn usable_calls(&self, budget: BudgetId) -> usize;
@@ -242,8 +242,8 @@
         self.source.tenant_rates()
     }
 
-    /// Records that a request has entered a stage. If it leaves a call that has not ended, the call
-    /// is abandoned.
+    /// Records that a request has entered a stage. If it leaves the calling stage before its call
+    /// has ended, the call is abandoned.
     fn track(&mut self, now: Timestamp, id: u64, request: TrackedRequest) {
         let TrackedRequest {
             budget,
--- a/crates/server/src/core/quota_gate/demand.rs
+++ b/crates/server/src/core/quota_gate/demand.rs
@@ -26,8 +26,8 @@
 }
 
 impl Demand {
-    /// Counts a request that enters a stage. `always_calls` tells whether each run of its handler
-    /// makes a call.
+    /// Counts a request that enters a stage. `always_calls` is set if each run of its handler makes
+    /// a call.
     pub(super) fn enter(&mut self, stage: RequestStage, always_calls: bool) {
         if let Some(count) = self.count_mut(stage, always_calls) {
             *count += 1;
--- a/crates/server/src/core/server_status.rs
+++ b/crates/server/src/core/server_status.rs
@@ -41,7 +41,7 @@
         self.load_report
     }
 
-    /// Returns what is notified when the health changes and when draining begins.
+    /// Returns the handle that is notified when the health changes and when draining begins.
     pub(super) fn changed(&self) -> Rc<Notify> {
         self.changed.clone()
     }
