--- a/crates/server/src/core/arrivals.rs
+++ b/crates/server/src/core/arrivals.rs
@@ -78,8 +78,8 @@
         evicted
     }
 
-    /// Handles a violation of the protocol after which the peer's requests can't be told from
-    /// noise: fails all open requests of the connection and ends it.
+    /// Handles a violation of the protocol after which requests can't be told from invalid input:
+    /// fails all open requests of the connection and ends it.
     pub fn reject_connection(&mut self, now: Timestamp, connection: u64) {
         let connections = self.executor.downstream.connections();
         let Some(open_requests) = connections.open_requests(connection) else {
--- a/crates/server/src/core/idempotent_runs/tests.rs
+++ b/crates/server/src/core/idempotent_runs/tests.rs
@@ -35,7 +35,8 @@
     runs
 }
 
-/// Returns the same with durable results, and the receiver of the batches for the writer thread.
+/// Returns runs with durable results, one request that has [`KEY`], and the receiver of the batches
+/// for the writer thread.
 fn durable_runs() -> (IdempotentRuns, Receiver<Batch>) {
     let mut runs = runs_in_memory();
     let (sender, batches) = channel();
