--- a/crates/server/src/core/deferred_events/tests.rs
+++ b/crates/server/src/core/deferred_events/tests.rs
@@ -1,9 +1,9 @@
-//! The order in which deferred events are handed over.
+//! Tests of the order in which deferred events are processed.
 
 use super::*;
 
 #[test]
-fn hands_over_ended_requests_then_calls_then_runs() {
+fn pops_ended_requests_then_calls_then_runs() {
     let mut events = DeferredEvents::default();
     events.run_not_sent(1);
     events.call_not_made(2);
--- a/crates/server/src/core/dispatch.rs
+++ b/crates/server/src/core/dispatch.rs
@@ -1,7 +1,7 @@
-//! The upstream calls of runs: to the catalogue, or to backends with retries and hedges.
+//! Sends the upstream calls of runs: to the catalogue, or to backends with retries and hedges.
 //!
-//! Is given: a call to be made, and how each of its attempts ended. Asks the backend selector where an attempt
-//! goes, and whether there may be another. Never reads a reply and never judges a backend.
+//! The backend selector selects the backend of each attempt, decides whether there may be another
+//! attempt, and judges the backends. Replies are read elsewhere.
 
 use super::deadlines::Deadline;
 use super::executor::ActionExecutor;
@@ -15,25 +15,25 @@
 
 /// Where a call goes.
 pub(super) enum CallTarget {
-    /// The one catalogue of the configuration.
+    /// The catalogue, the one shared dependency of the configuration.
     Catalogue,
-    /// A backend, as its selector knows the attempt.
+    /// A backend, with the attempt as the backend selector identifies it.
     Backend(UpstreamAttempt),
 }
 
-/// How an attempt ended, on which upstream connection.
+/// How an attempt ended, and on which upstream connection.
 #[derive(Clone, Copy)]
 pub(super) struct AttemptEnd {
     /// The number of the connection that carried it.
     pub(super) upstream_connection: u64,
     /// How it ended.
     pub(super) outcome: Outcome,
-    /// The upstream server said so itself.
+    /// Whether the upstream server itself reported this outcome.
     pub(super) replied: bool,
 }
 
 impl AttemptEnd {
-    /// What this says about a backend.
+    /// Returns the outcome that is reported to the backend selector.
     fn attempt_outcome(&self) -> AttemptOutcome {
         match self.outcome {
             Outcome::Completed => AttemptOutcome::Success,
@@ -48,12 +48,13 @@
     }
 }
 
-/// Whether a call is over with one of its attempts.
+/// Whether a call has ended with one of its attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallProgress {
-    /// Another attempt of it is out.
+    /// Another attempt of the call is in flight.
     Continues,
-    /// It is over. So is a call that has no attempt at a backend: one to the catalogue, or of a request that has ended.
+    /// The call has ended. So has a call that has no attempt at a backend: a call to the catalogue,
+    /// or one of a request that has ended.
     Ended,
 }
 
@@ -62,29 +63,29 @@
     /// catalogue.
     ///
     /// # Errors
-    /// The same call was made before, and gets no retry.
+    /// If the same call was made before and is not retried.
     pub(super) fn select_target(&self, id: u64) -> Result<CallTarget, RetryRefusal> {
         let (Some(selector), Some(request)) = (self.backends.selector(), self.requests.get(id))
         else {
             return Ok(CallTarget::Catalogue);
         };
-        if let Some(former) = request.call.former_attempt() {
+        if let Some(previous) = request.call.previous_attempt() {
             return selector
-                .retry_after_backoff(former)
+                .retry_after_backoff(previous)
                 .map(CallTarget::Backend);
         }
         let first = selector.pick(request.handler);
         Ok(first.map_or(CallTarget::Catalogue, CallTarget::Backend))
     }
 
-    /// Gives back a target that is not called after all.
+    /// Releases a target that is not called after all.
     pub(super) fn release_target(&self, target: &CallTarget) {
         if let CallTarget::Backend(attempt) = target {
             self.backends.finish(attempt, AttemptOutcome::Cancelled);
         }
     }
 
-    /// Sends the call that the run of a request waits at.
+    /// Sends the call that the run of a request waits for.
     pub(super) fn send_call(&mut self, id: u64, timeout: Duration, target: CallTarget) {
         match target {
             CallTarget::Catalogue => self.send_to_catalogue(id, timeout),
@@ -106,7 +107,8 @@
         }
     }
 
-    /// The time after which the first attempt of a call is hedged, if it is.
+    /// Returns the time after which the first attempt of a call is hedged, or `None` if it is not
+    /// hedged.
     fn hedge_delay(&self, id: u64, first: &UpstreamAttempt, timeout: Duration) -> Option<Duration> {
         let handler = self.requests.get(id)?.handler;
         let call = HedgeCandidate {
@@ -138,11 +140,12 @@
         request.call.attempt_sent(BackendAttempt {
             upstream_connection,
             attempt,
-            since: self.now,
+            sent_at: self.now,
         });
     }
 
-    /// An attempt of a call ended. Reports it to the selector, and makes another one if none is out.
+    /// Handles the end of an attempt of a call: reports it to the selector, and retries a failed
+    /// call if no other attempt is in flight.
     pub(super) fn attempt_ended(
         &mut self,
         now: Timestamp,
@@ -156,25 +159,26 @@
         let Some(ended) = request.call.take_attempt(end.upstream_connection) else {
             return CallProgress::Ended;
         };
-        let other_attempts = request.call.has_attempts();
+        let has_other_attempts = request.call.has_attempts();
         let attempt_outcome = end.attempt_outcome();
         self.backends.finish(&ended.attempt, attempt_outcome);
         if end.outcome == Outcome::Completed {
-            self.end_overtaken_attempts(id, ended.since);
+            self.end_remaining_attempts(id, ended.sent_at);
             CallProgress::Ended
-        } else if other_attempts {
+        } else if has_other_attempts {
             CallProgress::Continues
         } else {
             self.retry(id, &ended.attempt, attempt_outcome)
         }
     }
 
-    /// An attempt succeeded that was sent at `since`: ends the others. One that was sent before lost to a hedge.
-    fn end_overtaken_attempts(&mut self, id: u64, since: Timestamp) {
+    /// Ends the remaining attempts of a call after an attempt that was sent at `sent_at` has
+    /// succeeded. If one of them was sent earlier, they lost to a hedge.
+    fn end_remaining_attempts(&mut self, id: u64, sent_at: Timestamp) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        let all_later = request.call.attempts().iter().all(|a| a.since >= since);
+        let all_later = request.call.attempts().iter().all(|a| a.sent_at >= sent_at);
         let outcome = if all_later {
             AttemptOutcome::Cancelled
         } else {
@@ -183,11 +187,11 @@
         self.end_attempts(id, outcome);
     }
 
-    /// Retries a call at once at another backend, if the retry policy allows it.
+    /// Retries a call immediately at another backend, if the retry policy allows it.
     fn retry(
         &mut self,
         id: u64,
-        former: &UpstreamAttempt,
+        previous: &UpstreamAttempt,
         outcome: AttemptOutcome,
     ) -> CallProgress {
         let (Some(selector), Some(request)) = (self.backends.selector(), self.requests.get(id))
@@ -201,7 +205,7 @@
             is_idempotent: self.backends.is_idempotent(request.handler),
             time_left,
         };
-        match selector.retry(former, call) {
+        match selector.retry(previous, call) {
             Ok(attempt) => {
                 self.send_attempt(id, attempt, time_left);
                 CallProgress::Continues
@@ -210,7 +214,8 @@
         }
     }
 
-    /// The hedge of a call is due: sends it if only the first attempt is out, and the hedge policy allows it.
+    /// Handles the deadline of a hedge: sends the hedge if only one attempt is in flight and the
+    /// hedge policy allows it.
     pub(super) fn hedge_deadline_reached(&mut self, now: Timestamp, id: u64) {
         self.now = now;
         let Some(request) = self.requests.get_mut(id) else {
@@ -230,7 +235,7 @@
         }
     }
 
-    /// Ends all attempts of a call that are out, all with the same outcome.
+    /// Ends all attempts of a call that are in flight, all with the same outcome.
     pub(super) fn end_attempts(&mut self, id: u64, outcome: AttemptOutcome) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -244,7 +249,7 @@
         }
     }
 
-    /// Gives up the call that is out for a request, if there is one.
+    /// Gives up the call in flight of a request, if there is one.
     pub(super) fn cancel_call(&mut self, id: u64) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
