--- a/src/decide/arrivals.rs
+++ b/src/decide/arrivals.rs
@@ -140,7 +140,7 @@
         let inputs = AdmissionInputs {
             weight: self.requests[slot].weight,
             is_idempotent: self.handler_of(slot).is_idempotent(),
-            is_server_idle: self.requests.is_idle_but_for_overdue(),
+            is_server_idle: self.requests.is_idle_except_overdue(),
         };
         self.admission.decide(inputs, &mut self.random)
     }
--- a/src/decide/starts.rs
+++ b/src/decide/starts.rs
@@ -30,7 +30,7 @@
             now,
             remaining_run_secs: self.remaining_run_secs(),
             concurrency_limit: self.concurrency.limit(),
-            is_idle: self.requests.is_idle_but_for_overdue(),
+            is_idle: self.requests.is_idle_except_overdue(),
         };
         let queue = self.queue.in_order().into_iter();
         let planned = queue.map(|slot| self.planned(slot));
@@ -70,7 +70,7 @@
         let slot = self.queue.first(|slot| self.may_start(slot))?;
         // Where all runs are overdue, one more shows whether the engine still ends runs.
         let fits_limit = (self.requests.running() + 1) as f64 <= max_runs
-            || self.requests.is_idle_but_for_overdue();
+            || self.requests.is_idle_except_overdue();
         let growth_kb = self.requests.growth_kb(slot);
         let fits_memory = self.memory.may_start(self.used_memory_kb(), growth_kb);
         (fits_limit && fits_memory).then_some(slot)
--- a/src/decide/unresponsive_runs.rs
+++ b/src/decide/unresponsive_runs.rs
@@ -53,10 +53,10 @@
     /// check is not enough: a cancellation is lost where the cores are stalled at that moment.
     pub(super) fn decide(self, watch: &mut EndWatch) -> EndDecision {
         watch.checks += 1;
-        watch.missed_ends += u32::from(self.ended_runs > watch.ended_runs);
-        watch.absences += u32::from(self.are_cores_idle);
-        let is_overdue = watch.absences >= MAX_ABSENCES || watch.checks >= MAX_CHECKS;
-        if is_overdue && watch.missed_ends >= MAX_ABSENCES {
+        watch.checks_with_other_ends += u32::from(self.ended_runs > watch.ended_runs);
+        watch.checks_with_idle_cores += u32::from(self.are_cores_idle);
+        let is_overdue = watch.checks_with_idle_cores >= MAX_ABSENCES || watch.checks >= MAX_CHECKS;
+        if is_overdue && watch.checks_with_other_ends >= MAX_ABSENCES {
             return EndDecision::Abandon;
         }
         EndDecision::Wait { is_overdue }
--- a/src/request.rs
+++ b/src/request.rs
@@ -66,9 +66,9 @@
     /// Times that it should have ended.
     pub(crate) checks: u32,
     /// Of these, the times that other runs ended meanwhile.
-    pub(crate) missed_ends: u32,
+    pub(crate) checks_with_other_ends: u32,
     /// Of these, the times that the engine had no run on its cores.
-    pub(crate) absences: u32,
+    pub(crate) checks_with_idle_cores: u32,
     /// Runs that had ended when the end was last expected.
     pub(crate) ended_runs: u64,
 }
@@ -108,7 +108,7 @@
     memory_kb: f64,
     stage: Stage,
     /// Its run should have ended long ago, and counts no more.
-    place_released: bool,
+    is_released: bool,
     /// Its run on the cores should have ended long ago, and does not stand for the load.
     is_overdue: bool,
 }
@@ -155,8 +155,8 @@
     }
 
     /// Whether its run says something of the load: not one that should have ended long ago, or before others did.
-    fn stands_for_load(&self) -> bool {
-        self.has_started() && !self.is_overdue && !self.place_released
+    fn reflects_load(&self) -> bool {
+        self.has_started() && !self.is_overdue && !self.is_released
     }
 
     /// Moves the request to a stage that may follow the present one.
@@ -242,7 +242,7 @@
     pub(crate) fn ages_on_cores(&self, now: Timestamp) -> RunAges {
         let mut ages = RunAges::default();
         for request in self.requests.values() {
-            if request.is_running() && request.stands_for_load() {
+            if request.is_running() && request.reflects_load() {
                 ages.runs += 1.0;
                 ages.seconds += (now - request.started).as_secs_f64();
             }
@@ -252,7 +252,7 @@
 
     /// The started request that reached the machine first, of those that say something of the load.
     pub(crate) fn oldest_started(&self) -> Option<&Request> {
-        let started = self.requests.values().filter(|r| r.stands_for_load());
+        let started = self.requests.values().filter(|r| r.reflects_load());
         started.min_by_key(|r| r.reached)
     }
 
@@ -272,7 +272,7 @@
     }
 
     /// Whether no run is in flight, or only runs that are overdue.
-    pub(crate) fn is_idle_but_for_overdue(&self) -> bool {
+    pub(crate) fn is_idle_except_overdue(&self) -> bool {
         self.running == self.overdue
     }
 
@@ -369,8 +369,8 @@
     pub(crate) fn release_run(&mut self, slot: RequestSlot) {
         self.set_run_stage(slot, Stage::AtCall);
         let request = &mut self.requests[slot];
-        if !request.place_released {
-            request.place_released = true;
+        if !request.is_released {
+            request.is_released = true;
             self.running -= 1;
             self.handler_loads[request.handler.index()].runs -= 1;
         }
@@ -386,10 +386,10 @@
             return;
         }
         self.running_kb -= request.memory_kb;
-        self.running -= usize::from(!request.place_released);
+        self.running -= usize::from(!request.is_released);
         self.overdue -= usize::from(request.is_overdue);
         let load = &mut self.handler_loads[request.handler.index()];
-        load.runs -= usize::from(!request.place_released);
+        load.runs -= usize::from(!request.is_released);
         load.calls -= usize::from(request.stage == Stage::Calling);
     }
 }
