--- a/src/idempotency.rs
+++ b/src/idempotency.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, Default)]
 struct Entry {
     runner: Option<RequestSlot>,
-    has_run: bool,
+    run_started: bool,
     /// When the stored entry expires, while there is one.
     stored_until: Option<Timestamp>,
     waiting: Vec<RequestSlot>,
@@ -83,7 +83,7 @@
         in_flight: impl Fn(RequestSlot) -> bool,
     ) -> AttemptRole {
         let entry = &mut self.entries[key];
-        if entry.has_run {
+        if entry.run_started {
             return AttemptRole::Join;
         }
         if entry.runner.is_some_and(in_flight) {
@@ -109,7 +109,7 @@
     /// Records that the runner started; returns the attempts that wait for it, which are bound no more.
     pub(crate) fn start_run(&mut self, key: KeySlot) -> Vec<RequestSlot> {
         let entry = &mut self.entries[key];
-        entry.has_run = true;
+        entry.run_started = true;
         std::mem::take(&mut entry.waiting)
     }
 
@@ -120,9 +120,9 @@
         attempt: RequestSlot,
     ) -> Option<Vec<RequestSlot>> {
         let entry = &mut self.entries[key];
-        entry.waiting.retain(|f| *f != attempt);
-        let was_to_run = entry.runner == Some(attempt) && !entry.has_run;
-        was_to_run.then(|| std::mem::take(&mut entry.waiting))
+        entry.waiting.retain(|other| *other != attempt);
+        let was_runner = entry.runner == Some(attempt) && !entry.run_started;
+        was_runner.then(|| std::mem::take(&mut entry.waiting))
     }
 
     /// Records that the key is stored until then.
--- a/tests/arbitrary_events.rs
+++ b/tests/arbitrary_events.rs
@@ -16,16 +16,16 @@
 
 /// Counts the actions of one batch.
 #[derive(Default)]
-struct ActionCount(usize);
+struct ActionCounter(usize);
 
-impl ActionCount {
+impl ActionCounter {
     fn count(&mut self) {
         self.0 += 1;
         assert!(self.0 < MAX_ACTIONS, "the batch has no end");
     }
 }
 
-impl Actions for ActionCount {
+impl Actions for ActionCounter {
     fn start(&mut self, _id: u64) {
         self.count();
     }
@@ -86,9 +86,9 @@
     /// The clock goes on by so many milliseconds.
     Wait(u64),
     /// The clock leaps to this time, in milliseconds, perhaps back.
-    Leap(u64),
+    JumpTo(u64),
     /// The clock stands at its end.
-    End,
+    JumpToEnd,
 }
 
 fn any_outcome() -> impl Strategy<Value = Outcome> {
@@ -113,8 +113,8 @@
         6 => Just(Event::Tick),
         1 => Just(Event::Drain),
         6 => (0..400u64).prop_map(Event::Wait),
-        3 => (0..100_000u64).prop_map(Event::Leap),
-        1 => Just(Event::End),
+        3 => (0..100_000u64).prop_map(Event::JumpTo),
+        1 => Just(Event::JumpToEnd),
     ]
 }
 
@@ -180,7 +180,7 @@
 impl History {
     fn play(&mut self, event: Event) {
         let now = self.now;
-        let out = &mut ActionCount::default();
+        let out = &mut ActionCounter::default();
         match event {
             Event::Arrival { handler, retry_of } => self.arrive(handler, retry_of, out),
             Event::ClientGone(id) => self.decider.on_client_gone(now, id, out),
@@ -201,13 +201,13 @@
             }
             Event::Drain => self.decider.drain(now, Duration::from_millis(500)),
             Event::Wait(millis) => self.now = now + Duration::from_millis(millis),
-            Event::Leap(millis) => self.now = Timestamp::from_micros(millis * 1_000),
-            Event::End => self.now = Timestamp::from_micros(u64::MAX),
+            Event::JumpTo(millis) => self.now = Timestamp::from_micros(millis * 1_000),
+            Event::JumpToEnd => self.now = Timestamp::from_micros(u64::MAX),
         }
-        self.decider.settle(self.now, &mut ActionCount::default());
+        self.decider.settle(self.now, &mut ActionCounter::default());
     }
 
-    fn arrive(&mut self, handler: usize, retry_of: u64, out: &mut ActionCount) {
+    fn arrive(&mut self, handler: usize, retry_of: u64, out: &mut ActionCounter) {
         if self.arrivals == MAX_REQUESTS {
             return;
         }
@@ -235,7 +235,7 @@
     /// A run that should have ended was checked again at a time that had passed, without an end, where the clock had
     /// leapt since the last tick.
     #[test]
-    fn ends_each_batch_whatever_the_clock(
+    fn every_batch_terminates_whatever_the_clock(
         is_cancellable in any::<bool>(),
         events in proptest::collection::vec(any_event(), 1..80),
     ) {
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -57,8 +57,8 @@
 }
 
 /// Runs that a machine supports after that fraction of its warm-up.
-fn supported(machine: &Machine, warmed: f64) -> f64 {
-    let speed = (machine.cold_speed + (1.0 - machine.cold_speed) * warmed).min(1.0);
+fn supported(machine: &Machine, warm_up_fraction: f64) -> f64 {
+    let speed = (machine.cold_speed + (1.0 - machine.cold_speed) * warm_up_fraction).min(1.0);
     f64::from(machine.cores) * (1.0 + (machine.max_concurrency_per_core - 1.0) * speed)
 }
 
@@ -136,11 +136,11 @@
         for id in std::mem::take(&mut out.started) {
             decider.on_run_ended(now, id, Outcome::Completed, Duration::from_millis(50));
         }
-        let warmed = (now - START).as_secs_f64() / WARM_UP.as_secs_f64();
+        let warm_up_fraction = (now - START).as_secs_f64() / WARM_UP.as_secs_f64();
         let clients = clients.max(if tick > 60 { f64::from(active) } else { 0.0 });
         let value = out.load_report.expect("reported");
-        if warmed < 1.0 {
-            let max = supported(&machine, warmed);
+        if warm_up_fraction < 1.0 {
+            let max = supported(&machine, warm_up_fraction);
             assert!(
                 value * clients <= max,
                 "{value} to each of {clients} at {now:?}, over {max}"
--- a/tests/scenario_runner/events.rs
+++ b/tests/scenario_runner/events.rs
@@ -106,9 +106,9 @@
 
 /// The event of a part; `index` is added to its request's identifier.
 fn event(mut words: Words, index: u64, setup: &Setup) -> Result<EventKind, WordError> {
-    let what = words.next("event")?;
+    let keyword = words.next("event")?;
     let line = &mut words;
-    let kind = match what {
+    let kind = match keyword {
         "request" => EventKind::Request(arrival(line, index, setup)?),
         "completed" => run_ended(line, index, Outcome::Completed)?,
         "failed" => run_ended(line, index, Outcome::Failed)?,
@@ -139,7 +139,7 @@
             duration: line.next_duration()?,
         },
         "wait" => EventKind::Wait,
-        _ => return Err(WordError::new(what, Problem::UnknownEvent)),
+        _ => return Err(WordError::new(keyword, Problem::UnknownEvent)),
     };
     words.finish()?;
     Ok(kind)
--- a/tests/scenario_runner/script.rs
+++ b/tests/scenario_runner/script.rs
@@ -70,10 +70,10 @@
     }
 
     fn add_setup(&mut self, mut words: Words) -> Result<(), WordError> {
-        let what = words.next("what to set up")?;
+        let keyword = words.next("what to set up")?;
         if !self.steps.is_empty() {
-            return Err(WordError::new(what, Problem::LateSetup));
+            return Err(WordError::new(keyword, Problem::LateSetup));
         }
-        self.setup.apply(what, words)
+        self.setup.apply(keyword, words)
     }
 }
--- a/tests/scenario_runner/setup.rs
+++ b/tests/scenario_runner/setup.rs
@@ -47,9 +47,9 @@
     }
 
     /// Applies one line, given its first word and the others.
-    pub(crate) fn apply(&mut self, what: &str, mut words: Words) -> Result<(), WordError> {
+    pub(crate) fn apply(&mut self, keyword: &str, mut words: Words) -> Result<(), WordError> {
         let line = &mut words;
-        match what {
+        match keyword {
             "machine" => self.machine = machine(line)?,
             "handler" => self.handlers.push(named_handler(line)?),
             "tenant" => self.tenants.push(tenant(line)?),
@@ -57,7 +57,7 @@
             "clients" => self.downstream = downstream(line)?,
             "position" => self.position = position(line)?,
             "rules" => self.rules = rules(line)?,
-            _ => return Err(WordError::new(what, Problem::UnknownLine)),
+            _ => return Err(WordError::new(keyword, Problem::UnknownLine)),
         }
         words.finish()
     }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn missing_word_is_reported_with_file_line_and_word_before() {
+fn missing_word_is_reported_with_file_line_and_preceding_word() {
     assert_reported(&[
         ("100ms", "100ms", Problem::Missing("event")),
         ("100ms request", "request", Problem::Missing("identifier")),
