--- a/src/abandoned_calls.rs
+++ b/src/abandoned_calls.rs
@@ -1,20 +1,21 @@
 //! Upstream calls that were given up on and may still run.
 //!
-//! A caller that stops waiting does not end the call: it occupies the upstream until its lifetime is over.
-//! [`AbandonedCalls`](crate::abandoned_calls::AbandonedCalls) owns the end of each and is given the time. What an occupied place means is decided by whoever
-//! counts calls: the decision module, a concurrency limit, or a quota.
+//! When a caller stops waiting, its call still occupies the upstream until the call's lifetime is over.
+//! [`AbandonedCalls`](crate::abandoned_calls::AbandonedCalls) records when each such call ends; its methods are
+//! passed the current time. How an abandoned call counts is up to the user of this type: the decision module, a
+//! concurrency limit, or a quota.
 
 use crate::time::{Duration, Timestamp};
 use std::collections::VecDeque;
 
-/// One call that nobody waits for.
+/// One abandoned call.
 #[derive(Debug)]
 struct AbandonedCall<Call> {
     ends_at: Timestamp,
     call: Call,
 }
 
-/// The abandoned calls that may still run, each with what its counter needs to know of it.
+/// The abandoned calls that may still run, each with a value of type `Call` that its user needs when the call ends.
 ///
 /// ```
 /// use madderbay::abandoned_calls::AbandonedCalls;
@@ -28,14 +29,14 @@
 /// ```
 #[derive(Debug)]
 pub struct AbandonedCalls<Call> {
-    /// How long an abandoned call may go on; zero where it ends at once.
+    /// How long an abandoned call may still run; zero where it ends at once.
     lifetime: Duration,
-    /// In the order of their ends.
+    /// Ordered by when they end.
     calls: VecDeque<AbandonedCall<Call>>,
 }
 
 impl<Call> AbandonedCalls<Call> {
-    /// No calls; each that is abandoned may go on for `lifetime`.
+    /// Returns an empty set; each call that is added to it may still run for `lifetime`.
     pub fn new(lifetime: Duration) -> AbandonedCalls<Call> {
         AbandonedCalls {
             lifetime,
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Adds a call that nobody waits for from `now` on. Returns it where abandoned calls end at once.
+    /// Adds a call that is abandoned at `now`. Returns the call instead if abandoned calls end at once.
     pub fn abandon(&mut self, now: Timestamp, call: Call) -> Option<Call> {
         if self.lifetime == Duration::ZERO {
             return Some(call);
@@ -53,23 +54,23 @@
         None
     }
 
-    /// Removes and returns the first call whose time is over.
+    /// Removes and returns the first call whose lifetime is over.
     pub fn pop_ended(&mut self, now: Timestamp) -> Option<Call> {
         let ended = self.calls.pop_front_if(|call| call.ends_at <= now)?;
         Some(ended.call)
     }
 
-    /// Removes all calls whose time is over.
+    /// Removes all calls whose lifetime is over.
     pub fn remove_ended(&mut self, now: Timestamp) {
         while self.pop_ended(now).is_some() {}
     }
 
-    /// Calls that were not removed.
+    /// Returns the number of calls that have not been removed.
     pub fn len(&self) -> usize {
         self.calls.len()
     }
 
-    /// Whether there is none.
+    /// Reports whether no call is left.
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
     }
--- a/src/ceilings.rs
+++ b/src/ceilings.rs
@@ -1,6 +1,6 @@
 //! External ceilings on the runs and calls of groups of handlers.
 //!
-//! Owns the ceilings in force. Whether a load is within them, and what follows, is decided elsewhere.
+//! Stores the ceilings in force. Whether a load is within them, and what to do if not, is decided by the caller.
 
 use crate::interface::{Ceiling, HandlerId};
 
@@ -8,15 +8,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CeilingId(usize);
 
-/// How long the start intervals over a handler delay its next request.
+/// How long the start intervals of a handler's ceilings delay its next request.
 #[derive(Debug, Default)]
 pub(crate) struct StartDelay {
     pub(crate) seconds: f64,
-    /// The ceiling that makes the delay.
+    /// The ceiling that causes the delay; `None` if there is no delay.
     pub(crate) ceiling: Option<CeilingId>,
 }
 
-/// The queued requests under each ceiling.
+/// Number of queued requests under each ceiling.
 #[derive(Debug)]
 pub(crate) struct QueuedCounts(Vec<f64>);
 
@@ -33,7 +33,7 @@
         self.0.is_empty()
     }
 
-    /// The ceilings over a handler.
+    /// Returns the ceilings that cover a handler.
     pub(crate) fn over(&self, handler: HandlerId) -> impl Iterator<Item = &Ceiling> {
         self.ids_over(handler).map(|id| &self.0[id.0])
     }
@@ -43,12 +43,12 @@
         ids.filter(move |id| self.covers(*id, handler))
     }
 
-    /// Whether a ceiling covers the handler.
+    /// Reports whether a ceiling covers the handler.
     pub(crate) fn covers(&self, ceiling: CeilingId, handler: HandlerId) -> bool {
         self.0[ceiling.0].handlers.contains(&handler)
     }
 
-    /// Counts queued requests, given by their handlers, under each ceiling.
+    /// Returns the number of queued requests under each ceiling; `handlers` has the handler of each queued request.
     pub(crate) fn count(&self, handlers: impl Iterator<Item = HandlerId>) -> QueuedCounts {
         let mut counts = QueuedCounts(vec![0.0; self.0.len()]);
         for handler in handlers {
@@ -57,21 +57,21 @@
         counts
     }
 
-    /// Counts one more queued request.
+    /// Adds a queued request of this handler to the counts.
     pub(crate) fn add(&self, counts: &mut QueuedCounts, handler: HandlerId) {
         for id in self.ids_over(handler) {
             counts.0[id.0] += 1.0;
         }
     }
 
-    /// Counts one queued request less.
+    /// Removes a queued request of this handler from the counts.
     pub(crate) fn remove(&self, counts: &mut QueuedCounts, handler: HandlerId) {
         for id in self.ids_over(handler) {
             counts.0[id.0] -= 1.0;
         }
     }
 
-    /// The longest delay that the ceilings over a handler make for the last of the queued requests.
+    /// Returns the longest delay that the ceilings of a handler cause for the last of the queued requests.
     pub(crate) fn start_delay(&self, handler: HandlerId, queued: &QueuedCounts) -> StartDelay {
         let mut longest = StartDelay::default();
         for id in self.ids_over(handler) {
--- a/src/estimators.rs
+++ b/src/estimators.rs
@@ -1,18 +1,18 @@
-//! Estimators: averages, rates, ranks, regressions, recent clients.
+//! Estimators: averages, rates, ranks, regressions, recently seen clients.
 //!
-//! Each owns what it measured and is given samples. This is arithmetic only: what is measured, and what follows from
-//! it, is decided by the caller.
+//! Each estimator is given samples and keeps its estimate. The caller decides what is measured and what follows from
+//! the estimate.
 
 use crate::time::{Duration, Timestamp};
 use std::array::from_fn;
 use std::collections::{HashMap, VecDeque};
 
-/// Largest absolute value of an entry of the covariance, so that it cannot overflow.
+/// Largest absolute value of an entry of the covariance matrix; prevents overflow.
 const MAX_COVARIANCE: f64 = 1e6;
-/// Least variance of a regression's input, so that no slope is infinite.
+/// Least variance of a regression's input; prevents infinite slopes.
 const MIN_VARIANCE: f64 = 1e-9;
 
-/// Average of samples; the newest counts by its weight.
+/// Exponentially weighted moving average.
 #[derive(Debug)]
 pub(crate) struct Average {
     value: f64,
@@ -20,7 +20,7 @@
 }
 
 impl Average {
-    /// Begins at a first guess; `weight`, 0 to 1, is that of the newest sample.
+    /// Returns an average that begins at a first guess. `weight`, 0 to 1, is the weight of the newest sample.
     pub(crate) fn new(first_guess: f64, weight: f64) -> Average {
         Average {
             value: first_guess,
@@ -36,7 +36,7 @@
         self.value += self.weight * (sample - self.value);
     }
 
-    /// Lets the average drift to a rest, from which it keeps that fraction of its distance.
+    /// Moves the average towards `rest`; `kept_fraction` of its distance from `rest` remains.
     pub(crate) fn relax_towards(&mut self, rest: f64, kept_fraction: f64) {
         self.value = rest + (self.value - rest) * kept_fraction;
     }
@@ -52,7 +52,7 @@
     }
 }
 
-/// Rate of events, decaying exponentially between them.
+/// Rate of events, which decays exponentially between them.
 #[derive(Debug)]
 pub(crate) struct EventRate {
     rate: f64,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Counts an event; returns the rate per second over that many seconds.
+    /// Counts an event and returns the rate per second, averaged over `window_seconds`.
     pub(crate) fn record(&mut self, now: Timestamp, window_seconds: f64) -> f64 {
         let elapsed = (now - self.updated).as_secs_f64();
         self.rate = self.rate * (-elapsed / window_seconds).exp() + 1.0 / window_seconds;
@@ -76,7 +76,7 @@
     }
 }
 
-/// The clients seen within a window.
+/// The clients that were seen within a time window.
 #[derive(Debug)]
 pub(crate) struct RecentClients {
     last_seen: HashMap<u16, Timestamp>,
@@ -91,24 +91,24 @@
         }
     }
 
-    /// Records a client; returns whether it was seen within the window before.
+    /// Records a client and reports whether it had already been seen within the window.
     pub(crate) fn record(&mut self, now: Timestamp, client: u16) -> bool {
         let previous = self.last_seen.insert(client, now);
         previous.is_some_and(|seen| now - seen < self.window)
     }
 
-    /// Forgets the clients not seen within the window.
+    /// Removes the clients that were not seen within the window.
     pub(crate) fn expire(&mut self, now: Timestamp) {
         self.last_seen.retain(|_, seen| now - *seen < self.window);
     }
 
-    /// Clients not forgotten.
+    /// Returns the number of recorded clients that have not been removed.
     pub(crate) fn count(&self) -> usize {
         self.last_seen.len()
     }
 }
 
-/// The latest values, among which a value is ranked.
+/// The latest values, at most `capacity`, against which a value is ranked.
 #[derive(Debug)]
 pub(crate) struct Ranking {
     values: VecDeque<f64>,
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Rank of a value among the latest, 0 to 1; `chance`, 0 to 1, places it among equal ones.
+    /// Returns the rank of a value among the latest ones, 0 to 1. `chance`, 0 to 1, is its position among equal values.
     pub(crate) fn rank(&self, value: f64, chance: f64) -> f64 {
         let lower = self.values.iter().filter(|v| **v < value).count() as f64;
         let equal = self.values.iter().filter(|v| **v == value).count() as f64;
@@ -138,7 +138,7 @@
     }
 }
 
-/// Slope of a value over an input, by averages that decay with each sample.
+/// Slope of a value over an input, from exponentially weighted averages of covariance and variance.
 #[derive(Debug, Default)]
 pub(crate) struct Slope {
     covariance: f64,
@@ -146,13 +146,13 @@
 }
 
 impl Slope {
-    /// Learns from a sample's deviations from the means; `weight` is that of the newest sample.
+    /// Records a sample by its deviations from the means. `weight` is the weight of the newest sample.
     pub(crate) fn record(&mut self, input_deviation: f64, value_deviation: f64, weight: f64) {
         self.covariance += weight * (input_deviation * value_deviation - self.covariance);
         self.variance += weight * (input_deviation * input_deviation - self.variance);
     }
 
-    /// The change of the value per unit of the input.
+    /// Returns the change of the value per unit of the input.
     pub(crate) fn value(&self) -> f64 {
         self.covariance / self.variance.max(MIN_VARIANCE)
     }
@@ -166,7 +166,7 @@
 }
 
 impl<const N: usize> LeastSquares<N> {
-    /// Begins with coefficients of zero and that variance of each.
+    /// Returns a fit whose coefficients are zero, each with the given variance.
     pub(crate) fn new(variance: f64) -> LeastSquares<N> {
         let covariance = from_fn(|i| from_fn(|j| if i == j { variance } else { 0.0 }));
         LeastSquares {
@@ -175,17 +175,18 @@
         }
     }
 
-    /// The fitted effect of an input.
+    /// Returns the fitted coefficient of the input at this index.
     pub(crate) fn coefficient(&self, input: usize) -> f64 {
         self.coefficients[input]
     }
 
-    /// The value that the fit expects of the inputs.
+    /// Returns the value that the fit predicts for the inputs.
     pub(crate) fn predict(&self, inputs: &[f64; N]) -> f64 {
         dot(&self.coefficients, inputs)
     }
 
-    /// Learns the value observed with the inputs; older observations lose weight by the forgetting factor.
+    /// Updates the fit with the value observed for the inputs. The forgetting factor reduces the weight of each older
+    /// observation.
     pub(crate) fn learn(&mut self, inputs: &[f64; N], observed: f64, forgetting: f64) {
         let projected: [f64; N] = from_fn(|i| dot(&self.covariance[i], inputs));
         let gain = forgetting + dot(inputs, &projected);
--- a/src/idempotency.rs
+++ b/src/idempotency.rs
@@ -1,34 +1,35 @@
-//! The table of idempotency keys: which attempts belong to one request, and which of them runs. Owns the entries
-//! and their memory; is given slots of requests and decides nothing.
+//! The table of idempotency keys: which attempts belong to one request, and which of them runs.
+//!
+//! Stores the entries and counts their memory. Attempts are identified by their slots in the request table.
 
 use crate::slots::{KeySlot, RequestSlot};
 use crate::time::Timestamp;
 use slotmap::SlotMap;
 use std::collections::HashMap;
 
-/// What an attempt is to do under its key.
+/// What an attempt of a keyed request has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptRole {
-    /// Another attempt's run has started: share its answer.
+    /// Share the answer of another attempt, whose run has started.
     Join,
-    /// Another attempt is to run: wait for its start.
+    /// Wait for the start of another attempt, which is chosen to run.
     AwaitStart,
-    /// Run.
+    /// Run; the other attempts share its answer.
     Run,
 }
 
-/// All attempts of one keyed request on this server.
+/// The attempts of one keyed request on this server.
 #[derive(Clone, Debug, Default)]
 struct Entry {
     runner: Option<RequestSlot>,
     run_started: bool,
-    /// When the stored entry expires, while there is one.
+    /// When the stored entry expires; `None` while none is stored.
     stored_until: Option<Timestamp>,
     waiting: Vec<RequestSlot>,
     attempt_ids: Vec<u64>,
 }
 
-/// The keys of keyed requests and the attempts bound to each.
+/// The idempotency keys and the attempts that are bound to each.
 #[derive(Debug, Default)]
 pub(crate) struct IdempotencyTable {
     entries: SlotMap<KeySlot, Entry>,
@@ -38,7 +39,7 @@
 }
 
 impl IdempotencyTable {
-    /// A stored entry takes `entry_kb` of memory.
+    /// Returns an empty table, in which each stored entry takes `entry_kb` of memory.
     pub(crate) fn new(entry_kb: f64) -> IdempotencyTable {
         IdempotencyTable {
             entry_kb,
@@ -46,9 +47,9 @@
         }
     }
 
-    /// The key that the attempt or the one that it retries belongs to, else a new one; both belong to it after.
-    /// `retry_of` is 0 for none. Attempts of one batch may name each other before the other is known: the name
-    /// alone binds them.
+    /// Binds an attempt and the attempt that it retries to one key, and returns the key: the one that the attempt, or
+    /// else the retried one, belongs to already, or a new one. `retry_of` is 0 for none. An attempt may refer to one of
+    /// its batch that has not been added yet; the reference alone binds both.
     pub(crate) fn bind(&mut self, attempt_id: u64, retry_of: u64) -> KeySlot {
         let ids = if retry_of == 0 {
             &[attempt_id][..]
@@ -65,17 +66,17 @@
         key
     }
 
-    /// Memory of the stored entries, in kB.
+    /// Returns the memory of all stored entries, in kB.
     pub(crate) fn memory_kb(&self) -> f64 {
         self.stored_entries as f64 * self.entry_kb
     }
 
-    /// Memory of one stored entry, in kB.
+    /// Returns the memory of one stored entry, in kB.
     pub(crate) fn entry_kb(&self) -> f64 {
         self.entry_kb
     }
 
-    /// Enters an attempt under its key; `in_flight` tells of another one whether it has not ended.
+    /// Adds an attempt under its key and returns its role. `in_flight` reports whether another attempt has not ended.
     pub(crate) fn enter(
         &mut self,
         key: KeySlot,
@@ -94,7 +95,7 @@
         AttemptRole::Run
     }
 
-    /// Makes the first of the attempts the one to run, and the others wait for it.
+    /// Makes the first of the attempts the one to run, and lets the others wait for it. Returns the first, if any.
     pub(crate) fn promote(
         &mut self,
         key: KeySlot,
@@ -106,14 +107,14 @@
         entry.runner
     }
 
-    /// Records that the runner started; returns the attempts that wait for it, which are bound no more.
+    /// Records that the runner has started. Removes the attempts that wait for it from the entry, and returns them.
     pub(crate) fn start_run(&mut self, key: KeySlot) -> Vec<RequestSlot> {
         let entry = &mut self.entries[key];
         entry.run_started = true;
         std::mem::take(&mut entry.waiting)
     }
 
-    /// Takes out an attempt that never started. If it was to run, returns those that waited for it.
+    /// Removes an attempt that never started. If it was chosen to run, returns the attempts that waited for it.
     pub(crate) fn withdraw(
         &mut self,
         key: KeySlot,
@@ -125,13 +126,13 @@
         was_runner.then(|| std::mem::take(&mut entry.waiting))
     }
 
-    /// Records that the key is stored until then.
+    /// Records that the key is stored until the given time.
     pub(crate) fn store(&mut self, key: KeySlot, until: Timestamp) {
         let is_new = self.entries[key].stored_until.replace(until).is_none();
         self.stored_entries += usize::from(is_new);
     }
 
-    /// Removes a key's stored entry if it has expired; a later one stays.
+    /// Removes a key's stored entry if it has expired. An entry that was stored again, until a later time, stays.
     pub(crate) fn expire(&mut self, now: Timestamp, key: KeySlot) {
         let Some(entry) = self.entries.get_mut(key) else {
             return;
@@ -142,12 +143,12 @@
         }
     }
 
-    /// Forgets a key and its attempts.
+    /// Removes a key and its attempts from the table.
     pub(crate) fn forget(&mut self, key: KeySlot) {
         self.remove(key);
     }
 
-    /// Forgets a key and its attempts; returns whether the key was stored.
+    /// Removes a key and its attempts from the table. Reports whether the key was stored.
     pub(crate) fn remove(&mut self, key: KeySlot) -> bool {
         let Some(entry) = self.entries.remove(key) else {
             return false;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,16 +1,17 @@
-//! What the decision module is given, and the `Actions` through which it answers. Plain data, no decisions.
+//! Inputs of the decision module, and the [`Actions`](crate::interface::Actions) through which its decisions take
+//! effect. The types are plain data.
 
 pub use crate::ids::{HandlerId, TenantId};
 use crate::time::Duration;
 
-/// What may be done with a request that arrives a second time.
+/// Whether a request may run again when it is retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// It may run again, here or on another server.
+    /// The request may run again, here or on another server.
     Idempotent,
-    /// It carries an idempotency key: it runs once, and its retries share the answer.
+    /// The request carries an idempotency key: it runs once, and its retries share the answer.
     Keyed,
-    /// It must not run again unless it provably did not run.
+    /// The request must not be run again unless it provably did not run.
     NonIdempotent,
 }
 
@@ -19,37 +20,37 @@
 pub enum CallRequirement {
     /// Runs make no call.
     Never,
-    /// Runs make a call, but can complete without it, for a partial answer.
+    /// Runs make a call, but can complete without it and give a partial answer.
     Optional,
     /// Runs cannot complete without a call.
     Required,
 }
 
-/// One class of requests.
+/// Settings of one handler, a kind of request.
 #[derive(Clone, Debug)]
 pub struct Handler {
-    /// Response time that answers are to meet, counted from the arrival at the machine.
+    /// Response time aimed at, counted from the arrival at the machine.
     pub latency_objective: Duration,
-    /// The latency objective grows by this multiple of the request's own work.
+    /// Multiple of the request's own work by which its latency objective is extended.
     pub objective_stretch: f64,
-    /// Time after which a client gives up, counted from the arrival at the machine.
+    /// Time after which a client stops waiting, counted from the arrival at the machine.
     pub timeout: Duration,
     /// Priority weight of an answer within the latency objective.
     pub weight: f64,
-    /// Priority weight of a later answer.
+    /// Priority weight of an answer after the latency objective.
     pub late_weight: f64,
-    /// What may be done with a retry.
+    /// Whether a retry may run.
     pub retry_safety: RetrySafety,
     /// Time for which a keyed request's retries share its answer, counted from its arrival.
     pub idempotency_window: Duration,
-    /// Whether its runs call the upstream.
+    /// Whether runs of the handler make an upstream call.
     pub makes_calls: bool,
-    /// Fraction of the weight left when a call is skipped; 0 where none may be skipped.
+    /// Weight of a partial answer as a fraction of the full weight; 0 if calls must not be skipped.
     pub partial_weight: f64,
 }
 
 impl Handler {
-    /// Whether its runs make a call, and whether they can do without it.
+    /// Returns whether runs of the handler make a call, and whether they can complete without it.
     pub fn call_requirement(&self) -> CallRequirement {
         match (self.makes_calls, self.has_partial_answer()) {
             (false, _) => CallRequirement::Never,
@@ -58,12 +59,12 @@
         }
     }
 
-    /// Whether an answer without its calls has a weight.
+    /// Reports whether an answer without its optional calls has a weight.
     pub fn has_partial_answer(&self) -> bool {
         self.partial_weight > 0.0
     }
 
-    /// Whether its requests and their calls may run twice.
+    /// Reports whether the handler's requests and their calls may run twice.
     pub fn is_idempotent(&self) -> bool {
         self.retry_safety == RetrySafety::Idempotent
     }
@@ -72,7 +73,7 @@
 /// One tenant of the fleet.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests per second within its quota, over the whole fleet.
+    /// The tenant's quota in requests per second, over the whole fleet.
     pub requests_per_second: f64,
 }
 
@@ -81,13 +82,13 @@
 pub enum Cancellation {
     /// Runs cannot be cancelled.
     Unsupported,
-    /// The work done is lost.
+    /// Cancels the run; the work done is lost.
     Discards,
-    /// The work done is kept.
+    /// Pauses the run; the work done is kept.
     Pauses,
 }
 
-/// The machine and what it supports.
+/// The capacity and features of the machine.
 #[derive(Clone, Debug)]
 pub struct Machine {
     /// Cores that runs share.
@@ -98,19 +99,19 @@
     pub running_memory_factor: f64,
     /// Memory of one stored idempotency key, in kB.
     pub key_memory_kb: f64,
-    /// What a cancellation does.
+    /// What a cancellation does to a run.
     pub cancellation: Cancellation,
-    /// Runs per core beyond which the machine collapses.
+    /// Concurrent runs per core above which the machine collapses.
     pub max_concurrency_per_core: f64,
-    /// Whether the incarnation starts with cold caches.
+    /// Whether this incarnation starts with cold caches.
     pub starts_cold: bool,
     /// Speed of a cold machine as a fraction of its full speed.
     pub cold_speed: f64,
-    /// Time until a cold machine has its full speed.
+    /// Time until a cold machine reaches full speed.
     pub warm_up: Duration,
 }
 
-/// The kind of the upstream.
+/// The kind of upstream that runs call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum UpstreamKind {
     /// Runs make no calls.
@@ -122,72 +123,72 @@
     Tier,
 }
 
-/// What this server calls.
+/// The upstream that this server calls.
 #[derive(Clone, Debug, Default)]
 pub struct Upstream {
-    /// The kind of the upstream.
+    /// The kind of upstream.
     pub kind: UpstreamKind,
-    /// Mean calls in flight that this server may have, as its part of the fleet's limit.
+    /// Calls that this server may have in flight on average: its part of the fleet's limit.
     pub quota: f64,
-    /// Time for which an abandoned call may still run.
+    /// Time for which an abandoned call may still run at the upstream.
     pub abandoned_call_lifetime: Duration,
     /// Time over which the calls in flight are averaged.
     pub averaging_window: Duration,
 }
 
-/// What the load report on answers means to the clients.
+/// How clients interpret the load report on answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadReport {
-    /// Clients take no report.
+    /// Clients do not use load reports.
     #[default]
     Unused,
-    /// The least priority, 0 to 1, that is admitted.
+    /// The lowest priority, 0 to 1, that is admitted.
     Floor,
-    /// The requests that one client may have in flight.
+    /// The number of requests that one client may have in flight.
     Allowance,
     /// The weight of this server in load balancing, 0 to 1.
     Weight,
 }
 
-/// The clients and what they understand.
+/// The clients of this server and the signals that they support.
 #[derive(Clone, Debug, Default)]
 pub struct Downstream {
-    /// Clients that connect to this server; more may come.
+    /// Number of clients that are expected to connect to this server; there may be more.
     pub clients: u32,
-    /// What the load report means to them.
+    /// How the clients interpret the load report.
     pub load_report: LoadReport,
-    /// Longest Retry-After that they honour; zero where none may be advertised.
+    /// Longest Retry-After that the clients honour; zero if none may be sent.
     pub max_retry_after: Duration,
-    /// Whether they mark retries.
+    /// Whether the clients mark retries.
     pub marks_retries: bool,
-    /// Idle time after which they close a connection by themselves.
+    /// Idle time after which the clients close a connection themselves.
     pub max_idle: Duration,
 }
 
 /// This server's position in the fleet.
 #[derive(Clone, Debug)]
 pub struct FleetPosition {
-    /// Servers that share the tenants' quotas.
+    /// Number of servers that share the tenants' quotas.
     pub servers: u32,
-    /// 0 is the tier that clients reach.
+    /// Index of this server's tier; clients connect to tier 0.
     pub tier: u32,
-    /// Whether weights already count per unit of work.
+    /// Whether the handlers' weights are already per unit of work.
     pub weight_by_work: bool,
-    /// Factor on the weight of requests over their tenant's quota.
+    /// Factor on the weight of requests that exceed their tenant's quota.
     pub over_quota_weight: f64,
 }
 
 /// The rules for answers and graceful shutdown.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// Time after the begin of a graceful shutdown within which arrivals are still served.
+    /// Time after the start of a graceful shutdown during which arriving requests are still served.
     pub drain_grace: Duration,
-    /// Whether requests carry the time that their clients will wait.
+    /// Whether requests carry their clients' timeout.
     pub requests_carry_timeout: bool,
 }
 
 impl Default for Rules {
-    /// No grace period; requests carry their timeout.
+    /// Returns rules without a grace period, under which requests carry their timeout.
     fn default() -> Rules {
         Rules {
             drain_grace: Duration::ZERO,
@@ -196,125 +197,126 @@
     }
 }
 
-/// A request as it was read.
+/// A request as it was read from a connection.
 #[derive(Clone, Debug, Default)]
 pub struct Arrival {
     /// Identifier, unique among the requests that have not ended.
     pub id: u64,
-    /// The client's number.
+    /// Number of the client that sent it.
     pub client: u16,
-    /// Index of its handler.
+    /// Handler of the request.
     pub handler: HandlerId,
-    /// Index of its tenant.
+    /// Tenant whose request it is.
     pub tenant: TenantId,
-    /// What the request is about; requests about the same have the same number.
+    /// Number of the object that the request concerns; requests that concern the same object have the same number.
     pub subject: u64,
-    /// Time that the client will wait from now on.
+    /// Time for which the client still waits, counted from when the request was read.
     pub timeout: Duration,
-    /// The client's estimate of the work.
+    /// The client's estimate of the request's work.
     pub work_hint: Option<Duration>,
-    /// Memory while queued, in kB.
+    /// Memory that the request takes while queued, in kB.
     pub memory_kb: f64,
-    /// The client's own ranking of the request.
+    /// Rank that the client gives to the request.
     pub rank: f64,
     /// Whether the client marked it as a retry.
     pub is_retry: bool,
-    /// Time from its arrival at the machine until it was read.
+    /// Time between the request's arrival at the machine and its reading.
     pub read_delay: Duration,
-    /// Identifier of the attempt that it retries; 0 for none.
+    /// Identifier of the attempt that this request retries; 0 for none.
     pub retry_of: u64,
 }
 
-/// How much a group of handlers may have in flight. A handler may be in several groups; each binds it.
+/// Limits on what a group of handlers may have in flight. A handler may be in several groups and is bound by each.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ceiling {
-    /// Indices of the handlers.
+    /// The handlers of the group.
     pub handlers: Vec<HandlerId>,
-    /// Most runs in flight.
+    /// Largest number of runs in flight.
     pub runs: usize,
-    /// Most upstream calls in flight.
+    /// Largest number of upstream calls in flight.
     pub calls: usize,
-    /// Time between two starts of the group while its ceilings delay its requests.
+    /// Time between two starts of the group while the ceiling delays its requests.
     pub start_interval: Duration,
 }
 
 /// How a run or a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// With a result.
+    /// Ended with a result.
     Completed,
-    /// With an error.
+    /// Ended with an error.
     Failed,
-    /// Rejected without having run.
+    /// Rejected: it has not run.
     Rejected,
-    /// Given up after its timeout; it may have run.
+    /// Given up on after its timeout; it may have run.
     TimedOut,
-    /// Never sent: no connection, so it has not run.
+    /// Never sent for lack of a connection; it has not run.
     Unreachable,
     /// The connection ended; it may have run.
     Disconnected,
     /// Cancelled by this server.
     Cancelled,
-    /// It had ended before the action on it arrived.
+    /// Had ended before an action on it arrived.
     AlreadyEnded,
 }
 
 impl Outcome {
-    /// Whether the run or call may have run, wholly or in part. If so, only an idempotent one may be sent again;
-    /// one that was rejected or never sent surely has not run.
+    /// Reports whether the run or call may have run, wholly or in part. If so, it may be sent again only if it is
+    /// idempotent. One that was rejected or never sent has certainly not run.
     pub fn may_have_run(self) -> bool {
         !matches!(self, Outcome::Rejected | Outcome::Unreachable)
     }
 }
 
-/// The server's gauges, as far as they were sent.
+/// The server's gauges; each is `None` if it was not sent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
-    /// Runs that have a core or wait for one.
+    /// Number of runs that have a core or wait for one.
     pub run_queue: Option<f64>,
 }
 
 /// The state of the control loops.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Status {
-    /// The budget, in seconds of run time.
+    /// The budget: planned run time for all pending requests, in seconds.
     pub budget_seconds: f64,
     /// Fraction of arrivals admitted, 0 to 1.
     pub admitted_fraction: f64,
-    /// Limit on concurrent runs.
+    /// Limit on the number of concurrent runs.
     pub concurrency_limit: f64,
-    /// Clients seen of late.
+    /// Number of clients seen recently.
     pub clients: usize,
 }
 
-/// Where the decisions go; calls take effect in the order made. Identifiers are those of [`Arrival::id`].
+/// Carries out the decisions of the decision module. Actions take effect in the order in which they are called.
+/// Identifiers are those of [`Arrival::id`].
 pub trait Actions {
     /// Starts a queued request.
     fn start(&mut self, id: u64);
     /// Cancels a run.
     fn cancel(&mut self, id: u64);
-    /// Gives up a run that nobody waits for and that the engine does not end: the request is over.
+    /// Abandons a run that nobody waits for and that the engine does not end. The request is over.
     fn abandon(&mut self, id: u64);
-    /// Answers that the request was not run. `is_final`: a retry on another server is of no use.
+    /// Answers that the request was not run. If `is_final`, a retry on another server would not help either.
     fn reject(&mut self, id: u64, retry_after: Duration, is_final: bool);
-    /// Answers with an error.
+    /// Answers a request with an error.
     fn fail(&mut self, id: u64);
-    /// Makes the upstream call that a run waits at, and gives it up after the timeout.
+    /// Makes the upstream call that a run is waiting for, and gives it up after the timeout.
     fn call(&mut self, id: u64, timeout: Duration);
-    /// Lets a run go on without the upstream call that it waits at.
+    /// Lets a run continue without the upstream call that it is waiting for.
     fn skip_call(&mut self, id: u64);
-    /// Stores the request's idempotency key for that time.
+    /// Stores the request's idempotency key for `lifetime`.
     fn store_key(&mut self, id: u64, lifetime: Duration);
     /// Removes the request's stored idempotency key.
     fn remove_key(&mut self, id: u64);
-    /// Answers with the result of the attempt that the request names, once there is one.
+    /// Answers a request with the result of the attempt that it retries, once there is one.
     fn join_attempt(&mut self, id: u64);
     /// Sets the answer to health checks.
     fn set_health(&mut self, healthy: bool);
-    /// Sets the load report on answers; its meaning is that of [`LoadReport`].
+    /// Sets the load report that answers carry; [`LoadReport`] says how clients interpret it.
     fn set_load_report(&mut self, value: f64);
-    /// Closes connections that have carried nothing for that long.
+    /// Sets the idle time after which client connections are closed.
     fn set_idle_limit(&mut self, limit: Duration);
-    /// Sets the one timer.
+    /// Sets the only timer, to fire after the given time.
     fn set_timer(&mut self, after: Duration);
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,17 +1,18 @@
 //! madderbay: admission control and scheduling for servers behind load balancers that cannot be changed.
 //!
-//! [`decide`] makes every decision, [`interface`] is what it is given and what it answers through, and [`time`]
-//! holds its two kinds of time. The library does no input or output and reads no clock: a host gives it events.
+//! [`decide`] makes all decisions. [`interface`] defines their inputs and the actions through which they take effect,
+//! and [`time`] has the types of instants and durations. The library does no input or output and reads no clock: its
+//! host passes it events.
 
-/// Calls that nobody waits for.
+/// Upstream calls that were given up on and may still run.
 pub mod abandoned_calls;
 mod ceilings;
-/// The decisions.
+/// The decision module.
 pub mod decide;
 mod estimators;
 mod idempotency;
 mod ids;
-/// What the decisions are made from and go out through.
+/// Inputs of the decision module, and the actions through which its decisions take effect.
 pub mod interface;
 mod request;
 mod slots;
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,7 +1,7 @@
-//! The table of requests, queued or in flight, under small slots.
+//! The table of requests that are queued or in flight, each under a slot.
 //!
-//! Owns the stage of each request, and the memory and load that follow from it. Is given identifiers from outside.
-//! Decides nothing.
+//! Keeps the stage of each request, and the memory and load that follow from the stages. The identifiers of requests
+//! are assigned by the caller.
 
 use crate::interface::{Actions, Arrival, HandlerId, TenantId};
 use crate::slots::{KeySlot, RequestSlot};
@@ -10,26 +10,26 @@
 use std::collections::HashMap;
 use std::ops::{Index, IndexMut};
 
-/// How far a request has come.
+/// Progress of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// Waits for its start. A request that has just arrived is in this stage too.
+    /// Waits for its own start. A request that has just arrived is in this stage too.
     #[default]
     Queued,
     /// Waits for another attempt of the same request to start.
     AwaitingOtherStart,
-    /// Waits for the answer of another attempt.
+    /// Waits for the answer of another attempt of the same request.
     Joined,
-    /// Runs on the cores, or waits for one.
+    /// Runs on a core, or waits for one.
     Running,
-    /// Its run waits at an upstream call that is not in flight.
+    /// Its run waits for an upstream call that is not in flight.
     AtCall,
     /// Its run waits for an upstream call in flight.
     Calling,
 }
 
 impl Stage {
-    /// The stages that may follow. A request may end in any stage.
+    /// Returns the stages that may follow. A request may end in any stage.
     ///
     /// ```text
     /// arrival -> Queued -> Running <-> AtCall <-> Calling
@@ -43,51 +43,51 @@
             Stage::AwaitingOtherStart => &[Stage::Queued, Stage::Joined],
             Stage::Joined => &[],
             Stage::Running => &[Stage::AtCall],
-            // Back to itself where the place of a run that should have ended is released.
+            // `AtCall` may follow itself: `release_run` sets it for a run that should have ended.
             Stage::AtCall => &[Stage::Running, Stage::Calling, Stage::AtCall],
             Stage::Calling => &[Stage::Running, Stage::AtCall],
         }
     }
 
-    /// Whether the run has begun.
+    /// Reports whether the run has started.
     pub(crate) fn has_started(self) -> bool {
         matches!(self, Stage::Running | Stage::AtCall | Stage::Calling)
     }
 
-    /// Whether the request waits for its own start or for that of another attempt.
+    /// Reports whether the request waits for its own start or for that of another attempt.
     pub(crate) fn awaits_start(self) -> bool {
         matches!(self, Stage::Queued | Stage::AwaitingOtherStart)
     }
 }
 
-/// How long the end of a run that nobody waits for has been expected.
+/// Counts the checks on a settled request whose run should have ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct EndWatch {
-    /// Times that it should have ended.
+    /// Checks at which the run should have ended, but had not.
     pub(crate) checks: u32,
-    /// Of these, the times that other runs ended meanwhile.
+    /// Of these, the checks at which other runs had ended meanwhile.
     pub(crate) checks_with_other_ends: u32,
-    /// Of these, the times that the engine had no run on its cores.
+    /// Of these, the checks at which the engine had no run on its cores.
     pub(crate) checks_with_idle_cores: u32,
-    /// Runs that had ended when the end was last expected.
+    /// Total number of runs that had ended when the server last began to wait for the end of this run.
     pub(crate) ended_runs: u64,
 }
 
-/// One request. Its stage and memory change by the table's methods only.
+/// One request. Its stage and memory are changed only by the methods of [`RequestTable`].
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Request {
     pub(crate) id: u64,
     pub(crate) handler: HandlerId,
     pub(crate) tenant: TenantId,
-    /// When it reached the machine, read or not.
+    /// When it reached the machine; it may have been read later.
     pub(crate) reached: Timestamp,
-    /// The latency objective as an instant.
+    /// Instant until which an answer meets the latency objective.
     pub(crate) objective: Timestamp,
     /// When the client stops waiting.
     pub(crate) deadline: Timestamp,
-    /// The client's estimate of the work.
+    /// The client's estimate of the request's work.
     pub(crate) work_hint: Option<Duration>,
-    /// Identifier of the attempt that this one names; 0 for none.
+    /// Identifier of the attempt that this one retries; 0 for none.
     pub(crate) retry_of: u64,
     /// Priority weight, set on arrival.
     pub(crate) weight: f64,
@@ -95,26 +95,26 @@
     pub(crate) started: Timestamp,
     /// EqResv allowance for its run.
     pub(crate) allowance: Duration,
-    /// Its run went on without an optional call.
+    /// Whether its run continued without an optional call.
     pub(crate) call_skipped: bool,
-    /// Its answer is final, or its client has gone: nobody waits for its run.
+    /// Whether it was answered or its client is gone, so that nobody waits for its run.
     pub(crate) settled: bool,
-    /// Attempts of its calls that failed.
+    /// Number of failed attempts of its upstream calls.
     pub(crate) failed_calls: u32,
     /// Its idempotency key, if it has one.
     pub(crate) key: Option<KeySlot>,
-    /// How long the end of its run has been expected, once nobody waits for it.
+    /// Checks on the end of its run, once the request is settled.
     pub(crate) end_watch: EndWatch,
     memory_kb: f64,
     stage: Stage,
-    /// Its run should have ended long ago, and counts no more.
+    /// Whether its run should have ended long ago and no longer counts as in flight.
     is_released: bool,
-    /// Its run on the cores should have ended long ago, and does not stand for the load.
+    /// Whether its run on the cores should have ended long ago and is left out of load measurements.
     is_overdue: bool,
 }
 
 impl Request {
-    /// A request that has just been read.
+    /// Returns a request that has just been read.
     pub(crate) fn new(
         arrival: &Arrival,
         reached: Timestamp,
@@ -139,27 +139,28 @@
         self.stage
     }
 
-    /// Whether its run has begun and has not ended.
+    /// Reports whether its run has started and has not ended.
     pub(crate) fn has_started(&self) -> bool {
         self.stage.has_started()
     }
 
-    /// Whether its run goes on without waiting for a call.
+    /// Reports whether its run has started and does not wait for a call.
     pub(crate) fn is_running(&self) -> bool {
         self.stage == Stage::Running
     }
 
-    /// Whether its run waits for an upstream call in flight.
+    /// Reports whether its run waits for an upstream call in flight.
     pub(crate) fn is_calling(&self) -> bool {
         self.stage == Stage::Calling
     }
 
-    /// Whether its run says something of the load: not one that should have ended long ago, or before others did.
+    /// Reports whether its run is evidence of the load. A run that should have ended long ago, or before other runs
+    /// that have ended, is not.
     fn reflects_load(&self) -> bool {
         self.has_started() && !self.is_overdue && !self.is_released
     }
 
-    /// Moves the request to a stage that may follow the present one.
+    /// Moves the request to a stage that may follow its current one.
     fn enter(&mut self, stage: Stage) {
         debug_assert!(
             self.stage.successors().contains(&stage),
@@ -170,18 +171,18 @@
     }
 }
 
-/// Runs and calls in flight.
+/// Numbers of runs and calls in flight.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Load {
     pub(crate) runs: usize,
     pub(crate) calls: usize,
 }
 
-/// The runs that are on the cores, or wait for one.
+/// Number and total age of the runs that are on a core or wait for one.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RunAges {
     pub(crate) runs: f64,
-    /// Sum of their ages.
+    /// Sum of the ages of these runs, in seconds.
     pub(crate) seconds: f64,
 }
 
@@ -195,7 +196,7 @@
     /// Memory of a run as a multiple of the request's memory while queued.
     running_factor: f64,
     running: usize,
-    /// Of these, the runs that are overdue.
+    /// Number of the runs in flight that are overdue.
     overdue: usize,
     handler_loads: Vec<Load>,
 }
@@ -215,7 +216,7 @@
 }
 
 impl RequestTable {
-    /// A run takes `running_factor` times the request's memory while queued.
+    /// Returns an empty table. A run takes `running_factor` times the memory of the queued request.
     pub(crate) fn new(handlers: usize, running_factor: f64) -> RequestTable {
         RequestTable {
             handler_loads: vec![Load::default(); handlers],
@@ -228,7 +229,7 @@
         self.requests.get(slot)
     }
 
-    /// The request of this identifier, if there is one and the condition holds for it.
+    /// Returns the slot of the request with this identifier, if there is one and the condition holds for it.
     pub(crate) fn find(
         &self,
         id: u64,
@@ -238,7 +239,7 @@
         condition(&self.requests[slot]).then_some(slot)
     }
 
-    /// The runs on the cores that say something of the load, and the sum of their ages in seconds.
+    /// Returns the number of runs on the cores that are evidence of the load, and the sum of their ages.
     pub(crate) fn ages_on_cores(&self, now: Timestamp) -> RunAges {
         let mut ages = RunAges::default();
         for request in self.requests.values() {
@@ -250,55 +251,55 @@
         ages
     }
 
-    /// The started request that reached the machine first, of those that say something of the load.
+    /// Returns the started request that reached the machine first, among those whose runs are evidence of the load.
     pub(crate) fn oldest_started(&self) -> Option<&Request> {
         let started = self.requests.values().filter(|r| r.reflects_load());
         started.min_by_key(|r| r.reached)
     }
 
-    /// Whether no request of the handler is queued or in flight.
+    /// Reports whether no request of the handler is queued or in flight.
     pub(crate) fn is_idle(&self, handler: HandlerId) -> bool {
         self.requests.values().all(|r| r.handler != handler)
     }
 
-    /// All requests and their slots, in the order of the slots.
+    /// Iterates over all requests and their slots, in the order of the slots.
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = (RequestSlot, &mut Request)> {
         self.requests.iter_mut()
     }
 
-    /// Runs in flight.
+    /// Returns the number of runs in flight.
     pub(crate) fn running(&self) -> usize {
         self.running
     }
 
-    /// Whether no run is in flight, or only runs that are overdue.
+    /// Reports whether no run is in flight, or only overdue ones.
     pub(crate) fn is_idle_except_overdue(&self) -> bool {
         self.running == self.overdue
     }
 
-    /// Runs in flight that are not overdue.
+    /// Returns the number of runs in flight that are not overdue.
     pub(crate) fn running_on_time(&self) -> usize {
         self.running - self.overdue
     }
 
-    /// A run on the cores that nobody waits for is overdue.
+    /// Marks the run of a settled request, which is on the cores, as overdue.
     pub(crate) fn set_overdue(&mut self, slot: RequestSlot) {
         let request = &mut self.requests[slot];
         debug_assert!(request.settled && request.is_running());
         self.overdue += usize::from(!std::mem::replace(&mut request.is_overdue, true));
     }
 
-    /// Memory of all requests, in kB.
+    /// Returns the memory of all requests, in kB.
     pub(crate) fn memory_kb(&self) -> f64 {
         self.queued_kb + self.running_kb * self.running_factor
     }
 
-    /// Memory that a queued request takes more once it runs, in kB.
+    /// Returns the additional memory that a queued request takes once it runs, in kB.
     pub(crate) fn growth_kb(&self, slot: RequestSlot) -> f64 {
         self.requests[slot].memory_kb * (self.running_factor - 1.0)
     }
 
-    /// The load of a group of handlers.
+    /// Returns the runs and calls in flight of a group of handlers.
     pub(crate) fn load(&self, handlers: &[HandlerId]) -> Load {
         let mut sum = Load::default();
         for handler in handlers {
@@ -319,7 +320,7 @@
         slot
     }
 
-    /// Moves a request that has not started to another waiting stage.
+    /// Moves a request that has not started to another stage before the start.
     pub(crate) fn wait(&mut self, slot: RequestSlot, stage: Stage) {
         debug_assert!(!stage.has_started() && !self.requests[slot].has_started());
         self.requests[slot].enter(stage);
@@ -337,7 +338,7 @@
         self.handler_loads[request.handler.index()].runs += 1;
     }
 
-    /// Moves a started request to another started stage.
+    /// Moves a started request to another stage after the start.
     pub(crate) fn set_run_stage(&mut self, slot: RequestSlot, stage: Stage) {
         debug_assert!(stage.has_started());
         let request = &mut self.requests[slot];
@@ -347,7 +348,7 @@
         request.enter(stage);
     }
 
-    /// The request's call came back: its run goes on, or waits at the call that failed.
+    /// Records the end of the request's call. If the call completed, the run continues; otherwise it still waits.
     pub(crate) fn finish_call(&mut self, slot: RequestSlot, completed: bool) {
         let stage = if completed {
             Stage::Running
@@ -358,14 +359,14 @@
         self.requests[slot].failed_calls += u32::from(!completed);
     }
 
-    /// The run goes on without the call that it waits at.
+    /// Lets the run continue without the call that it is waiting for.
     pub(crate) fn skip_call(&mut self, slot: RequestSlot, out: &mut dyn Actions) {
         self.set_run_stage(slot, Stage::Running);
         self.requests[slot].call_skipped = true;
         out.skip_call(self.requests[slot].id);
     }
 
-    /// A run at a call that should have ended long ago counts no more, but its memory stays taken.
+    /// Stops counting a run at a call, which should have ended long ago, as in flight. Its memory stays in use.
     pub(crate) fn release_run(&mut self, slot: RequestSlot) {
         self.set_run_stage(slot, Stage::AtCall);
         let request = &mut self.requests[slot];
--- a/src/slots.rs
+++ b/src/slots.rs
@@ -1,4 +1,4 @@
-//! The slots under which the tables of requests and of idempotency keys are entered.
+//! Keys of the entries in the table of requests and in the table of idempotency keys.
 
 use slotmap::new_key_type;
 
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,5 +1,5 @@
-//! Points in time and lengths of time, kept apart by the compiler. Both count whole microseconds, and saturate
-//! at zero and at the largest number; no clock is read here.
+//! Instants and durations as distinct types. Both count whole microseconds, and saturate at zero and at the largest
+//! number. Nothing here reads a clock.
 //!
 //! ```
 //! use madderbay::time::{Duration, Timestamp};
@@ -8,7 +8,7 @@
 //! assert_eq!(read - Timestamp::from_micros(9_000), Duration::ZERO);
 //! ```
 //!
-//! Two points cannot be added:
+//! Two instants cannot be added:
 //!
 //! ```compile_fail
 //! use madderbay::time::Timestamp;
@@ -17,61 +17,61 @@
 
 use std::ops::{Add, Sub};
 
-/// A point on the instance's clock.
+/// An instant on the instance's own clock, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Timestamp(u64);
 
-/// A length of time.
+/// A length of time, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Duration(u64);
 
 impl Timestamp {
-    /// The point that many microseconds after the clock's start.
+    /// Returns the instant `micros` microseconds after the clock's start.
     pub const fn from_micros(micros: u64) -> Timestamp {
         Timestamp(micros)
     }
 
-    /// The point `duration` earlier; the clock's start if there is none.
+    /// Returns the instant `duration` earlier, or the clock's start if that is later.
     pub fn saturating_sub(self, duration: Duration) -> Timestamp {
         Timestamp(self.0.saturating_sub(duration.0))
     }
 }
 
 impl Duration {
-    /// No time.
+    /// A duration of zero.
     pub const ZERO: Duration = Duration(0);
 
-    /// That many microseconds.
+    /// Returns a duration of `micros` microseconds.
     pub const fn from_micros(micros: u64) -> Duration {
         Duration(micros)
     }
 
-    /// That many milliseconds.
+    /// Returns a duration of `millis` milliseconds.
     pub const fn from_millis(millis: u64) -> Duration {
         Duration(millis * 1_000)
     }
 
-    /// That many seconds, rounded down to microseconds; zero for a negative or undefined number.
+    /// Returns a duration of `seconds`, rounded down to whole microseconds; zero if `seconds` is negative or NaN.
     pub fn from_secs_f64(seconds: f64) -> Duration {
         Duration((seconds * 1e6) as u64)
     }
 
-    /// The length in seconds.
+    /// Returns the duration in seconds.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// The length in microseconds.
+    /// Returns the duration in microseconds.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// The multiple by a factor, rounded down to microseconds; zero for a negative or undefined factor.
+    /// Returns the duration times `factor`, rounded down to whole microseconds; zero if `factor` is negative or NaN.
     pub fn mul_f64(self, factor: f64) -> Duration {
         Duration((self.0 as f64 * factor) as u64)
     }
 
-    /// The length less another; zero where the other is longer.
+    /// Returns the duration minus another; zero if the other is longer.
     pub fn saturating_sub(self, other: Duration) -> Duration {
         Duration(self.0.saturating_sub(other.0))
     }
@@ -88,7 +88,7 @@
 impl Sub for Timestamp {
     type Output = Duration;
 
-    /// The time since the other point; zero where that is the later one.
+    /// Returns the time since the other instant; zero if the other is later.
     fn sub(self, other: Timestamp) -> Duration {
         Duration(self.0.saturating_sub(other.0))
     }
--- a/src/timers.rs
+++ b/src/timers.rs
@@ -1,15 +1,15 @@
-//! Deadlines of the decision module, in one ordered structure. Owns the order; decides nothing.
+//! The timers of the decision module, ordered by deadline. What happens when one expires is decided by the caller.
 
 use crate::slots::{KeySlot, RequestSlot};
 use crate::time::Timestamp;
 use std::collections::BTreeSet;
 
-/// What is due. Timers of one instant fire in the order of the variants, then of the slots.
+/// What is due at a deadline. Timers with the same deadline fire in the order of the variants, then of the slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// The request's answer has to leave.
+    /// The request must be answered now.
     Answer(RequestSlot),
-    /// The request's call may be made again.
+    /// The request's upstream call may be attempted again.
     RetryCall(RequestSlot),
     /// The run of a settled request should have ended.
     CheckEnded(RequestSlot),
@@ -19,7 +19,7 @@
     ForgetKey(KeySlot),
 }
 
-/// All timers that are set. A timer is never cancelled; one that has lost its purpose fires without effect.
+/// All timers that are set. A timer is never cancelled; one that no longer applies fires without effect.
 #[derive(Debug, Default)]
 pub(crate) struct Timers(BTreeSet<(Timestamp, Timer)>);
 
@@ -28,7 +28,7 @@
         self.0.insert((deadline, timer));
     }
 
-    /// Removes the timers whose deadlines have been reached, and returns them in order.
+    /// Removes and returns the timers whose deadlines have been reached, in order.
     pub(crate) fn take_expired(&mut self, now: Timestamp) -> Vec<Timer> {
         let mut expired = vec![];
         while let Some((deadline, timer)) = self.0.first().copied()
