--- a/tests/arbitrary_events.rs
+++ b/tests/arbitrary_events.rs
@@ -1,4 +1,4 @@
-//! The decision module ends each batch, whatever the order and the times of its events.
+//! The decision module completes each batch of events, whatever their order and times.
 
 use madderbay::decide::Decider;
 use madderbay::interface::{
@@ -9,9 +9,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Actions of one batch, far more than any needs: a batch without an end is found by them.
+/// Bound on the actions of one batch, far above what any batch needs; a batch that exceeds it does not terminate.
 const MAX_ACTIONS: usize = 10_000;
-/// Requests that a history has, at most.
+/// Largest number of requests in a history.
 const MAX_REQUESTS: u64 = 12;
 
 /// Counts the actions of one batch.
@@ -21,7 +21,7 @@
 impl ActionCounter {
     fn count(&mut self) {
         self.0 += 1;
-        assert!(self.0 < MAX_ACTIONS, "the batch has no end");
+        assert!(self.0 < MAX_ACTIONS, "the batch does not terminate");
     }
 }
 
@@ -70,7 +70,7 @@
     }
 }
 
-/// One event. Numbers of requests that are not there are passed over by the module.
+/// One event. The decision module ignores identifiers of requests that do not exist.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Arrival {
@@ -83,11 +83,11 @@
     RunEnded(u64, Outcome),
     Tick,
     Drain,
-    /// The clock goes on by so many milliseconds.
+    /// The clock advances by this number of milliseconds.
     Wait(u64),
-    /// The clock leaps to this time, in milliseconds, perhaps back.
+    /// The clock jumps to this time, in milliseconds, which may be earlier.
     JumpTo(u64),
-    /// The clock stands at its end.
+    /// The clock jumps to the largest timestamp.
     JumpToEnd,
 }
 
@@ -170,7 +170,7 @@
         .build()
 }
 
-/// A module in a history, with its clock.
+/// A decision module that handles a history of events, and its clock.
 struct History {
     decider: Decider,
     now: Timestamp,
@@ -232,8 +232,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// A run that should have ended was checked again at a time that had passed, without an end, where the clock had
-    /// leapt since the last tick.
+    /// Guards against a batch that never completes. After a jump of the clock since the last tick, the repeated check of
+    /// a run that should have ended was due at a time that had already passed, and so repeated without end.
     #[test]
     fn every_batch_terminates_whatever_the_clock(
         is_cancellable in any::<bool>(),
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -1,4 +1,4 @@
-//! Slow start: what a cold server reports to all its clients adds up to what it supports.
+//! Slow start: the allowances that a cold server reports to its clients add up to no more runs than it supports.
 
 use madderbay::decide::Decider;
 use madderbay::interface::{
@@ -12,7 +12,7 @@
 
 #[derive(Default)]
 struct ActionLog {
-    /// The last load report.
+    /// The latest load report.
     load_report: Option<f64>,
     started: Vec<u64>,
     /// Retry-After of each rejection.
@@ -56,7 +56,7 @@
     }
 }
 
-/// Runs that a machine supports after that fraction of its warm-up.
+/// Returns the number of runs that a machine supports after this fraction of its warm-up.
 fn supported(machine: &Machine, warm_up_fraction: f64) -> f64 {
     let speed = (machine.cold_speed + (1.0 - machine.cold_speed) * warm_up_fraction).min(1.0);
     f64::from(machine.cores) * (1.0 + (machine.max_concurrency_per_core - 1.0) * speed)
@@ -106,7 +106,8 @@
     }
 }
 
-/// Checks one number of configured clients and one of clients that send requests, over a whole warm-up.
+/// Checks the load reports of a whole warm-up with `configured` clients in the settings and `active` clients that send
+/// requests.
 fn check_warm_up(configured: u32, active: u16) {
     let (mut decider, mut out, machine) = (
         server(true, configured),
@@ -118,12 +119,12 @@
     let first = out.load_report.expect("reported before the first answer");
     assert!(
         first * clients <= supported(&machine, 0.0),
-        "{first} to each of {clients} at first"
+        "initial allowance of {first} for each of {clients} clients"
     );
     let mut id = 0;
     for tick in 1..1_100u64 {
         let now = START + Duration::from_millis(10 * tick);
-        // Each client sends a request every 600 ms, which ends after 50 ms.
+        // Each active client sends a request every 600 ms; its run takes 50 ms.
         for client in (0..active).filter(|c| (u64::from(*c) * 7 + tick).is_multiple_of(60)) {
             id += 1;
             decider.on_arrival(now, &request(id, client), &mut out);
@@ -143,17 +144,17 @@
             let max = supported(&machine, warm_up_fraction);
             assert!(
                 value * clients <= max,
-                "{value} to each of {clients} at {now:?}, over {max}"
+                "allowance of {value} for each of {clients} clients at {now:?} exceeds {max} supported runs"
             );
         }
     }
     assert!(
         out.load_report.expect("reported") * clients > supported(&machine, 1.0) * 2.0,
-        "warm, and without a limit again"
+        "a warm server reports no limit again"
     );
 }
 
-/// From the first answer to the end of the warm-up, over all clients: those configured, and those that come besides.
+/// Holds from the first answer to the end of the warm-up, and counts clients in the settings as well as others.
 #[test]
 fn cold_server_reports_no_more_to_all_clients_than_it_supports() {
     for (configured, active) in [
@@ -177,8 +178,8 @@
     assert_eq!(out.load_report, None);
 }
 
-/// Many clients without a load report send at once: no more run than are supported, and what cannot meet its objective
-/// is rejected in that moment with a Retry-After.
+/// Many clients that have no load report yet send requests at the same time. No more requests run than the machine
+/// supports, and those that cannot meet their latency objective are rejected at once with a Retry-After.
 #[test]
 fn cold_server_rejects_at_once_what_it_cannot_run_in_time() {
     let (mut decider, mut out) = (server(true, 30), ActionLog::default());
--- a/tests/scenario_runner/actions.rs
+++ b/tests/scenario_runner/actions.rs
@@ -1,11 +1,11 @@
-//! The actions of a scenario, a line of text each: the method of [`Actions`] that was called, then
-//! what it was given.
+//! Records the actions of a scenario, each as a line of text: the method of [`Actions`] that was
+//! called, and its arguments.
 
 use super::checks::ActionPattern;
 use madderbay::interface::Actions;
 use madderbay::time::Duration;
 
-/// The first words of all lines.
+/// The first words that lines of the log can have.
 pub(crate) const ACTION_WORDS: [&str; 13] = [
     "start",
     "cancel",
@@ -22,10 +22,10 @@
     "idle_limit",
 ];
 
-/// Most actions shown with a failure.
+/// Number of actions that are shown with a failed check, unless the last event line has more.
 const MAX_SHOWN: usize = 40;
 
-/// All actions so far, in order.
+/// All actions so far, in the order of the calls.
 #[derive(Default)]
 pub(crate) struct ActionLog {
     lines: Vec<String>,
@@ -36,13 +36,13 @@
         self.lines.len()
     }
 
-    /// How many actions from that index on the pattern is about.
+    /// Returns the number of actions from index `from` on that match the pattern.
     pub(crate) fn count(&self, from: usize, pattern: &ActionPattern) -> usize {
         let lines = self.lines[from..].iter();
         lines.filter(|line| pattern.matches(line)).count()
     }
 
-    /// The actions from that index on, at least the last `MAX_SHOWN`.
+    /// Returns the actions from index `from` on, and at least the last `MAX_SHOWN`.
     pub(crate) fn tail(&self, from: usize) -> &[String] {
         &self.lines[from.min(self.lines.len().saturating_sub(MAX_SHOWN))..]
     }
--- a/tests/scenario_runner/checks.rs
+++ b/tests/scenario_runner/checks.rs
@@ -1,4 +1,4 @@
-//! The lines that check what the decision module did.
+//! The lines of a scenario that check actions and status of the decision module.
 
 use super::actions::{ACTION_WORDS, ActionLog};
 use super::error::{Problem, WordError};
@@ -8,13 +8,13 @@
 
 /// A check of the actions or of the status.
 pub(crate) enum Check {
-    /// At least one such action since the last event line began.
+    /// At least one matching action since the start of the last event line.
     Present(ActionPattern),
-    /// No such action since the last event line began.
+    /// No matching action since the start of the last event line.
     Absent(ActionPattern),
-    /// The number of such actions in the file so far.
+    /// The number of matching actions in the file so far is within the range.
     Count(ActionPattern, RangeInclusive<usize>),
-    /// A figure of the status.
+    /// A figure of the status is below or above the bound.
     Status {
         figure: StatusFigure,
         comparison: Comparison,
@@ -22,12 +22,12 @@
     },
 }
 
-/// Which actions a check is about.
+/// Selects the actions that a check applies to.
 #[derive(Debug)]
 pub(crate) enum ActionPattern {
-    /// Those whose line starts with the text.
+    /// Actions whose line starts with the text.
     StartsWith(String),
-    /// Those whose line contains the text.
+    /// Actions whose line contains the text.
     Contains(String),
 }
 
@@ -48,12 +48,12 @@
 }
 
 impl Check {
-    /// Whether a line that begins with this word is a check.
+    /// Reports whether a line that begins with this word is a check.
     pub(crate) fn begins_with(word: &str) -> bool {
         matches!(word, ">" | "!" | "=" | "~")
     }
 
-    /// Reads a check, given its first word and the others.
+    /// Parses a check from its first word and the remaining words.
     pub(crate) fn parse(kind: &str, words: Words) -> Result<Check, WordError> {
         match kind {
             ">" => Ok(Check::Present(ActionPattern::parse(words)?)),
@@ -64,7 +64,8 @@
         }
     }
 
-    /// Whether the check holds; `line_start` is the index of the last event line's first action.
+    /// Reports whether the check holds; `line_start` is the index of the last event line's first
+    /// action.
     pub(crate) fn holds(&self, log: &ActionLog, line_start: usize, status: &Status) -> bool {
         match self {
             Check::Present(pattern) => log.count(line_start, pattern) > 0,
@@ -94,7 +95,7 @@
         Ok(ActionPattern::StartsWith(words.remaining()))
     }
 
-    /// Whether the pattern is about the action of that line.
+    /// Reports whether the pattern matches the action of this line.
     pub(crate) fn matches(&self, line: &str) -> bool {
         match self {
             ActionPattern::StartsWith(text) => line.starts_with(text),
@@ -124,7 +125,7 @@
     }
 }
 
-/// An action pattern and, as the last word, a range.
+/// Parses a count check: an action pattern and, as the last word, a range.
 fn count(words: Words) -> Result<Check, WordError> {
     let text = words.remaining();
     let Some((pattern, range)) = text.rsplit_once(' ') else {
--- a/tests/scenario_runner/error.rs
+++ b/tests/scenario_runner/error.rs
@@ -1,41 +1,41 @@
-//! What can be wrong in a scenario file, and where it is wrong.
+//! Errors in scenario files and their positions.
 
 use thiserror::Error;
 
-/// A wrong word of a scenario file.
+/// An invalid word in a scenario file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{file}:{line}: '{word}': {problem}")]
 pub(crate) struct ScriptError {
     pub(crate) file: String,
-    /// The first line is 1.
+    /// Line number, counted from 1.
     pub(crate) line: usize,
     pub(crate) word: String,
     pub(crate) problem: Problem,
 }
 
-/// A wrong word, before its file and line are known.
+/// An invalid word whose file and line are not known yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct WordError {
     pub(crate) word: String,
     pub(crate) problem: Problem,
 }
 
-/// What is wrong with a word.
+/// Why a word is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum Problem {
-    #[error("no line begins with it")]
+    #[error("no set-up line or check begins with this word")]
     UnknownLine,
-    #[error("not a word of this line, or the second of its kind")]
+    #[error("not allowed in this line, or repeated")]
     UnknownWord,
-    #[error("none of the values that this word takes")]
+    #[error("not one of the permitted values")]
     UnknownValue,
-    #[error("no such event")]
+    #[error("unknown event")]
     UnknownEvent,
-    #[error("no such action")]
+    #[error("unknown action")]
     UnknownAction,
-    #[error("no such part of the status")]
+    #[error("unknown figure of the status")]
     UnknownStatus,
-    #[error("no handler of this name is set up before")]
+    #[error("no handler of this name has been set up")]
     UnknownHandler,
     #[error("not a number")]
     NotANumber,
@@ -47,11 +47,11 @@
     NotARange,
     #[error("not a comparison, < or >")]
     NotAComparison,
-    #[error("followed by no {0}")]
+    #[error("must be followed by: {0}")]
     Missing(&'static str),
-    #[error("set up after the first event")]
+    #[error("set-up line after the first event")]
     LateSetup,
-    #[error("checked before the first event")]
+    #[error("check before the first event")]
     EarlyCheck,
 }
 
--- a/tests/scenario_runner/events.rs
+++ b/tests/scenario_runner/events.rs
@@ -1,4 +1,4 @@
-//! The events of one line.
+//! Parses the event lines of a scenario.
 
 use super::error::{Problem, WordError};
 use super::setup::Setup;
@@ -6,7 +6,7 @@
 use madderbay::interface::{Arrival, Ceiling, HandlerId, Outcome, TenantId};
 use madderbay::time::{Duration, Timestamp};
 
-/// The instant that a file's times count from.
+/// The instant from which the times of a scenario file are counted.
 pub(crate) const START: Timestamp = Timestamp::from_micros(1_000_000_000);
 
 /// An event and its time.
@@ -15,7 +15,7 @@
     pub(crate) kind: EventKind,
 }
 
-/// What happens to the server.
+/// The kinds of events, with their arguments.
 pub(crate) enum EventKind {
     /// A request is read.
     Request(Arrival),
@@ -33,28 +33,28 @@
         outcome: Outcome,
         call_time: Duration,
     },
-    /// The client of a request has gone.
+    /// The client of a request is gone.
     ClientGone { id: u64 },
     /// A graceful shutdown begins.
     Drain { remaining: Duration },
-    /// A group of handlers gets a ceiling, in place of its former one.
+    /// A group of handlers gets a ceiling, which replaces its former one.
     Ceiling(Ceiling),
     /// The gauge of the run queue changes.
     RunQueue { runs: f64 },
     /// The process pauses: the timer fires late.
     Pause { duration: Duration },
-    /// Nothing but time passes.
+    /// Time passes without an event.
     Wait,
 }
 
-/// How often a part of a line happens, and at which interval.
+/// How many times, and at what interval, the event of a part of a line is repeated.
 #[derive(Clone, Copy)]
 struct Repetition {
     times: u64,
     interval: Duration,
 }
 
-/// The events of one line in order of time.
+/// Parses an event line and returns its events in order of time.
 pub(crate) fn parse(line: &str, setup: &Setup) -> Result<Vec<Event>, WordError> {
     let mut line_start = START;
     let mut repetition = Repetition {
@@ -81,7 +81,7 @@
     Ok(events)
 }
 
-/// A time from the start of the file, or after a `+` from the start of the line.
+/// Parses a time, which counts from `START`, or with a leading `+` from the line's first time.
 fn time(words: &mut Words, line_start: Timestamp) -> Result<Timestamp, WordError> {
     let word = words.next("time")?;
     match word.strip_prefix('+') {
@@ -104,7 +104,7 @@
     }))
 }
 
-/// The event of a part; `index` is added to its request's identifier.
+/// Parses the event of a part of a line; `index` is added to the identifier of its request.
 fn event(mut words: Words, index: u64, setup: &Setup) -> Result<EventKind, WordError> {
     let keyword = words.next("event")?;
     let line = &mut words;
--- a/tests/scenario_runner/mod.rs
+++ b/tests/scenario_runner/mod.rs
@@ -1,9 +1,9 @@
 //! Plays scenario files against the decision module.
 //!
 //! A scenario is a text file: lines that set the server up, then lines with events and checks.
-//! `#` begins a comment. Words are separated by blanks, those in square brackets may be left out,
-//! and `NAME=` has its default in round ones. A duration is a number and its unit (`250ms`, `2s`).
-//! The words are those of [`madderbay::interface`], which says what they mean and their units.
+//! `#` begins a comment. Words are separated by blanks. Below, words in square brackets are
+//! optional, and the default of `NAME=` follows in parentheses. A duration is a number and its unit
+//! (`250ms`, `2s`). [`madderbay::interface`] documents the meaning and the unit of each setting.
 //!
 //! # Set-up
 //!
@@ -29,10 +29,10 @@
 //! TIME [xTIMES/INTERVAL] EVENT [; TIME [xTIMES/INTERVAL] EVENT]...
 //! ```
 //!
-//! TIME counts from the start of the file, or after a `+` from the first time of the line. With
-//! `x20/50ms` the event happens twenty times, 50 ms apart, and its identifier counts up; the later
-//! events of the line do the same, until one of them says otherwise. Events of one time are one
-//! batch. In between the timer fires every 10 ms.
+//! TIME counts from the start of the file, or with a leading `+` from the first time of the line.
+//! With `x20/50ms` the event happens twenty times, 50 ms apart, and its identifier increases by one
+//! each time; the later events of the line are repeated likewise, unless they have a repetition of
+//! their own. Events with the same time form one batch. In between the timer fires every 10 ms.
 //!
 //! ```text
 //! request ID HANDLER [client=] (ID) [tenant=] (0) [timeout=] (4s) [work_hint=] [memory_kb=] (1)
@@ -43,30 +43,31 @@
 //! call_needed ID                         its run waits for an upstream call
 //! call_finished ID OUTCOME DURATION      the call ends after that time; OUTCOME is completed,
 //!                                        failed, rejected, timed_out or unreachable
-//! client_gone ID                         its client has gone
+//! client_gone ID                         its client is gone
 //! drain DURATION                         a graceful shutdown begins, that long before the stop
 //! ceiling HANDLER[,HANDLER]... [runs=] [calls=] [start_interval=] (0s)
 //!                                        the group's ceiling from then on
 //! run_queue NUMBER                       the gauge of the run queue from then on
 //! pause DURATION                         the process pauses: the timer fires late
-//! wait                                   nothing but time passes
+//! wait                                   time passes without an event
 //! ```
 //!
 //! # Checks
 //!
 //! ```text
-//! > ACTION            at least one action since the last event line began starts with this text
-//! ! ACTION            none does
-//! = ACTION COUNT      so many of the file so far do; COUNT is a number, or a range such as 3..5
-//! = *TEXT COUNT       so many of the file so far contain this text
-//! ~ FIGURE <|> NUMBER budget (in seconds), admitted_fraction, concurrency_limit, or clients (seen
-//!                     of late)
+//! > ACTION            an action since the start of the last event line begins with ACTION
+//! ! ACTION            no action since the start of the last event line begins with ACTION
+//! = ACTION COUNT      COUNT actions of the file so far begin with ACTION; COUNT is a number, or a
+//!                     range such as 3..5
+//! = *TEXT COUNT       COUNT actions of the file so far contain TEXT
+//! ~ FIGURE <|> NUMBER the figure is below or above the number; FIGURE is budget (in seconds),
+//!                     admitted_fraction, concurrency_limit, or clients (seen recently)
 //! ```
 //!
-//! An action is a line of text: the method of [`madderbay::interface::Actions`] without its `set_`,
-//! the identifier, and what it was given. Times are in whole milliseconds. ACTION is the beginning of
-//! such a line: `start 1` is met by the start of request 1 and of 10 to 19, which scenarios use for
-//! groups of requests, and `load_report 0.` by any report below 1.
+//! An action is a line of text: the method of [`madderbay::interface::Actions`] without the prefix
+//! `set_`, the identifier, and the other arguments. Times are in whole milliseconds. ACTION is the
+//! beginning of such a line: `start 1` matches the start of request 1 and of requests 10 to 19,
+//! which scenarios use for groups of requests, and `load_report 0.` matches any report below 1.
 //!
 //! ```text
 //! start ID      cancel ID     fail ID      skip_call ID      remove_key ID      join_attempt ID
@@ -90,7 +91,7 @@
 use player::Player;
 use script::Script;
 
-/// Plays a file's text; returns the checks that failed, a line each.
+/// Plays the text of a scenario file and returns a line of text for each failed check.
 pub(crate) fn play(name: &str, text: &str) -> Result<Vec<String>, ScriptError> {
     let script = Script::parse(name, text)?;
     Ok(Player::new(&script).play())
--- a/tests/scenario_runner/player.rs
+++ b/tests/scenario_runner/player.rs
@@ -1,4 +1,4 @@
-//! Plays a script: hands its events to the decision module, and checks what that did.
+//! Plays a script: passes its events to the decision module and evaluates its checks.
 
 use super::actions::ActionLog;
 use super::events::{Event, EventKind, START};
@@ -7,10 +7,10 @@
 use madderbay::interface::{Ceiling, Gauges};
 use madderbay::time::{Duration, Timestamp};
 
-/// Time between two ticks of the timer.
+/// Interval of the timer.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A script while it is played.
+/// A script that is being played.
 pub(crate) struct Player<'a> {
     script: &'a Script,
     decider: Decider,
@@ -20,7 +20,7 @@
     run_queue: Option<f64>,
     ceilings: Vec<Ceiling>,
     log: ActionLog,
-    /// Index of the first action after the last event line began.
+    /// Index of the last event line's first action.
     line_start: usize,
     failures: Vec<String>,
 }
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Plays all lines; returns the checks that failed, a line each.
+    /// Plays all lines and returns a line of text for each failed check.
     pub(crate) fn play(mut self) -> Vec<String> {
         for step in &self.script.steps {
             match &step.kind {
@@ -58,7 +58,8 @@
         self.failures
     }
 
-    /// The first line's actions begin with those of the server's start.
+    /// Plays the events of one line. The actions of the server's start count with those of the
+    /// first event line.
     fn play_events(&mut self, events: &[Event]) {
         self.line_start = self.log.len();
         if !self.started {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Lets the clock run: the present batch settles, then the timer fires at each tick.
+    /// Advances the clock: first the current batch settles, then the timer fires at each tick.
     fn advance_to(&mut self, until: Timestamp) {
         if until > self.now {
             self.settle();
@@ -119,7 +120,7 @@
         }
     }
 
-    /// A group has one ceiling: a later one takes the place of the former.
+    /// Sets the ceiling of a group of handlers; it replaces the group's former one.
     fn set_ceiling(&mut self, ceiling: &Ceiling) {
         self.ceilings.retain(|c| c.handlers != ceiling.handlers);
         self.ceilings.push(ceiling.clone());
--- a/tests/scenario_runner/script.rs
+++ b/tests/scenario_runner/script.rs
@@ -1,4 +1,4 @@
-//! A scenario file, read whole before any of it is played.
+//! Parses a whole scenario file before any of it is played.
 
 use super::checks::Check;
 use super::error::{Problem, ScriptError, WordError};
@@ -6,29 +6,29 @@
 use super::setup::Setup;
 use super::words::Words;
 
-/// A scenario file.
+/// A parsed scenario file.
 pub(crate) struct Script {
     pub(crate) name: String,
     pub(crate) setup: Setup,
     pub(crate) steps: Vec<Step>,
 }
 
-/// A line with events or a check.
+/// A line of a scenario with events or a check.
 pub(crate) struct Step {
-    /// The first line of the file is 1.
+    /// Line number, counted from 1.
     pub(crate) line: usize,
     pub(crate) text: String,
     pub(crate) kind: StepKind,
 }
 
-/// What a line asks for.
+/// The events or the check of a line.
 pub(crate) enum StepKind {
     Events(Vec<Event>),
     Check(Check),
 }
 
 impl Script {
-    /// Reads a file's text; the error names its first wrong word.
+    /// Parses the text of a scenario file. The error names the first invalid word.
     pub(crate) fn parse(name: &str, text: &str) -> Result<Script, ScriptError> {
         let mut script = Script {
             name: name.to_string(),
--- a/tests/scenario_runner/setup.rs
+++ b/tests/scenario_runner/setup.rs
@@ -1,4 +1,4 @@
-//! The lines that set the server up.
+//! Parses the set-up lines of a scenario: the settings of the server.
 
 use super::error::{Problem, WordError};
 use super::words::Words;
@@ -12,7 +12,7 @@
 /// Seed of the decision module's random numbers, the same for all scenarios.
 const SEED: u64 = 7;
 
-/// What the decision module is given before the first event.
+/// Settings of the decision module.
 pub(crate) struct Setup {
     machine: Machine,
     handlers: Vec<NamedHandler>,
@@ -29,8 +29,8 @@
 }
 
 impl Setup {
-    /// A warm machine, alone, without handlers, tenants and an upstream, and one client: the
-    /// defaults of each line.
+    /// Returns the defaults of all set-up lines: one server with warm caches, one client, no
+    /// handlers, no tenants and no upstream.
     pub(crate) fn new() -> Result<Setup, WordError> {
         Ok(Setup {
             machine: machine(&mut Words::new(""))?,
@@ -46,7 +46,7 @@
         })
     }
 
-    /// Applies one line, given its first word and the others.
+    /// Applies one set-up line, given its first word and the remaining words.
     pub(crate) fn apply(&mut self, keyword: &str, mut words: Words) -> Result<(), WordError> {
         let line = &mut words;
         match keyword {
@@ -62,7 +62,7 @@
         words.finish()
     }
 
-    /// The handler of that name; `word` is the word that an error names.
+    /// Returns the handler of this name; `word` is the word that an error names.
     pub(crate) fn handler(&self, name: &str, word: &str) -> Result<HandlerId, WordError> {
         let index = self.handlers.iter().position(|h| h.name == name);
         index
@@ -70,7 +70,7 @@
             .ok_or_else(|| WordError::new(word, Problem::UnknownHandler))
     }
 
-    /// The decision module, before its start.
+    /// Returns a decision module that has not started.
     pub(crate) fn decider(&self, now: Timestamp) -> Decider {
         let handlers: Vec<Handler> = self.handlers.iter().map(|h| h.handler.clone()).collect();
         let builder = Decider::builder(
--- a/tests/scenario_runner/words.rs
+++ b/tests/scenario_runner/words.rs
@@ -1,13 +1,13 @@
-//! The words of one line, taken one by one; a word that nothing takes is an error.
+//! Splits a line into words, which parsers take one by one. A word that is left over is an error.
 
 use super::error::{Problem, WordError};
 use madderbay::time::Duration;
 use std::str::FromStr;
 
-/// The words of a line that are not yet taken.
+/// The words of a line that have not been taken yet.
 #[derive(Clone)]
 pub(crate) struct Words<'a> {
-    /// The last word that was taken by its position.
+    /// The last word that `next` took.
     last: &'a str,
     rest: Vec<&'a str>,
 }
@@ -20,12 +20,12 @@
         }
     }
 
-    /// The next word, without taking it.
+    /// Returns the next word without taking it.
     pub(crate) fn peek(&self) -> Option<&'a str> {
         self.rest.first().copied()
     }
 
-    /// Takes the next word, which is said to be `expected` if there is none.
+    /// Takes the next word. If there is none, the error says that `expected` is missing.
     pub(crate) fn next(&mut self, expected: &'static str) -> Result<&'a str, WordError> {
         if self.rest.is_empty() {
             return Err(WordError::new(self.last, Problem::Missing(expected)));
@@ -34,7 +34,7 @@
         Ok(self.last)
     }
 
-    /// Takes the next word, a number.
+    /// Takes the next word and parses it as a number.
     pub(crate) fn next_number<T: FromStr>(
         &mut self,
         expected: &'static str,
@@ -43,18 +43,18 @@
         number(word, word)
     }
 
-    /// Takes the next word, a duration.
+    /// Takes the next word and parses it as a duration.
     pub(crate) fn next_duration(&mut self) -> Result<Duration, WordError> {
         let word = self.next("duration")?;
         duration(word, word)
     }
 
-    /// Takes a flag; whether it was there.
+    /// Takes a flag and reports whether it was present.
     pub(crate) fn flag(&mut self, flag: &str) -> bool {
         self.take(|word| (word == flag).then_some(())).is_some()
     }
 
-    /// Takes `key=NUMBER`.
+    /// Takes `key=NUMBER`; returns the default if there is none.
     pub(crate) fn number<T: FromStr>(&mut self, key: &str, default: T) -> Result<T, WordError> {
         match self.value(key) {
             Some((word, value)) => number(value, word),
@@ -62,12 +62,12 @@
         }
     }
 
-    /// Takes `key=DURATION`.
+    /// Takes `key=DURATION`; returns the default if there is none.
     pub(crate) fn duration(&mut self, key: &str, default: Duration) -> Result<Duration, WordError> {
         Ok(self.optional_duration(key)?.unwrap_or(default))
     }
 
-    /// Takes `key=DURATION`, if it is there.
+    /// Takes `key=DURATION`, if present.
     pub(crate) fn optional_duration(&mut self, key: &str) -> Result<Option<Duration>, WordError> {
         match self.value(key) {
             Some((word, value)) => duration(value, word).map(Some),
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Takes `key=VALUE` with one of the named values.
+    /// Takes `key=VALUE` with one of the named values; returns the default if there is none.
     pub(crate) fn choice<T: Copy>(
         &mut self,
         key: &str,
@@ -91,12 +91,12 @@
             .ok_or_else(|| WordError::new(word, Problem::UnknownValue))
     }
 
-    /// All words that are left, as they stand in the file.
+    /// Returns all remaining words, joined by single spaces.
     pub(crate) fn remaining(self) -> String {
         self.rest.join(" ")
     }
 
-    /// Ends the line: all its words must have been taken.
+    /// Checks that all words of the line have been taken.
     pub(crate) fn finish(self) -> Result<(), WordError> {
         match self.peek() {
             Some(word) => Err(WordError::new(word, Problem::UnknownWord)),
@@ -117,13 +117,13 @@
     }
 }
 
-/// A number; `word` is the word that an error names.
+/// Parses a number; `word` is the word that an error names.
 pub(crate) fn number<T: FromStr>(text: &str, word: &str) -> Result<T, WordError> {
     text.parse()
         .map_err(|_| WordError::new(word, Problem::NotANumber))
 }
 
-/// A duration such as `250ms` or `1.5s`; `word` is the word that an error names.
+/// Parses a duration such as `250ms` or `1.5s`; `word` is the word that an error names.
 pub(crate) fn duration(text: &str, word: &str) -> Result<Duration, WordError> {
     let units = [("ms", 1e-3), ("s", 1.0)];
     let parts = units
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Plays every file in `tests/scenarios`; `scenario_runner` has their grammar.
+//! Plays every file in `tests/scenarios`; `scenario_runner` documents their syntax.
 
 mod scenario_runner;
 
@@ -8,7 +8,7 @@
 fn every_scenario_file_gives_the_expected_actions() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/scenarios");
     let mut files: Vec<_> = std::fs::read_dir(folder)
-        .expect("the scenarios")
+        .expect("the scenario directory is readable")
         .map(|f| f.expect("a file").path())
         .collect();
     files.sort();
@@ -25,12 +25,12 @@
     assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
-/// A file that is sound but for its last line, the fourth.
+/// Returns a scenario of three valid lines and the given fourth line.
 fn with_last_line(last: &str) -> String {
     format!("machine cores=1\nhandler search objective=1s\n0ms request 1 search\n{last}\n")
 }
 
-/// Each line, as the last of a sound file, is reported with file, line, word and problem.
+/// Asserts that each line, as the last of an otherwise valid file, is reported with file, line, word and problem.
 fn assert_reported(cases: &[(&str, &str, Problem)]) {
     for (line, word, problem) in cases {
         let expected = ScriptError {
