--- a/src/estimators.rs
+++ b/src/estimators.rs
@@ -36,9 +36,9 @@
         self.value += self.weight * (sample - self.value);
     }
 
-    /// Moves the average towards `rest`; `kept_fraction` of its distance from `rest` remains.
-    pub(crate) fn relax_towards(&mut self, rest: f64, kept_fraction: f64) {
-        self.value = rest + (self.value - rest) * kept_fraction;
+    /// Moves the average towards `target`; `kept_fraction` of its distance from `target` remains.
+    pub(crate) fn relax_towards(&mut self, target: f64, kept_fraction: f64) {
+        self.value = target + (self.value - target) * kept_fraction;
     }
 
     /// Lowers the average to `max` where it is above.
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -178,8 +178,8 @@
     assert_eq!(out.load_report, None);
 }
 
-/// Many clients that have no load report yet send requests at the same time. No more requests run than the machine
-/// supports, and those that cannot meet their latency objective are rejected at once with a Retry-After.
+/// Many clients without a load report send requests at the same time. No more requests run than the machine supports,
+/// and those that cannot meet their latency objective are rejected at once with a Retry-After.
 #[test]
 fn cold_server_rejects_at_once_what_it_cannot_run_in_time() {
     let (mut decider, mut out) = (server(true, 30), ActionLog::default());
