--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,4 +1,4 @@
-//! Indices into the settings, with a distinct type for each kind.
+//! Indices into the settings, with a distinct type for each kind, so that they cannot be confused.
 
 /// Index of a handler in the settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
