--- a/tests/arbitrary_events.rs
+++ b/tests/arbitrary_events.rs
@@ -1,4 +1,4 @@
-//! The decision module ends each batch, whatever the order and the times of its events.
+//! The decision module completes each batch of events, whatever their order and times.
 
 use madderbay::decide::Decider;
 use madderbay::interface::{
@@ -9,23 +9,23 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Actions of one batch, far more than any needs: a batch without an end is found by them.
+/// Bound on the actions of one batch, far above what any batch needs; a batch that exceeds it does not terminate.
 const MAX_ACTIONS: usize = 10_000;
-/// Requests that a history has, at most.
+/// Largest number of requests in a history.
 const MAX_REQUESTS: u64 = 12;
 
 /// Counts the actions of one batch.
 #[derive(Default)]
-struct ActionCount(usize);
+struct ActionCounter(usize);
 
-impl ActionCount {
+impl ActionCounter {
     fn count(&mut self) {
         self.0 += 1;
-        assert!(self.0 < MAX_ACTIONS, "the batch has no end");
+        assert!(self.0 < MAX_ACTIONS, "the batch does not terminate");
     }
 }
 
-impl Actions for ActionCount {
+impl Actions for ActionCounter {
     fn start(&mut self, _id: u64) {
         self.count();
     }
@@ -70,7 +70,7 @@
     }
 }
 
-/// One event. Numbers of requests that are not there are passed over by the module.
+/// One event. The decision module ignores identifiers of requests that do not exist.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Arrival {
@@ -83,12 +83,12 @@
     RunEnded(u64, Outcome),
     Tick,
     Drain,
-    /// The clock goes on by so many milliseconds.
+    /// The clock advances by this number of milliseconds.
     Wait(u64),
-    /// The clock leaps to this time, in milliseconds, perhaps back.
-    Leap(u64),
-    /// The clock stands at its end.
-    End,
+    /// The clock jumps to this time, in milliseconds, which may be earlier.
+    JumpTo(u64),
+    /// The clock jumps to the largest timestamp.
+    JumpToEnd,
 }
 
 fn any_outcome() -> impl Strategy<Value = Outcome> {
@@ -113,8 +113,8 @@
         6 => Just(Event::Tick),
         1 => Just(Event::Drain),
         6 => (0..400u64).prop_map(Event::Wait),
-        3 => (0..100_000u64).prop_map(Event::Leap),
-        1 => Just(Event::End),
+        3 => (0..100_000u64).prop_map(Event::JumpTo),
+        1 => Just(Event::JumpToEnd),
     ]
 }
 
@@ -170,7 +170,7 @@
         .build()
 }
 
-/// A module in a history, with its clock.
+/// A decision module that handles a history of events, and its clock.
 struct History {
     decider: Decider,
     now: Timestamp,
@@ -180,7 +180,7 @@
 impl History {
     fn play(&mut self, event: Event) {
         let now = self.now;
-        let out = &mut ActionCount::default();
+        let out = &mut ActionCounter::default();
         match event {
             Event::Arrival { handler, retry_of } => self.arrive(handler, retry_of, out),
             Event::ClientGone(id) => self.decider.on_client_gone(now, id, out),
@@ -201,13 +201,13 @@
             }
             Event::Drain => self.decider.drain(now, Duration::from_millis(500)),
             Event::Wait(millis) => self.now = now + Duration::from_millis(millis),
-            Event::Leap(millis) => self.now = Timestamp::from_micros(millis * 1_000),
-            Event::End => self.now = Timestamp::from_micros(u64::MAX),
+            Event::JumpTo(millis) => self.now = Timestamp::from_micros(millis * 1_000),
+            Event::JumpToEnd => self.now = Timestamp::from_micros(u64::MAX),
         }
-        self.decider.settle(self.now, &mut ActionCount::default());
+        self.decider.settle(self.now, &mut ActionCounter::default());
     }
 
-    fn arrive(&mut self, handler: usize, retry_of: u64, out: &mut ActionCount) {
+    fn arrive(&mut self, handler: usize, retry_of: u64, out: &mut ActionCounter) {
         if self.arrivals == MAX_REQUESTS {
             return;
         }
@@ -232,10 +232,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// A run that should have ended was checked again at a time that had passed, without an end, where the clock had
-    /// leapt since the last tick.
+    /// Guards against a batch that never completes. After a jump of the clock since the last tick, the repeated check of
+    /// a run that should have ended was due at a time that had already passed, and so repeated without end.
     #[test]
-    fn ends_each_batch_whatever_the_clock(
+    fn every_batch_terminates_whatever_the_clock(
         is_cancellable in any::<bool>(),
         events in proptest::collection::vec(any_event(), 1..80),
     ) {
