--- a/crates/concurrency/tests/concurrency/reference_run/random_requests.rs
+++ b/crates/concurrency/tests/concurrency/reference_run/random_requests.rs
@@ -1,7 +1,7 @@
-//! The limiter with random requests.
+//! Replay of the limiter with random requests.
 
 use super::configs::configs;
-use super::{Digest, WRITES_TO_STRING, assert_same, recorded_name};
+use super::{Digest, STRING_WRITE_SUCCEEDS, assert_same_lines, recorded_name};
 use crate::simulation::at;
 use crate::support::{QUOTE, call_requirements};
 use madderbay::interface::HandlerId;
@@ -10,7 +10,7 @@
 use madderbay_concurrency::{ConcurrencyConfig, ConcurrencyLimiter, RequestStage};
 use std::fmt::Write;
 
-/// How far a request of [`RandomRequests`] is.
+/// Progress of a request of [`RandomRequests`].
 #[derive(Clone, Copy)]
 enum Progress {
     Queued,
@@ -26,7 +26,8 @@
     progress: Progress,
 }
 
-/// A limiter with random requests, in alternating phases: calls that succeed, fail and time out.
+/// A limiter with random requests, whose phases alternate between calls that mostly succeed, fail
+/// and time out.
 struct RandomRequests {
     limiter: ConcurrencyLimiter,
     random: oorandom::Rand64,
@@ -113,7 +114,8 @@
         };
     }
 
-    /// Starts a call if the limit allows it; otherwise some requests are answered without it.
+    /// Starts a call if the limit allows it. Otherwise the request keeps waiting for a call, and
+    /// some such requests are answered meanwhile.
     fn start_call(&mut self, id: u64, handler: HandlerId, draw: f64) -> Progress {
         let now = self.now();
         let usage = self.limiter.call_usage();
@@ -143,7 +145,8 @@
         }
     }
 
-    /// Computes ceilings for a random number of workers; returns them as a line.
+    /// Computes the ceilings for a random number of workers, adds them to the digest, and returns
+    /// them as a line.
     fn ceilings(&mut self, digest: &mut Digest) -> String {
         let workers = 6.0 + 6.0 * self.random.rand_float();
         let number = |n: usize| {
@@ -204,26 +207,26 @@
     for (index, (name, config)) in configs().into_iter().enumerate() {
         let mut requests = RandomRequests::new(index, config);
         let mut digest = Digest::new();
-        writeln!(text, "plan {name}").expect(WRITES_TO_STRING);
+        writeln!(text, "plan {name}").expect(STRING_WRITE_SUCCEEDS);
         for step in 0..4_000u64 {
             requests.step((step / 800) % 3);
             if requests.limiter.is_stale(requests.now()) {
                 let ceilings = requests.ceilings(&mut digest);
                 if step % 250 == 0 {
-                    writeln!(text, "{step} {ceilings}").expect(WRITES_TO_STRING);
+                    writeln!(text, "{step} {ceilings}").expect(STRING_WRITE_SUCCEEDS);
                 }
             }
             let taken = requests.limiter.take_limit_changes();
             for change in taken.changes {
                 let cause = recorded_name(change.cause);
                 writeln!(text, "{step} {:?} {:?} {cause}", change.from, change.to)
-                    .expect(WRITES_TO_STRING);
+                    .expect(STRING_WRITE_SUCCEEDS);
             }
             digest.add(taken.dropped);
             requests.add_state(&mut digest);
         }
         let (changes, open) = (requests.limiter.change_count(), requests.limiter.len());
-        writeln!(text, "end {changes} {open} {:016x}", digest.0).expect(WRITES_TO_STRING);
+        writeln!(text, "end {changes} {open} {:016x}", digest.0).expect(STRING_WRITE_SUCCEEDS);
     }
-    assert_same(&text, include_str!("data/limiter_events.txt"));
+    assert_same_lines(&text, include_str!("data/limiter_events.txt"));
 }
--- a/crates/server/src/core/deadlines/tests.rs
+++ b/crates/server/src/core/deadlines/tests.rs
@@ -1,4 +1,4 @@
-//! The order of deadlines, and the tick among them.
+//! Tests of the order of deadlines and of the tick.
 
 use super::*;
 
@@ -6,7 +6,7 @@
     Timestamp::from_micros(millis * 1_000)
 }
 
-/// Deadlines without the maintenance that is due at the start.
+/// Returns deadlines without the maintenance that is due at the start.
 fn deadlines() -> Deadlines {
     let mut deadlines = Deadlines::new(at(0));
     assert_eq!(deadlines.pop_due(at(0)), Some(Deadline::Maintenance));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn removes_only_the_deadline_of_its_instant() {
+fn removes_deadline_only_at_its_instant() {
     let mut deadlines = deadlines();
     deadlines.insert(at(10), Deadline::Hedge(1));
     deadlines.remove(at(11), Deadline::Hedge(1));
@@ -45,21 +45,21 @@
 }
 
 #[test]
-fn counts_next_tick_from_the_deadline_before() {
+fn schedules_next_tick_from_previous_deadline() {
     let mut deadlines = deadlines();
     let interval = Duration::from_millis(10);
     deadlines.tick_timer().set(at(0), interval);
     assert_eq!(deadlines.next(), Some(at(10)));
     assert!(!deadlines.is_tick_overdue(at(12), Duration::from_millis(2)));
     assert!(deadlines.is_tick_overdue(at(13), Duration::from_millis(2)));
-    // Reached 3 ms late: the next one is not counted from then.
+    // This tick is reached 3 ms late; the next one is not counted from then.
     assert_eq!(deadlines.tick_timer().take_due(at(13)), Some(at(10)));
     deadlines.tick_timer().set(at(13), interval);
     assert_eq!(deadlines.next(), Some(at(20)));
 }
 
 #[test]
-fn sets_deadlines_of_idle_connections_anew() {
+fn replaces_deadlines_of_idle_connections() {
     let mut deadlines = deadlines();
     deadlines.insert(at(5), Deadline::ConnectionIdle(1));
     deadlines.insert(at(6), Deadline::FirstRequest(1));
--- a/crates/server/src/core/run_commands/tests/histories.rs
+++ b/crates/server/src/core/run_commands/tests/histories.rs
@@ -1,7 +1,9 @@
-//! Drawn histories of one run's commands over links that break, against an engine that remembers everything.
+//! Random histories of one run's commands over links that break, against a model of the engine that
+//! records every command it reads.
 //!
-//! The engine reads what was written of a link, in order, as far as the history lets it. Its notices outlive the link;
-//! its answers to queries do not, but an answer to a former link may come on a later one.
+//! The engine reads the bytes written to a link, in order, as far as the history lets it. Its
+//! notices survive the loss of the link. Its answers to queries do not, but an answer to an earlier
+//! link may arrive on a later one.
 
 use super::super::*;
 use crate::support::attempt_name::AttemptName;
@@ -17,18 +19,18 @@
 const CANCEL: &str = "cancel";
 const HELLO: &str = "{\"msg\":\"HELLO\",\"how\":\"old\",\"duration\":3600000}\n";
 
-/// One step of a history. A step that can't be taken is passed over.
+/// One step of a history. A step that is not possible is skipped.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     /// The server starts the run.
     Start,
     /// The server cancels the run.
     Cancel,
-    /// The server answers the call that the run waits at.
+    /// The server replies to the call that the run waits for.
     Reply,
-    /// The run comes to a call.
+    /// The run reaches a call.
     ReachCall,
-    /// The server writes what it has sent to the link.
+    /// The server writes the bytes that it has queued for the link.
     Write,
     /// The engine reads the next line of the link.
     Read,
@@ -37,10 +39,10 @@
     /// The server's timer ticks.
     Tick,
     /// The link breaks.
-    Lose,
+    LoseLink,
     /// A new link is made.
     Attach,
-    /// The last answer to a query of a former link comes on this one.
+    /// The last answer to a query on an earlier link arrives on the current one.
     LateAnswer,
 }
 
@@ -54,20 +56,20 @@
         12 => Just(Step::Read),
         12 => Just(Step::Receive),
         4 => Just(Step::Tick),
-        3 => Just(Step::Lose),
+        3 => Just(Step::LoseLink),
         6 => Just(Step::Attach),
         1 => Just(Step::LateAnswer),
     ]
 }
 
-/// The server's side: the link, the commands of the run, and what it knows of the run.
+/// The server's side: the link, the commands of the run, and what the server knows of the run.
 #[derive(Default)]
 struct Server {
     link: EngineLink,
     commands: RunCommands,
-    /// The call that the run waits at, as the server knows.
+    /// The call that the run waits for, as far as the server knows.
     call: Option<u64>,
-    /// The reply that may have been read when its link was lost.
+    /// The calls whose replies may have been read when the link was lost.
     replies_in_doubt: Vec<u64>,
     last_reply: u64,
     submitted: Vec<String>,
@@ -110,7 +112,7 @@
             return;
         }
         if !self.commands.is_unproven(self.link.proven_before()) {
-            self.commands.all_read();
+            self.commands.mark_all_read();
         } else if self.commands.resend(&self.link) == ResendOutcome::ReplyInDoubt {
             let call = self.last_reply;
             self.replies_in_doubt.push(call);
@@ -135,20 +137,20 @@
     }
 }
 
-/// The engine's side: what it has read and said, over all links.
+/// The engine's side: what it has read and sent, over all links.
 #[derive(Default)]
 struct Engine {
-    /// Lines of the link of the moment that were written and not read.
+    /// Lines that were written to the current link and not read yet.
     unread: VecDeque<String>,
-    /// Lines to the server on the link of the moment.
+    /// Lines to the server on the current link.
     to_server: VecDeque<String>,
     /// All commands that were read.
     read: Vec<String>,
-    /// All notices, the serial of the first being 1.
+    /// All notices; the first one has the serial number 1.
     notices: Vec<String>,
-    /// The call that the run waits at.
+    /// The call that the run waits for.
     call: Option<u64>,
-    /// The last query that was answered on a former link.
+    /// The last answer to a query on an earlier link.
     late_answer: Option<String>,
     last_answer: Option<String>,
 }
@@ -202,16 +204,16 @@
     }
 }
 
-/// The number behind `mark`.
-fn number_in<T: std::str::FromStr>(line: &str, mark: &str) -> T {
-    let (_, rest) = line.split_once(mark).expect("the member");
+/// Parses the number that follows `prefix`.
+fn number_in<T: std::str::FromStr>(line: &str, prefix: &str) -> T {
+    let (_, rest) = line.split_once(prefix).expect("the member");
     let digits = rest.split(|c: char| !c.is_ascii_digit()).next();
     digits
         .and_then(|digits| digits.parse().ok())
         .expect("a number")
 }
 
-/// A history of a server and its engine.
+/// The state of a history: a server and its engine.
 #[derive(Default)]
 struct History {
     server: Server,
@@ -221,7 +223,7 @@
 }
 
 impl History {
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::Start if self.server.submitted.is_empty() => self.server.submit(RUN),
             Step::Cancel if !self.server.submitted.is_empty() => self.server.cancel(),
@@ -243,7 +245,7 @@
                 }
             }
             Step::Tick => self.server.link.on_tick(),
-            Step::Lose if self.outbox.is_some() => {
+            Step::LoseLink if self.outbox.is_some() => {
                 self.outbox = None;
                 self.server.link_lost();
                 self.engine.link_lost();
@@ -279,33 +281,34 @@
         self.outbox = Some(outbox);
     }
 
-    /// Lets all that is on its way arrive, over a link that stays.
+    /// Delivers all that is under way, over a link that is not lost.
     fn settle(&mut self) {
-        self.take(Step::Attach);
+        self.apply(Step::Attach);
         for _ in 0..3 {
-            self.take(Step::Tick);
-            self.take(Step::Write);
+            self.apply(Step::Tick);
+            self.apply(Step::Write);
             while !self.engine.unread.is_empty() {
-                self.take(Step::Read);
+                self.apply(Step::Read);
             }
             while !self.engine.to_server.is_empty() {
-                self.take(Step::Receive);
+                self.apply(Step::Receive);
             }
         }
-        self.take(Step::Write);
+        self.apply(Step::Write);
         while !self.engine.unread.is_empty() {
-            self.take(Step::Read);
+            self.apply(Step::Read);
         }
     }
 
-    /// Whether a command was given up knowingly: a reply in doubt.
+    /// Reports whether a command was given up deliberately: a reply in doubt.
     fn is_in_doubt(&self, command: &str) -> bool {
         let calls = &self.server.replies_in_doubt;
         calls.iter().any(|call| command == format!("reply {call}"))
     }
 
-    /// What the engine has not read is kept, unless it is in doubt.
-    fn check_nothing_is_forgotten(&self) -> Result<(), TestCaseError> {
+    /// Checks that the server keeps each command that the engine has not read, unless it is in
+    /// doubt.
+    fn check_no_command_lost(&self) -> Result<(), TestCaseError> {
         let unproven = &self.server.commands.unproven;
         for command in &self.server.submitted {
             let line = format!("{command}\n").into_bytes();
@@ -313,14 +316,14 @@
             let is_read = self.engine.has_read(command);
             prop_assert!(
                 is_kept || is_read || self.is_in_doubt(command),
-                "'{command}' is forgotten"
+                "'{command}' is lost"
             );
         }
         Ok(())
     }
 
-    /// No reply is read twice, and no cancellation before the run.
-    fn check_reads(&self) -> Result<(), TestCaseError> {
+    /// Checks that no reply is read twice, and no cancellation before the run command.
+    fn check_commands_read(&self) -> Result<(), TestCaseError> {
         let read = &self.engine.read;
         for line in read.iter().filter(|line| line.starts_with("reply")) {
             let reads = read.iter().filter(|other| *other == line).count();
@@ -331,21 +334,25 @@
             let started = first(RUN);
             prop_assert!(
                 started.is_some_and(|started| started < cancelled),
-                "cancelled first"
+                "the cancellation was read before the run"
             );
         }
         Ok(())
     }
 
-    /// Once all has arrived, a cancellation is the engine's last word.
-    fn check_end(&self) -> Result<(), TestCaseError> {
+    /// Checks, once everything has been delivered, that no command is missing and that the run is
+    /// not started again after its cancellation.
+    fn check_final_state(&self) -> Result<(), TestCaseError> {
         for command in &self.server.submitted {
             let arrived = self.engine.has_read(command) || self.is_in_doubt(command);
-            prop_assert!(arrived, "'{command}' never arrives");
+            prop_assert!(arrived, "'{command}' was never read");
         }
         let last = |command: &str| self.engine.read.iter().rposition(|line| line == command);
         if let Some(cancelled) = last(CANCEL) {
-            prop_assert!(last(RUN) < Some(cancelled), "the run begins again");
+            prop_assert!(
+                last(RUN) < Some(cancelled),
+                "the run was started again after its cancellation"
+            );
         }
         Ok(())
     }
@@ -360,18 +367,18 @@
     })]
 
     #[test]
-    fn forgets_no_command_and_repeats_no_reply_whatever_the_order(
+    fn loses_no_command_and_duplicates_no_reply(
         steps in proptest::collection::vec(any_step(), 1..120)
     ) {
         let mut history = History::default();
-        history.take(Step::Attach);
+        history.apply(Step::Attach);
         for step in &steps {
-            history.take(*step);
-            history.check_nothing_is_forgotten()?;
-            history.check_reads()?;
+            history.apply(*step);
+            history.check_no_command_lost()?;
+            history.check_commands_read()?;
         }
         history.settle();
-        history.check_reads()?;
-        history.check_end()?;
+        history.check_commands_read()?;
+        history.check_final_state()?;
     }
 }
--- a/src/decide/starts.rs
+++ b/src/decide/starts.rs
@@ -1,4 +1,5 @@
-//! The steps from the queue to a run: freeing memory, giving up what cannot be in time, and starting.
+//! The steps from the queue to a run: freeing memory, rejecting requests that cannot be in time, and starting the
+//! others.
 
 use super::Decider;
 use super::feasibility::{PlannedRequest, ServerLoad, infeasible_requests};
@@ -11,16 +12,16 @@
     /// Rejects queued requests, the lowest weight first, before the machine needs more memory than it has.
     pub(super) fn free_memory(&mut self, now: Timestamp, out: &mut dyn Actions) {
         while !self.memory.may_keep_queue(self.used_memory_kb()) {
-            let Some(slot) = self.queued_of_least_weight() else {
+            let Some(slot) = self.lowest_weight_queued() else {
                 return;
             };
             self.reject(now, slot, out);
         }
     }
 
-    fn queued_of_least_weight(&self) -> Option<RequestSlot> {
+    fn lowest_weight_queued(&self) -> Option<RequestSlot> {
         let weight = |slot: &RequestSlot| self.requests[*slot].weight;
-        let queued = self.queue.in_order().into_iter();
+        let queued = self.queue.by_latest_start().into_iter();
         queued.min_by(|a, b| weight(a).total_cmp(&weight(b)))
     }
 
@@ -30,17 +31,17 @@
             now,
             remaining_run_secs: self.remaining_run_secs(),
             concurrency_limit: self.concurrency.limit(),
-            is_idle: self.requests.is_idle_but_for_overdue(),
+            is_idle: self.requests.is_idle_except_overdue(),
         };
-        let queue = self.queue.in_order().into_iter();
-        let planned = queue.map(|slot| self.planned(slot));
+        let queue = self.queue.by_latest_start().into_iter();
+        let planned = queue.map(|slot| self.planned_request(slot));
         let infeasible = infeasible_requests(load, planned, &self.ceilings);
         for slot in infeasible {
             self.reject(now, slot, out);
         }
     }
 
-    fn planned(&self, slot: RequestSlot) -> PlannedRequest {
+    fn planned_request(&self, slot: RequestSlot) -> PlannedRequest {
         let Request {
             handler,
             objective,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Starts queued requests with their allowances, while there is room.
+    /// Starts queued requests with their allowances while there is capacity.
     pub(super) fn start_queued(&mut self, now: Timestamp, out: &mut dyn Actions) {
         let max_runs = self.concurrency.max_runs(now);
         while let Some(slot) = self.next_start(max_runs) {
@@ -64,21 +65,22 @@
         }
     }
 
-    /// The first queued request that may start, if it fits into the limit on runs and the memory. Those behind it do
-    /// not pass it for being smaller.
+    /// Returns the first queued request that may start, if it fits the limit on runs and the memory. Requests behind it
+    /// do not overtake it because they are smaller.
     fn next_start(&self, max_runs: f64) -> Option<RequestSlot> {
         let slot = self.queue.first(|slot| self.may_start(slot))?;
-        // Where all runs are overdue, one more shows whether the engine still ends runs.
+        // If all runs are overdue, one more run shows whether the engine still ends runs.
         let fits_limit = (self.requests.running() + 1) as f64 <= max_runs
-            || self.requests.is_idle_but_for_overdue();
+            || self.requests.is_idle_except_overdue();
         let growth_kb = self.requests.growth_kb(slot);
         let fits_memory = self.memory.may_start(self.used_memory_kb(), growth_kb);
         (fits_limit && fits_memory).then_some(slot)
     }
 
-    /// Whether the ceilings and the calls that wait leave room for a run of the request's handler.
+    /// Reports whether the ceilings and the waiting calls leave room for a run of the request's handler.
     ///
-    /// While a call waits for capacity, a run that requires one would only wait too; ceilings allow for that.
+    /// While a call waits for capacity, a run that requires a call would only have to wait as well. If ceilings are
+    /// set, they already allow for that.
     fn may_start(&self, slot: RequestSlot) -> bool {
         let handler = self.handler_of(slot);
         let requires_call = handler.call_requirement() == CallRequirement::Required;
