--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -64,7 +64,7 @@
     /// at all. A roster of which a page was lost continues at that page, with the member that was
     /// received next. `view_changed` is the time of the last change of the own view; `draw` is a
     /// random number from 0 to 1.
-    pub(crate) fn digest_differs(
+    pub(crate) fn try_start_request(
         &mut self,
         now: Timestamp,
         member: &MemberIdentity,
@@ -115,7 +115,7 @@
     /// A requested page arrived. `last_name` is the last name on it, `is_last` says that no page
     /// follows, and `new_members` counts what was new. Returns the name after which to request the
     /// next page, if one follows.
-    pub(crate) fn page_received(
+    pub(crate) fn handle_page(
         &mut self,
         now: Timestamp,
         last_name: Option<&CompactString>,
--- a/crates/membership/src/anti_entropy/tests.rs
+++ b/crates/membership/src/anti_entropy/tests.rs
@@ -2,21 +2,21 @@
 use crate::tests::{at, identity};
 
 /// The name after which member `name` is asked for its roster now, if it is asked.
-fn request(sync: &mut RosterSync, name: &str, now_ms: u64) -> Option<CompactString> {
-    sync.digest_differs(at(now_ms), &identity(name), at(0), 0.5)
+fn requested_after(sync: &mut RosterSync, name: &str, now_ms: u64) -> Option<CompactString> {
+    sync.try_start_request(at(now_ms), &identity(name), at(0), 0.5)
 }
 
-fn requests(sync: &mut RosterSync, now_ms: u64, changed_ms: u64) -> bool {
-    sync.digest_differs(at(now_ms), &identity("b"), at(changed_ms), 0.5)
+fn requests_roster(sync: &mut RosterSync, now_ms: u64, changed_ms: u64) -> bool {
+    sync.try_start_request(at(now_ms), &identity("b"), at(changed_ms), 0.5)
         .is_some()
 }
 
 /// The first page of a roster has arrived at 10 ms, with three new members.
 fn with_first_page() -> RosterSync {
     let mut sync = RosterSync::new(at(0));
-    assert_eq!(request(&mut sync, "b", 0), Some("".into()));
+    assert_eq!(requested_after(&mut sync, "b", 0), Some("".into()));
     assert_eq!(
-        sync.page_received(at(10), Some(&"m".into()), false, 3),
+        sync.handle_page(at(10), Some(&"m".into()), false, 3),
         Some("m".into())
     );
     sync
@@ -25,27 +25,24 @@
 /// The second page was lost and requested again at 260 ms.
 fn with_lost_page() -> RosterSync {
     let mut sync = with_first_page();
-    assert_eq!(request(&mut sync, "c", 260), Some("m".into()));
+    assert_eq!(requested_after(&mut sync, "c", 260), Some("m".into()));
     sync
 }
 
 /// A roster with new members has ended at 530 ms.
 fn with_productive_roster() -> RosterSync {
     let mut sync = with_lost_page();
-    assert_eq!(
-        sync.page_received(at(530), Some(&"k".into()), false, 0),
-        None
-    );
+    assert_eq!(sync.handle_page(at(530), Some(&"k".into()), false, 0), None);
     sync
 }
 
 #[test]
-fn requests_nothing_while_a_page_is_pending() {
+fn sends_no_request_while_a_page_is_pending() {
     let mut sync = RosterSync::new(at(0));
-    assert_eq!(request(&mut sync, "b", 0), Some("".into()));
-    assert_eq!(request(&mut sync, "b", 200), None);
+    assert_eq!(requested_after(&mut sync, "b", 0), Some("".into()));
+    assert_eq!(requested_after(&mut sync, "b", 200), None);
     assert_eq!(
-        sync.page_received(at(10), Some(&"m".into()), false, 3),
+        sync.handle_page(at(10), Some(&"m".into()), false, 3),
         Some("m".into())
     );
     assert_eq!(sync.pending_page(&identity("b")), Some(&"m".into()));
@@ -54,8 +51,8 @@
 #[test]
 fn continues_at_a_lost_page_with_another_member() {
     let mut sync = with_first_page();
-    assert_eq!(request(&mut sync, "c", 250), None);
-    assert_eq!(request(&mut sync, "c", 260), Some("m".into()));
+    assert_eq!(requested_after(&mut sync, "c", 250), None);
+    assert_eq!(requested_after(&mut sync, "c", 260), Some("m".into()));
     assert_eq!(sync.pending_page(&identity("b")), None);
     assert_eq!(sync.pending_page(&identity("c")), Some(&"m".into()));
 }
@@ -64,32 +61,33 @@
 fn page_that_does_not_advance_ends_the_roster() {
     let mut sync = with_lost_page();
     assert!(!sync.is_complete());
-    assert_eq!(
-        sync.page_received(at(530), Some(&"k".into()), false, 0),
-        None
-    );
+    assert_eq!(sync.handle_page(at(530), Some(&"k".into()), false, 0), None);
     assert!(sync.is_complete());
 }
 
 #[test]
 fn requests_again_soon_after_a_roster_with_new_members() {
     let mut sync = with_productive_roster();
-    assert!(!requests(&mut sync, 929, 0));
-    assert!(requests(&mut sync, 930, 0));
+    assert!(!requests_roster(&mut sync, 929, 0));
+    assert!(requests_roster(&mut sync, 930, 0));
 }
 
 #[test]
 fn backs_off_while_rosters_contain_nothing_new() {
     let mut sync = with_productive_roster();
-    assert!(requests(&mut sync, 930, 0));
-    sync.page_received(at(940), None, true, 0);
+    assert!(requests_roster(&mut sync, 930, 0));
+    sync.handle_page(at(940), None, true, 0);
     assert!(
-        !requests(&mut sync, 1_329, 0) && requests(&mut sync, 1_330, 0),
+        !requests_roster(&mut sync, 1_329, 0) && requests_roster(&mut sync, 1_330, 0),
         "drawn before"
     );
-    sync.page_received(at(1_340), None, true, 0);
-    assert!(!requests(&mut sync, 2_129, 0), "a longer interval");
-    assert!(!requests(&mut sync, 2_130, 2_000), "gossip is spreading");
-    let bounded = !requests(&mut sync, 3_129, 3_000) && requests(&mut sync, 3_130, 3_000);
+    sync.handle_page(at(1_340), None, true, 0);
+    assert!(!requests_roster(&mut sync, 2_129, 0), "a longer interval");
+    assert!(
+        !requests_roster(&mut sync, 2_130, 2_000),
+        "gossip is spreading"
+    );
+    let bounded =
+        !requests_roster(&mut sync, 3_129, 3_000) && requests_roster(&mut sync, 3_130, 3_000);
     assert!(bounded, "the wait for gossip is bounded");
 }
--- a/crates/membership/src/connectivity/tests.rs
+++ b/crates/membership/src/connectivity/tests.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn silence_isolates_until_a_datagram_arrives() {
+fn isolated_after_timeout_until_a_datagram_arrives() {
     let mut status = complete();
     assert!(status.update(at(2_101), EVIDENCE));
     assert_eq!(
@@ -85,14 +85,14 @@
 }
 
 #[test]
-fn server_without_peers_misses_nobody() {
+fn server_without_peers_stays_complete() {
     let mut status = complete();
     assert!(!status.update(at(9_000), ConnectivityEvidence::default()));
     assert_eq!(status.level, Connectivity::Complete);
 }
 
 #[test]
-fn name_conflict_isolates() {
+fn name_conflict_isolates_the_server() {
     let mut status = complete();
     assert!(status.update(
         at(300),
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -9,7 +9,7 @@
 /// Longest name of a server or a zone, in bytes: the limit of a DNS label.
 pub const MAX_NAME_BYTES: usize = 63;
 /// Incarnations from this value on are invalid: Unix milliseconds of the year 10,889.
-const INVALID_INCARNATION: u64 = 1 << 48;
+const FIRST_INVALID_INCARNATION: u64 = 1 << 48;
 
 /// Lifecycle phase of an incarnation. Phases only advance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -96,7 +96,7 @@
     /// Whether name, zone, incarnation and address are within their bounds.
     pub(crate) fn is_valid(&self) -> bool {
         let valid_zone = self.zone.is_empty() || is_valid_name(&self.zone);
-        let valid_incarnation = self.incarnation < INVALID_INCARNATION;
+        let valid_incarnation = self.incarnation < FIRST_INVALID_INCARNATION;
         is_valid_name(&self.name) && valid_zone && valid_incarnation && self.address.port() != 0
     }
 }
--- a/crates/membership/src/member_table/record.rs
+++ b/crates/membership/src/member_table/record.rs
@@ -117,7 +117,7 @@
     }
 
     /// A datagram of the member arrived.
-    pub(crate) fn datagram_received(&mut self, now: Timestamp, health_score: u8) {
+    pub(crate) fn record_datagram(&mut self, now: Timestamp, health_score: u8) {
         self.last_received = Some(now);
         self.health_score = health_score;
     }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -238,7 +238,7 @@
             active: self.members.active_count(),
             missing: self.members.missing_count(),
             last_received: self.last_received,
-            expects_peers: self.reconnector.expects_peers() || !self.members.is_empty(),
+            expects_peers: self.reconnector.has_join_addresses() || !self.members.is_empty(),
             name_conflict: self.name_owner.is_some(),
         };
         if self.connectivity.update(now, evidence) {
--- a/crates/membership/src/membership/lifecycle.rs
+++ b/crates/membership/src/membership/lifecycle.rs
@@ -50,7 +50,7 @@
         if self.local_identity().phase != Phase::Joining || self.name_owner.is_some() {
             return;
         }
-        let has_no_peers = !self.reconnector.expects_peers() && self.members.is_empty();
+        let has_no_peers = !self.reconnector.has_join_addresses() && self.members.is_empty();
         let has_view = self.first_contact.is_some_and(|contact| {
             self.roster_sync.is_complete() || now - contact >= MAX_JOIN_TIME
         });
--- a/crates/membership/src/membership/name_conflict.rs
+++ b/crates/membership/src/membership/name_conflict.rs
@@ -68,7 +68,11 @@
     /// Asks a claimant that a third party reported: if it runs, it answers with its own claim.
     fn query_claimant(&mut self, now: Timestamp, address: SocketAddr) {
         if self.name_owner.is_none() {
-            self.send_limited_notice(now, address, Member::alive(self.local_identity().clone()));
+            self.send_rate_limited_notice(
+                now,
+                address,
+                Member::alive(self.local_identity().clone()),
+            );
         }
     }
 
@@ -82,11 +86,11 @@
         let seed = (self.rng.float() * (1u64 << 53) as f64) as u64;
         let identity = self.local_identity().clone();
         for address in self.members.clear(&identity) {
-            self.reconnector.record_forgotten(now, address);
+            self.reconnector.record_removal(now, address);
         }
         self.swim = new_swim(identity, &self.settings, seed);
         self.swim_timers.clear();
-        self.reconnector.record_loss(now);
+        self.reconnector.record_member_loss(now);
     }
 
     /// Ends a name conflict, if there is one.
--- a/crates/membership/src/membership/notice.rs
+++ b/crates/membership/src/membership/notice.rs
@@ -103,7 +103,7 @@
     }
 
     /// Sends a notice, unless too many were sent recently.
-    pub(super) fn send_limited_notice(
+    pub(super) fn send_rate_limited_notice(
         &mut self,
         now: Timestamp,
         to: SocketAddr,
--- a/crates/membership/src/membership/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -98,7 +98,7 @@
             return Err(DatagramError::NetworkNotAllowed);
         }
         if from.name == self.settings.name {
-            self.receive_own_name(now, from);
+            self.handle_same_name_sender(now, from);
             return Err(DatagramError::FormerIncarnation);
         }
         let Some(record) = self.members.get(&from.name) else {
@@ -120,17 +120,17 @@
                 SwimState::Down
             };
             let member = Member::new(record.identity().clone(), record.swim_incarnation(), state);
-            self.send_limited_notice(now, from.address, member);
+            self.send_rate_limited_notice(now, from.address, member);
         }
         Err(DatagramError::FormerIncarnation)
     }
 
     /// A datagram under this server's own name arrived.
-    fn receive_own_name(&mut self, now: Timestamp, from: &MemberIdentity) {
+    fn handle_same_name_sender(&mut self, now: Timestamp, from: &MemberIdentity) {
         self.handle_claim(now, from, false, ClaimSource::Claimant);
         if self.name_owner.is_none() && from.address != self.settings.advertise {
             // The server with the older claim yields once it knows the newer one.
-            self.send_limited_notice(
+            self.send_rate_limited_notice(
                 now,
                 from.address,
                 Member::alive(self.local_identity().clone()),
@@ -169,22 +169,22 @@
         let Some(record) = self.members.get_active_mut(from) else {
             return;
         };
-        record.datagram_received(now, header.health_score);
+        record.record_datagram(now, header.health_score);
         self.last_received = Some(now);
         let suspected = record.is_suspect().then(|| record.to_swim_member());
         if let Some(member) = suspected {
             // The member runs, so it can refute the suspicion.
-            self.send_limited_notice(now, from.address, member);
+            self.send_rate_limited_notice(now, from.address, member);
         }
         if header.digest == self.members.digest().total() {
             self.roster_sync.set_complete();
         } else if from.phase != Phase::Left {
-            self.digest_differs(now, from);
+            self.handle_digest_mismatch(now, from);
         }
     }
 
     /// Requests the member's roster, if one is due.
-    fn digest_differs(&mut self, now: Timestamp, from: &MemberIdentity) {
+    fn handle_digest_mismatch(&mut self, now: Timestamp, from: &MemberIdentity) {
         let draw = self.rng.float();
         // With a full backlog only rosters deliver updates, so there is no gossip to wait for.
         let is_backlogged = self.swim.updates_backlog() > MAX_GOSSIP_BACKLOG;
@@ -193,7 +193,7 @@
         } else {
             self.members.last_change()
         };
-        if let Some(after) = self.roster_sync.digest_differs(now, from, changed, draw) {
+        if let Some(after) = self.roster_sync.try_start_request(now, from, changed, draw) {
             self.counters.roster_requests += 1;
             self.request_roster(from, after);
         }
--- a/crates/membership/src/membership/roster.rs
+++ b/crates/membership/src/membership/roster.rs
@@ -16,9 +16,9 @@
 const MAX_GOSSIPED_ROSTER_UPDATES: usize = 16;
 /// A roster contains members that went down within this time, so that the receiver suspects those
 /// that it considers active.
-const RECENTLY_DOWN: Duration = Duration::from_millis(20_000);
+const ROSTER_DOWN_RETENTION: Duration = Duration::from_millis(20_000);
 /// Upper bound on the encoded length of a list's length, beyond the byte that an empty list takes.
-const LIST_LENGTH_BYTES: usize = 2;
+const MAX_LENGTH_PREFIX_GROWTH: usize = 2;
 
 impl Membership {
     /// Requests the page of a member's roster after a name.
@@ -57,7 +57,7 @@
             members: vec![],
             last: true,
         };
-        let mut bytes = encoded_length(&page) + LIST_LENGTH_BYTES;
+        let mut bytes = encoded_length(&page) + MAX_LENGTH_PREFIX_GROWTH;
         for record in self.members.iter_after(&request.after) {
             if !belongs_on_roster(now, record) || !self.bucket_differs(request, record) {
                 continue;
@@ -91,7 +91,7 @@
         }
         let next = self
             .roster_sync
-            .page_received(now, last_name.as_ref(), page.last, new_members);
+            .handle_page(now, last_name.as_ref(), page.last, new_members);
         if let Some(after) = next {
             self.request_roster(&page.from, after);
         }
@@ -114,7 +114,10 @@
             .filter_map(|m| self.filter_update(now, m, false))
             .collect();
         let last_change = self.members.last_change();
-        let new_members = updates.iter().filter(|u| !self.is_known(u.id())).count();
+        let new_members = updates
+            .iter()
+            .filter(|u| !self.is_known_active(u.id()))
+            .count();
         let gossip = new_members <= MAX_GOSSIPED_ROSTER_UPDATES;
         let applied = updates.clone().into_iter();
         self.drive_swim(now, |swim, effects| {
@@ -130,7 +133,7 @@
         new_members
     }
 
-    fn is_known(&self, identity: &MemberIdentity) -> bool {
+    fn is_known_active(&self, identity: &MemberIdentity) -> bool {
         let record = self.members.get(&identity.name);
         record.is_some_and(|r| r.is_active() && r.identity() == identity)
     }
@@ -138,7 +141,8 @@
 
 /// Whether a roster contains a member: it is active or went down recently.
 fn belongs_on_roster(now: Timestamp, record: &MemberRecord) -> bool {
-    record.is_active() || record.is_missing() && now - record.liveness_since() < RECENTLY_DOWN
+    record.is_active()
+        || record.is_missing() && now - record.liveness_since() < ROSTER_DOWN_RETENTION
 }
 
 /// Encoded length in bytes; the longest body's where encoding fails, so that nothing follows.
--- a/crates/membership/src/membership/suspicion.rs
+++ b/crates/membership/src/membership/suspicion.rs
@@ -26,7 +26,7 @@
 impl Membership {
     /// Starts a suspicion of an active member: it did not answer a probe, here or at another
     /// server.
-    pub(super) fn member_suspected(
+    pub(super) fn start_suspicion(
         &mut self,
         now: Timestamp,
         identity: &MemberIdentity,
--- a/crates/membership/src/membership/swim_driver.rs
+++ b/crates/membership/src/membership/swim_driver.rs
@@ -42,7 +42,7 @@
             ..
         } = &timer
         {
-            self.member_suspected(now, member_id, *incarnation);
+            self.start_suspicion(now, member_id, *incarnation);
         }
         self.swim_timers.set(now + after, timer);
     }
@@ -75,10 +75,10 @@
         notification: OwnedNotification<MemberIdentity>,
     ) {
         match notification {
-            OwnedNotification::MemberUp(identity) => self.member_up(now, &identity),
-            OwnedNotification::MemberDown(identity) => self.member_down(now, &identity),
+            OwnedNotification::MemberUp(identity) => self.handle_member_up(now, &identity),
+            OwnedNotification::MemberDown(identity) => self.handle_member_down(now, &identity),
             OwnedNotification::Rename(former, identity) => {
-                self.member_renewed(now, &former, &identity);
+                self.handle_identity_replacement(now, &former, &identity);
             }
             // Others declared this server down; foca continued with the next revision.
             OwnedNotification::Rejoin(identity) => {
@@ -95,7 +95,7 @@
     }
 
     /// A member is alive that was unknown or down.
-    fn member_up(&mut self, now: Timestamp, identity: &MemberIdentity) {
+    fn handle_member_up(&mut self, now: Timestamp, identity: &MemberIdentity) {
         let former = self.members.get(&identity.name).map(MemberRecord::state);
         self.members.set_alive(now, identity);
         let state = self.recorded_state(identity);
@@ -111,7 +111,7 @@
     }
 
     /// A member left, or did not refute a suspicion in time.
-    fn member_down(&mut self, now: Timestamp, identity: &MemberIdentity) {
+    fn handle_member_down(&mut self, now: Timestamp, identity: &MemberIdentity) {
         let Some(record) = self.members.get(&identity.name) else {
             return;
         };
@@ -123,13 +123,13 @@
             return self.push_state_change(identity, Some(former), state, ChangeReason::Announced);
         }
         self.counters.down_declarations += 1;
-        self.reconnector.record_loss(now);
+        self.reconnector.record_member_loss(now);
         let reason = ChangeReason::SuspicionExpired { since_received };
         self.push_state_change(identity, Some(former), state, reason);
     }
 
     /// A member has a newer identity: it was restarted, or its phase changed.
-    fn member_renewed(
+    fn handle_identity_replacement(
         &mut self,
         now: Timestamp,
         former: &MemberIdentity,
--- a/crates/membership/src/membership/swim_receive.rs
+++ b/crates/membership/src/membership/swim_receive.rs
@@ -90,7 +90,7 @@
         }
         let from = &packet.header.src;
         if let Message::Ack(probe_number) = packet.header.message {
-            self.probe_retry.answered(from, probe_number);
+            self.probe_retry.record_answer(from, probe_number);
         }
         let bytes = packet.encode();
         self.drive_swim(now, |swim, effects| swim.handle_data(&bytes, effects));
--- a/crates/membership/src/membership/timers.rs
+++ b/crates/membership/src/membership/timers.rs
@@ -56,7 +56,7 @@
             if suspects && self.health.is_degraded() {
                 postponed.push(timer);
             } else {
-                self.swim_timer_fired(now, timer);
+                self.handle_swim_timer(now, timer);
             }
         }
         for timer in postponed {
@@ -65,7 +65,7 @@
         }
     }
 
-    fn swim_timer_fired(&mut self, now: Timestamp, timer: Timer<MemberIdentity>) {
+    fn handle_swim_timer(&mut self, now: Timestamp, timer: Timer<MemberIdentity>) {
         let fired = timer.clone();
         self.drive_swim(now, |swim, effects| swim.handle_timer(timer, effects));
         match fired {
@@ -74,7 +74,7 @@
                 incarnation,
                 ..
             } => {
-                self.suspicion_expired(now, member_id, incarnation);
+                self.handle_suspicion_expiry(now, member_id, incarnation);
             }
             Timer::RemoveDown(identity) => self.remove_down_member(now, &identity),
             _ => {}
@@ -83,7 +83,12 @@
 
     /// Foca drops its suspicions when its own identity changes; without this, the members would
     /// stay suspected.
-    fn suspicion_expired(&mut self, now: Timestamp, member: MemberIdentity, swim_incarnation: u16) {
+    fn handle_suspicion_expiry(
+        &mut self,
+        now: Timestamp,
+        member: MemberIdentity,
+        swim_incarnation: u16,
+    ) {
         let is_current = self.members.get(&member.name).is_some_and(|r| {
             r.is_suspect() && *r.identity() == member && r.swim_incarnation() == swim_incarnation
         });
@@ -103,7 +108,7 @@
             return;
         }
         if !record.has_left() {
-            self.reconnector.record_forgotten(now, identity.address);
+            self.reconnector.record_removal(now, identity.address);
         }
         self.members.remove(&identity.name);
     }
--- a/crates/membership/src/membership/updates.rs
+++ b/crates/membership/src/membership/updates.rs
@@ -39,7 +39,7 @@
         if identity.name == self.settings.name {
             return self.filter_own_update(now, update);
         }
-        if is_accusation(&update) && sender_degraded {
+        if reports_failure(&update) && sender_degraded {
             return None;
         }
         let Some(record) = self.members.get(&identity.name) else {
@@ -47,10 +47,10 @@
         };
         match identity.compare_precedence(record.identity()) {
             Ordering::Less => None,
-            Ordering::Greater => Some(newer_identity_update(record, update)),
-            Ordering::Equal if record.is_active() => active_member_update(record, update),
+            Ordering::Greater => Some(filter_newer_identity_update(record, update)),
+            Ordering::Equal if record.is_active() => filter_active_member_update(record, update),
             Ordering::Equal => {
-                self.contradict_update(now, &update);
+                self.notify_down_member(now, &update);
                 None
             }
         }
@@ -88,7 +88,7 @@
 
     /// Another server considers a member active that is down here. If the member runs, a notice
     /// lets it refute this.
-    fn contradict_update(&mut self, now: Timestamp, update: &Member<MemberIdentity>) {
+    fn notify_down_member(&mut self, now: Timestamp, update: &Member<MemberIdentity>) {
         let identity = update.id();
         let Some(record) = self.members.get(&identity.name) else {
             return;
@@ -97,7 +97,7 @@
             return;
         }
         let down = Member::new(identity.clone(), record.swim_incarnation(), SwimState::Down);
-        self.send_limited_notice(now, identity.address, down);
+        self.send_rate_limited_notice(now, identity.address, down);
     }
 
     /// Applies a believed update where it starts or ends a suspicion. In foca only the server that
@@ -116,7 +116,7 @@
         let known = record.swim_incarnation();
         match (state, record.liveness()) {
             (SwimState::Suspect, Liveness::Alive) if swim_incarnation >= known => {
-                self.member_suspected(now, identity, swim_incarnation);
+                self.start_suspicion(now, identity, swim_incarnation);
                 let timer = Timer::ChangeSuspectToDown {
                     member_id: identity.clone(),
                     incarnation: swim_incarnation,
@@ -142,16 +142,16 @@
 }
 
 /// Whether an update says that a member failed, not that it left.
-fn is_accusation(update: &Member<MemberIdentity>) -> bool {
+fn reports_failure(update: &Member<MemberIdentity>) -> bool {
     update.state() != SwimState::Alive && update.id().phase != Phase::Left
 }
 
 /// An update about a newer identity than the known one.
-fn newer_identity_update(
+fn filter_newer_identity_update(
     record: &MemberRecord,
     update: Member<MemberIdentity>,
 ) -> Member<MemberIdentity> {
-    if record.is_active() && update.state() == SwimState::Down && is_accusation(&update) {
+    if record.is_active() && update.state() == SwimState::Down && reports_failure(&update) {
         return Member::new(
             update.id().clone(),
             update.incarnation(),
@@ -163,7 +163,7 @@
 
 /// An update about the known identity of an active member. Without news it is dropped, as most
 /// updates repeat what is known.
-fn active_member_update(
+fn filter_active_member_update(
     record: &MemberRecord,
     update: Member<MemberIdentity>,
 ) -> Option<Member<MemberIdentity>> {
@@ -173,7 +173,7 @@
         SwimState::Alive => (received > known).then_some(update),
         SwimState::Suspect if record.is_suspect() => (received > known).then_some(update),
         SwimState::Suspect => (received >= known).then_some(update),
-        SwimState::Down if !is_accusation(&update) => Some(update),
+        SwimState::Down if !reports_failure(&update) => Some(update),
         SwimState::Down if record.is_suspect() => None,
         SwimState::Down => Some(Member::new(update.id().clone(), known, SwimState::Suspect)),
     }
--- a/crates/membership/src/name_claim/tests.rs
+++ b/crates/membership/src/name_claim/tests.rs
@@ -52,10 +52,10 @@
     ];
     for (a, b) in pairs {
         let verdicts = [judge_claim(&a, &b, false), judge_claim(&b, &a, false)];
-        let yielding = verdicts
+        let conflicts = verdicts
             .iter()
             .filter(|v| **v == ClaimVerdict::NameConflict)
             .count();
-        assert_eq!(yielding, 1, "{verdicts:?}");
+        assert_eq!(conflicts, 1, "{verdicts:?}");
     }
 }
--- a/crates/membership/src/probe_retry.rs
+++ b/crates/membership/src/probe_retry.rs
@@ -22,7 +22,7 @@
 }
 
 impl Probe {
-    fn is(&self, target: &MemberIdentity, number: u8) -> bool {
+    fn matches(&self, target: &MemberIdentity, number: u8) -> bool {
         self.target.name == target.name && self.number == number
     }
 }
@@ -54,7 +54,7 @@
         if self
             .current
             .as_ref()
-            .is_some_and(|c| c.probe.is(&probe.target, probe.number))
+            .is_some_and(|c| c.probe.matches(&probe.target, probe.number))
         {
             return;
         }
@@ -66,8 +66,12 @@
     }
 
     /// A member answered a probe: it is not repeated any more.
-    pub(crate) fn answered(&mut self, from: &MemberIdentity, number: u8) {
-        if let Some(current) = self.current.as_mut().filter(|c| c.probe.is(from, number)) {
+    pub(crate) fn record_answer(&mut self, from: &MemberIdentity, number: u8) {
+        if let Some(current) = self
+            .current
+            .as_mut()
+            .filter(|c| c.probe.matches(from, number))
+        {
             current.remaining = 0;
         }
     }
--- a/crates/membership/src/probe_retry/tests.rs
+++ b/crates/membership/src/probe_retry/tests.rs
@@ -38,13 +38,13 @@
 #[test]
 fn stops_when_the_probe_is_answered() {
     let mut retry = repeating();
-    retry.answered(&probe("b", 7).target, 7);
-    retry.answered(&probe("a", 7).target, 6);
+    retry.record_answer(&probe("b", 7).target, 7);
+    retry.record_answer(&probe("a", 7).target, 6);
     assert!(
         retry.next_timeout().is_some(),
         "answers to other probes do not count"
     );
-    retry.answered(&probe("a", 7).target, 7);
+    retry.record_answer(&probe("a", 7).target, 7);
     assert_eq!(retry.next_timeout(), None);
     retry.start(at(2_000), probe("a", 8));
     assert_eq!(retry.next_timeout(), Some(at(2_000)));
--- a/crates/membership/src/reconnect.rs
+++ b/crates/membership/src/reconnect.rs
@@ -16,16 +16,16 @@
 /// Mean interval between attempts otherwise.
 const HEALTHY_INTERVAL: Duration = Duration::from_millis(5_000);
 /// Time after a loss during which attempts use the short interval.
-const RECENT_LOSS: Duration = Duration::from_millis(120_000);
+const RECENT_MEMBER_LOSS: Duration = Duration::from_millis(120_000);
 /// Number of addresses retained after the view has forgotten their members; the latest are
 /// retained.
-const MAX_FORGOTTEN: usize = 64;
+const MAX_REMOVED_MEMBERS: usize = 64;
 /// How long such an address is retained.
-const FORGOTTEN_RETENTION: Duration = Duration::from_millis(3_600_000);
+const REMOVED_RETENTION: Duration = Duration::from_millis(3_600_000);
 
 /// Address of a member that the view no longer contains.
-struct ForgottenAddress {
-    since: Timestamp,
+struct RemovedMember {
+    removed_at: Timestamp,
     address: SocketAddr,
 }
 
@@ -33,9 +33,9 @@
 pub(crate) struct Reconnector {
     join: Vec<SocketAddr>,
     /// The earliest first.
-    forgotten: VecDeque<ForgottenAddress>,
+    removed: VecDeque<RemovedMember>,
     next_attempt: Timestamp,
-    last_loss: Timestamp,
+    last_member_loss: Timestamp,
 }
 
 impl Reconnector {
@@ -48,32 +48,32 @@
             .collect();
         Reconnector {
             join,
-            forgotten: VecDeque::new(),
+            removed: VecDeque::new(),
             next_attempt: now,
-            last_loss: now,
+            last_member_loss: now,
         }
     }
 
     /// Whether the operator configured other servers.
-    pub(crate) fn expects_peers(&self) -> bool {
+    pub(crate) fn has_join_addresses(&self) -> bool {
         !self.join.is_empty()
     }
 
     /// A member went down: attempts use the short interval for some time.
-    pub(crate) fn record_loss(&mut self, now: Timestamp) {
-        self.last_loss = now;
+    pub(crate) fn record_member_loss(&mut self, now: Timestamp) {
+        self.last_member_loss = now;
         self.next_attempt = self.next_attempt.min(now + IMPAIRED_INTERVAL);
     }
 
     /// The view removed a member that was down.
-    pub(crate) fn record_forgotten(&mut self, now: Timestamp, address: SocketAddr) {
-        self.forgotten.retain(|f| f.address != address);
-        self.forgotten.push_back(ForgottenAddress {
-            since: now,
+    pub(crate) fn record_removal(&mut self, now: Timestamp, address: SocketAddr) {
+        self.removed.retain(|r| r.address != address);
+        self.removed.push_back(RemovedMember {
+            removed_at: now,
             address,
         });
-        if self.forgotten.len() > MAX_FORGOTTEN {
-            self.forgotten.pop_front();
+        if self.removed.len() > MAX_REMOVED_MEMBERS {
+            self.removed.pop_front();
         }
     }
 
@@ -97,25 +97,26 @@
             return None;
         }
         while self
-            .forgotten
+            .removed
             .front()
-            .is_some_and(|f| now - f.since > FORGOTTEN_RETENTION)
+            .is_some_and(|r| now - r.removed_at > REMOVED_RETENTION)
         {
-            self.forgotten.pop_front();
+            self.removed.pop_front();
         }
-        self.forgotten.retain(|f| !is_active(f.address));
+        self.removed.retain(|r| !is_active(r.address));
         let configured = self
             .join
             .iter()
             .copied()
             .filter(|address| !is_active(*address));
-        let forgotten = self.forgotten.iter().map(|f| f.address);
+        let removed = self.removed.iter().map(|r| r.address);
         let candidates: Vec<SocketAddr> = configured
             .chain(down.iter().copied())
-            .chain(forgotten)
+            .chain(removed)
             .collect();
-        let recent_loss = !candidates.is_empty() && now - self.last_loss < RECENT_LOSS;
-        let mean = if impaired || recent_loss {
+        let recent_member_loss =
+            !candidates.is_empty() && now - self.last_member_loss < RECENT_MEMBER_LOSS;
+        let mean = if impaired || recent_member_loss {
             IMPAIRED_INTERVAL
         } else {
             HEALTHY_INTERVAL
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -9,7 +9,7 @@
 const SEEDS: u64 = 20;
 
 #[test]
-fn all_fault_scripts_pass_over_many_seeds() {
+fn all_fault_scripts_pass_with_many_seeds() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../tests/fleet");
     let (scripts, failed) = run_all_scripts(&folder, SEEDS);
     assert!(
@@ -27,17 +27,17 @@
 /// 150 servers that know only the first one, with three datagrams in ten lost: rosters of many
 /// pages complete, and suspicions that one more ping would have prevented do not fill the network.
 #[test]
-fn large_fleet_on_lossy_links_agrees_and_stays_quiet() {
-    let (n, span) = (150, Duration::from_millis(20_000));
-    let mut sim = SimulatedFleet::new(FleetSetup::of(n), 7);
-    let net = Action::Network {
+fn large_fleet_on_lossy_links_converges_with_bounded_traffic() {
+    let (server_count, measured_time) = (150, Duration::from_millis(20_000));
+    let mut sim = SimulatedFleet::new(FleetSetup::of(server_count), 7);
+    let lossy_network = Action::Network {
         loss: Some(0.3),
         double: None,
         spoil: None,
         delay: None,
     };
-    sim.act(&net).expect("set");
-    for who in 0..n {
+    sim.act(&lossy_network).expect("set");
+    for who in 0..server_count {
         sim.act(&Action::Start {
             who,
             name: who,
@@ -46,27 +46,30 @@
         })
         .expect("started");
     }
-    let began = sim.at();
-    while let Some(amiss) = sim.unmet(&Condition::Settled) {
+    let start = sim.at();
+    while let Some(unmet) = sim.unmet(&Condition::Settled) {
         assert!(
-            sim.at().saturating_sub(began) < Duration::from_millis(25_000),
-            "{amiss}"
+            sim.at().saturating_sub(start) < Duration::from_millis(25_000),
+            "{unmet}"
         );
         sim.pass();
     }
-    let sums = |sim: &SimulatedFleet| {
+    let totals = |sim: &SimulatedFleet| {
         let all = sim
             .running()
             .map(|m| (m.1.counters().bytes_out, m.1.counters().suspicions));
         all.fold((0, 0), |sum, m| (sum.0 + m.0, sum.1 + m.1))
     };
-    let before = sums(&sim);
-    sim.run(span);
-    let after = sums(&sim);
-    let bytes = (after.0 - before.0) as f64 / span.as_secs_f64() / n as f64;
+    let before = totals(&sim);
+    sim.run(measured_time);
+    let after = totals(&sim);
+    let bytes = (after.0 - before.0) as f64 / measured_time.as_secs_f64() / server_count as f64;
     assert!(bytes < 4_000.0, "{bytes:.0} bytes per second and member");
     // One of a hundred members a minute is suspected wrongly, and told of to all: not one each
     // second.
-    let suspected = (after.1 - before.1) / n as u64;
-    assert!(suspected <= 10, "{suspected} were suspected in 20 s");
+    let suspicions = (after.1 - before.1) / server_count as u64;
+    assert!(
+        suspicions <= 10,
+        "{suspicions} suspicions per member in 20 s"
+    );
 }
--- a/crates/membership/tests/recorded_datagrams.rs
+++ b/crates/membership/tests/recorded_datagrams.rs
@@ -13,12 +13,12 @@
 }
 
 /// The n-th of four servers whose views are complete, as in the recording.
-fn settled_server(n: usize) -> Membership {
+fn converged_server(n: usize) -> Membership {
     let mut servers: Vec<Membership> = (1..=4).map(server).collect();
     run(&mut servers, 0, 5_000);
-    let mut settled = servers.remove(n - 1);
-    settled.take_outgoing();
-    settled
+    let mut server = servers.remove(n - 1);
+    server.take_outgoing();
+    server
 }
 
 fn kind(bytes: &[u8]) -> DatagramKind {
@@ -27,9 +27,9 @@
         .0
 }
 
-/// Kinds of a settled server's answers to a recorded datagram, which it has to accept.
+/// Kinds of a converged server's answers to a recorded datagram, which it has to accept.
 fn answers(name: &str, from: u16, to: u16) -> Vec<DatagramKind> {
-    let mut receiver = settled_server(usize::from(to));
+    let mut receiver = converged_server(usize::from(to));
     receiver.handle_datagram(at(5_000), address(from), &recorded(name));
     let rejected: u64 = receiver
         .counters()
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn answers_recorded_suspicion_that_it_is_alive() {
+fn refutes_recorded_suspicion() {
     // It gossips the refutation to three members and answers the sender.
     let gossip = DatagramKind::Swim;
     let expected = [gossip, gossip, gossip, DatagramKind::Notice];
@@ -101,7 +101,7 @@
 
 #[test]
 fn renews_identity_after_recorded_notice_that_it_is_down() {
-    let mut third = settled_server(3);
+    let mut third = converged_server(3);
     let before = third.local_identity().revision;
     third.handle_datagram(at(5_000), address(2), &recorded("notice-down"));
     assert_eq!(third.local_identity().revision, before + 1);
@@ -109,8 +109,8 @@
 }
 
 #[test]
-fn hands_out_recorded_subsystem_message() {
-    let mut second = settled_server(2);
+fn delivers_recorded_subsystem_message() {
+    let mut second = converged_server(2);
     second.handle_datagram(at(5_000), address(1), &recorded("subsystem-message-quota"));
     let messages = second.take_subsystem_messages();
     assert_eq!(messages.len(), 1);
--- a/crates/membership/tests/robustness.rs
+++ b/crates/membership/tests/robustness.rs
@@ -5,7 +5,7 @@
 
 use madderbay_membership::{DatagramError, MAX_DATAGRAM_BYTES, MemberState, Membership};
 use proptest::prelude::*;
-use support::{MAX_MEMBERS, Sent, address, at, run, server, server_of};
+use support::{MAX_MEMBERS, SentDatagram, address, at, run, server, server_of};
 
 fn rejected(server: &Membership, reason: DatagramError) -> u64 {
     server.counters().rejected.get(reason)
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn paused_server_suspects_nobody() {
+fn paused_server_suspects_no_member() {
     let mut servers: Vec<Membership> = (1..=4).map(server).collect();
     run(&mut servers, 0, 5_000);
     // The first is paused for 20 s and receives nothing for another second.
@@ -109,7 +109,7 @@
     let sent = run(&mut servers, 0, 3_000);
     let own = [b"n1\0\x7f\0\0\x01".as_slice(), &[0xe9, 7]].concat();
     let mut changed = 0;
-    for Sent { bytes, .. } in sent.iter().filter(|s| s.to == address(1)) {
+    for SentDatagram { bytes, .. } in sent.iter().filter(|s| s.to == address(1)) {
         for index in 25..bytes.len() - own.len() {
             if bytes[index..].starts_with(&own) {
                 let mut wrong = bytes.clone();
@@ -132,10 +132,10 @@
 
 /// Input of the property test: which recorded datagram to take, how to change it, and bytes for the
 /// change.
-type Noise = (u16, u8, Vec<u8>);
+type FuzzInput = (u16, u8, Vec<u8>);
 
 /// A datagram that is arbitrary, or derived from a valid one: cut, extended, changed or repeated.
-fn noisy_datagram(valid: &[u8], (pick, kind, noise): Noise) -> Vec<u8> {
+fn fuzzed_datagram(valid: &[u8], (pick, kind, noise): FuzzInput) -> Vec<u8> {
     let mut datagram = match kind {
         0 => noise,
         1 => valid[..usize::from(pick) % (valid.len() + 1)].to_vec(),
@@ -180,7 +180,7 @@
         for input in noise {
             let valid = &sent[usize::from(input.0) % sent.len()].bytes;
             ms += 1;
-            servers[0].handle_datagram(at(ms), address(2), &noisy_datagram(valid, input));
+            servers[0].handle_datagram(at(ms), address(2), &fuzzed_datagram(valid, input));
             for (_, bytes) in servers[0].take_outgoing() {
                 prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
             }
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -8,7 +8,7 @@
 pub(crate) const MAX_MEMBERS: usize = 5;
 
 /// A datagram with its destination.
-pub(crate) struct Sent {
+pub(crate) struct SentDatagram {
     pub(crate) to: SocketAddr,
     pub(crate) bytes: Vec<u8>,
 }
@@ -51,7 +51,7 @@
 
 /// Runs servers and delivers their datagrams from one time to another. Returns all datagrams in
 /// order.
-pub(crate) fn run(servers: &mut [Membership], from_ms: u64, to_ms: u64) -> Vec<Sent> {
+pub(crate) fn run(servers: &mut [Membership], from_ms: u64, to_ms: u64) -> Vec<SentDatagram> {
     let mut all = vec![];
     for ms in (from_ms..to_ms).step_by(10) {
         let mut sent = vec![];
@@ -62,7 +62,7 @@
                 server
                     .take_outgoing()
                     .into_iter()
-                    .map(|(to, bytes)| (from, Sent { to, bytes })),
+                    .map(|(to, bytes)| (from, SentDatagram { to, bytes })),
             );
         }
         for (from, datagram) in sent {
