--- a/crates/membership/src/error.rs
+++ b/crates/membership/src/error.rs
@@ -68,7 +68,7 @@
 #[derive(Debug, PartialEq, Eq, Error)]
 pub(crate) enum EncodeError {
     /// The body does not fit a datagram.
-    #[error("body of {bytes} bytes does not fit a datagram")]
+    #[error("body of {bytes} bytes does not fit in a datagram")]
     TooLong {
         /// Length of the encoded body, in bytes.
         bytes: usize,
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -151,7 +151,7 @@
             MembershipEvent::IdentityRenewed { revision } => {
                 write!(
                     f,
-                    "declared down by others and renewed, revision={revision}"
+                    "identity renewed after being declared down, revision={revision}"
                 )
             }
             MembershipEvent::NameConflict { address } => {
--- a/crates/membership/src/event/tests.rs
+++ b/crates/membership/src/event/tests.rs
@@ -60,7 +60,7 @@
     let renewed = MembershipEvent::IdentityRenewed { revision: 3 };
     assert_eq!(
         renewed.to_string(),
-        "declared down by others and renewed, revision=3"
+        "identity renewed after being declared down, revision=3"
     );
     let superseded = MembershipEvent::IncarnationSuperseded { incarnation: 7 };
     let line = "former incarnation superseded, incarnation=7";
