--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -1,8 +1,9 @@
-//! Anti-entropy: when to request the roster of a member whose view digest differs.
+//! Anti-entropy: decides when to request the roster of a member whose digest of the view differs.
 //!
-//! A roster is read page by page, one roster at a time; the interval between rosters grows while
-//! they contain nothing new. Owns the pending request and the time of the next one. It is given
-//! digests' differences and random numbers; it never sends and never reads the roster's content.
+//! Rosters are requested page by page and one at a time. The interval between rosters grows while
+//! they contain nothing new. The module stores the pending request and the time of the next one. It
+//! is called when digests differ and when pages arrive; it neither sends requests nor reads the
+//! members on a page.
 
 use crate::identity::MemberIdentity;
 use compact_str::CompactString;
@@ -10,16 +11,16 @@
 
 /// A page that has not arrived after this time counts as lost.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(250);
-/// While the view changed within this time, digests differ because gossip is still spreading.
+/// If the view changed within this time, digests may differ only because gossip is still spreading.
 const GOSSIP_SETTLE_TIME: Duration = Duration::from_millis(1_000);
 /// First interval between two rosters.
 const INITIAL_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Interval after a roster that contained something new, as more is likely missing.
+/// Interval after a roster that contained something new, as more is likely to be missing.
 const PRODUCTIVE_INTERVAL: Duration = Duration::from_millis(400);
-/// Upper bound on the interval where rosters contain nothing new.
+/// Upper bound on the interval while rosters contain nothing new.
 const MAX_INTERVAL: Duration = Duration::from_millis(2_000);
 
-/// A page that was requested and has not arrived.
+/// A page that was requested and has not arrived yet.
 struct PendingPage {
     member: MemberIdentity,
     /// The page starts after this name.
@@ -27,18 +28,18 @@
     requested_at: Timestamp,
 }
 
-/// Schedules the rosters that this server requests.
+/// Schedules the requests for rosters.
 pub(crate) struct RosterSync {
     pending: Option<PendingPage>,
     next_request: Timestamp,
     interval: Duration,
-    /// Number of new members in the current roster.
+    /// Number of new members in the current roster so far.
     new_members: usize,
     complete: bool,
 }
 
 impl RosterSync {
-    /// A request is possible at once.
+    /// Creates a schedule in which a request is possible immediately.
     pub(crate) fn new(now: Timestamp) -> RosterSync {
         RosterSync {
             pending: None,
@@ -49,21 +50,22 @@
         }
     }
 
-    /// Whether the view was complete at least once: a roster was read to its end, or a digest was
-    /// equal.
+    /// Reports whether the view has been complete at least once: a roster was read to its end, or
+    /// the digest of a member was equal.
     pub(crate) fn is_complete(&self) -> bool {
         self.complete
     }
 
-    /// A member has the same digest: the view is complete.
+    /// Records that the view is complete because a member has the same digest.
     pub(crate) fn set_complete(&mut self) {
         self.complete = true;
     }
 
-    /// The digest of a member differs. Returns the name after which to request its roster now, if
-    /// at all. A roster of which a page was lost continues at that page, with the member that was
-    /// received next. `view_changed` is the time of the last change of the own view; `draw` is a
-    /// random number from 0 to 1.
+    /// Decides whether to request the roster of a member whose digest differs, and records the
+    /// request. Returns the name after which the requested page starts, or `None` if no request is
+    /// due. If a page of a roster was lost, the roster continues at that page with the member that
+    /// was received from next. `view_changed` is the time of the last change of this server's view;
+    /// `draw` is a random number from 0 to 1.
     pub(crate) fn try_start_request(
         &mut self,
         now: Timestamp,
@@ -96,15 +98,17 @@
         Some(after)
     }
 
-    /// Whether to leave a difference to gossip. The wait is bounded for a view that keeps changing,
-    /// and is skipped after a roster that contained something which gossip had not delivered.
+    /// Reports whether to wait for gossip to remove a difference. The wait is bounded in case the
+    /// view keeps changing, and is skipped after a roster that contained something that gossip had
+    /// not delivered.
     fn gossip_is_spreading(&self, now: Timestamp, view_changed: Timestamp) -> bool {
         let recent = now - view_changed < GOSSIP_SETTLE_TIME;
         let within_bound = now < self.next_request + GOSSIP_SETTLE_TIME;
         self.complete && self.interval > PRODUCTIVE_INTERVAL && recent && within_bound
     }
 
-    /// The name after which a received page starts; nothing if the page was not requested.
+    /// Returns the name after which the pending page starts, or `None` if no page of this member
+    /// was requested.
     pub(crate) fn pending_page(&self, from: &MemberIdentity) -> Option<&CompactString> {
         self.pending
             .as_ref()
@@ -112,9 +116,9 @@
             .map(|p| &p.after)
     }
 
-    /// A requested page arrived. `last_name` is the last name on it, `is_last` says that no page
-    /// follows, and `new_members` counts what was new. Returns the name after which to request the
-    /// next page, if one follows.
+    /// Handles a requested page. `last_name` is the last name on the page, `is_last` tells that no
+    /// page follows, and `new_members` is the number of new members on it. Returns the name after
+    /// which the next page starts, or `None` if the roster ends here.
     pub(crate) fn handle_page(
         &mut self,
         now: Timestamp,
@@ -124,7 +128,7 @@
     ) -> Option<CompactString> {
         let pending = self.pending.as_mut()?;
         self.new_members += new_members;
-        // A page that does not advance would be requested for ever.
+        // A page that does not advance would be requested again for ever.
         if let Some(name) = last_name.filter(|name| !is_last && **name > pending.after) {
             pending.after = name.clone();
             pending.requested_at = now;
--- a/crates/membership/src/anti_entropy/tests.rs
+++ b/crates/membership/src/anti_entropy/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::tests::{at, identity};
 
-/// The name after which member `name` is asked for its roster now, if it is asked.
+/// Returns the name after which the roster of member `name` is requested now, if it is requested.
 fn requested_after(sync: &mut RosterSync, name: &str, now_ms: u64) -> Option<CompactString> {
     sync.try_start_request(at(now_ms), &identity(name), at(0), 0.5)
 }
@@ -11,7 +11,7 @@
         .is_some()
 }
 
-/// The first page of a roster has arrived at 10 ms, with three new members.
+/// A schedule for which the first page of a roster arrived at 10 ms, with three new members.
 fn with_first_page() -> RosterSync {
     let mut sync = RosterSync::new(at(0));
     assert_eq!(requested_after(&mut sync, "b", 0), Some("".into()));
@@ -22,14 +22,14 @@
     sync
 }
 
-/// The second page was lost and requested again at 260 ms.
+/// A schedule for which the second page was lost and requested again at 260 ms.
 fn with_lost_page() -> RosterSync {
     let mut sync = with_first_page();
     assert_eq!(requested_after(&mut sync, "c", 260), Some("m".into()));
     sync
 }
 
-/// A roster with new members has ended at 530 ms.
+/// A schedule for which a roster with new members ended at 530 ms.
 fn with_productive_roster() -> RosterSync {
     let mut sync = with_lost_page();
     assert_eq!(sync.handle_page(at(530), Some(&"k".into()), false, 0), None);
@@ -79,7 +79,7 @@
     sync.handle_page(at(940), None, true, 0);
     assert!(
         !requests_roster(&mut sync, 1_329, 0) && requests_roster(&mut sync, 1_330, 0),
-        "drawn before"
+        "this interval was drawn before it grew"
     );
     sync.handle_page(at(1_340), None, true, 0);
     assert!(!requests_roster(&mut sync, 2_129, 0), "a longer interval");
--- a/crates/membership/src/connectivity.rs
+++ b/crates/membership/src/connectivity.rs
@@ -1,19 +1,21 @@
-//! Partition detection: whether this server reaches all, some or none of the fleet.
+//! Partition detection: whether this server receives from all, some or none of the fleet.
 //!
-//! Owns the current level, the time since which it holds and its evidence. It is given the counts
-//! of the member table and the time of the last datagram; it never changes the view.
+//! The module stores the current connectivity level, the time of its last change and the evidence
+//! for it. The caller passes in the counts of the member table and the time of the last datagram;
+//! the view is never changed here.
 
 use madderbay::time::{Duration, Timestamp};
 use std::fmt;
 
-/// A server that received no datagram for this long is isolated. All peers are due several times
-/// within it.
+/// A server that has received no datagram for this long is isolated. Together, its peers are due to
+/// send several datagrams within this time.
 const ISOLATION_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// Fraction of the expected members that may be missing before the server counts as partitioned.
-/// One missing member is always tolerated: single servers fail, a partition removes many.
+/// One missing member is always tolerated, because single servers fail, whereas a partition makes
+/// many members unreachable.
 const MAX_MISSING_FRACTION: f64 = 0.1;
 
-/// How much of the fleet this server reaches. The displayed words are those of the operators'
+/// How much of the fleet this server receives from. The displayed words are part of the operator
 /// interface.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Connectivity {
@@ -21,7 +23,7 @@
     Complete,
     /// Too many members are missing: this server is on one side of a partition.
     Partial,
-    /// No other member is reachable, or another server owns this server's name.
+    /// No datagrams from other members arrive, or another server owns this server's name.
     Isolated,
 }
 
@@ -35,34 +37,34 @@
     }
 }
 
-/// The facts from which the level follows.
+/// The facts from which the connectivity level is derived.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConnectivityEvidence {
     /// Number of other members that are not down.
     pub active: usize,
-    /// Number of other members that are down without having left, while the view remembers them.
+    /// Number of other members in the view that are down without having left.
     pub missing: usize,
-    /// When the last datagram of another member arrived.
+    /// When the last datagram from another member arrived.
     pub last_received: Option<Timestamp>,
-    /// Whether other members exist: one was met, or the operator configured one.
+    /// Whether other members are expected: the view contains one, or the operator configured one.
     pub expects_peers: bool,
     /// Whether another server owns this server's name.
     pub name_conflict: bool,
 }
 
-/// The level of connectivity with its evidence.
+/// The connectivity level and the evidence for it.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectivityStatus {
     /// The current level.
     pub level: Connectivity,
     /// When the level last changed.
     pub since: Timestamp,
-    /// The facts of the last update.
+    /// The evidence of the last update.
     pub evidence: ConnectivityEvidence,
 }
 
 impl ConnectivityStatus {
-    /// A server starts isolated.
+    /// Returns the initial status: a server starts isolated.
     pub(crate) fn new(now: Timestamp) -> ConnectivityStatus {
         let evidence = ConnectivityEvidence::default();
         ConnectivityStatus {
@@ -84,7 +86,7 @@
         true
     }
 
-    /// When the level changes if no further datagram arrives.
+    /// Returns when the level changes if no further datagram arrives.
     pub(crate) fn next_timeout(&self) -> Option<Timestamp> {
         let last = self
             .evidence
--- a/crates/membership/src/connectivity/tests.rs
+++ b/crates/membership/src/connectivity/tests.rs
@@ -9,7 +9,7 @@
     name_conflict: false,
 };
 
-/// A status that became complete at 200 ms.
+/// Returns a status that became complete at 200 ms.
 fn complete() -> ConnectivityStatus {
     let mut status = ConnectivityStatus::new(at(0));
     assert!(status.update(at(200), EVIDENCE));
--- a/crates/membership/src/counters.rs
+++ b/crates/membership/src/counters.rs
@@ -1,11 +1,11 @@
-//! Counters of one server's membership since its start.
+//! Counters of one server's membership.
 
 use crate::error::DatagramError;
 
-/// Counters since the start.
+/// Counters since the start of this server's membership.
 #[derive(Clone, Debug, Default)]
 pub struct Counters {
-    /// Datagrams received, rejected ones included.
+    /// Datagrams received, including rejected ones.
     pub received: u64,
     /// Datagrams sent.
     pub sent: u64,
@@ -15,35 +15,35 @@
     pub bytes_out: u64,
     /// Datagrams and updates rejected, by reason.
     pub rejected: RejectionCounters,
-    /// Members that this server declared down.
+    /// Number of times this server declared a member down.
     pub down_declarations: u64,
-    /// Members that this server suspected.
+    /// Suspicions of members that this server started.
     pub suspicions: u64,
     /// Suspicions that were refuted in time.
     pub refutations: u64,
-    /// New revisions of the own identity after others declared it down.
+    /// New revisions of this server's identity after other members declared it down.
     pub identity_renewals: u64,
     /// Notices sent.
     pub notices: u64,
-    /// Rosters requested.
+    /// Roster requests sent, without those for the following pages of a roster.
     pub roster_requests: u64,
     /// Events and subsystem messages dropped because their queue was full.
     pub dropped_events: u64,
 }
 
-/// Number of rejections, by reason.
+/// Number of rejections by reason.
 #[derive(Clone, Debug, Default)]
 pub struct RejectionCounters {
     counts: [u64; DatagramError::ALL.len()],
 }
 
 impl RejectionCounters {
-    /// Number of rejections for one reason.
+    /// Returns the number of rejections for one reason.
     pub fn get(&self, reason: DatagramError) -> u64 {
         self.counts[reason as usize]
     }
 
-    /// All reasons with their numbers, in a fixed order.
+    /// Returns all reasons with their numbers of rejections, in a fixed order.
     pub fn iter(&self) -> impl Iterator<Item = (DatagramError, u64)> {
         DatagramError::ALL.into_iter().zip(self.counts)
     }
--- a/crates/membership/src/datagram.rs
+++ b/crates/membership/src/datagram.rs
@@ -1,6 +1,7 @@
-//! Datagram codec: a header of fixed layout, then a body by kind, encoded by postcard.
+//! Datagram codec. A datagram consists of a header of fixed layout and a body that depends on its
+//! kind and is encoded by postcard.
 //!
-//! All numbers of the header are little-endian.
+//! All numbers in the header are little-endian.
 //!
 //! | bytes | content |
 //! | --- | --- |
@@ -12,7 +13,8 @@
 //! | 20 | health score of the sender, 0 to 8 |
 //! | 21..25 | crc32c of all other bytes |
 //!
-//! The codec holds no state and checks nothing but the form.
+//! The codec is stateless. It checks the format, version, checksum and fleet of a datagram, but not
+//! whether the content is plausible.
 
 mod body;
 
@@ -39,22 +41,22 @@
 const HEALTH_BYTE: usize = 20;
 const CHECKSUM_BYTES: Range<usize> = 21..25;
 
-/// Kind of a datagram's body.
+/// Kind of a datagram, which determines the format of its body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramKind {
     /// A SWIM message with piggybacked updates.
     Swim,
-    /// What the sender's view holds under the receiver's name, or an answer to it.
+    /// What the sender's view contains for the receiver's name, or an answer to such a notice.
     Notice,
-    /// Request for a page of the receiver's roster.
+    /// A request for a page of the receiver's roster.
     RosterRequest,
     /// A page of the sender's roster.
     RosterPage,
-    /// A message of another subsystem.
+    /// A message of a subsystem that uses the membership as its transport.
     SubsystemMessage,
 }
 
-/// Kinds by their number in the header.
+/// Kinds, indexed by their number in the header.
 const KINDS: [DatagramKind; 5] = [
     DatagramKind::Swim,
     DatagramKind::Notice,
@@ -73,7 +75,7 @@
     pub(crate) health_score: u8,
 }
 
-/// The hash by which datagrams name their fleet.
+/// Returns the hash that identifies a fleet in datagrams.
 pub(crate) fn fleet_hash(name: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes())
 }
@@ -83,7 +85,7 @@
     crc32c::crc32c_append(crc32c::crc32c(covered), body).to_le_bytes()
 }
 
-/// Encodes a datagram from its header and its encoded body.
+/// Encodes a datagram from its header and encoded body.
 pub(crate) fn encode(header: Header, fleet_hash: u64, body: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
     bytes.extend(MAGIC);
@@ -97,11 +99,11 @@
     bytes
 }
 
-/// Decodes the header and returns it with the encoded body.
+/// Decodes the header and returns it together with the encoded body.
 ///
 /// # Errors
 ///
-/// Fails if the datagram is malformed, damaged, of another version or of another fleet.
+/// Fails if the datagram is malformed, damaged, of another protocol version or of another fleet.
 pub(crate) fn decode(bytes: &[u8], fleet_hash: u64) -> Result<(Header, &[u8]), DatagramError> {
     let valid_length = (HEADER_BYTES..=MAX_DATAGRAM_BYTES).contains(&bytes.len());
     if !valid_length || bytes[MAGIC_BYTES] != MAGIC {
@@ -136,11 +138,11 @@
     u64::from_le_bytes(header[range].try_into().unwrap_or_default())
 }
 
-/// The kind and the sender of a datagram, for tools that observe the network.
+/// Returns the kind and the sender of a datagram, for tools that observe the network.
 ///
 /// # Errors
 ///
-/// Fails if the datagram is not a valid one of the named fleet.
+/// Fails if the datagram is not a valid datagram of the named fleet.
 pub fn inspect_datagram(
     bytes: &[u8],
     fleet: &str,
--- a/crates/membership/src/datagram/tests.rs
+++ b/crates/membership/src/datagram/tests.rs
@@ -1,5 +1,6 @@
-//! The datagrams in `tests/data` were recorded by a former release, one of each kind. They still
-//! decode to the same content, and that content encodes to the same bytes.
+//! Tests with the datagrams in `tests/data`, which an earlier release recorded, at least one of
+//! each kind. They must still decode to the same content, and that content must encode to the same
+//! bytes.
 
 use super::*;
 use crate::datagram_size::MAX_BODY_BYTES;
@@ -8,7 +9,7 @@
 use std::path::PathBuf;
 
 const FLEET: &str = "bookings";
-/// Digest of the view of four members, as all of them sent it.
+/// Digest of the complete view of four members, as all of them sent it.
 const COMPLETE_DIGEST: u64 = 891_137_805_139_384_825;
 
 fn data_folder() -> PathBuf {
@@ -53,7 +54,8 @@
     }
 }
 
-/// Foca writes the number of updates even if there are none; this crate's own pings end without it.
+/// Foca encodes the number of updates even if there are none, whereas this crate's own pings omit
+/// it.
 fn encode_swim_again(body: &[u8]) -> Vec<u8> {
     let packet = SwimPacket::decode(body).expect("a packet");
     let mut again = packet.encode();
@@ -81,7 +83,7 @@
     assert_eq!(kinds, [14, 3, 1, 1, 2], "recorded datagrams by kind");
 }
 
-/// Checks one recorded SWIM message whose sender and receiver have joined.
+/// Checks a recorded SWIM message whose sender and receiver have joined.
 fn check_swim(name: &str, message: Message<MemberIdentity>, from: u16, to: u16) {
     let bytes = recorded(name);
     let (header, body) = decode_recorded(&bytes);
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -1,12 +1,13 @@
 //! Digest of a view: equal digests mean equal views.
 //!
-//! The digest is the XOR of one hash per active member, in total and by bucket. Two views that
-//! differ do so in the buckets that differ, so that a roster carries only these.
+//! The digest is the XOR of one hash per active member, computed over all members and separately
+//! for each bucket of members. Two views differ only in buckets whose digests differ, so a roster
+//! contains only members of these buckets.
 
 use crate::identity::MemberIdentity;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Number of buckets: with a thousand members a bucket holds sixteen, which fit a datagram.
+/// Number of buckets. With a thousand members, a bucket contains sixteen, which fit in a datagram.
 pub(crate) const DIGEST_BUCKETS: usize = 64;
 
 /// Digest of a view.
@@ -26,29 +27,29 @@
 }
 
 impl ViewDigest {
-    /// Digest of all members.
+    /// Returns the digest of all members.
     pub(crate) fn total(&self) -> u64 {
         self.total
     }
 
-    /// Digests of the buckets.
+    /// Returns the digests of the buckets.
     pub(crate) fn buckets(&self) -> &[u32; DIGEST_BUCKETS] {
         &self.buckets
     }
 
-    /// Index of the bucket of a name.
+    /// Returns the index of the bucket that a name belongs to.
     pub(crate) fn bucket_of(name: &str) -> usize {
         xxh3_64(name.as_bytes()) as usize % DIGEST_BUCKETS
     }
 
-    /// Adds a member's hash, or removes it again.
+    /// Adds the hash of a member, or removes it if it was added before.
     pub(crate) fn toggle(&mut self, name: &str, hash: u64) {
         self.total ^= hash;
         self.buckets[ViewDigest::bucket_of(name)] ^= (hash >> 32) as u32;
     }
 }
 
-/// Hash of a member's name, incarnation and phase.
+/// Returns the hash of a member's name, incarnation and phase.
 pub(crate) fn identity_hash(identity: &MemberIdentity) -> u64 {
     let seed = identity
         .incarnation
--- a/crates/membership/src/error.rs
+++ b/crates/membership/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of this crate.
+//! Errors of decoding, checking and encoding datagrams.
 
 use thiserror::Error;
 
@@ -11,16 +11,16 @@
     /// Of another version of the protocol.
     #[error("unsupported protocol version")]
     UnsupportedVersion,
-    /// Damaged on the way.
+    /// Damaged in transit.
     #[error("checksum mismatch")]
     ChecksumMismatch,
     /// From a server of another fleet.
     #[error("sent by another fleet")]
     ForeignFleet,
-    /// The header is valid, the body is not.
+    /// The header is valid, but the body is not.
     #[error("invalid body")]
     InvalidBody,
-    /// Names an address outside the allowed networks, or an invalid identity.
+    /// Contains an address outside the allowed networks, or an invalid identity.
     #[error("address outside the allowed networks")]
     NetworkNotAllowed,
     /// Addressed to another server.
@@ -29,7 +29,7 @@
     /// The member table has no free entry for the sender.
     #[error("member table is full")]
     TableFull,
-    /// From an incarnation, or a revision of one, that a newer one replaced.
+    /// From an incarnation, or a revision of one, that was replaced by a newer one.
     #[error("sent by a former incarnation")]
     FormerIncarnation,
 }
@@ -48,7 +48,8 @@
         DatagramError::FormerIncarnation,
     ];
 
-    /// The last part of the counter's key. Dashboards read these keys, so they stay as they are.
+    /// Returns the last part of the counter's key. Dashboards read these keys, so they must not
+    /// change.
     pub fn counter_key(self) -> &'static str {
         match self {
             DatagramError::Malformed => "nonsense",
@@ -67,7 +68,7 @@
 /// Why a body could not be encoded.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub(crate) enum EncodeError {
-    /// The body does not fit a datagram.
+    /// The body does not fit in a datagram.
     #[error("body of {bytes} bytes does not fit in a datagram")]
     TooLong {
         /// Length of the encoded body, in bytes.
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -1,4 +1,5 @@
-//! Changes of the view, for the log. The displayed lines are quoted by the operators' pages.
+//! Events that report changes of the view, for the log. The operator documentation quotes the
+//! displayed lines.
 
 use crate::connectivity::{Connectivity, ConnectivityStatus};
 use crate::view::MemberState;
@@ -12,17 +13,18 @@
 pub enum ChangeReason {
     /// The member is new to the view.
     Discovered,
-    /// Neither the member nor those asked to probe it answered, here or at another server.
+    /// The member did not answer a probe, neither directly nor through the members that were asked
+    /// to probe it. The probe was sent by this server or by another one.
     ProbeFailed {
-        /// Time since the member's last datagram; nothing if none arrived.
+        /// Time since the member's last datagram; `None` if no datagram has arrived.
         since_received: Option<Duration>,
     },
     /// The member did not refute the suspicion in time.
     SuspicionExpired {
-        /// Time since the member's last datagram; nothing if none arrived.
+        /// Time since the member's last datagram; `None` if no datagram has arrived.
         since_received: Option<Duration>,
     },
-    /// The member announced it.
+    /// The member announced the new state.
     Announced,
     /// The member refuted the suspicion.
     Refuted,
@@ -30,14 +32,14 @@
     Recovered,
     /// The member was restarted.
     Restarted {
-        /// The former incarnation.
+        /// The previous incarnation.
         from: u64,
         /// The new incarnation.
         to: u64,
     },
 }
 
-/// Writes the time since a member's last datagram, `never` if none arrived.
+/// Writes the time since a member's last datagram, or `never` if no datagram has arrived.
 fn write_last_received(f: &mut fmt::Formatter, since_received: Option<Duration>) -> fmt::Result {
     match since_received {
         Some(duration) => write!(f, ", last_received_ms={}", duration.as_micros() / 1_000),
@@ -45,7 +47,7 @@
     }
 }
 
-/// The reason with its evidence, as values of a log line.
+/// Writes the reason and its evidence as key-value pairs of a log line.
 impl fmt::Display for ChangeReason {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
@@ -71,7 +73,7 @@
     }
 }
 
-/// A change of the view or of this server's part in it.
+/// A change of the view or of this server's own membership.
 #[derive(Clone, Debug)]
 pub enum MembershipEvent {
     /// A member's state, or its incarnation, changed.
@@ -80,36 +82,37 @@
         name: CompactString,
         /// Address of the member.
         address: SocketAddr,
-        /// The former state; nothing if the member is new to the view.
+        /// The previous state; `None` if the member is new to the view.
         from: Option<MemberState>,
         /// The new state.
         to: MemberState,
-        /// The cause.
+        /// Why the state changed.
         reason: ChangeReason,
     },
-    /// The level of connectivity changed.
+    /// The connectivity level changed.
     ConnectivityChanged {
-        /// The new level with its evidence.
+        /// The new level and its evidence.
         status: ConnectivityStatus,
         /// Time of the change.
         at: Timestamp,
     },
-    /// This process was paused; it suspects nobody for some time.
+    /// This process was paused; it suspects no member for some time.
     Paused {
-        /// How late the process was.
+        /// Lateness of the timer that revealed the pause.
         duration: Duration,
     },
-    /// A former incarnation under this server's name has a higher value; this server moved past it.
+    /// An earlier incarnation under this server's name has a higher value; this server continued
+    /// with a higher one.
     IncarnationSuperseded {
-        /// The former incarnation.
+        /// The earlier incarnation.
         incarnation: u64,
     },
-    /// Others declared this server down; it continues with another revision.
+    /// Other members declared this server down; it continues with a new revision.
     IdentityRenewed {
         /// The new revision.
         revision: u32,
     },
-    /// Another server owns this server's name; this server is silent while that server runs.
+    /// Another server owns this server's name. This server stays silent while the other one runs.
     NameConflict {
         /// Address of the other server.
         address: SocketAddr,
@@ -118,7 +121,8 @@
     NameRegained,
 }
 
-/// The event of the log line with its values, as the operators' page quotes it.
+/// Writes the event and its values as a log line, in the form that the operator documentation
+/// quotes.
 impl fmt::Display for MembershipEvent {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
--- a/crates/membership/src/event/tests.rs
+++ b/crates/membership/src/event/tests.rs
@@ -1,4 +1,4 @@
-//! The operators' pages quote these lines.
+//! The operator documentation quotes the lines that these tests check.
 
 use super::*;
 use crate::connectivity::{Connectivity, ConnectivityEvidence};
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -1,14 +1,15 @@
 //! Identity of a server: its name, address, incarnation and lifecycle phase.
 //!
-//! Defines which of two identities of one name is newer. It holds no state.
+//! Also defines which of two identities with the same name is newer.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Longest name of a server or a zone, in bytes: the limit of a DNS label.
+/// Maximum length of the name of a server or a zone, in bytes: the limit of a DNS label.
 pub const MAX_NAME_BYTES: usize = 63;
-/// Incarnations from this value on are invalid: Unix milliseconds of the year 10,889.
+/// Incarnations from this value on are invalid. It corresponds to the year 10,889 in Unix
+/// milliseconds.
 const FIRST_INVALID_INCARNATION: u64 = 1 << 48;
 
 /// Lifecycle phase of an incarnation. Phases only advance.
@@ -24,42 +25,44 @@
     Left,
 }
 
-/// Orders the identities of one name: a higher version replaces a lower one.
+/// Orders identities that have the same name. An identity with a higher version replaces one with a
+/// lower version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct IdentityVersion {
-    /// Unix milliseconds at the start of the process.
+    /// Start time of the process in Unix milliseconds, or a higher value if an earlier incarnation
+    /// already had one.
     pub incarnation: u64,
-    /// Number of changes within the incarnation.
+    /// Number of times the identity changed within its incarnation.
     pub revision: u32,
 }
 
-/// One server in one incarnation. Postcard encodes the fields in this order.
+/// Identity of a server in one incarnation. Postcard encodes the fields in this order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberIdentity {
-    /// Unique name in the fleet.
+    /// Name, unique in the fleet.
     pub name: CompactString,
     /// Address to which peers send datagrams.
     pub address: SocketAddr,
     /// Availability zone; may be empty.
     pub zone: CompactString,
-    /// Unix milliseconds at the start of the process, or more if an earlier incarnation had a
-    /// higher value.
+    /// Start time of the process in Unix milliseconds, or a higher value if an earlier incarnation
+    /// already had one.
     pub incarnation: u64,
-    /// Number of changes of the identity within its incarnation.
+    /// Number of times the identity changed within its incarnation.
     pub revision: u32,
     /// Lifecycle phase.
     pub phase: Phase,
 }
 
-/// Whether a name of a server or a zone may appear in a view, a log line and a JSON text without
-/// escapes.
+/// Reports whether a name of a server or a zone is valid: not empty, at most [`MAX_NAME_BYTES`]
+/// long, and free of characters that would need escapes in a view, a log line or JSON text.
 pub fn is_valid_name(name: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
     !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(is_allowed)
 }
 
 impl MemberIdentity {
-    /// The identity of an unknown server at an address.
+    /// Returns a placeholder identity for an unknown server at an address.
     pub(crate) fn unknown(address: SocketAddr) -> MemberIdentity {
         MemberIdentity {
             name: CompactString::default(),
@@ -71,7 +74,7 @@
         }
     }
 
-    /// The version by which identities of one name are ordered.
+    /// Returns the version by which identities of the same name are ordered.
     pub fn version(&self) -> IdentityVersion {
         IdentityVersion {
             incarnation: self.incarnation,
@@ -79,12 +82,13 @@
         }
     }
 
-    /// Whether this identity replaces another of the same name. The address breaks ties.
+    /// Orders this identity relative to another of the same name; the greater one replaces the
+    /// other. The address breaks ties.
     pub(crate) fn compare_precedence(&self, other: &MemberIdentity) -> std::cmp::Ordering {
         (self.version(), self.address).cmp(&(other.version(), other.address))
     }
 
-    /// The same incarnation with the next revision, in a phase.
+    /// Returns the identity with the next revision of this incarnation and the given phase.
     pub(crate) fn next_revision(&self, phase: Phase) -> MemberIdentity {
         MemberIdentity {
             revision: self.revision.saturating_add(1),
@@ -93,7 +97,7 @@
         }
     }
 
-    /// Whether name, zone, incarnation and address are within their bounds.
+    /// Reports whether name, zone, incarnation and address are valid.
     pub(crate) fn is_valid(&self) -> bool {
         let valid_zone = self.zone.is_empty() || is_valid_name(&self.zone);
         let valid_incarnation = self.incarnation < FIRST_INVALID_INCARNATION;
@@ -104,7 +108,7 @@
 impl foca::Identity for MemberIdentity {
     type Addr = CompactString;
 
-    /// A server that was declared down while it runs continues with the next revision.
+    /// A running server that was declared down continues with the next revision.
     fn renew(&self) -> Option<MemberIdentity> {
         Some(self.next_revision(self.phase))
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,11 +1,12 @@
-//! Fleet membership: the view that each server keeps of the other servers.
+//! Fleet membership: the view that each server has of the other servers.
 //!
-//! [`Membership`] owns one server's view. SWIM, by foca, detects failures and spreads updates. This
-//! crate adds identities that survive restarts, lifecycle phases, local health awareness,
-//! anti-entropy by rosters, reconnection after partitions and a level of connectivity.
+//! [`Membership`] maintains the view of one server. Failure detection and the dissemination of
+//! updates follow the SWIM protocol and are implemented by the foca crate. This crate adds
+//! identities that survive restarts, lifecycle phases, local health awareness, anti-entropy by
+//! rosters, reconnection after partitions and a connectivity level.
 //!
-//! It performs no I/O: time, a seed and datagrams are passed in; datagrams, deadlines and events
-//! are taken out.
+//! It performs no I/O: callers pass in the time, a random seed and received datagrams, and take out
+//! datagrams to send, timer deadlines and events.
 //!
 //! ```
 //! use madderbay::time::{Duration, Timestamp};
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -1,20 +1,22 @@
-//! Local health: whether, and by how much, this process was recently paused or starved of CPU time.
+//! Local health: whether, and for how long, this process was recently paused or starved of CPU
+//! time.
 //!
-//! Owns a clock that excludes the time in which the process did not run. A pause therefore never
-//! makes a timeout expire before the process had a chance to see the answer. It also derives the
-//! health score that is sent to peers (as in Lifeguard). It is given the monotonic clock and the
-//! deadline of the next timer, and never reads a clock itself.
+//! The module maintains a clock that excludes the time in which the process did not run, so that a
+//! pause never makes a timeout expire before the process had a chance to see the answer. It also
+//! derives the health score that is sent to peers (as in Lifeguard). The caller passes in the
+//! monotonic time and the deadline of the next timer.
 
 use madderbay::time::{Duration, Timestamp};
 
-/// A timer that fires later than this indicates a pause of the process, not ordinary jitter.
+/// A timer that fires later than this indicates a pause of the process rather than ordinary jitter.
 const MAX_TIMER_JITTER: Duration = Duration::from_millis(100);
-/// Time after a pause in which this server suspects nobody, so that it first reads what its socket
-/// has queued.
+/// Time after a pause during which this server suspects no member, so that it first reads the
+/// datagrams queued in its socket.
 const RECOVERY_TIME: Duration = Duration::from_millis(1_000);
-/// Lateness that one step of the health score represents. A step decays in the same time.
+/// Lateness that one step of the health score represents. The score decays by one step in the same
+/// time.
 const SCORE_STEP: Duration = Duration::from_millis(500);
-/// Highest health score; 0 is healthy.
+/// Highest health score; 0 means healthy.
 const MAX_HEALTH_SCORE: u64 = 8;
 
 /// Measures pauses of this process.
@@ -29,7 +31,7 @@
 
 impl LocalHealth {
     /// Advances the clock. `deadline` is the time for which the process had set its timer. Returns
-    /// the lateness where it indicates a pause.
+    /// the lateness if it indicates a pause.
     pub(crate) fn observe(
         &mut self,
         now: Timestamp,
@@ -48,23 +50,23 @@
         Some(late)
     }
 
-    /// The time on the clock that excludes pauses.
+    /// Returns the current time of the clock that excludes pauses.
     pub(crate) fn now(&self) -> Timestamp {
         self.latest.saturating_sub(self.paused)
     }
 
     /// Converts a time of the clock that excludes pauses to the machine's clock. A later pause
-    /// moves it.
+    /// shifts the result.
     pub(crate) fn to_machine_clock(&self, time: Timestamp) -> Timestamp {
         time + self.paused
     }
 
-    /// Whether a missing answer may be the fault of this process.
+    /// Reports whether a pause of this process may be the reason for a missing answer.
     pub(crate) fn is_degraded(&self) -> bool {
         self.latest < self.degraded_until
     }
 
-    /// The score sent to peers: 0 if healthy, else 1 to [`MAX_HEALTH_SCORE`].
+    /// Returns the score sent to peers: 0 if healthy, otherwise 1 to [`MAX_HEALTH_SCORE`].
     pub(crate) fn score(&self) -> u8 {
         let remaining = self.degraded_until - self.latest;
         remaining
@@ -73,7 +75,7 @@
             .min(MAX_HEALTH_SCORE) as u8
     }
 
-    /// Number of pauses so far.
+    /// Returns the number of pauses so far.
     pub(crate) fn pause_count(&self) -> u64 {
         self.pause_count
     }
--- a/crates/membership/src/local_health/tests.rs
+++ b/crates/membership/src/local_health/tests.rs
@@ -6,7 +6,7 @@
     let at = |ms: u64| Timestamp::from_micros(ms * 1_000);
     assert_eq!(health.observe(at(1_000), Some(at(950))), None);
     assert_eq!((health.now(), health.score()), (at(1_000), 0));
-    // The timer was set for 1,500 and fires at 6,500: a deadline of 2,000 moves by 5 s.
+    // The timer was set for 1,500 ms and fires at 6,500 ms, so a deadline at 2,000 ms moves by 5 s.
     assert_eq!(
         health.observe(at(6_500), Some(at(1_500))),
         Some(Duration::from_millis(5_000))
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -1,8 +1,8 @@
 //! The member table: what this server knows about every other member.
 //!
-//! Owns the records and all that is derived from them: the counts of active and missing members,
-//! the digest of the view and the names that changed. All times are of the clock that excludes
-//! pauses. The table decides nothing and never sends.
+//! The table maintains the records and everything derived from them: the counts of active and
+//! missing members, the digest of the view and the names that changed. All times are of the clock
+//! that excludes pauses. The table makes no decisions and sends nothing.
 
 mod record;
 
@@ -16,7 +16,7 @@
 use std::net::SocketAddr;
 use std::ops::Bound;
 
-/// Records of all other members, by name.
+/// Records of all other members, indexed by name.
 pub(crate) struct MemberTable {
     records: BTreeMap<CompactString, MemberRecord>,
     max_members: usize,
@@ -29,7 +29,7 @@
     last_change: Timestamp,
 }
 
-/// What one record contributes to the derived values.
+/// Contribution of one record to the derived values.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Contribution {
     active: usize,
@@ -48,7 +48,7 @@
 }
 
 impl MemberTable {
-    /// An empty table. `own` is this server, which the digest includes.
+    /// Creates an empty table. `own` is the identity of this server, which the digest includes.
     pub(crate) fn new(now: Timestamp, own: &MemberIdentity, max_members: usize) -> MemberTable {
         let mut table = MemberTable {
             records: BTreeMap::new(),
@@ -67,7 +67,7 @@
         self.records.get(name)
     }
 
-    /// The record of a member that is active with exactly this identity.
+    /// Returns the record of a member that is active with exactly this identity.
     pub(crate) fn get_active_mut(
         &mut self,
         identity: &MemberIdentity,
@@ -76,12 +76,12 @@
         (record.is_active() && record.identity() == identity).then_some(record)
     }
 
-    /// All records, ordered by name.
+    /// Returns all records, ordered by name.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &MemberRecord> {
         self.records.values()
     }
 
-    /// The records after a name, ordered by name.
+    /// Returns the records after a name, ordered by name.
     pub(crate) fn iter_after(&self, name: &CompactString) -> impl Iterator<Item = &MemberRecord> {
         let range = (Bound::Excluded(name), Bound::Unbounded);
         self.records
@@ -93,29 +93,29 @@
         self.records.is_empty()
     }
 
-    /// Whether the table has no free entry.
+    /// Reports whether the table has no free entry.
     pub(crate) fn is_full(&self) -> bool {
         self.records.len() >= self.max_members
     }
 
-    /// Whether an active member has an address.
+    /// Reports whether an address belongs to an active member.
     pub(crate) fn has_active_address(&self, address: SocketAddr) -> bool {
         self.iter()
             .any(|r| r.is_active() && r.identity().address == address)
     }
 
-    /// Addresses of the members that are down without having left, ordered by name.
+    /// Returns the addresses of the members that are down without having left, ordered by name.
     pub(crate) fn down_addresses(&self) -> Vec<SocketAddr> {
         let down = self.iter().filter(|r| r.is_missing());
         down.map(|r| r.identity().address).collect()
     }
 
-    /// Number of members that are not down.
+    /// Returns the number of members that are not down.
     pub(crate) fn active_count(&self) -> usize {
         self.active
     }
 
-    /// Number of members that are down without having left.
+    /// Returns the number of members that are down without having left.
     pub(crate) fn missing_count(&self) -> usize {
         self.missing
     }
@@ -124,12 +124,12 @@
         &self.digest
     }
 
-    /// When the view last changed.
+    /// Returns when the view last changed.
     pub(crate) fn last_change(&self) -> Timestamp {
         self.last_change
     }
 
-    /// Restores the time of the last change, after changes that do not spread by gossip.
+    /// Restores the time of the last change after changes that are not gossiped.
     pub(crate) fn set_last_change(&mut self, time: Timestamp) {
         self.last_change = time;
     }
@@ -151,7 +151,7 @@
         self.last_change = now;
     }
 
-    /// Adds a member as alive, or makes a known one alive with this identity.
+    /// Adds a member as alive, or marks a known one as alive, with this identity.
     pub(crate) fn set_alive(&mut self, now: Timestamp, identity: &MemberIdentity) {
         self.update(&identity.name, |records, name| {
             let record = records
@@ -182,14 +182,15 @@
         self.last_change = now;
     }
 
-    /// Removes a member. This is no change of the view, as only members that are down are removed.
+    /// Removes a member. The view does not change by this, because only members that are down are
+    /// removed.
     pub(crate) fn remove(&mut self, name: &CompactString) {
         self.update(name, |records, name| {
             records.remove(name);
         });
     }
 
-    /// Removes all members. Returns their addresses, ordered by name.
+    /// Removes all members and returns their addresses, ordered by name.
     pub(crate) fn clear(&mut self, own: &MemberIdentity) -> Vec<SocketAddr> {
         let mut addresses = vec![];
         for (name, record) in std::mem::take(&mut self.records) {
@@ -203,7 +204,7 @@
         addresses
     }
 
-    /// Changes the record of one name, and the derived values with it.
+    /// Changes the record of one name and updates the derived values.
     fn update(
         &mut self,
         name: &CompactString,
--- a/crates/membership/src/member_table/record.rs
+++ b/crates/membership/src/member_table/record.rs
@@ -1,4 +1,4 @@
-//! What this server knows about one other member.
+//! Record of what this server knows about another member.
 
 use crate::digest::identity_hash;
 use crate::identity::{MemberIdentity, Phase};
@@ -6,7 +6,7 @@
 use foca::{Member, State as SwimState};
 use madderbay::time::{Duration, Timestamp};
 
-/// This server's own opinion of a member, beside the phase that the member reports.
+/// This server's own judgement of a member, in addition to the phase that the member reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Liveness {
     Alive,
@@ -14,11 +14,11 @@
     Down,
 }
 
-/// One other member. All times are of the clock that excludes pauses.
+/// Record of another member. All times are of the clock that excludes pauses.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberRecord {
     identity: MemberIdentity,
-    /// The member's SWIM incarnation number, which it raises to refute a suspicion.
+    /// The member's SWIM incarnation number, which the member raises to refute a suspicion.
     swim_incarnation: u16,
     liveness: Liveness,
     liveness_since: Timestamp,
@@ -27,7 +27,7 @@
 }
 
 impl MemberRecord {
-    /// A member that is alive.
+    /// Creates the record of a member that is alive.
     pub(crate) fn new(now: Timestamp, identity: MemberIdentity) -> MemberRecord {
         MemberRecord {
             identity,
@@ -51,22 +51,22 @@
         self.liveness
     }
 
-    /// When the liveness last changed.
+    /// Returns when the liveness last changed.
     pub(crate) fn liveness_since(&self) -> Timestamp {
         self.liveness_since
     }
 
-    /// Time since the member's last datagram.
+    /// Returns the time since the member's last datagram.
     pub(crate) fn since_received(&self, now: Timestamp) -> Option<Duration> {
         self.last_received.map(|at| now - at)
     }
 
-    /// Health score that the member reports.
+    /// Returns the health score that the member reports.
     pub(crate) fn health_score(&self) -> u8 {
         self.health_score
     }
 
-    /// Whether the member is not down.
+    /// Reports whether the member is not down.
     pub(crate) fn is_active(&self) -> bool {
         self.liveness != Liveness::Down
     }
@@ -75,17 +75,17 @@
         self.liveness == Liveness::Suspect
     }
 
-    /// Whether the member announced its departure.
+    /// Reports whether the member announced its departure.
     pub(crate) fn has_left(&self) -> bool {
         self.identity.phase == Phase::Left
     }
 
-    /// Whether the member is down without having left.
+    /// Reports whether the member is down without having left.
     pub(crate) fn is_missing(&self) -> bool {
         !self.is_active() && !self.has_left()
     }
 
-    /// The state that the view reports.
+    /// Returns the state that the view reports.
     pub(crate) fn state(&self) -> MemberState {
         match (self.liveness, self.identity.phase) {
             (Liveness::Down, Phase::Left) => MemberState::Left,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// The member as rosters and notices carry it.
+    /// Returns the member in the form that rosters and notices contain.
     pub(crate) fn to_swim_member(&self) -> Member<MemberIdentity> {
         let state = match self.liveness {
             Liveness::Alive => SwimState::Alive,
@@ -107,7 +107,7 @@
         Member::new(self.identity.clone(), self.swim_incarnation, state)
     }
 
-    /// The member's hash in the digest of the view; 0 if it is down.
+    /// Returns the member's hash in the digest of the view, or 0 if the member is down.
     pub(crate) fn digest_hash(&self) -> u64 {
         if self.is_active() {
             identity_hash(&self.identity)
@@ -116,7 +116,7 @@
         }
     }
 
-    /// A datagram of the member arrived.
+    /// Records the arrival of a datagram from the member.
     pub(crate) fn record_datagram(&mut self, now: Timestamp, health_score: u8) {
         self.last_received = Some(now);
         self.health_score = health_score;
@@ -136,7 +136,7 @@
         self.swim_incarnation = swim_incarnation;
     }
 
-    /// Raises the incarnation number to one that was received.
+    /// Raises the SWIM incarnation number to a received one, if that is higher.
     pub(crate) fn raise_swim_incarnation(&mut self, swim_incarnation: u16) {
         self.swim_incarnation = self.swim_incarnation.max(swim_incarnation);
     }
@@ -153,7 +153,8 @@
         self.liveness_since = now;
     }
 
-    /// A newer identity starts without suspicion; a new incarnation has sent nothing yet.
+    /// Replaces the identity by a newer one, which starts without suspicion. A new incarnation has
+    /// not sent anything yet, so its time of the last datagram is reset.
     pub(super) fn replace_identity(&mut self, identity: MemberIdentity) {
         let same_incarnation = self.identity.incarnation == identity.incarnation;
         self.last_received = self.last_received.filter(|_| same_incarnation);
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,8 +1,7 @@
-//! The membership state machine: datagrams, time and random numbers in; datagrams, deadlines and
-//! events out.
+//! The membership state machine, which maintains the view of the fleet.
 //!
-//! Owns the view of the fleet. Callers pass in what arrives and the time, and take what is to be
-//! sent and what changed. It performs no I/O and reads no clock.
+//! Callers pass in the time, a random seed and received datagrams. They take out datagrams to send,
+//! timer deadlines and events. The state machine performs no I/O and reads no clock.
 
 mod lifecycle;
 mod name_conflict;
@@ -37,30 +36,30 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// A message between the same subsystems of two servers, as it was received.
+/// A received message from the same subsystem of another server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedMessage {
-    /// Name of the active member that sent it.
+    /// Name of the active member that sent the message.
     pub from: CompactString,
     /// The subsystem that the message is for.
     pub subsystem: Subsystem,
-    /// The message's bytes, opaque to the membership.
+    /// Content of the message, which the membership does not interpret.
     pub payload: Vec<u8>,
 }
 
-/// One server's part in the fleet's membership. See the crate's documentation for an example.
+/// Membership state of one server. See the crate documentation for an example.
 pub struct Membership {
     settings: Settings,
     fleet_hash: u64,
     health: LocalHealth,
     rng: SwimRng,
     swim: Swim,
-    /// The number of transmissions with which `swim` was configured last.
+    /// Maximum number of transmissions of an update that `swim` is configured with.
     max_transmissions: u8,
     /// This server's own SWIM incarnation number.
     swim_incarnation: u16,
     swim_timers: TimerQueue<Timer<MemberIdentity>>,
-    /// Members to which a notice is due.
+    /// Names of the members to which notices are scheduled.
     scheduled_notices: TimerQueue<CompactString>,
     notice_limit: NoticeLimit,
     probe_retry: ProbeRetry,
@@ -70,7 +69,7 @@
     reconnector: Reconnector,
     roster_sync: RosterSync,
     first_contact: Option<Timestamp>,
-    /// Address of the server that owns this server's name, if another does.
+    /// Address of another server that owns this server's name, if there is one.
     name_owner: Option<SocketAddr>,
     outgoing: Vec<(SocketAddr, Vec<u8>)>,
     received_messages: Vec<ReceivedMessage>,
@@ -79,8 +78,9 @@
 }
 
 impl Membership {
-    /// Starts an incarnation. `now` is of the caller's monotonic clock; `unix_ms` becomes the
-    /// incarnation, in milliseconds; `seed` determines all random numbers.
+    /// Starts a new incarnation of a server. `now` is read from the caller's monotonic clock;
+    /// `unix_ms` becomes the incarnation, in milliseconds; all random numbers are derived from
+    /// `seed`.
     pub fn new(now: Timestamp, unix_ms: u64, seed: u64, settings: Settings) -> Membership {
         let identity = MemberIdentity {
             name: settings.name.clone(),
@@ -118,47 +118,47 @@
         }
     }
 
-    /// This server's own identity.
+    /// Returns this server's own identity.
     pub fn local_identity(&self) -> &MemberIdentity {
         self.swim.identity()
     }
 
-    /// How much of the fleet this server reaches.
+    /// Returns how much of the fleet this server receives from.
     pub fn connectivity(&self) -> Connectivity {
         self.connectivity.level
     }
 
-    /// Digest of the view; equal digests mean equal views.
+    /// Returns the digest of the view; equal digests mean equal views.
     pub fn digest(&self) -> u64 {
         self.members.digest().total()
     }
 
-    /// Counters since the start.
+    /// Returns the counters since the start.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Number of other members that are not down.
+    /// Returns the number of other members that are not down.
     pub fn active_count(&self) -> usize {
         self.members.active_count()
     }
 
-    /// Number of other members that are down without having left.
+    /// Returns the number of other members that are down without having left.
     pub fn missing_count(&self) -> usize {
         self.members.missing_count()
     }
 
-    /// Whether this process was paused recently, so that it suspects nobody.
+    /// Reports whether this process was paused recently and therefore suspects no member for now.
     pub fn is_degraded(&self) -> bool {
         self.health.is_degraded()
     }
 
-    /// Number of pauses of this process.
+    /// Returns how often this process was paused.
     pub fn pause_count(&self) -> u64 {
         self.health.pause_count()
     }
 
-    /// State of one member, or of this server, by name.
+    /// Returns the state of another member, or of this server, by name.
     pub fn member_state(&self, name: &str) -> Option<MemberState> {
         if name == self.settings.name {
             return Some(self.local_state());
@@ -178,19 +178,20 @@
         }
     }
 
-    /// Identity and state of one other member, by name.
+    /// Returns the identity and state of another member by name.
     pub fn member(&self, name: &str) -> Option<(&MemberIdentity, MemberState)> {
         self.members
             .get(name)
             .map(|record| (record.identity(), record.state()))
     }
 
-    /// Takes the names of the members that changed since the last call. Their number is bounded.
+    /// Takes the names of the members that changed since the last call. The number of retained
+    /// names is bounded.
     pub fn take_changed_members(&mut self) -> BTreeSet<CompactString> {
         self.members.take_changed_names()
     }
 
-    /// A snapshot of the view.
+    /// Returns a snapshot of the view.
     pub fn view(&self) -> View {
         let now = self.health.now();
         let ms_since = |time: Timestamp| (now - time).as_micros() / 1_000;
@@ -232,7 +233,7 @@
         std::mem::take(&mut self.events)
     }
 
-    /// Derives the level of connectivity from the current view.
+    /// Derives the connectivity level from the current view.
     fn update_connectivity(&mut self, now: Timestamp) {
         let evidence = ConnectivityEvidence {
             active: self.members.active_count(),
--- a/crates/membership/src/membership/lifecycle.rs
+++ b/crates/membership/src/membership/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Lifecycle of this server's incarnation: joining, draining, leaving and reconnecting.
+//! Lifecycle of this server's incarnation: joining, draining and leaving; also reconnection.
 
 use super::Membership;
 use crate::connectivity::Connectivity;
@@ -6,10 +6,10 @@
 use madderbay::time::{Duration, Timestamp};
 use std::net::SocketAddr;
 
-/// Upper bound on the time from the first contact until a server counts as joined, even if its view
-/// is not complete. A server without peers is joined at once.
+/// Longest time from the first contact with a member until a server counts as joined, even if its
+/// view is not complete yet. A server without peers is joined at once.
 const MAX_JOIN_TIME: Duration = Duration::from_millis(3_000);
-/// Number of rounds in which the departure is sent.
+/// Number of gossip rounds that announce the departure.
 const LEAVE_ROUNDS: usize = 3;
 
 impl Membership {
@@ -21,8 +21,8 @@
         }
     }
 
-    /// Announces the departure of this server to some members. It ignores all datagrams from then
-    /// on.
+    /// Announces to some members that this server leaves the fleet. From then on, this server
+    /// ignores all datagrams.
     pub fn leave(&mut self, now: Timestamp) {
         let now = self.advance_clock(now);
         self.set_identity(now, self.local_identity().next_revision(Phase::Left));
@@ -32,12 +32,12 @@
         }
     }
 
-    /// Whether this server has left the fleet.
+    /// Reports whether this server has left the fleet.
     pub(super) fn has_left(&self) -> bool {
         self.local_identity().phase == Phase::Left
     }
 
-    /// When this server counts as joined even if its view is not complete.
+    /// Returns when this server counts as joined even if its view is not complete.
     pub(super) fn join_deadline(&self) -> Option<Timestamp> {
         let contact = self
             .first_contact
@@ -45,7 +45,8 @@
         Some(contact + MAX_JOIN_TIME)
     }
 
-    /// Ends the joining phase once the view is complete.
+    /// Ends the joining phase if the view is complete, the join deadline has passed, or no peers
+    /// are expected.
     pub(super) fn advance_phase(&mut self, now: Timestamp) {
         if self.local_identity().phase != Phase::Joining || self.name_owner.is_some() {
             return;
@@ -59,13 +60,13 @@
         }
     }
 
-    /// Replaces this server's own identity and retains the members.
+    /// Replaces this server's own identity and keeps the members.
     pub(super) fn set_identity(&mut self, now: Timestamp, identity: MemberIdentity) {
         self.members
             .replace_own(now, self.swim.identity(), &identity);
         self.drive_swim(now, |swim, effects| {
             swim.change_identity(identity, &mut *effects)?;
-            // Without updates this only makes foca continue with the members that it knows.
+            // Even without updates, this call makes foca resume with the members that it knows.
             swim.apply_many(std::iter::empty(), false, effects)
         });
     }
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Asks a server at an address to add this server to its view.
+    /// Asks the server at an address to add this server to its view.
     pub(super) fn announce(&mut self, now: Timestamp, to: SocketAddr) {
         self.drive_swim(now, |swim, effects| {
             swim.announce(MemberIdentity::unknown(to), effects)
--- a/crates/membership/src/membership/name_conflict.rs
+++ b/crates/membership/src/membership/name_conflict.rs
@@ -1,4 +1,4 @@
-//! Claims to this server's name by other servers or by its former incarnations.
+//! Handles other servers or earlier incarnations that claim this server's name.
 
 use super::Membership;
 use crate::event::MembershipEvent;
@@ -9,17 +9,17 @@
 use madderbay::time::Timestamp;
 use std::net::SocketAddr;
 
-/// Who reports a claim to this server's name.
+/// Origin of a claim to this server's name.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ClaimSource {
-    /// The claimant itself.
+    /// The claimant sent it.
     Claimant,
-    /// Another server. Its report alone never silences this server.
+    /// Another server reported it. Such a report alone never makes this server give up its name.
     ThirdParty,
 }
 
 impl Membership {
-    /// Handles a claim to this server's name. `down` says whether the reporting server considers
+    /// Handles a claim to this server's name. `down` tells whether the reporting server considers
     /// the claimant down.
     pub(super) fn handle_claim(
         &mut self,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Refutes that this server is down.
+    /// Refutes that this server is down by raising the revision of its identity.
     fn renew_identity(&mut self, now: Timestamp) {
         self.counters.identity_renewals += 1;
         let identity = self
@@ -53,7 +53,8 @@
         self.set_identity(now, identity);
     }
 
-    /// Moves past a former incarnation that has a higher value.
+    /// Replaces this server's incarnation by one that is higher than that of an earlier
+    /// incarnation.
     fn supersede_incarnation(&mut self, now: Timestamp, incarnation: u64) {
         self.regain_name();
         self.push_event(MembershipEvent::IncarnationSuperseded { incarnation });
@@ -65,7 +66,8 @@
         self.set_identity(now, identity);
     }
 
-    /// Asks a claimant that a third party reported: if it runs, it answers with its own claim.
+    /// Sends a notice to a claimant that a third party reported. If the claimant is running, it
+    /// answers with its own claim.
     fn query_claimant(&mut self, now: Timestamp, address: SocketAddr) {
         if self.name_owner.is_none() {
             self.send_rate_limited_notice(
@@ -76,8 +78,9 @@
         }
     }
 
-    /// Gives up the name to another server. This server forgets its view and stays silent, but
-    /// reconnects to the former members to learn when the name is free.
+    /// Gives up the name to another server. This server clears its view and stays silent except for
+    /// reconnection attempts, which also go to its previous members and show when the name is free
+    /// again.
     fn yield_name(&mut self, now: Timestamp, owner: SocketAddr) {
         if self.name_owner.replace(owner).is_some() {
             return;
@@ -93,7 +96,7 @@
         self.reconnector.record_member_loss(now);
     }
 
-    /// Ends a name conflict, if there is one.
+    /// Ends the name conflict, if there is one.
     pub(super) fn regain_name(&mut self) {
         if self.name_owner.take().is_some() {
             self.push_event(MembershipEvent::NameRegained);
--- a/crates/membership/src/membership/notice.rs
+++ b/crates/membership/src/membership/notice.rs
@@ -1,4 +1,4 @@
-//! Notices: a server sends another what its view holds under the other's name, and the other
+//! Notices: one server tells another what its view contains for the other's name, and the other
 //! answers.
 
 use super::Membership;
@@ -11,8 +11,8 @@
 use std::net::SocketAddr;
 
 impl Membership {
-    /// Handles a notice: the answer of a member to a former notice, or what a member's view holds
-    /// under this server's name.
+    /// Handles a notice. It is either a member's answer to an earlier notice, or reports what a
+    /// member's view contains for this server's name.
     pub(super) fn receive_notice(
         &mut self,
         now: Timestamp,
@@ -43,7 +43,7 @@
         Ok(())
     }
 
-    /// The sender says that it is alive.
+    /// Handles a notice in which the sender states that it is alive.
     fn receive_alive_notice(
         &mut self,
         now: Timestamp,
@@ -61,15 +61,16 @@
         Ok(())
     }
 
-    /// The sender suspects this server: foca raises the incarnation number, and the answer carries
-    /// it.
+    /// Handles a notice from a member that suspects this server. Foca raises the SWIM incarnation
+    /// number, which the answer carries.
     fn refute_suspicion(&mut self, now: Timestamp, notice: &Notice) {
         let update = std::iter::once(notice.member.clone());
         self.drive_swim(now, |swim, effects| swim.apply_many(update, false, effects));
         self.answer_notice(notice);
     }
 
-    /// The sender's view holds another identity, or a down one, under this server's name.
+    /// Handles a notice from a server whose view contains another identity, or a down one, for this
+    /// server's name.
     fn receive_claim_notice(&mut self, now: Timestamp, notice: &Notice) {
         let former_version = self.local_identity().version();
         let subject = notice.member.id();
@@ -84,15 +85,16 @@
             return;
         }
         if self.local_identity().version() != former_version {
-            // The sender learns the new identity at once.
+            // The announcement tells the sender the new identity immediately.
             self.announce(now, notice.from.address);
         } else if notice.member.state() != SwimState::Alive && self.name_owner.is_none() {
-            // The notice concerns a former revision: the sender has not received the current one.
+            // The notice is about an earlier revision, so the sender has not received the current
+            // one.
             self.answer_notice(notice);
         }
     }
 
-    /// Answers a notice: this server is alive.
+    /// Answers a notice with the statement that this server is alive.
     fn answer_notice(&mut self, notice: &Notice) {
         let own = Member::new(
             self.local_identity().clone(),
@@ -102,7 +104,7 @@
         self.send_notice(notice.from.address, own);
     }
 
-    /// Sends a notice, unless too many were sent recently.
+    /// Sends a notice unless the rate limit is exceeded.
     pub(super) fn send_rate_limited_notice(
         &mut self,
         now: Timestamp,
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Sends what this server's view holds under the receiver's name.
+    /// Sends a notice about the receiver, as this server's view contains it.
     pub(super) fn send_notice(&mut self, to: SocketAddr, member: Member<MemberIdentity>) {
         self.counters.notices += 1;
         let notice = Notice {
--- a/crates/membership/src/membership/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -1,4 +1,5 @@
-//! Receiving datagrams: which senders are accepted, and what their digests lead to.
+//! Handling of received datagrams: checks of the sender, dispatch by kind, and comparison of
+//! digests.
 
 use super::name_conflict::ClaimSource;
 use super::{Membership, ReceivedMessage};
@@ -11,15 +12,15 @@
 use madderbay::time::Timestamp;
 use std::net::SocketAddr;
 
-/// Upper bound on the number of subsystem messages that wait to be taken: the datagrams of one turn
-/// of the caller's loop. Further ones are dropped and counted.
+/// Largest number of received subsystem messages that wait to be taken, which covers the datagrams
+/// of one iteration of the caller's event loop. Further messages are dropped and counted.
 const MAX_PENDING_MESSAGES: usize = 64;
-/// Upper bound on the number of updates that foca gossips. Beyond it, updates are applied but not
-/// gossiped, and rosters deliver them to the other members.
+/// Largest number of updates in foca's gossip backlog at which further updates are gossiped. Beyond
+/// it, updates are only applied, and rosters deliver them to the other members.
 pub(super) const MAX_GOSSIP_BACKLOG: usize = 200;
 
 impl Membership {
-    /// Handles a datagram that arrived from an address. `now` is of the same clock as in
+    /// Handles a datagram received from an address. `now` is read from the same clock as in
     /// [`Membership::new`]. Rejected datagrams are counted by reason.
     pub fn handle_datagram(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]) {
         let now = self.advance_clock(now);
@@ -50,7 +51,7 @@
         Ok(())
     }
 
-    /// Handles a body and returns its sender.
+    /// Handles a datagram's body and returns the sender.
     fn receive_body(
         &mut self,
         now: Timestamp,
@@ -84,8 +85,9 @@
         }
     }
 
-    /// Whether datagrams of a sender are accepted. A sender that the view holds in a newer version,
-    /// or as down, is informed of it.
+    /// Rejects datagrams from senders that are invalid, outside the allowed networks, superseded,
+    /// down in the view, or new while the member table is full. A sender that the view contains in
+    /// a newer version, or as down, is sent a notice about it unless it has left.
     pub(super) fn accept_sender(
         &mut self,
         now: Timestamp,
@@ -125,11 +127,12 @@
         Err(DatagramError::FormerIncarnation)
     }
 
-    /// A datagram under this server's own name arrived.
+    /// Handles a datagram whose sender has this server's name.
     fn handle_same_name_sender(&mut self, now: Timestamp, from: &MemberIdentity) {
         self.handle_claim(now, from, false, ClaimSource::Claimant);
         if self.name_owner.is_none() && from.address != self.settings.advertise {
-            // The server with the older claim yields once it knows the newer one.
+            // Of two servers with the same name, the one with the older identity yields when it
+            // learns of the newer one.
             self.send_rate_limited_notice(
                 now,
                 from.address,
@@ -164,7 +167,8 @@
         Ok(())
     }
 
-    /// Records that an active member was received, and compares its digest with the own one.
+    /// Records a datagram from an active member, and compares the digest in it with this server's
+    /// own.
     fn record_sender(&mut self, now: Timestamp, header: &Header, from: &MemberIdentity) {
         let Some(record) = self.members.get_active_mut(from) else {
             return;
@@ -173,7 +177,7 @@
         self.last_received = Some(now);
         let suspected = record.is_suspect().then(|| record.to_swim_member());
         if let Some(member) = suspected {
-            // The member runs, so it can refute the suspicion.
+            // The member is running, so it can refute the suspicion.
             self.send_rate_limited_notice(now, from.address, member);
         }
         if header.digest == self.members.digest().total() {
@@ -183,10 +187,11 @@
         }
     }
 
-    /// Requests the member's roster, if one is due.
+    /// Handles a digest that differs from this server's own: requests the member's roster, if a
+    /// request is due.
     fn handle_digest_mismatch(&mut self, now: Timestamp, from: &MemberIdentity) {
         let draw = self.rng.float();
-        // With a full backlog only rosters deliver updates, so there is no gossip to wait for.
+        // With a full backlog, only rosters deliver updates, so there is no gossip to wait for.
         let is_backlogged = self.swim.updates_backlog() > MAX_GOSSIP_BACKLOG;
         let changed = if is_backlogged {
             Timestamp::default()
--- a/crates/membership/src/membership/roster.rs
+++ b/crates/membership/src/membership/roster.rs
@@ -1,4 +1,4 @@
-//! Rosters: pages of the view that members send to those whose digest differs.
+//! Rosters: pages of the view that members request from each other when their digests differ.
 
 use super::Membership;
 use crate::datagram::{DatagramKind, RosterPage, RosterRequest, encode_body};
@@ -11,17 +11,18 @@
 use foca::{Member, State as SwimState};
 use madderbay::time::{Duration, Timestamp};
 
-/// Updates of a roster are gossiped only if no more than this many are new: every other server that
-/// lacks them requests a roster as well.
+/// Updates from a roster page are gossiped only if at most this many members on it are new. When
+/// more are new, every other server that lacks them requests a roster as well.
 const MAX_GOSSIPED_ROSTER_UPDATES: usize = 16;
-/// A roster contains members that went down within this time, so that the receiver suspects those
-/// that it considers active.
+/// A roster includes members that went down within this time, so that receivers that consider them
+/// active start to suspect them.
 const ROSTER_DOWN_RETENTION: Duration = Duration::from_millis(20_000);
-/// Upper bound on the encoded length of a list's length, beyond the byte that an empty list takes.
+/// Upper bound, in bytes, on the growth of a list's encoded length prefix beyond the single byte of
+/// an empty list.
 const MAX_LENGTH_PREFIX_GROWTH: usize = 2;
 
 impl Membership {
-    /// Requests the page of a member's roster after a name.
+    /// Requests the page of a member's roster that starts after a name.
     pub(super) fn request_roster(&mut self, from: &MemberIdentity, after: CompactString) {
         let request = RosterRequest {
             from: self.local_identity().clone(),
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Answers a request with a page.
+    /// Answers a roster request with a page.
     pub(super) fn receive_roster_request(
         &mut self,
         now: Timestamp,
@@ -50,7 +51,7 @@
         Ok(())
     }
 
-    /// The page that a request asks for: as many members of differing buckets as a datagram holds.
+    /// Builds the requested page: as many members of differing digest buckets as fit in a datagram.
     fn roster_page(&self, now: Timestamp, request: &RosterRequest) -> RosterPage {
         let mut page = RosterPage {
             from: self.local_identity().clone(),
@@ -78,7 +79,8 @@
         request.buckets[bucket] != self.members.digest().buckets()[bucket]
     }
 
-    /// Applies a page that this server requested, and requests the next one.
+    /// Applies a requested page and requests the next one. Pages that were not requested are
+    /// ignored.
     pub(super) fn receive_roster_page(&mut self, now: Timestamp, page: RosterPage) {
         if self.roster_sync.pending_page(&page.from).is_none() {
             return;
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Names of the members that are active on a page and down here.
+    /// Returns the names of members that are active on a page but down in this server's view.
     fn contradicted_names(&self, members: &[Member<MemberIdentity>]) -> Vec<CompactString> {
         let active = members
             .iter()
@@ -107,7 +109,7 @@
         names.filter(|name| is_missing(name)).cloned().collect()
     }
 
-    /// Applies the members of a page. Returns how many were new.
+    /// Applies the members of a page. Returns how many of them were new.
     fn apply_roster(&mut self, now: Timestamp, members: Vec<Member<MemberIdentity>>) -> usize {
         let updates: Vec<Member<MemberIdentity>> = members
             .into_iter()
@@ -127,7 +129,7 @@
             self.apply_update(now, update.id(), update.incarnation(), update.state());
         }
         if !gossip {
-            // What does not spread by gossip does not delay the next roster.
+            // Updates that are not gossiped must not delay the next roster.
             self.members.set_last_change(last_change);
         }
         new_members
@@ -139,13 +141,15 @@
     }
 }
 
-/// Whether a roster contains a member: it is active or went down recently.
+/// Reports whether a roster includes a member: it is active or went down recently without having
+/// left.
 fn belongs_on_roster(now: Timestamp, record: &MemberRecord) -> bool {
     record.is_active()
         || record.is_missing() && now - record.liveness_since() < ROSTER_DOWN_RETENTION
 }
 
-/// Encoded length in bytes; the longest body's where encoding fails, so that nothing follows.
+/// Returns the encoded length in bytes, or the maximum length of a body if encoding fails, so that
+/// nothing more is added to the page.
 fn encoded_length<T: serde::Serialize>(value: &T) -> usize {
     encode_body(value).map_or(MAX_BODY_BYTES, |bytes| bytes.len())
 }
--- a/crates/membership/src/membership/send.rs
+++ b/crates/membership/src/membership/send.rs
@@ -1,4 +1,4 @@
-//! What leaves this server: datagrams, subsystem messages and events.
+//! Output of the membership: datagrams, subsystem messages and events.
 
 use super::{Membership, ReceivedMessage};
 use crate::datagram::{self, DatagramKind, Header, Subsystem, SubsystemMessage, encode_body};
@@ -6,12 +6,12 @@
 use crate::event::MembershipEvent;
 use std::net::SocketAddr;
 
-/// Upper bound on the number of events that wait to be taken; further ones are counted.
+/// Largest number of events that wait to be taken; further events are dropped and counted.
 const MAX_PENDING_EVENTS: usize = 64;
 
 impl Membership {
-    /// Sends a message of a subsystem to an active member. Like any datagram it may be lost. A
-    /// payload longer than [`MAX_SUBSYSTEM_PAYLOAD_BYTES`] is dropped.
+    /// Sends a subsystem message to an active member. Like any datagram, it may be lost. A payload
+    /// longer than [`MAX_SUBSYSTEM_PAYLOAD_BYTES`] is dropped.
     pub fn send_subsystem_message(&mut self, to: &str, subsystem: Subsystem, payload: &[u8]) {
         let Some(record) = self.members.get(to).filter(|r| r.is_active()) else {
             return;
@@ -30,12 +30,13 @@
         }
     }
 
-    /// Takes the subsystem messages received from active members, in the order of their arrival.
+    /// Takes the subsystem messages received from active members, in order of arrival.
     pub fn take_subsystem_messages(&mut self) -> Vec<ReceivedMessage> {
         std::mem::take(&mut self.received_messages)
     }
 
-    /// Queues a datagram. One to this server itself, or outside the allowed networks, is dropped.
+    /// Queues a datagram. Datagrams to this server itself or to addresses outside the allowed
+    /// networks are dropped.
     pub(super) fn send(&mut self, to: SocketAddr, kind: DatagramKind, body: &[u8]) {
         if to == self.settings.advertise || !self.settings.allowed_networks.contains(to.ip()) {
             return;
@@ -51,7 +52,7 @@
         self.outgoing.push((to, bytes));
     }
 
-    /// Queues an event.
+    /// Queues an event, or counts it as dropped if the queue is full.
     pub(super) fn push_event(&mut self, event: MembershipEvent) {
         if self.events.len() < MAX_PENDING_EVENTS {
             self.events.push(event);
--- a/crates/membership/src/membership/suspicion.rs
+++ b/crates/membership/src/membership/suspicion.rs
@@ -1,4 +1,5 @@
-//! Suspicion of members, and what lets a running member refute it in time.
+//! Suspicion of members, with notices and repeated probes that let a running member refute it in
+//! time.
 
 use super::Membership;
 use crate::datagram::DatagramKind;
@@ -9,23 +10,23 @@
 use compact_str::CompactString;
 use madderbay::time::{Duration, Timestamp};
 
-/// When a suspected member receives a notice, as fractions of the suspicion timeout. Gossip alone
-/// may not reach it.
+/// Times at which a suspected member is sent a notice, as fractions of the suspicion timeout.
+/// Gossip alone may not reach the member.
 const SUSPICION_NOTICE_FRACTIONS: [f64; 2] = [0.35, 0.7];
-/// When a member that is down here but active elsewhere receives a notice, until it is received
-/// again. Both the notice and its answer may be lost.
+/// Delays after which a member that is down here but active in another server's view is sent a
+/// notice, until it is active here again. Both the notice and its answer may be lost.
 const DOWN_NOTICE_DELAYS: [Duration; 3] = [
     Duration::from_millis(120),
     Duration::from_millis(300),
     Duration::from_millis(600),
 ];
-/// Upper bound on the number of scheduled notices. After a long partition, members beyond it
-/// receive a notice with a later roster.
+/// Largest number of scheduled notices. After a long partition, members for which there is no room
+/// are notified after a later roster.
 const MAX_SCHEDULED_NOTICES: usize = 64;
 
 impl Membership {
-    /// Starts a suspicion of an active member: it did not answer a probe, here or at another
-    /// server.
+    /// Starts a suspicion of an active member that did not answer a probe by this server or by
+    /// another one.
     pub(super) fn start_suspicion(
         &mut self,
         now: Timestamp,
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Schedules notices to a member that is down here but active elsewhere.
+    /// Schedules notices to a member that is down here but active in another server's view.
     pub(super) fn schedule_down_notices(&mut self, now: Timestamp, name: &CompactString) {
         if self.scheduled_notices.len() + DOWN_NOTICE_DELAYS.len() > MAX_SCHEDULED_NOTICES {
             return;
@@ -59,8 +60,8 @@
         }
     }
 
-    /// Sends a scheduled notice, if the member is still suspected or down. The rate limit does not
-    /// apply, as the number of these notices is bounded otherwise.
+    /// Sends a scheduled notice if the member is still suspected or down. The rate limit does not
+    /// apply, because the number of scheduled notices is bounded separately.
     pub(super) fn send_scheduled_notice(&mut self, name: &CompactString) {
         let Some(record) = self.members.get(name) else {
             return;
--- a/crates/membership/src/membership/swim_driver.rs
+++ b/crates/membership/src/membership/swim_driver.rs
@@ -1,4 +1,4 @@
-//! Calls of foca, and what its effects change in the view.
+//! Calls into foca, and application of their effects to the view.
 
 use super::Membership;
 use crate::datagram::DatagramKind;
@@ -13,14 +13,14 @@
 use madderbay::time::Timestamp;
 
 impl Membership {
-    /// Calls foca and carries out its effects: first notifications, then timers, then messages.
+    /// Calls foca and applies the effects: first notifications, then timers, then messages.
     pub(super) fn drive_swim(
         &mut self,
         now: Timestamp,
         call: impl FnOnce(&mut Swim, &mut SwimEffects) -> Result<(), foca::Error>,
     ) {
         let mut effects = SwimEffects::default();
-        // Input was checked before, so an error only says that foca ignored it.
+        // The input has been validated, so an error only means that foca ignored it.
         let _ = call(&mut self.swim, &mut effects);
         for notification in effects.notifications {
             self.handle_notification(now, notification);
@@ -33,7 +33,8 @@
         }
     }
 
-    /// Sets a timer. One that ends a suspicion also starts it.
+    /// Sets a timer that foca requested. A timer that ends a suspicion also starts the suspicion in
+    /// the view.
     fn set_swim_timer(&mut self, now: Timestamp, requested: RequestedTimer) {
         let RequestedTimer { after, timer } = requested;
         if let Timer::ChangeSuspectToDown {
@@ -47,8 +48,8 @@
         self.swim_timers.set(now + after, timer);
     }
 
-    /// Sends a message. A request for an indirect probe shows that the direct one was not answered
-    /// in time.
+    /// Sends a SWIM message. A request for an indirect probe shows that the direct probe was not
+    /// answered in time, so the direct ping is repeated as well.
     fn send_swim_message(&mut self, now: Timestamp, message: OutgoingMessage) {
         if let Ok(header) = decode_header(&message.body) {
             self.swim_incarnation = header.src_incarnation;
@@ -80,7 +81,7 @@
             OwnedNotification::Rename(former, identity) => {
                 self.handle_identity_replacement(now, &former, &identity);
             }
-            // Others declared this server down; foca continued with the next revision.
+            // Other members declared this server down, and foca continued with the next revision.
             OwnedNotification::Rejoin(identity) => {
                 self.counters.identity_renewals += 1;
                 self.push_event(MembershipEvent::IdentityRenewed {
@@ -94,7 +95,7 @@
         }
     }
 
-    /// A member is alive that was unknown or down.
+    /// Handles a member that is alive and was unknown or down before.
     fn handle_member_up(&mut self, now: Timestamp, identity: &MemberIdentity) {
         let former = self.members.get(&identity.name).map(MemberRecord::state);
         self.members.set_alive(now, identity);
@@ -110,7 +111,7 @@
         self.update_swim_config();
     }
 
-    /// A member left, or did not refute a suspicion in time.
+    /// Handles a member that left or did not refute a suspicion in time.
     fn handle_member_down(&mut self, now: Timestamp, identity: &MemberIdentity) {
         let Some(record) = self.members.get(&identity.name) else {
             return;
@@ -128,7 +129,7 @@
         self.push_state_change(identity, Some(former), state, reason);
     }
 
-    /// A member has a newer identity: it was restarted, or its phase changed.
+    /// Handles a newer identity of a member: it was restarted, or its phase changed.
     fn handle_identity_replacement(
         &mut self,
         now: Timestamp,
@@ -175,7 +176,7 @@
         });
     }
 
-    /// The larger the fleet, the more often an update is transmitted.
+    /// Raises or lowers the number of transmissions of each update with the size of the fleet.
     fn update_swim_config(&mut self) {
         let active = self.members.active_count();
         let max_transmissions = swim::max_transmissions(active).get();
--- a/crates/membership/src/membership/swim_receive.rs
+++ b/crates/membership/src/membership/swim_receive.rs
@@ -1,4 +1,5 @@
-//! Receiving SWIM messages: what is checked before foca handles them.
+//! Handling of received SWIM messages: the checks before foca handles them, and the filtering of
+//! updates.
 
 use super::Membership;
 use super::receive::MAX_GOSSIP_BACKLOG;
@@ -20,7 +21,8 @@
         let mut packet = SwimPacket::decode(body)?;
         let from = packet.header.src.clone();
         self.check_destination(&packet)?;
-        // Foca takes messages for an unknown or a former identity of this server as well.
+        // Replaces the destination, so that foca also accepts messages to an unknown or an earlier
+        // identity of this server.
         packet.header.dst = self.local_identity().clone();
         self.check_third_party(&packet.header.message)?;
         self.accept_sender(now, &from)?;
@@ -29,8 +31,8 @@
         Ok(from)
     }
 
-    /// Whether a message is addressed to this server. During a name conflict this server accepts
-    /// only the answer of a member that accepted its announcement, which ends the conflict.
+    /// Rejects messages that are not addressed to this server. During a name conflict, this server
+    /// accepts only the answer of a member that accepted its announcement, which ends the conflict.
     fn check_destination(&mut self, packet: &SwimPacket) -> Result<(), DatagramError> {
         let own = self.local_identity();
         let from = &packet.header.src;
@@ -49,8 +51,8 @@
         Ok(())
     }
 
-    /// Whether the server that an indirect probe concerns, besides sender and receiver, is
-    /// acceptable.
+    /// Rejects an indirect probe if the third server that it involves, besides sender and receiver,
+    /// is invalid or outside the allowed networks.
     fn check_third_party(&self, message: &Message<MemberIdentity>) -> Result<(), DatagramError> {
         let (Message::PingReq { target: other, .. }
         | Message::IndirectPing { origin: other, .. }
@@ -66,7 +68,8 @@
         }
     }
 
-    /// Reduces the updates of a packet to those that are to be applied.
+    /// Removes the updates of a packet that are not to be applied. A packet from a member that left
+    /// gets an update that the member is down.
     fn filter_packet(&mut self, now: Timestamp, packet: &mut SwimPacket, sender_degraded: bool) {
         let updates = std::mem::take(&mut packet.updates);
         packet.updates = updates
--- a/crates/membership/src/membership/timers.rs
+++ b/crates/membership/src/membership/timers.rs
@@ -1,4 +1,4 @@
-//! Timers: what this server does when a deadline passes.
+//! Timers: deadlines and the actions that are due when they pass.
 
 use super::Membership;
 use crate::event::MembershipEvent;
@@ -7,7 +7,7 @@
 use madderbay::time::Timestamp;
 
 impl Membership {
-    /// When to call [`Membership::handle_timeout`] next, if nothing arrives before.
+    /// Returns when to call [`Membership::handle_timeout`] next if no datagram arrives before.
     pub fn next_timeout(&self) -> Timestamp {
         let deadlines = [
             Some(self.reconnector.next_timeout()),
@@ -21,7 +21,7 @@
         self.health.to_machine_clock(next)
     }
 
-    /// Runs everything whose deadline has passed. `now` is of the same clock as in
+    /// Runs everything whose deadline has passed. `now` is read from the same clock as in
     /// [`Membership::new`].
     pub fn handle_timeout(&mut self, now: Timestamp) {
         let now = self.advance_clock(now);
@@ -35,7 +35,8 @@
         self.update_connectivity(now);
     }
 
-    /// Records the time of the machine's clock and returns that of the clock that excludes pauses.
+    /// Records the time of the machine's clock and returns the time of the clock that excludes
+    /// pauses.
     pub(super) fn advance_clock(&mut self, now: Timestamp) -> Timestamp {
         let deadline = Some(self.next_timeout()).filter(|_| self.settings.local_health_aware);
         if let Some(duration) = self.health.observe(now, deadline) {
@@ -44,8 +45,8 @@
         self.health.now()
     }
 
-    /// After a pause, timers that lead to a suspicion are postponed until the datagrams that
-    /// arrived during the pause have been read.
+    /// Runs the SWIM timers that are due. After a pause, timers that lead to a suspicion are
+    /// postponed, so that the datagrams that arrived during the pause are read first.
     fn run_swim_timers(&mut self, now: Timestamp) {
         let mut postponed = vec![];
         while let Some(timer) = self.swim_timers.pop_due(now) {
@@ -81,8 +82,8 @@
         }
     }
 
-    /// Foca drops its suspicions when its own identity changes; without this, the members would
-    /// stay suspected.
+    /// Declares a member down whose suspicion expired. Foca drops its suspicions when this server's
+    /// own identity changes, so without this the members would stay suspected.
     fn handle_suspicion_expiry(
         &mut self,
         now: Timestamp,
--- a/crates/membership/src/membership/updates.rs
+++ b/crates/membership/src/membership/updates.rs
@@ -1,8 +1,8 @@
-//! Updates about members that others sent: which are believed, and what they change.
+//! Filtering and application of updates about members that other servers sent.
 //!
-//! No member is declared down because another server says so. Each server lets its own suspicion
-//! expire, so that one wrong report does not spread; only a departure is taken from the member's
-//! own announcement.
+//! No member is declared down merely because another server reports it. Each server waits for its
+//! own suspicion to expire, so that one wrong report does not spread. Only a departure is applied
+//! directly, because the member announced it itself.
 
 use super::Membership;
 use super::name_conflict::ClaimSource;
@@ -16,8 +16,9 @@
 use std::cmp::Ordering;
 
 impl Membership {
-    /// The part of an update that is believed, or nothing. `sender_degraded` says whether the
-    /// sender was paused recently: its suspicions are ignored.
+    /// Returns the update to apply, or `None` if it is ignored. An update that is only partly
+    /// trusted is returned with a weaker state. `sender_degraded` tells whether the sender was
+    /// paused recently; its suspicions are then ignored.
     pub(super) fn filter_update(
         &mut self,
         now: Timestamp,
@@ -56,8 +57,8 @@
         }
     }
 
-    /// An update under this server's name. Foca refutes a suspicion of the current identity; all
-    /// else is a claim to the name.
+    /// Filters an update about this server's name. Foca refutes a suspicion of the current
+    /// identity; all other updates are claims to the name.
     fn filter_own_update(
         &mut self,
         now: Timestamp,
@@ -71,7 +72,7 @@
         None
     }
 
-    /// An update about a server that the view does not contain.
+    /// Filters an update about a server that the view does not contain.
     fn filter_unknown_update(
         &mut self,
         update: Member<MemberIdentity>,
@@ -86,8 +87,8 @@
         Some(update)
     }
 
-    /// Another server considers a member active that is down here. If the member runs, a notice
-    /// lets it refute this.
+    /// Handles an update according to which a member that is down here is active. If the member is
+    /// running, a notice lets it refute that it is down.
     fn notify_down_member(&mut self, now: Timestamp, update: &Member<MemberIdentity>) {
         let identity = update.id();
         let Some(record) = self.members.get(&identity.name) else {
@@ -100,8 +101,8 @@
         self.send_rate_limited_notice(now, identity.address, down);
     }
 
-    /// Applies a believed update where it starts or ends a suspicion. In foca only the server that
-    /// probed a member waits for its refutation; here each server that learns of a suspicion waits
+    /// Applies an accepted update if it starts or ends a suspicion. In foca, only the server that
+    /// probed a member waits for its refutation; here, each server that learns of a suspicion waits
     /// by its own clock.
     pub(super) fn apply_update(
         &mut self,
@@ -141,12 +142,13 @@
     }
 }
 
-/// Whether an update says that a member failed, not that it left.
+/// Reports whether an update says that a member failed, as opposed to left.
 fn reports_failure(update: &Member<MemberIdentity>) -> bool {
     update.state() != SwimState::Alive && update.id().phase != Phase::Left
 }
 
-/// An update about a newer identity than the known one.
+/// Filters an update about a newer identity than the known one. A report that the new identity of
+/// an active member is down is reduced to a suspicion.
 fn filter_newer_identity_update(
     record: &MemberRecord,
     update: Member<MemberIdentity>,
@@ -161,8 +163,8 @@
     update
 }
 
-/// An update about the known identity of an active member. Without news it is dropped, as most
-/// updates repeat what is known.
+/// Filters an update about the known identity of an active member. Most updates repeat what is
+/// known; these are dropped. A report that the member is down is reduced to a suspicion.
 fn filter_active_member_update(
     record: &MemberRecord,
     update: Member<MemberIdentity>,
--- a/crates/membership/src/name_claim.rs
+++ b/crates/membership/src/name_claim.rs
@@ -1,31 +1,32 @@
-//! Claims of other servers, or of former incarnations, to this server's name.
+//! Evaluation of claims to this server's name by other servers or by earlier incarnations.
 //!
 //! A newer incarnation replaces an older one. If the clock stepped back between two incarnations of
-//! one server, a peer that remembers the former one reports it, and this server moves past it. Of
-//! two running servers with one name the newer incarnation owns the name. This module only decides;
-//! it holds no state.
+//! a server, a peer that remembers the earlier one reports it, and the server continues with a
+//! higher incarnation. If two running servers have the same name, the newer incarnation owns the
+//! name. This module is stateless and only decides.
 
 use crate::identity::MemberIdentity;
 use std::cmp::Ordering;
 
-/// Result of comparing a claim with the own identity.
+/// Result of comparing a claim with this server's own identity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ClaimVerdict {
-    /// An older incarnation, or the own identity: no action.
+    /// The claim is of an older version or of this server's own identity: no action is needed.
     Stale,
-    /// The own identity, declared down: it has to be refuted.
+    /// This server's own identity was declared down, which has to be refuted.
     DeclaredDown,
-    /// A former incarnation of this server, or one that ended, has a higher value.
+    /// An earlier incarnation of this server, or one that is down, ranks as newer than this
+    /// server's own.
     FormerIncarnation {
-        /// The value that the own incarnation has to exceed.
+        /// Value that this server's incarnation has to exceed.
         incarnation: u64,
     },
     /// Another running server owns the name.
     NameConflict,
 }
 
-/// Compares a claim to the own name with the own identity. `down` says whether the reporting server
-/// considers the claimant down.
+/// Compares a claim to this server's name with its own identity. `down` tells whether the reporting
+/// server considers the claimant down.
 pub(crate) fn judge_claim(
     own: &MemberIdentity,
     claimant: &MemberIdentity,
--- a/crates/membership/src/name_claim/tests.rs
+++ b/crates/membership/src/name_claim/tests.rs
@@ -34,7 +34,7 @@
         judge_claim(&own, &identity(2, 49, 9), false),
         ClaimVerdict::Stale
     );
-    // After the clock stepped back the former incarnation has the higher value.
+    // After the clock stepped back, the earlier incarnation has the higher value.
     assert_eq!(judge_claim(&own, &identity(1, 90, 0), false), former);
     assert_eq!(judge_claim(&own, &identity(2, 90, 0), true), former);
     assert_eq!(
--- a/crates/membership/src/networks.rs
+++ b/crates/membership/src/networks.rs
@@ -1,10 +1,10 @@
-//! The networks whose addresses this server exchanges datagrams with.
+//! The networks with whose addresses this server exchanges datagrams.
 
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use iprange::IpRange;
 use std::net::IpAddr;
 
-/// A set of networks. Datagrams from and to other addresses are dropped.
+/// A set of networks. Datagrams from or to addresses outside it are dropped.
 #[derive(Clone, Debug)]
 pub struct AllowedNetworks {
     v4: IpRange<Ipv4Net>,
@@ -12,7 +12,7 @@
 }
 
 impl AllowedNetworks {
-    /// Builds the set from its networks, which may overlap.
+    /// Builds the set from networks, which may overlap.
     pub fn new(networks: impl IntoIterator<Item = IpNet>) -> AllowedNetworks {
         let mut allowed = AllowedNetworks {
             v4: IpRange::new(),
@@ -33,7 +33,8 @@
         allowed
     }
 
-    /// Whether an address belongs to one of the networks. IPv4-mapped IPv6 addresses count as IPv4.
+    /// Reports whether an address belongs to one of the networks. IPv4-mapped IPv6 addresses count
+    /// as IPv4.
     pub fn contains(&self, ip: IpAddr) -> bool {
         match ip.to_canonical() {
             IpAddr::V4(ip) => self.v4.contains(&ip),
--- a/crates/membership/src/notice_limit.rs
+++ b/crates/membership/src/notice_limit.rs
@@ -1,9 +1,9 @@
-//! Rate limit on notices: after a long partition each server considers half of the fleet down, and
-//! informs these members a few at a time.
+//! Rate limit on notices. After a long partition, each server considers half of the fleet down; the
+//! limit spreads the notices to these members over time.
 
 use madderbay::time::{Duration, Timestamp};
 
-/// Notices in one window.
+/// Largest number of notices in one window.
 const MAX_NOTICES: u32 = 10;
 /// Length of a window.
 const NOTICE_WINDOW: Duration = Duration::from_millis(100);
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Whether one more notice may be sent now.
+    /// Returns whether one more notice may be sent now, and counts it.
     pub(crate) fn try_acquire(&mut self, now: Timestamp) -> bool {
         if now - self.window_start >= NOTICE_WINDOW {
             self.window_start = now;
--- a/crates/membership/src/probe_retry.rs
+++ b/crates/membership/src/probe_retry.rs
@@ -1,14 +1,15 @@
-//! Repeated pings to a member that has not answered a probe, beside the indirect probes: a lost
-//! datagram is more likely than a failed server.
+//! Repeated pings to a member that has not answered a probe. They are sent in addition to the
+//! indirect probes, because a lost datagram is more likely than a failed server.
 //!
-//! Owns the probe that is being repeated. It is given the time and never sends.
+//! The module stores the probe that is being repeated. The caller passes in the time and sends the
+//! pings.
 
 use crate::identity::MemberIdentity;
 use madderbay::time::{Duration, Timestamp};
 
-/// Number of repeated pings for one probe, spread over the rest of its interval; the last one
-/// leaves time for its answer. With three datagrams in ten lost, all eleven pings fail for one
-/// running member in two thousand, so that a large fleet spreads few suspicions.
+/// Number of repeated pings for one probe, spread over the rest of its interval so that the last
+/// one leaves time for its answer. With three datagrams in ten lost, all eleven pings fail for one
+/// running member in two thousand, so that a large fleet disseminates few suspicions.
 const MAX_PROBE_RETRIES: usize = 10;
 /// Time between two repeated pings, as a fraction of the time from the probe's timeout to the end
 /// of its interval.
@@ -33,14 +34,14 @@
     remaining: usize,
 }
 
-/// Schedules the repeated pings of the last probe that was not answered in time.
+/// Schedules the repeated pings of the latest probe that was not answered in time.
 pub(crate) struct ProbeRetry {
     interval: Duration,
     current: Option<RepeatedProbe>,
 }
 
 impl ProbeRetry {
-    /// `probe_interval` and `probe_timeout` are those of the settings.
+    /// `probe_interval` and `probe_timeout` are the values from the settings.
     pub(crate) fn new(probe_interval: Duration, probe_timeout: Duration) -> ProbeRetry {
         let remainder = probe_interval.saturating_sub(probe_timeout);
         ProbeRetry {
@@ -49,7 +50,8 @@
         }
     }
 
-    /// Starts to repeat a probe that was not answered in time, unless it is the current one.
+    /// Starts to repeat a probe that was not answered in time, unless that probe is already the
+    /// current one.
     pub(crate) fn start(&mut self, now: Timestamp, probe: Probe) {
         if self
             .current
@@ -65,7 +67,7 @@
         });
     }
 
-    /// A member answered a probe: it is not repeated any more.
+    /// Records that a member answered a probe, which ends the repetition of that probe.
     pub(crate) fn record_answer(&mut self, from: &MemberIdentity, number: u8) {
         if let Some(current) = self
             .current
@@ -76,7 +78,7 @@
         }
     }
 
-    /// The probe to repeat now, if one is due.
+    /// Returns the probe to repeat now, if a ping is due, and schedules the next ping.
     pub(crate) fn take_due(&mut self, now: Timestamp) -> Option<Probe> {
         let current = self
             .current
@@ -87,7 +89,7 @@
         Some(current.probe.clone())
     }
 
-    /// When the next ping is due.
+    /// Returns when the next ping is due.
     pub(crate) fn next_timeout(&self) -> Option<Timestamp> {
         self.current
             .as_ref()
--- a/crates/membership/src/probe_retry/tests.rs
+++ b/crates/membership/src/probe_retry/tests.rs
@@ -8,7 +8,7 @@
     }
 }
 
-/// Repeats a probe from 1,000 ms; a ping is due every 22.5 ms.
+/// Repeats a probe from 1,000 ms on; a ping is due every 22.5 ms.
 fn repeating() -> ProbeRetry {
     let mut retry = ProbeRetry::new(Duration::from_millis(500), Duration::from_millis(200));
     assert_eq!(retry.next_timeout(), None);
--- a/crates/membership/src/reconnect.rs
+++ b/crates/membership/src/reconnect.rs
@@ -1,29 +1,29 @@
-//! Reconnection to servers that are not active members: configured addresses and members that went
-//! down.
+//! Selection of servers to reconnect to: configured addresses, members that are down, and members
+//! that were removed from the view.
 //!
-//! A partition that lasts longer than the view remembers its dead members heals by these attempts.
-//! Owns the candidate addresses and the time of the next attempt. It is given the view's addresses
-//! and random numbers; it never sends.
+//! These attempts heal partitions that last longer than the view retains members that are down. The
+//! module stores the candidate addresses and the time of the next attempt; the caller passes in the
+//! view's addresses and random numbers, and sends the datagrams.
 
 use madderbay::time::{Duration, Timestamp};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Mean interval between attempts while members are missing. Each interval is drawn from half to
-/// one and a half of the mean, so that servers that lost each other at one time do not retry at one
-/// time.
+/// Mean interval between attempts while connectivity is not complete or after a member was lost
+/// recently. Each interval is drawn from 0.5 to 1.5 times the mean, so that servers that lost
+/// contact with each other simultaneously do not retry simultaneously.
 const IMPAIRED_INTERVAL: Duration = Duration::from_millis(500);
-/// Mean interval between attempts otherwise.
+/// Mean interval between attempts in all other cases.
 const HEALTHY_INTERVAL: Duration = Duration::from_millis(5_000);
-/// Time after a loss during which attempts use the short interval.
+/// Time after the loss of a member during which attempts use the short interval.
 const RECENT_MEMBER_LOSS: Duration = Duration::from_millis(120_000);
-/// Number of addresses retained after the view has forgotten their members; the latest are
+/// Number of addresses retained after their members were removed from the view. The latest ones are
 /// retained.
 const MAX_REMOVED_MEMBERS: usize = 64;
-/// How long such an address is retained.
+/// How long the address of a removed member is retained.
 const REMOVED_RETENTION: Duration = Duration::from_millis(3_600_000);
 
-/// Address of a member that the view no longer contains.
+/// Address of a member that was removed from the view.
 struct RemovedMember {
     removed_at: Timestamp,
     address: SocketAddr,
@@ -32,14 +32,14 @@
 /// Selects the addresses to reconnect to.
 pub(crate) struct Reconnector {
     join: Vec<SocketAddr>,
-    /// The earliest first.
+    /// Removed members, the earliest first.
     removed: VecDeque<RemovedMember>,
     next_attempt: Timestamp,
     last_member_loss: Timestamp,
 }
 
 impl Reconnector {
-    /// `join` holds the configured addresses; `own` is never a candidate.
+    /// `join` contains the configured addresses; `own` is never a candidate.
     pub(crate) fn new(now: Timestamp, join: &[SocketAddr], own: SocketAddr) -> Reconnector {
         let join = join
             .iter()
@@ -54,18 +54,18 @@
         }
     }
 
-    /// Whether the operator configured other servers.
+    /// Reports whether the operator configured addresses of other servers.
     pub(crate) fn has_join_addresses(&self) -> bool {
         !self.join.is_empty()
     }
 
-    /// A member went down: attempts use the short interval for some time.
+    /// Records that a member went down: attempts use the short interval for some time.
     pub(crate) fn record_member_loss(&mut self, now: Timestamp) {
         self.last_member_loss = now;
         self.next_attempt = self.next_attempt.min(now + IMPAIRED_INTERVAL);
     }
 
-    /// The view removed a member that was down.
+    /// Records the address of a member that was removed from the view.
     pub(crate) fn record_removal(&mut self, now: Timestamp, address: SocketAddr) {
         self.removed.retain(|r| r.address != address);
         self.removed.push_back(RemovedMember {
@@ -77,14 +77,14 @@
         }
     }
 
-    /// When the next attempt is due.
+    /// Returns when the next attempt is due.
     pub(crate) fn next_timeout(&self) -> Timestamp {
         self.next_attempt
     }
 
-    /// The address to contact now, if an attempt is due and a candidate exists. `is_active` says
-    /// whether an active member has an address, `down` holds the addresses of members that are
-    /// down, and `draw` returns a random number from 0 to 1.
+    /// Returns the address to contact now, if an attempt is due and a candidate exists. `is_active`
+    /// tells whether an address belongs to an active member, `down` contains the addresses of
+    /// members that are down, and `draw` returns a random number from 0 to 1.
     pub(crate) fn pick(
         &mut self,
         now: Timestamp,
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -5,10 +5,10 @@
 use madderbay::time::Duration;
 use std::net::SocketAddr;
 
-/// Identity of this server, its peers and the protocol's timeouts.
+/// Identity of this server, addresses of its peers, and timeouts of the protocol.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Unique name in the fleet.
+    /// Name, unique in the fleet.
     pub name: CompactString,
     /// Address to which peers send datagrams.
     pub advertise: SocketAddr,
@@ -16,21 +16,21 @@
     pub zone: CompactString,
     /// Name of the fleet. Datagrams of other fleets are rejected.
     pub fleet: String,
-    /// Addresses contacted at the start and whenever no active member has them.
+    /// Addresses contacted at the start, and later whenever no active member has them.
     pub join: Vec<SocketAddr>,
-    /// Networks to which every address has to belong.
+    /// Networks to which every address must belong.
     pub allowed_networks: AllowedNetworks,
     /// Upper bound on the number of other members in the view.
     pub max_members: usize,
-    /// Interval between two probes of members.
+    /// Interval between two probes.
     pub probe_interval: Duration,
     /// Time after which other members are asked to probe a member that has not answered.
     pub probe_timeout: Duration,
-    /// Time that a suspected member has to refute the suspicion before it is declared down.
+    /// Time in which a suspected member can refute the suspicion before it is declared down.
     pub suspicion_timeout: Duration,
-    /// How long the view remembers members that are down.
+    /// Time for which the view retains members that are down.
     pub down_retention: Duration,
-    /// Whether pauses of this process delay its suspicions. Without, it behaves as plain SWIM, for
-    /// comparison.
+    /// Whether pauses of this process delay its suspicions. Without this, it behaves as plain SWIM,
+    /// which serves for comparison.
     pub local_health_aware: bool,
 }
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -1,7 +1,7 @@
-//! Adapter to foca, the SWIM implementation: its configuration, its randomness and what it asks to
-//! be done.
+//! Adapter to foca, the SWIM implementation: its configuration, its random numbers and the effects
+//! that it requests.
 //!
-//! Nothing is decided here, and nothing is sent.
+//! This module makes no decisions and sends nothing.
 
 use crate::datagram_size::MAX_BODY_BYTES;
 use crate::identity::MemberIdentity;
@@ -15,19 +15,20 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration as StdDuration;
 
-/// Number of members asked to probe a member that does not answer. With one datagram in ten lost,
-/// three probes in ten thousand suspect a running member.
+/// Number of members that are asked to probe a member that does not answer. With one datagram in
+/// ten lost, three probes in ten thousand lead to the suspicion of a running member.
 const INDIRECT_PROBES: NonZeroUsize = NonZeroUsize::new(6).unwrap();
-/// Interval between rounds of gossip, and members addressed by a round: updates reach a thousand
-/// servers within half a second.
+/// Interval between rounds of gossip. With this interval and [`GOSSIP_FANOUT`], updates reach a
+/// thousand servers within half a second.
 const GOSSIP_INTERVAL: StdDuration = StdDuration::from_millis(100);
+/// Number of members that each round of gossip addresses.
 const GOSSIP_FANOUT: NonZeroUsize = NonZeroUsize::new(3).unwrap();
-/// Transmissions of an update by each member beyond the natural logarithm of the fleet's size. With
-/// a third of the datagrams lost, one server in a thousand misses an update that a thousand servers
-/// transmit.
+/// Number of transmissions of an update by each member, in addition to the natural logarithm of the
+/// fleet's size. With a third of the datagrams lost, one server in a thousand misses an update that
+/// a thousand servers transmit.
 const EXTRA_TRANSMISSIONS: f64 = 10.0;
 
-/// The random numbers that foca draws, from one seed.
+/// Random number generator for foca, seeded by the caller.
 pub(crate) struct SwimRng(oorandom::Rand64);
 
 impl SwimRng {
@@ -35,7 +36,7 @@
         SwimRng(oorandom::Rand64::new(u128::from(seed)))
     }
 
-    /// A random number from 0 to 1.
+    /// Returns a random number from 0 to 1.
     pub(crate) fn float(&mut self) -> f64 {
         self.0.rand_float()
     }
@@ -60,19 +61,19 @@
     }
 }
 
-/// A SWIM message that foca wants to send.
+/// A SWIM message that foca requests to send.
 pub(crate) struct OutgoingMessage {
     pub(crate) to: MemberIdentity,
     pub(crate) body: Vec<u8>,
 }
 
-/// A timer that foca wants to set.
+/// A timer that foca requests to set.
 pub(crate) struct RequestedTimer {
     pub(crate) after: Duration,
     pub(crate) timer: Timer<MemberIdentity>,
 }
 
-/// What one call of foca asks to be done, each kind in its order.
+/// Effects that one call of foca requests; each kind is in the order of the requests.
 #[derive(Default)]
 pub(crate) struct SwimEffects {
     pub(crate) messages: Vec<OutgoingMessage>,
@@ -98,10 +99,10 @@
     }
 }
 
-/// The SWIM state machine.
+/// The SWIM state machine, configured for this crate.
 pub(crate) type Swim = Foca<MemberIdentity, PostcardCodec, SwimRng, NoCustomBroadcast>;
 
-/// A SWIM state machine without members.
+/// Creates a SWIM state machine without members.
 pub(crate) fn new_swim(identity: MemberIdentity, settings: &Settings, seed: u64) -> Swim {
     Swim::new(
         identity,
@@ -111,13 +112,13 @@
     )
 }
 
-/// How often each member transmits an update, with so many other members.
+/// Returns how often each member transmits an update, given the number of other active members.
 pub(crate) fn max_transmissions(active: usize) -> NonZeroU8 {
     let transmissions = ((active + 1) as f64).ln() + EXTRA_TRANSMISSIONS;
     NonZeroU8::new(transmissions.ceil().min(255.0) as u8).unwrap_or(NonZeroU8::MIN)
 }
 
-/// Foca's configuration with so many other members.
+/// Returns foca's configuration, given the number of other active members.
 pub(crate) fn config(settings: &Settings, active: usize) -> Config {
     let std_duration = |d: Duration| StdDuration::from_micros(d.as_micros());
     Config {
@@ -128,7 +129,7 @@
         suspect_to_down_after: std_duration(settings.suspicion_timeout),
         remove_down_after: Some(std_duration(settings.down_retention)),
         max_packet_size: NonZeroUsize::new(MAX_BODY_BYTES).unwrap_or(NonZeroUsize::MIN),
-        // Notices inform members that are down, and say who declared them down.
+        // Members that are down are informed by notices, which also tell who declared them down.
         notify_down_members: false,
         periodic_announce: None,
         periodic_announce_to_down_members: None,
--- a/crates/membership/src/swim_packet.rs
+++ b/crates/membership/src/swim_packet.rs
@@ -1,4 +1,4 @@
-//! Codec of SWIM bodies, which are those of foca: a header, then the updates.
+//! Codec of SWIM bodies in foca's format: a header followed by updates.
 
 use crate::error::DatagramError;
 use crate::identity::MemberIdentity;
--- a/crates/membership/src/tests.rs
+++ b/crates/membership/src/tests.rs
@@ -1,4 +1,4 @@
-//! What the tests of several modules share.
+//! Helpers shared by the unit tests of several modules.
 
 use crate::identity::{MemberIdentity, Phase};
 use madderbay::time::Timestamp;
@@ -7,7 +7,7 @@
     Timestamp::from_micros(ms * 1_000)
 }
 
-/// The first identity of a server without a zone.
+/// Returns the first identity of a server without a zone.
 pub(crate) fn identity(name: &str) -> MemberIdentity {
     MemberIdentity {
         name: name.into(),
--- a/crates/membership/src/timer_queue.rs
+++ b/crates/membership/src/timer_queue.rs
@@ -1,5 +1,5 @@
-//! Timers in the order of their deadlines; timers with one deadline fire in the order in which they
-//! were set.
+//! Queue of timers, ordered by deadline. Timers with the same deadline fire in the order in which
+//! they were set.
 
 use madderbay::time::Timestamp;
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
     sequence: u64,
 }
 
-/// A queue of timers.
+/// A queue of timers, ordered by deadline.
 pub(crate) struct TimerQueue<T> {
     timers: BTreeMap<TimerKey, T>,
     next_sequence: u64,
@@ -35,12 +35,12 @@
         self.timers.insert(TimerKey { deadline, sequence }, timer);
     }
 
-    /// The earliest deadline.
+    /// Returns the earliest deadline.
     pub(crate) fn next_deadline(&self) -> Option<Timestamp> {
         self.timers.keys().next().map(|key| key.deadline)
     }
 
-    /// Removes the next timer whose deadline has passed.
+    /// Removes and returns the next timer whose deadline has passed.
     pub(crate) fn pop_due(&mut self, now: Timestamp) -> Option<T> {
         let entry = self
             .timers
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,11 +1,11 @@
-//! Snapshot of a view, for operators.
+//! Snapshot of the view, for operators.
 
 use crate::connectivity::ConnectivityStatus;
 use compact_str::CompactString;
 use std::fmt;
 use std::net::SocketAddr;
 
-/// State of a member. The displayed words are those of the operators' interface.
+/// State of a member. The displayed words are part of the operator interface.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum MemberState {
     /// Has not received the complete view yet.
@@ -38,35 +38,36 @@
 /// One member of a view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberView {
-    /// Unique name in the fleet.
+    /// Name, unique in the fleet.
     pub name: CompactString,
-    /// State in this server's view.
+    /// The member's state in this server's view.
     pub state: MemberState,
     /// Availability zone; may be empty.
     pub zone: CompactString,
     /// Address to which peers send datagrams.
     pub address: SocketAddr,
-    /// Unix milliseconds at the start of the process, or more if an earlier incarnation had a
-    /// higher value.
+    /// Start time of the process in Unix milliseconds, or a higher value if an earlier incarnation
+    /// already had one.
     pub incarnation: u64,
-    /// Number of changes of the identity within its incarnation.
+    /// Number of times the identity changed within its incarnation.
     pub revision: u32,
-    /// Milliseconds since its last datagram; nothing if none arrived, and for this server.
+    /// Milliseconds since the member's last datagram; `None` if no datagram has arrived, and for
+    /// this server itself.
     pub last_received_ms: Option<u64>,
-    /// Health score that it reports: 0 if healthy, at most 8.
+    /// Health score that the member reports: 0 if healthy, at most 8.
     pub health_score: u8,
 }
 
-/// All members, this server included, ordered by name.
+/// The members of the fleet as one server sees them, including that server itself.
 #[derive(Clone, Debug)]
 pub struct View {
     /// Name of this server.
     pub name: CompactString,
-    /// How much of the fleet this server reaches.
+    /// How much of the fleet this server receives from.
     pub connectivity: ConnectivityStatus,
-    /// Milliseconds since the level of connectivity changed.
+    /// Milliseconds since the connectivity level changed.
     pub since_ms: u64,
-    /// Milliseconds since the last datagram of any member; nothing if none arrived.
+    /// Milliseconds since the last datagram from any member; `None` if no datagram has arrived.
     pub last_received_ms: Option<u64>,
     /// Digest of the view; equal digests mean equal views.
     pub digest: u64,
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Every fault script in the repository's `tests/fleet`, in the simulated fleet over many seeds.
-//! `crates/server/tests/fleet.rs` runs the same scripts on real processes.
+//! Runs every fault script in the repository's `tests/fleet` in the simulated fleet, with many
+//! seeds. `crates/server/tests/fleet.rs` runs the same scripts with real processes.
 
 use madderbay::time::Duration;
 use madderbay_testkit::fleet::script::{Action, Condition, Fleet, FleetSetup};
@@ -24,8 +24,9 @@
     );
 }
 
-/// 150 servers that know only the first one, with three datagrams in ten lost: rosters of many
-/// pages complete, and suspicions that one more ping would have prevented do not fill the network.
+/// Starts 150 servers that know only the first one, with three datagrams in ten lost. Rosters of
+/// many pages must complete, and suspicions that one more ping would have prevented must not fill
+/// the network.
 #[test]
 fn large_fleet_on_lossy_links_converges_with_bounded_traffic() {
     let (server_count, measured_time) = (150, Duration::from_millis(20_000));
@@ -65,8 +66,8 @@
     let after = totals(&sim);
     let bytes = (after.0 - before.0) as f64 / measured_time.as_secs_f64() / server_count as f64;
     assert!(bytes < 4_000.0, "{bytes:.0} bytes per second and member");
-    // One of a hundred members a minute is suspected wrongly, and told of to all: not one each
-    // second.
+    // About one member in a hundred is wrongly suspected per minute, and every server learns of it.
+    // The bound excludes one suspicion each second.
     let suspicions = (after.1 - before.1) / server_count as u64;
     assert!(
         suspicions <= 10,
--- a/crates/membership/tests/recorded_datagrams.rs
+++ b/crates/membership/tests/recorded_datagrams.rs
@@ -1,5 +1,5 @@
-//! Datagrams that a former release recorded, given to a server: it accepts them and answers as that
-//! release did.
+//! Datagrams that an earlier release recorded are passed to a server, which must accept them and
+//! answer as that release did.
 
 mod support;
 
@@ -12,7 +12,7 @@
     std::fs::read(folder.join(name).with_extension("bin")).expect("a recorded datagram")
 }
 
-/// The n-th of four servers whose views are complete, as in the recording.
+/// Returns the n-th of four servers whose views are complete, as in the recording.
 fn converged_server(n: usize) -> Membership {
     let mut servers: Vec<Membership> = (1..=4).map(server).collect();
     run(&mut servers, 0, 5_000);
@@ -27,7 +27,7 @@
         .0
 }
 
-/// Kinds of a converged server's answers to a recorded datagram, which it has to accept.
+/// Returns the kinds of a converged server's answers to a recorded datagram, which it must accept.
 fn answers(name: &str, from: u16, to: u16) -> Vec<DatagramKind> {
     let mut receiver = converged_server(usize::from(to));
     receiver.handle_datagram(at(5_000), address(from), &recorded(name));
@@ -93,7 +93,7 @@
 
 #[test]
 fn refutes_recorded_suspicion() {
-    // It gossips the refutation to three members and answers the sender.
+    // The server gossips the refutation to three members and answers the sender.
     let gossip = DatagramKind::Swim;
     let expected = [gossip, gossip, gossip, DatagramKind::Notice];
     assert_eq!(answers("notice-suspect", 1, 3), expected);
--- a/crates/membership/tests/robustness.rs
+++ b/crates/membership/tests/robustness.rs
@@ -1,5 +1,5 @@
 //! Invalid, hostile and excessive input: the view stays bounded and correct, and nothing is sent to
-//! strangers.
+//! servers outside the fleet.
 
 mod support;
 
@@ -11,7 +11,7 @@
     server.counters().rejected.get(reason)
 }
 
-/// Makes a changed datagram pass the check of its checksum.
+/// Recomputes the checksum of a modified datagram, so that it passes the check.
 fn fix_checksum(datagram: &mut [u8]) {
     if datagram.len() >= 25 {
         let sum = crc32c::crc32c_append(crc32c::crc32c(&datagram[..21]), &datagram[25..]);
@@ -19,7 +19,7 @@
     }
 }
 
-/// The first datagram of a server.
+/// Returns the first datagram that a server sends.
 fn first_datagram(server: &mut Membership) -> Vec<u8> {
     server.handle_timeout(at(0));
     server.take_outgoing().remove(0).1
@@ -82,7 +82,7 @@
 fn paused_server_suspects_no_member() {
     let mut servers: Vec<Membership> = (1..=4).map(server).collect();
     run(&mut servers, 0, 5_000);
-    // The first is paused for 20 s and receives nothing for another second.
+    // The first server is paused for 20 s and receives nothing for almost another second.
     for ms in (5_000..25_000).step_by(10) {
         run(&mut servers[1..], ms, ms + 10);
     }
@@ -101,8 +101,8 @@
     }
 }
 
-/// A datagram with a valid checksum reports this server's name at another address. Nobody answers
-/// there, so the server retains its name, and its own claim prevails.
+/// A datagram with a valid checksum reports this server's name at another address. Nothing answers
+/// at that address, so the server keeps its name, and its own claim prevails.
 #[test]
 fn wrong_report_about_own_name_does_not_silence_a_server() {
     let mut servers: Vec<Membership> = (1..=3).map(server).collect();
@@ -130,19 +130,20 @@
     }
 }
 
-/// Input of the property test: which recorded datagram to take, how to change it, and bytes for the
-/// change.
+/// Input of the property test: which sent datagram to take, how to modify it, and bytes for the
+/// modification.
 type FuzzInput = (u16, u8, Vec<u8>);
 
-/// A datagram that is arbitrary, or derived from a valid one: cut, extended, changed or repeated.
-fn fuzzed_datagram(valid: &[u8], (pick, kind, noise): FuzzInput) -> Vec<u8> {
+/// Returns a datagram that is arbitrary or derived from a valid one: truncated, extended, modified
+/// or unchanged.
+fn fuzzed_datagram(valid: &[u8], (pick, kind, random_bytes): FuzzInput) -> Vec<u8> {
     let mut datagram = match kind {
-        0 => noise,
+        0 => random_bytes,
         1 => valid[..usize::from(pick) % (valid.len() + 1)].to_vec(),
-        2 => [valid, &noise].concat(),
+        2 => [valid, &random_bytes].concat(),
         3 => {
             let mut changed = valid.to_vec();
-            for (i, byte) in noise.iter().enumerate() {
+            for (i, byte) in random_bytes.iter().enumerate() {
                 changed[(usize::from(pick) * 7 + i * 13) % valid.len()] ^= byte;
             }
             changed
@@ -153,7 +154,7 @@
     datagram
 }
 
-/// Number of the three servers that a view holds as alive.
+/// Returns how many of the three servers are alive in a server's view.
 fn alive_servers(server: &Membership) -> usize {
     let members = server.view().members;
     let alive = members.iter().filter(|m| m.state == MemberState::Alive);
@@ -169,15 +170,15 @@
         ..ProptestConfig::default()
     })]
 
-    /// No input causes a panic, an unbounded table or an oversized datagram, and the fleet settles
-    /// afterwards.
+    /// No input causes a panic, an unbounded table or an oversized datagram, and the fleet
+    /// converges afterwards.
     #[test]
-    fn fleet_survives_arbitrary_datagrams(noise in proptest::collection::vec(
+    fn fleet_survives_arbitrary_datagrams(inputs in proptest::collection::vec(
         (any::<u16>(), 0u8..5, proptest::collection::vec(any::<u8>(), 0..80)), 1..60)) {
         let mut servers: Vec<Membership> = (1..=3).map(server).collect();
         let sent = run(&mut servers, 0, 3_000);
         let mut ms = 3_000;
-        for input in noise {
+        for input in inputs {
             let valid = &sent[usize::from(input.0) % sent.len()].bytes;
             ms += 1;
             servers[0].handle_datagram(at(ms), address(2), &fuzzed_datagram(valid, input));
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -4,7 +4,7 @@
 use madderbay_membership::{AllowedNetworks, Membership, Settings};
 use std::net::SocketAddr;
 
-/// Upper bound on the number of other members in a server's view.
+/// Largest number of other members in a server's view.
 pub(crate) const MAX_MEMBERS: usize = 5;
 
 /// A datagram with its destination.
@@ -13,7 +13,7 @@
     pub(crate) bytes: Vec<u8>,
 }
 
-/// Address of the n-th server.
+/// Returns the address of the n-th server.
 pub(crate) fn address(n: u16) -> SocketAddr {
     ([127, 0, 0, 1], 1_000 + n).into()
 }
@@ -39,18 +39,18 @@
     }
 }
 
-/// The n-th server of a fleet.
+/// Returns the n-th server of a fleet.
 pub(crate) fn server_of(n: u16, fleet: &str) -> Membership {
     Membership::new(at(0), 1_764_576_000_000, u64::from(n), settings(n, fleet))
 }
 
-/// The n-th server of the fleet that the tests use.
+/// Returns the n-th server of the fleet that the tests use.
 pub(crate) fn server(n: u16) -> Membership {
     server_of(n, "bookings")
 }
 
-/// Runs servers and delivers their datagrams from one time to another. Returns all datagrams in
-/// order.
+/// Runs the servers from one time to another and delivers their datagrams. Returns all datagrams in
+/// the order of sending.
 pub(crate) fn run(servers: &mut [Membership], from_ms: u64, to_ms: u64) -> Vec<SentDatagram> {
     let mut all = vec![];
     for ms in (from_ms..to_ms).step_by(10) {
