--- a/crates/membership/src/anti_entropy/tests.rs
+++ b/crates/membership/src/anti_entropy/tests.rs
@@ -82,7 +82,10 @@
         "this interval was drawn before it grew"
     );
     sync.handle_page(at(1_340), None, true, 0);
-    assert!(!requests_roster(&mut sync, 2_129, 0), "a longer interval");
+    assert!(
+        !requests_roster(&mut sync, 2_129, 0),
+        "the interval has grown"
+    );
     assert!(
         !requests_roster(&mut sync, 2_130, 2_000),
         "gossip is spreading"
--- a/crates/membership/src/connectivity/tests.rs
+++ b/crates/membership/src/connectivity/tests.rs
@@ -10,7 +10,7 @@
 };
 
 /// Returns a status that became complete at 200 ms.
-fn complete() -> ConnectivityStatus {
+fn complete_status() -> ConnectivityStatus {
     let mut status = ConnectivityStatus::new(at(0));
     assert!(status.update(at(200), EVIDENCE));
     assert_eq!(
@@ -22,7 +22,7 @@
 
 #[test]
 fn more_missing_members_than_tolerated_mean_a_partition() {
-    let mut status = complete();
+    let mut status = complete_status();
     assert!(status.update(
         at(300),
         ConnectivityEvidence {
@@ -48,7 +48,7 @@
 
 #[test]
 fn isolated_after_timeout_until_a_datagram_arrives() {
-    let mut status = complete();
+    let mut status = complete_status();
     assert!(status.update(at(2_101), EVIDENCE));
     assert_eq!(
         (status.level, status.next_timeout()),
@@ -65,7 +65,7 @@
 
 #[test]
 fn tolerates_a_tenth_of_the_fleet_missing() {
-    let mut status = complete();
+    let mut status = complete_status();
     assert!(!status.update(
         at(200),
         ConnectivityEvidence {
@@ -86,14 +86,14 @@
 
 #[test]
 fn server_without_peers_stays_complete() {
-    let mut status = complete();
+    let mut status = complete_status();
     assert!(!status.update(at(9_000), ConnectivityEvidence::default()));
     assert_eq!(status.level, Connectivity::Complete);
 }
 
 #[test]
 fn name_conflict_isolates_the_server() {
-    let mut status = complete();
+    let mut status = complete_status();
     assert!(status.update(
         at(300),
         ConnectivityEvidence {
--- a/crates/membership/src/datagram/tests.rs
+++ b/crates/membership/src/datagram/tests.rs
@@ -44,29 +44,29 @@
     Member::new(identity, 0, state)
 }
 
-fn encode_again(kind: DatagramKind, body: &[u8]) -> Vec<u8> {
+fn reencode(kind: DatagramKind, body: &[u8]) -> Vec<u8> {
     match kind {
-        DatagramKind::Swim => encode_swim_again(body),
-        DatagramKind::Notice => encode_again_as::<Notice>(body),
-        DatagramKind::RosterRequest => encode_again_as::<RosterRequest>(body),
-        DatagramKind::RosterPage => encode_again_as::<RosterPage>(body),
-        DatagramKind::SubsystemMessage => encode_again_as::<SubsystemMessage>(body),
+        DatagramKind::Swim => reencode_swim(body),
+        DatagramKind::Notice => reencode_as::<Notice>(body),
+        DatagramKind::RosterRequest => reencode_as::<RosterRequest>(body),
+        DatagramKind::RosterPage => reencode_as::<RosterPage>(body),
+        DatagramKind::SubsystemMessage => reencode_as::<SubsystemMessage>(body),
     }
 }
 
 /// Foca encodes the number of updates even if there are none, whereas this crate's own pings omit
 /// it.
-fn encode_swim_again(body: &[u8]) -> Vec<u8> {
+fn reencode_swim(body: &[u8]) -> Vec<u8> {
     let packet = SwimPacket::decode(body).expect("a packet");
-    let mut again = packet.encode();
-    if packet.updates.is_empty() && body.len() == again.len() + 2 {
-        again.extend([0, 0]);
+    let mut reencoded = packet.encode();
+    if packet.updates.is_empty() && body.len() == reencoded.len() + 2 {
+        reencoded.extend([0, 0]);
     }
-    again
+    reencoded
 }
 
-fn encode_again_as<'a, T: serde::Serialize + serde::Deserialize<'a>>(body: &'a [u8]) -> Vec<u8> {
-    encode_body(&decode_body::<T>(body).expect("a body")).expect("fits a datagram")
+fn reencode_as<'a, T: serde::Serialize + serde::Deserialize<'a>>(body: &'a [u8]) -> Vec<u8> {
+    encode_body(&decode_body::<T>(body).expect("a body")).expect("fits in a datagram")
 }
 
 #[test]
@@ -76,8 +76,8 @@
         let path = entry.expect("an entry").path();
         let bytes = std::fs::read(&path).expect("a recorded datagram");
         let (header, body) = decode_recorded(&bytes);
-        let again = encode(header, fleet_hash(FLEET), &encode_again(header.kind, body));
-        assert_eq!(again, bytes, "{}", path.display());
+        let reencoded = encode(header, fleet_hash(FLEET), &reencode(header.kind, body));
+        assert_eq!(reencoded, bytes, "{}", path.display());
         kinds[header.kind as usize] += 1;
     }
     assert_eq!(kinds, [14, 3, 1, 1, 2], "recorded datagrams by kind");
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn inspection_shows_kind_and_sender() {
+fn inspect_datagram_returns_kind_and_sender() {
     let inspect = |name| inspect_datagram(&recorded(name), FLEET);
     assert_eq!(inspect("swim-ping"), Ok((DatagramKind::Swim, joined(1))));
     assert_eq!(
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn rejects_body_that_does_not_fit_a_datagram() {
+fn rejects_body_that_does_not_fit_in_a_datagram() {
     let message = |bytes: usize| {
         let payload = vec![0; bytes];
         let message = SubsystemMessage {
--- a/crates/membership/src/event/tests.rs
+++ b/crates/membership/src/event/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::connectivity::{Connectivity, ConnectivityEvidence};
 
-fn state_changed(from: Option<MemberState>, to: MemberState, reason: ChangeReason) -> String {
+fn state_change_line(from: Option<MemberState>, to: MemberState, reason: ChangeReason) -> String {
     let (name, address) = ("n2".into(), ([127, 0, 0, 1], 7_946).into());
     MembershipEvent::StateChanged {
         name,
@@ -20,11 +20,11 @@
     let since_received = Some(Duration::from_millis(1_500));
     let (alive, suspect, down) = (MemberState::Alive, MemberState::Suspect, MemberState::Down);
     assert_eq!(
-        state_changed(None, MemberState::Joining, ChangeReason::Discovered),
+        state_change_line(None, MemberState::Joining, ChangeReason::Discovered),
         "member joining, name=n2, address=127.0.0.1:7946, from=unknown, reason=discovered"
     );
     assert_eq!(
-        state_changed(
+        state_change_line(
             Some(alive),
             suspect,
             ChangeReason::ProbeFailed { since_received }
@@ -36,12 +36,12 @@
         since_received: None,
     };
     assert_eq!(
-        state_changed(Some(suspect), down, expired),
+        state_change_line(Some(suspect), down, expired),
         "member down, name=n2, address=127.0.0.1:7946, from=suspect, reason=suspicion-expired, \
          last_received_ms=never"
     );
     assert_eq!(
-        state_changed(
+        state_change_line(
             Some(alive),
             alive,
             ChangeReason::Restarted { from: 5, to: 9 }
--- a/crates/membership/src/probe_retry/tests.rs
+++ b/crates/membership/src/probe_retry/tests.rs
@@ -9,7 +9,7 @@
 }
 
 /// Repeats a probe from 1,000 ms on; a ping is due every 22.5 ms.
-fn repeating() -> ProbeRetry {
+fn retry_of_started_probe() -> ProbeRetry {
     let mut retry = ProbeRetry::new(Duration::from_millis(500), Duration::from_millis(200));
     assert_eq!(retry.next_timeout(), None);
     retry.start(at(1_000), probe("a", 7));
@@ -18,7 +18,7 @@
 
 #[test]
 fn repeats_unanswered_probe_ten_times() {
-    let mut retry = repeating();
+    let mut retry = retry_of_started_probe();
     let mut pings = 0;
     while let Some(due) = retry.next_timeout() {
         assert_eq!(due, at(1_000) + Duration::from_micros(22_500 * pings));
@@ -37,7 +37,7 @@
 
 #[test]
 fn stops_when_the_probe_is_answered() {
-    let mut retry = repeating();
+    let mut retry = retry_of_started_probe();
     retry.record_answer(&probe("b", 7).target, 7);
     retry.record_answer(&probe("a", 7).target, 6);
     assert!(
--- a/crates/membership/tests/recorded_datagrams.rs
+++ b/crates/membership/tests/recorded_datagrams.rs
@@ -28,7 +28,7 @@
 }
 
 /// Returns the kinds of a converged server's answers to a recorded datagram, which it must accept.
-fn answers(name: &str, from: u16, to: u16) -> Vec<DatagramKind> {
+fn answer_kinds(name: &str, from: u16, to: u16) -> Vec<DatagramKind> {
     let mut receiver = converged_server(usize::from(to));
     receiver.handle_datagram(at(5_000), address(from), &recorded(name));
     let rejected: u64 = receiver
@@ -49,13 +49,13 @@
 #[test]
 fn accepts_recorded_swim_messages() {
     let swim = [DatagramKind::Swim];
-    assert_eq!(answers("swim-ping", 1, 3), swim);
-    assert_eq!(answers("swim-ping-repeated", 1, 4), swim);
-    assert_eq!(answers("swim-ping-request", 1, 3), swim);
-    assert_eq!(answers("swim-indirect-ping", 2, 4), swim);
-    assert_eq!(answers("swim-indirect-ack", 4, 2), swim);
-    assert_eq!(answers("swim-gossip", 4, 3), []);
-    assert_eq!(answers("swim-ack", 3, 1), []);
+    assert_eq!(answer_kinds("swim-ping", 1, 3), swim);
+    assert_eq!(answer_kinds("swim-ping-repeated", 1, 4), swim);
+    assert_eq!(answer_kinds("swim-ping-request", 1, 3), swim);
+    assert_eq!(answer_kinds("swim-indirect-ping", 2, 4), swim);
+    assert_eq!(answer_kinds("swim-indirect-ack", 4, 2), swim);
+    assert_eq!(answer_kinds("swim-gossip", 4, 3), []);
+    assert_eq!(answer_kinds("swim-ack", 3, 1), []);
 }
 
 #[test]
@@ -82,13 +82,13 @@
 
 #[test]
 fn answers_recorded_roster_request_with_a_page() {
-    let sent = answers("roster-request", 3, 1);
+    let sent = answer_kinds("roster-request", 3, 1);
     assert_eq!(sent, [DatagramKind::RosterPage]);
 }
 
 #[test]
 fn ignores_recorded_page_that_it_did_not_request() {
-    assert_eq!(answers("roster-page", 1, 2), []);
+    assert_eq!(answer_kinds("roster-page", 1, 2), []);
 }
 
 #[test]
@@ -96,7 +96,7 @@
     // The server gossips the refutation to three members and answers the sender.
     let gossip = DatagramKind::Swim;
     let expected = [gossip, gossip, gossip, DatagramKind::Notice];
-    assert_eq!(answers("notice-suspect", 1, 3), expected);
+    assert_eq!(answer_kinds("notice-suspect", 1, 3), expected);
 }
 
 #[test]
--- a/crates/membership/tests/robustness.rs
+++ b/crates/membership/tests/robustness.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use support::{MAX_MEMBERS, SentDatagram, address, at, run, server, server_of};
 
-fn rejected(server: &Membership, reason: DatagramError) -> u64 {
+fn rejection_count(server: &Membership, reason: DatagramError) -> u64 {
     server.counters().rejected.get(reason)
 }
 
@@ -30,23 +30,23 @@
     let mut own = server(1);
     let foreign = first_datagram(&mut server_of(2, "payments"));
     own.handle_datagram(at(1), address(2), &foreign);
-    assert_eq!(rejected(&own, DatagramError::ForeignFleet), 1);
+    assert_eq!(rejection_count(&own, DatagramError::ForeignFleet), 1);
     let valid = first_datagram(&mut server(3));
     own.handle_datagram(at(1), ([192, 0, 2, 1], 9).into(), &valid);
-    assert_eq!(rejected(&own, DatagramError::NetworkNotAllowed), 1);
+    assert_eq!(rejection_count(&own, DatagramError::NetworkNotAllowed), 1);
     let damaged = |index: usize| {
         let mut bytes = valid.clone();
         bytes[index] ^= 1;
         bytes
     };
     own.handle_datagram(at(1), address(3), &damaged(2));
-    assert_eq!(rejected(&own, DatagramError::UnsupportedVersion), 1);
+    assert_eq!(rejection_count(&own, DatagramError::UnsupportedVersion), 1);
     own.handle_datagram(at(1), address(3), &damaged(valid.len() - 1));
     own.handle_datagram(at(1), address(3), &damaged(20));
-    assert_eq!(rejected(&own, DatagramError::ChecksumMismatch), 2);
+    assert_eq!(rejection_count(&own, DatagramError::ChecksumMismatch), 2);
     own.handle_datagram(at(1), address(3), &valid[..10]);
     own.handle_datagram(at(1), address(3), &[0; 1_401]);
-    assert_eq!(rejected(&own, DatagramError::Malformed), 2);
+    assert_eq!(rejection_count(&own, DatagramError::Malformed), 2);
     assert_eq!(own.active_count(), 0);
     assert!(
         own.take_outgoing().is_empty(),
@@ -65,11 +65,14 @@
         assert!(entries <= MAX_MEMBERS + 1, "{name} holds {entries}");
     }
     let admitted = servers.iter().filter(|s| s.active_count() > 0).count();
-    assert!(admitted > MAX_MEMBERS, "members in a full table continue");
+    assert!(
+        admitted > MAX_MEMBERS,
+        "servers in a full table remain members"
+    );
     assert!(
         servers
             .iter()
-            .any(|s| rejected(s, DatagramError::TableFull) > 0)
+            .any(|s| rejection_count(s, DatagramError::TableFull) > 0)
     );
     servers.truncate(MAX_MEMBERS + 1);
     run(&mut servers, 8_000, 40_000);
