--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -128,7 +128,7 @@
     ) -> Option<CompactString> {
         let pending = self.pending.as_mut()?;
         self.new_members += new_members;
-        // A page that does not advance would be requested again for ever.
+        // A page that does not advance would be requested again and again.
         if let Some(name) = last_name.filter(|name| !is_last && **name > pending.after) {
             pending.after = name.clone();
             pending.requested_at = now;
