--- a/crates/membership/src/connectivity/tests.rs
+++ b/crates/membership/src/connectivity/tests.rs
@@ -9,8 +9,8 @@
     name_conflict: false,
 };
 
-/// A status that became complete at 200 ms.
-fn complete() -> ConnectivityStatus {
+/// Returns a status that became complete at 200 ms.
+fn complete_status() -> ConnectivityStatus {
     let mut status = ConnectivityStatus::new(at(0));
     assert!(status.update(at(200), EVIDENCE));
     assert_eq!(
@@ -22,7 +22,7 @@
 
 #[test]
 fn more_missing_members_than_tolerated_mean_a_partition() {
-    let mut status = complete();
+    let mut status = complete_status();
     assert!(status.update(
         at(300),
         ConnectivityEvidence {
@@ -47,8 +47,8 @@
 }
 
 #[test]
-fn silence_isolates_until_a_datagram_arrives() {
-    let mut status = complete();
+fn isolated_after_timeout_until_a_datagram_arrives() {
+    let mut status = complete_status();
     assert!(status.update(at(2_101), EVIDENCE));
     assert_eq!(
         (status.level, status.next_timeout()),
@@ -65,7 +65,7 @@
 
 #[test]
 fn tolerates_a_tenth_of_the_fleet_missing() {
-    let mut status = complete();
+    let mut status = complete_status();
     assert!(!status.update(
         at(200),
         ConnectivityEvidence {
@@ -85,15 +85,15 @@
 }
 
 #[test]
-fn server_without_peers_misses_nobody() {
-    let mut status = complete();
+fn server_without_peers_stays_complete() {
+    let mut status = complete_status();
     assert!(!status.update(at(9_000), ConnectivityEvidence::default()));
     assert_eq!(status.level, Connectivity::Complete);
 }
 
 #[test]
-fn name_conflict_isolates() {
-    let mut status = complete();
+fn name_conflict_isolates_the_server() {
+    let mut status = complete_status();
     assert!(status.update(
         at(300),
         ConnectivityEvidence {
--- a/crates/membership/src/membership/timers.rs
+++ b/crates/membership/src/membership/timers.rs
@@ -1,4 +1,4 @@
-//! Timers: what this server does when a deadline passes.
+//! Timers: deadlines and the actions that are due when they pass.
 
 use super::Membership;
 use crate::event::MembershipEvent;
@@ -7,7 +7,7 @@
 use madderbay::time::Timestamp;
 
 impl Membership {
-    /// When to call [`Membership::handle_timeout`] next, if nothing arrives before.
+    /// Returns when to call [`Membership::handle_timeout`] next if no datagram arrives before.
     pub fn next_timeout(&self) -> Timestamp {
         let deadlines = [
             Some(self.reconnector.next_timeout()),
@@ -21,7 +21,7 @@
         self.health.to_machine_clock(next)
     }
 
-    /// Runs everything whose deadline has passed. `now` is of the same clock as in
+    /// Runs everything whose deadline has passed. `now` is read from the same clock as in
     /// [`Membership::new`].
     pub fn handle_timeout(&mut self, now: Timestamp) {
         let now = self.advance_clock(now);
@@ -35,7 +35,8 @@
         self.update_connectivity(now);
     }
 
-    /// Records the time of the machine's clock and returns that of the clock that excludes pauses.
+    /// Records the time of the machine's clock and returns the time of the clock that excludes
+    /// pauses.
     pub(super) fn advance_clock(&mut self, now: Timestamp) -> Timestamp {
         let deadline = Some(self.next_timeout()).filter(|_| self.settings.local_health_aware);
         if let Some(duration) = self.health.observe(now, deadline) {
@@ -44,8 +45,8 @@
         self.health.now()
     }
 
-    /// After a pause, timers that lead to a suspicion are postponed until the datagrams that
-    /// arrived during the pause have been read.
+    /// Runs the SWIM timers that are due. After a pause, timers that lead to a suspicion are
+    /// postponed, so that the datagrams that arrived during the pause are read first.
     fn run_swim_timers(&mut self, now: Timestamp) {
         let mut postponed = vec![];
         while let Some(timer) = self.swim_timers.pop_due(now) {
@@ -56,7 +57,7 @@
             if suspects && self.health.is_degraded() {
                 postponed.push(timer);
             } else {
-                self.swim_timer_fired(now, timer);
+                self.handle_swim_timer(now, timer);
             }
         }
         for timer in postponed {
@@ -65,7 +66,7 @@
         }
     }
 
-    fn swim_timer_fired(&mut self, now: Timestamp, timer: Timer<MemberIdentity>) {
+    fn handle_swim_timer(&mut self, now: Timestamp, timer: Timer<MemberIdentity>) {
         let fired = timer.clone();
         self.drive_swim(now, |swim, effects| swim.handle_timer(timer, effects));
         match fired {
@@ -74,16 +75,21 @@
                 incarnation,
                 ..
             } => {
-                self.suspicion_expired(now, member_id, incarnation);
+                self.handle_suspicion_expiry(now, member_id, incarnation);
             }
             Timer::RemoveDown(identity) => self.remove_down_member(now, &identity),
             _ => {}
         }
     }
 
-    /// Foca drops its suspicions when its own identity changes; without this, the members would
-    /// stay suspected.
-    fn suspicion_expired(&mut self, now: Timestamp, member: MemberIdentity, swim_incarnation: u16) {
+    /// Declares a member down whose suspicion expired. Foca drops its suspicions when this server's
+    /// own identity changes, so without this the members would stay suspected.
+    fn handle_suspicion_expiry(
+        &mut self,
+        now: Timestamp,
+        member: MemberIdentity,
+        swim_incarnation: u16,
+    ) {
         let is_current = self.members.get(&member.name).is_some_and(|r| {
             r.is_suspect() && *r.identity() == member && r.swim_incarnation() == swim_incarnation
         });
@@ -103,7 +109,7 @@
             return;
         }
         if !record.has_left() {
-            self.reconnector.record_forgotten(now, identity.address);
+            self.reconnector.record_removal(now, identity.address);
         }
         self.members.remove(&identity.name);
     }
