--- a/crates/quota/src/budget.rs
+++ b/crates/quota/src/budget.rs
@@ -171,25 +171,25 @@
     /// Counts a started call.
     pub fn call_started(&mut self, now: Timestamp) {
         self.ledger.call_started();
-        self.track_demand(now);
+        self.update_demand(now);
     }
 
     /// Counts the end of a call.
     pub fn call_ended(&mut self, now: Timestamp) {
         self.ledger.call_ended();
-        self.track_demand(now);
+        self.update_demand(now);
         let has_returns = self.ledger.has_returns(now);
-        let is_claimed = self.lessees.values().any(LesseeRecord::is_unsatisfied);
-        let has_idle = self.grantable(now) > self.ledger.granted(now);
-        self.is_urgent |= has_returns || is_claimed && has_idle;
+        let has_unsatisfied_lessee = self.lessees.values().any(LesseeRecord::is_unsatisfied);
+        let has_idle_units = self.grantable(now) > self.ledger.granted(now);
+        self.is_urgent |= has_returns || has_unsatisfied_lessee && has_idle_units;
     }
 
     /// Sets the number of calls that wait for a unit, or are expected to.
     pub fn set_waiting(&mut self, now: Timestamp, calls: u32) {
-        let has_more = self.demand.set_waiting(calls);
-        self.track_demand(now);
+        let waiting_increased = self.demand.set_waiting(calls);
+        self.update_demand(now);
         let must_recall = self.is_exhausted(now) && self.ledger.granted(now) > 0;
-        self.is_urgent |= has_more && must_recall;
+        self.is_urgent |= waiting_increased && must_recall;
     }
 
     /// Calls that this server has work for, with some headroom.
@@ -237,7 +237,7 @@
     /// Sends what a peer waits for: recalls, and returns of recalled units.
     pub(crate) fn send_urgent(&mut self, now: Timestamp, out: &mut Outbox) {
         self.is_urgent = false;
-        self.track_demand(now);
+        self.update_demand(now);
         self.rebalance(now, out);
         self.send_returns(now, out);
     }
@@ -250,7 +250,7 @@
         message: &Message,
         out: &mut Outbox,
     ) {
-        self.track_demand(now);
+        self.update_demand(now);
         self.last_contact = Some(now);
         match message {
             Message::LeaseRequest(request) => self.handle_request(now, from, request, out),
@@ -269,7 +269,7 @@
         self.ledger.forget(now, is_gone);
     }
 
-    fn track_demand(&mut self, now: Timestamp) {
+    fn update_demand(&mut self, now: Timestamp) {
         self.demand.update(now, self.ledger.in_use());
     }
 
--- a/crates/quota/src/budget/lessee.rs
+++ b/crates/quota/src/budget/lessee.rs
@@ -79,13 +79,13 @@
     }
 
     /// Whether a lessor without an offer may be asked.
-    fn may_ask(&self, now: Timestamp, lessor: IncarnationId) -> bool {
+    fn may_request_from(&self, now: Timestamp, lessor: IncarnationId) -> bool {
         let record = self.records.get(&lessor);
         record.is_none_or(|r| r.retry_at <= now && r.available == 0)
     }
 
     /// Adapts the number of parallel requests to an answer.
-    fn adapt(&mut self, units_before: u32, units: u32) {
+    fn adapt_parallel_requests(&mut self, units_before: u32, units: u32) {
         if units > units_before {
             let raised = self.parallel_requests * PARALLEL_REQUESTS_RISE;
             self.parallel_requests = raised.min(MAX_PARALLEL_REQUESTS);
@@ -99,13 +99,13 @@
         &mut self,
         now: Timestamp,
         lessor: IncarnationId,
-        got_more: bool,
+        is_increase: bool,
         available: u32,
     ) {
-        let by_lessors = MAX_BACKOFF_PER_LESSOR.mul_f64(self.records.len() as f64);
-        let max_backoff = by_lessors.max(INITIAL_BACKOFF).min(MAX_BACKOFF);
+        let scaled_max = MAX_BACKOFF_PER_LESSOR.mul_f64(self.records.len() as f64);
+        let max_backoff = scaled_max.max(INITIAL_BACKOFF).min(MAX_BACKOFF);
         let backoff = match self.records.get(&lessor) {
-            _ if got_more || available > 0 => Duration::ZERO,
+            _ if is_increase || available > 0 => Duration::ZERO,
             Some(r) if r.backoff > Duration::ZERO => (r.backoff + r.backoff).min(max_backoff),
             _ => INITIAL_BACKOFF,
         };
@@ -191,24 +191,24 @@
                 break;
             }
             if !self.awaits_answer(now, lessor) {
-                let more = available.min(missing);
-                let units = self.ledger.leased_from(now, lessor) + more;
+                let additional = available.min(missing);
+                let units = self.ledger.leased_from(now, lessor) + additional;
                 self.send_request(now, lessor, units, out);
-                missing -= more;
+                missing -= additional;
                 requests += 1;
             }
         }
         if missing > 0 {
-            let each = missing.div_ceil(REQUEST_SPREAD).max(1);
-            self.search_units(now, each, max_requests - requests, peers, out);
+            let units_each = missing.div_ceil(REQUEST_SPREAD).max(1);
+            self.request_units_in_turn(now, units_each, max_requests - requests, peers, out);
         }
     }
 
     /// Requests `each` units more from peers that have offered none, in turn.
-    fn search_units(
+    fn request_units_in_turn(
         &mut self,
         now: Timestamp,
-        each: u32,
+        units_each: u32,
         max_requests: usize,
         peers: &[IncarnationId],
         out: &mut Outbox,
@@ -220,8 +220,8 @@
             }
             let position = (self.lessors.next_peer + step) % peers.len();
             let lessor = peers[position];
-            if self.lessors.may_ask(now, lessor) && !self.awaits_answer(now, lessor) {
-                let units = self.ledger.leased_from(now, lessor) + each;
+            if self.lessors.may_request_from(now, lessor) && !self.awaits_answer(now, lessor) {
+                let units = self.ledger.leased_from(now, lessor) + units_each;
                 self.send_request(now, lessor, units, out);
                 requests += 1;
                 self.lessors.next_peer = (position + 1) % peers.len();
@@ -273,7 +273,7 @@
         if units > units_before {
             self.change_cause = ChangeCause::Leased;
         }
-        self.lessors.adapt(units_before, units);
+        self.lessors.adapt_parallel_requests(units_before, units);
         self.lessors
             .record_grant(now, from, units > units_before, grant.available);
     }
--- a/crates/quota/src/budget/lessor.rs
+++ b/crates/quota/src/budget/lessor.rs
@@ -36,11 +36,11 @@
     units: u32,
 }
 
-fn was_within(now: Timestamp, at: Option<Timestamp>, interval: Duration) -> bool {
+fn is_within(now: Timestamp, at: Option<Timestamp>, interval: Duration) -> bool {
     at.is_some_and(|at| now - at < interval)
 }
 
-fn sound_weight(weight: f32) -> f64 {
+fn sanitize_weight(weight: f32) -> f64 {
     let weight = f64::from(weight);
     if weight.is_finite() {
         weight.clamp(MIN_WEIGHT, MAX_WEIGHT)
@@ -74,7 +74,7 @@
                 continue;
             };
             let granted = lessee.claim.granted;
-            if target < granted && !was_within(now, lessee.recalled_at, MIN_RECALL_INTERVAL) {
+            if target < granted && !is_within(now, lessee.recalled_at, MIN_RECALL_INTERVAL) {
                 lessee.recalled_at = Some(now);
                 let recall = LeaseRecall {
                     budget_hash,
@@ -86,7 +86,7 @@
                 });
             } else if target > granted
                 && idle > 0
-                && !was_within(now, lessee.offered_at, MIN_OFFER_INTERVAL)
+                && !is_within(now, lessee.offered_at, MIN_OFFER_INTERVAL)
             {
                 lessee.offered_at = Some(now);
                 let units = idle.min(target - granted);
@@ -109,14 +109,14 @@
         let claims: Vec<Claim> = self.lessees.values().map(|lessee| lessee.claim).collect();
         let granted: u32 = claims.iter().map(|claim| claim.granted).sum();
         // Grants to lessees that no longer request any stay until they are over.
-        let others = self.ledger.granted(now) - granted;
-        let idle = self.grantable(now).saturating_sub(others);
-        let divided = if self.is_exhausted(now) {
+        let other_grants = self.ledger.granted(now) - granted;
+        let idle = self.grantable(now).saturating_sub(other_grants);
+        let units_to_divide = if self.is_exhausted(now) {
             idle
         } else {
             idle.max(granted)
         };
-        let units = next_grants(divided, &claims);
+        let units = next_grants(units_to_divide, &claims);
         let lessees = self.lessees.keys().zip(units);
         lessees
             .map(|(lessee, units)| Target {
@@ -171,15 +171,15 @@
         let claim = Claim {
             other_units: request.other_units.min(max_units),
             demand: request.demand.min(max_units),
-            weight: sound_weight(request.weight),
+            weight: sanitize_weight(request.weight),
             granted: 0,
         };
-        let known = self.lessees.get(&from);
+        let former_record = self.lessees.get(&from);
         let record = LesseeRecord {
             claim,
             requested_at: now,
-            recalled_at: known.and_then(|lessee| lessee.recalled_at),
-            offered_at: known.and_then(|lessee| lessee.offered_at),
+            recalled_at: former_record.and_then(|lessee| lessee.recalled_at),
+            offered_at: former_record.and_then(|lessee| lessee.offered_at),
         };
         self.lessees.insert(from, record);
     }
--- a/crates/quota/src/counter.rs
+++ b/crates/quota/src/counter.rs
@@ -99,13 +99,13 @@
         &mut self,
         now: Timestamp,
         own: SnapshotSource,
-        draw: f64,
+        random: f64,
         max_remote: usize,
     ) -> Vec<CounterSnapshot> {
         let local = self.local.snapshot(now, self.name_hash, own);
         let mut snapshots: Vec<CounterSnapshot> = local.into_iter().collect();
         self.remote
-            .push_snapshots(now, own.server, draw, max_remote, &mut snapshots);
+            .push_snapshots(now, own.server, random, max_remote, &mut snapshots);
         snapshots
     }
 
--- a/crates/quota/src/counter/remote.rs
+++ b/crates/quota/src/counter/remote.rs
@@ -146,13 +146,13 @@
         &self,
         now: Timestamp,
         own: &CompactString,
-        draw: f64,
+        random: f64,
         max: usize,
         snapshots: &mut Vec<CounterSnapshot>,
     ) {
         let known = self.snapshots.values();
         let others: Vec<&RemoteSnapshot> = known.filter(|s| s.snapshot.server != *own).collect();
-        let first = (draw * others.len() as f64) as usize;
+        let first = (random * others.len() as f64) as usize;
         for step in 0..others.len().min(max) {
             snapshots.push(others[(first + step) % others.len()].as_of(now));
         }
--- a/crates/quota/src/counter/snapshot.rs
+++ b/crates/quota/src/counter/snapshot.rs
@@ -33,10 +33,10 @@
         let is_current =
             |s: &CounterSnapshot| s.time_slot == latest && s.incarnation == own.incarnation;
         let snapshot = match self.latest_snapshot.take().filter(is_current) {
-            Some(made) => CounterSnapshot {
+            Some(cached) => CounterSnapshot {
                 min_age_ms: age_ms,
                 max_age_ms: age_ms + 1,
-                ..made
+                ..cached
             },
             None => self.build_snapshot(latest, age_ms, counter_hash, own),
         };
@@ -62,8 +62,8 @@
         let slots: Vec<Option<&TimeSlot>> = numbers.map(|number| self.slot(number)).collect();
         let sums = heaviest_first(slots.iter().flatten().copied());
         let unlisted = sum_sketches(&slots);
-        let (heavy, light) = sums.split_at(sums.len().min(MAX_SNAPSHOT_KEYS));
-        let light = sum_light_keys(light, &unlisted);
+        let (heavy, light_sums) = sums.split_at(sums.len().min(MAX_SNAPSHOT_KEYS));
+        let light = sum_light_keys(light_sums, &unlisted);
         CounterSnapshot {
             counter_hash,
             server: own.server.clone(),
@@ -115,16 +115,16 @@
 
 /// The sketch of the keys that are not listed; empty where there are none. `unlisted` are the
 /// sums of the time slots' own sketches.
-fn sum_light_keys(light: &[KeySum], unlisted: &HashMap<u16, u32>) -> LightKeys {
+fn sum_light_keys(light_sums: &[KeySum], unlisted: &HashMap<u16, u32>) -> LightKeys {
     let mut sketch = vec![0u32; SNAPSHOT_SKETCH_CELLS];
     let mut max_count = max_cell(unlisted);
-    for KeySum { count, key } in light {
+    for KeySum { count, key } in light_sums {
         sketch[sketch_cell(*key, SNAPSHOT_SKETCH_CELLS)] += count;
         let cell = sketch_cell(*key, SLOT_SKETCH_CELLS) as u16;
-        let more = unlisted.get(&cell).copied().unwrap_or(0);
-        max_count = max_count.max(count + more);
+        let unlisted_count = unlisted.get(&cell).copied().unwrap_or(0);
+        max_count = max_count.max(count + unlisted_count);
     }
-    if light.is_empty() {
+    if light_sums.is_empty() {
         sketch.clear();
     }
     LightKeys { max_count, sketch }
--- a/crates/quota/src/fleet_quotas.rs
+++ b/crates/quota/src/fleet_quotas.rs
@@ -46,7 +46,7 @@
 }
 
 /// This server's incarnation as the view of the fleet numbers it.
-struct OwnRank {
+struct OwnIdentity {
     incarnation: u64,
     server: CompactString,
 }
@@ -55,7 +55,7 @@
 pub struct FleetQuotas {
     settings: Settings,
     random: oorandom::Rand64,
-    own: OwnRank,
+    own: OwnIdentity,
     peers: PeerTable,
     incarnations: Incarnations,
     budgets: Vec<Budget>,
@@ -85,7 +85,7 @@
             .map(|c| ReplicatedCounter::new(now, c.clone()));
         FleetQuotas {
             random: oorandom::Rand64::new(u128::from(seed)),
-            own: OwnRank {
+            own: OwnIdentity {
                 incarnation: 0,
                 server: settings.name.clone(),
             },
@@ -148,7 +148,7 @@
     /// Replaces the view: this server's incarnation there, and all other servers.
     pub fn set_view(&mut self, now: Timestamp, incarnation: u64, peers: Vec<Peer>) {
         self.set_incarnation(now, incarnation);
-        for name in self.peers.names_except(&peers) {
+        for name in self.peers.names_missing_from(&peers) {
             self.remove_peer(now, &name);
         }
         peers
--- a/crates/quota/src/fleet_quotas/counter_polls.rs
+++ b/crates/quota/src/fleet_quotas/counter_polls.rs
@@ -57,8 +57,8 @@
         random: &mut oorandom::Rand64,
     ) -> Option<(CompactString, CounterPoll)> {
         let servers = peers.len() + 1;
-        let by_size = (SMALL_FLEET_SERVERS as f64 / servers as f64).min(1.0);
-        let interval = POLL_INTERVAL.mul_f64(by_size).max(MIN_POLL_INTERVAL);
+        let size_factor = (SMALL_FLEET_SERVERS as f64 / servers as f64).min(1.0);
+        let interval = POLL_INTERVAL.mul_f64(size_factor).max(MIN_POLL_INTERVAL);
         let fraction = MIN_INTERVAL_FRACTION + INTERVAL_FRACTION_RANGE * random.rand_float();
         self.next_poll = now + interval.mul_f64(fraction);
         self.open.retain(|poll| now - poll.sent_at < REPLY_TIMEOUT);
--- a/crates/quota/src/fleet_quotas/incarnations/tests.rs
+++ b/crates/quota/src/fleet_quotas/incarnations/tests.rs
@@ -16,7 +16,7 @@
 }
 
 /// The identifiers that servers get which come after as many have left in one tick.
-fn identifiers_used_again() -> Vec<Option<IncarnationId>> {
+fn reused_identifiers() -> Vec<Option<IncarnationId>> {
     let mut incarnations = Incarnations::default();
     for server in 0..SERVERS {
         incarnations.identify(&name(server), identity(1));
@@ -30,9 +30,9 @@
 
 /// Identifiers were freed in the order of a hash table: a simulated run could not be repeated.
 #[test]
-fn frees_identifiers_of_servers_that_leave_together_in_one_order() {
-    let first = identifiers_used_again();
+fn identifiers_of_servers_that_leave_together_are_reused_in_a_fixed_order() {
+    let first = reused_identifiers();
     for _ in 0..10 {
-        assert_eq!(identifiers_used_again(), first);
+        assert_eq!(reused_identifiers(), first);
     }
 }
--- a/crates/quota/src/fleet_quotas/messaging.rs
+++ b/crates/quota/src/fleet_quotas/messaging.rs
@@ -91,7 +91,7 @@
 
     /// Replies with as many snapshots as fit a datagram.
     fn reply_to_poll(&mut self, now: Timestamp, to: &CompactString, poll_id: u32) {
-        let draw = self.random.rand_float();
+        let random = self.random.rand_float();
         let own = SnapshotSource {
             server: &self.settings.name,
             incarnation: self.own.incarnation,
@@ -99,12 +99,12 @@
         let mut snapshots = vec![];
         let mut bytes = 0;
         for counter in &mut self.counters {
-            for snapshot in counter.snapshots(now, own, draw, MAX_REMOTE_SNAPSHOTS_PER_REPLY) {
-                let more = snapshot
+            for snapshot in counter.snapshots(now, own, random, MAX_REMOTE_SNAPSHOTS_PER_REPLY) {
+                let snapshot_len = snapshot
                     .encoded_len()
                     .unwrap_or(MAX_SUBSYSTEM_PAYLOAD_BYTES);
-                if bytes + more + REPLY_OVERHEAD_BYTES <= MAX_SUBSYSTEM_PAYLOAD_BYTES {
-                    bytes += more;
+                if bytes + snapshot_len + REPLY_OVERHEAD_BYTES <= MAX_SUBSYSTEM_PAYLOAD_BYTES {
+                    bytes += snapshot_len;
                     snapshots.push(snapshot);
                 }
             }
--- a/crates/quota/src/fleet_quotas/peers.rs
+++ b/crates/quota/src/fleet_quotas/peers.rs
@@ -33,7 +33,7 @@
 
 impl PeerTable {
     /// Names of the known peers that are not among `peers`.
-    pub(super) fn names_except(&self, peers: &[Peer]) -> Vec<CompactString> {
+    pub(super) fn names_missing_from(&self, peers: &[Peer]) -> Vec<CompactString> {
         let present: BTreeSet<&CompactString> = peers.iter().map(|peer| &peer.name).collect();
         self.peers
             .keys()
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -136,11 +136,11 @@
     pub fn max_grant(&self, now: Timestamp, lessee: IncarnationId) -> u32 {
         let base = self.base_quota(now);
         let granted = self.granted(now);
-        let has = self.granted_to(now, lessee);
+        let already_granted = self.granted_to(now, lessee);
         match base.checked_sub(granted) {
             // Only idle units may be granted beyond what the lessee has.
-            Some(own) => has + own.saturating_sub(self.in_use),
-            None => has.saturating_sub(granted - base),
+            Some(own_units) => already_granted + own_units.saturating_sub(self.in_use),
+            None => already_granted.saturating_sub(granted - base),
         }
     }
 
--- a/crates/quota/src/ledger/tests.rs
+++ b/crates/quota/src/ledger/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn lease_counts_from_the_request_and_units_are_held_until_the_longest_call_ended() {
+fn lease_starts_at_the_request_and_lessor_holds_units_until_the_longest_call_has_ended() {
     let (mut a, mut b) = (ledger(4), ledger(2));
     let request = b.new_request(at(0), LESSOR);
     // The answer is made late and arrives late.
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn repeated_and_superseded_requests_are_granted_nothing_more() {
+fn repeated_and_outdated_requests_grant_no_additional_units() {
     let mut a = ledger(4);
     assert_eq!(a.answer_request(at(0), LESSEE, 1, 3), Some(3));
     assert_eq!(a.answer_request(at(10), LESSEE, 1, 3), Some(3));
@@ -61,7 +61,7 @@
 /// However often a lessee requests more or less within a lease, it is answered, and units that
 /// may still be in use stay held back.
 #[test]
-fn many_requests_within_a_lease_are_answered() {
+fn many_requests_within_one_lease_are_answered() {
     let mut a = ledger(40);
     for n in 1..=40u32 {
         let granted = a.answer_request(at(u64::from(n)), LESSEE, n, n);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn return_waits_for_calls_in_flight_and_may_arrive_twice_or_late() {
+fn return_waits_for_calls_in_flight_and_tolerates_duplicates_and_delay() {
     let (mut a, mut b) = (ledger(4), ledger(0));
     let first = b.new_request(at(0), LESSOR);
     let units = a.answer_request(at(0), LESSEE, first, 4).expect("answered");
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn base_quota_is_unusable_until_grants_of_a_former_incarnation_are_over() {
+fn base_quota_is_unusable_until_grants_of_a_former_incarnation_have_expired() {
     let mut a = Ledger::new(TERMS, 4, at(0) + TERMS.lessor_hold());
     assert_eq!((a.usable(at(3_059)), a.usable(at(3_060))), (0, 4));
     assert_eq!(a.answer_request(at(100), LESSEE, 1, 4), Some(0));
--- a/crates/quota/src/ledger/tests/lease_model.rs
+++ b/crates/quota/src/ledger/tests/lease_model.rs
@@ -28,7 +28,7 @@
     ..NO_FAULTS
 };
 
-const NEVER_OVER_CAPACITY: &str = "calls in flight never exceed the capacity";
+const CAPACITY_IS_NEVER_EXCEEDED: &str = "calls in flight never exceed the capacity";
 const UNITS_ARE_LEASED: &str = "idle units reach the server with demand";
 const UNITS_ARE_REUSED: &str = "the lessor uses its units again";
 
@@ -57,14 +57,16 @@
 
     fn properties(&self) -> Vec<Property<LeaseModel>> {
         vec![
-            Property::always(NEVER_OVER_CAPACITY, |_, world: &World| {
+            Property::always(CAPACITY_IS_NEVER_EXCEEDED, |_, world: &World| {
                 world.calls_in_flight() <= CAPACITY
             }),
             Property::sometimes(UNITS_ARE_LEASED, |_, world: &World| {
                 world.calls_of(1) == CAPACITY
             }),
             Property::sometimes(UNITS_ARE_REUSED, |_, world: &World| {
-                world.is_late() && world.has_requests() && world.calls_of(0) == CAPACITY
+                world.initial_leases_expired()
+                    && world.has_requests()
+                    && world.calls_of(0) == CAPACITY
             }),
         ]
     }
@@ -92,7 +94,7 @@
 fn finds_violation(defect: Defect, faults: FaultBudget) -> bool {
     explore(defect, faults)
         .discoveries
-        .contains(&NEVER_OVER_CAPACITY)
+        .contains(&CAPACITY_IS_NEVER_EXCEEDED)
 }
 
 #[test]
--- a/crates/quota/src/ledger/tests/lease_model/world.rs
+++ b/crates/quota/src/ledger/tests/lease_model/world.rs
@@ -16,7 +16,7 @@
 };
 /// Bounds of one history.
 const MAX_TICKS: u64 = 5;
-const LATE_TICK: u64 = 4;
+const INITIAL_LEASES_EXPIRED_TICK: u64 = 4;
 const MAX_ENVELOPES_IN_TRANSIT: usize = 2;
 const MAX_REQUESTS: u8 = 2;
 const MAX_RETURNS: u8 = 1;
@@ -148,8 +148,8 @@
     }
 
     /// Whether a lease that was granted at the start is over.
-    pub(super) fn is_late(&self) -> bool {
-        self.now >= LATE_TICK
+    pub(super) fn initial_leases_expired(&self) -> bool {
+        self.now >= INITIAL_LEASES_EXPIRED_TICK
     }
 
     pub(super) fn has_requests(&self) -> bool {
--- a/crates/quota/src/message/tests.rs
+++ b/crates/quota/src/message/tests.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn recorded_lease_request_is_read_and_written_alike() {
+fn recorded_lease_request_round_trips() {
     let request = LeaseRequest {
         budget_hash: name_hash(TRIP_BOOK),
         request_id: 2,
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn recorded_lease_grants_are_read_and_written_alike() {
+fn recorded_lease_grants_round_trip() {
     let granted = LeaseGrant {
         budget_hash: name_hash(TRIP_BOOK),
         request_id: 48,
@@ -52,18 +52,18 @@
     };
     let bytes = include_bytes!("../../tests/data/grant.bin");
     check_codec(bytes, &datagram(2, 3, Message::LeaseGrant(granted)));
-    let refused = LeaseGrant {
+    let nothing_granted = LeaseGrant {
         budget_hash: name_hash(FARES),
         request_id: 2,
         units: 0,
         available: 0,
     };
     let bytes = include_bytes!("../../tests/data/grant-nothing-spare.bin");
-    check_codec(bytes, &datagram(1, 2, Message::LeaseGrant(refused)));
+    check_codec(bytes, &datagram(1, 2, Message::LeaseGrant(nothing_granted)));
 }
 
 #[test]
-fn recorded_lease_return_is_read_and_written_alike() {
+fn recorded_lease_return_round_trips() {
     let returned = LeaseReturn {
         budget_hash: name_hash(TRIP_BOOK),
         request_id: 29,
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn recorded_lease_recall_is_read_and_written_alike() {
+fn recorded_lease_recall_round_trips() {
     let recall = LeaseRecall {
         budget_hash: name_hash(TRIP_BOOK),
         kept_units: 4,
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn recorded_offer_of_units_is_read_and_written_alike() {
+fn recorded_offer_of_units_round_trips() {
     let offer = UnitsAvailable {
         budget_hash: name_hash(FARES),
         units: 1,
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn recorded_counter_poll_is_read_and_written_alike() {
+fn recorded_counter_poll_round_trips() {
     let bytes = include_bytes!("../../tests/data/pull.bin");
     check_codec(
         bytes,
@@ -103,12 +103,12 @@
 }
 
 #[test]
-fn recorded_counter_reply_is_read_and_written_alike() {
+fn recorded_counter_reply_round_trips() {
     let bytes = include_bytes!("../../tests/data/cells.bin");
-    let read = Datagram::decode(bytes).expect("decoded");
-    assert_eq!(read.encode().as_deref(), Ok(bytes.as_slice()));
-    let [Message::CounterReply(reply)] = read.messages.as_slice() else {
-        panic!("another message: {read:?}");
+    let decoded = Datagram::decode(bytes).expect("decoded");
+    assert_eq!(decoded.encode().as_deref(), Ok(bytes.as_slice()));
+    let [Message::CounterReply(reply)] = decoded.messages.as_slice() else {
+        panic!("another message: {decoded:?}");
     };
     assert_eq!(reply.poll_id, 3);
     let [own, all_listed, unlisted] = reply.snapshots.as_slice() else {
@@ -150,10 +150,10 @@
 fn malformed_datagrams_are_rejected() {
     let bytes = include_bytes!("../../tests/data/ask.bin");
     for length in 0..bytes.len() {
-        let cut = Datagram::decode(&bytes[..length]);
+        let truncated = Datagram::decode(&bytes[..length]);
         assert!(
-            matches!(cut, Err(CodecError::Decode(_))),
-            "{length} bytes: {cut:?}"
+            matches!(truncated, Err(CodecError::Decode(_))),
+            "{length} bytes: {truncated:?}"
         );
     }
 }
--- a/crates/quota/src/water_filling/tests.rs
+++ b/crates/quota/src/water_filling/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn lowest_level_for_its_weight_is_filled_first() {
+fn lowest_weighted_level_is_filled_first() {
     assert_eq!(
         max_min_shares(10, &[claim(0, 20, 1.0, 0), claim(0, 20, 1.0, 0)]),
         [5, 5]
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn grants_move_half_of_the_way_and_not_for_one_unit() {
+fn excess_grants_are_halved_and_one_excess_unit_is_tolerated() {
     // One lessee has all units; another arrives with as much demand.
     assert_eq!(
         next_grants(12, &[claim(0, 20, 1.0, 12), claim(0, 20, 1.0, 0)]),
--- a/crates/quota/tests/fleet.rs
+++ b/crates/quota/tests/fleet.rs
@@ -14,7 +14,7 @@
 const SEEDS: u64 = 20;
 
 #[test]
-fn every_script_passes_over_many_seeds() {
+fn every_script_passes_with_every_seed() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../tests/shared");
     let (scripts, failed) = run_all_scripts(&folder, SEEDS);
     assert!(
@@ -51,8 +51,8 @@
         who: (0..servers).collect(),
         least: capacity * 9 / 10,
     };
-    while let Some(amiss) = sim.unmet(&used) {
-        assert!(sim.at() < Duration::from_millis(30_000), "{amiss}");
+    while let Some(reason) = sim.unmet(&used) {
+        assert!(sim.at() < Duration::from_millis(30_000), "{reason}");
         sim.pass();
     }
     sim.run(Duration::from_millis(2_000));
@@ -69,10 +69,10 @@
         let mut sim = SimulatedFleet::new(fleet_with_budget(servers, capacity, 200), seed);
         (0..servers).for_each(|server| act(&mut sim, start(server)));
         sim.run(Duration::from_millis(4_000));
-        let mut draw = ScriptGenerator::new(seed + 500, servers, capacity * 3 / 2);
+        let mut generator = ScriptGenerator::new(seed + 500, servers, capacity * 3 / 2);
         for _ in 0..25 {
-            act(&mut sim, draw.act());
-            sim.run(Duration::from_secs_f64(draw.secs(0.8)));
+            act(&mut sim, generator.act());
+            sim.run(Duration::from_secs_f64(generator.secs(0.8)));
         }
         assert!(sim.peak <= capacity, "seed {seed}: {} in flight", sim.peak);
     }
--- a/crates/quota/tests/recorded_histories.rs
+++ b/crates/quota/tests/recorded_histories.rs
@@ -101,14 +101,14 @@
             sent: vec![],
         };
         for server in 0..SERVERS {
-            let quotas = history.started(server, server as u64);
+            let quotas = history.start_server(server, server as u64);
             history.servers.push(quotas);
         }
         history
     }
 
     /// A server that starts now, with a view of all others.
-    fn started(&self, server: usize, incarnation: u64) -> FleetQuotas {
+    fn start_server(&self, server: usize, incarnation: u64) -> FleetQuotas {
         let settings = settings(server, incarnation, self.with_slots);
         let mut quotas = FleetQuotas::new(at(self.now), 7 + incarnation, settings);
         let others = (0..SERVERS).filter(|other| *other != server);
@@ -125,7 +125,7 @@
         }
     }
 
-    fn play(mut self) -> String {
+    fn replay(mut self) -> String {
         while self.now < END_MS {
             self.change_view();
             self.end_calls();
@@ -156,7 +156,7 @@
             5_000 => {
                 // A server restarts. The calls of its former incarnation stay in flight.
                 self.incarnations[1] = 50;
-                self.servers[1] = self.started(1, 10);
+                self.servers[1] = self.start_server(1, 10);
                 let peer = self.peer(1, true);
                 self.servers[0].update_peer(at(self.now + 40), peer.clone());
                 self.servers[2].update_peer(at(self.now + 60), peer);
@@ -238,8 +238,8 @@
             let to = NAMES.iter().position(|name| *name == to).expect("a server");
             self.sent
                 .push([&[from as u8, to as u8], bytes.as_slice()].concat());
-            let fate = self.random.rand_range(0..20);
-            if fate == 1 {
+            let fault = self.random.rand_range(0..20);
+            if fault == 1 {
                 let (arrives_at, bytes) = (self.now + 300, bytes.clone());
                 self.in_transit.push(InTransit {
                     arrives_at,
@@ -248,10 +248,10 @@
                     bytes,
                 });
             }
-            if fate == 2 {
+            if fault == 2 {
                 bytes.truncate(9);
             }
-            if fate > 0 {
+            if fault > 0 {
                 let arrives_at = self.now + 1 + self.random.rand_range(0..4);
                 self.in_transit.push(InTransit {
                     arrives_at,
@@ -286,7 +286,7 @@
         self.record(server, &line);
         views
             .iter()
-            .for_each(|view| self.record(server, &describe(view)));
+            .for_each(|view| self.record(server, &describe_budget(view)));
     }
 
     fn record_totals(&mut self, server: usize) {
@@ -319,7 +319,7 @@
     }
 }
 
-fn describe(view: &BudgetView) -> String {
+fn describe_budget(view: &BudgetView) -> String {
     format!(
         "{} capacity {} base {} granted {} leased {} usable {} in use {} demand {} contact {} \
          wait {}",
@@ -354,25 +354,25 @@
 }
 
 /// Compares line by line, so that a failure names the first difference.
-fn assert_same(played: &str, recorded: &str) {
-    for (number, (played, recorded)) in played.lines().zip(recorded.lines()).enumerate() {
-        assert_eq!(played, recorded, "line {}", number + 1);
+fn assert_same_lines(replayed: &str, recorded: &str) {
+    for (number, (replayed, recorded)) in replayed.lines().zip(recorded.lines()).enumerate() {
+        assert_eq!(replayed, recorded, "line {}", number + 1);
     }
-    assert_eq!(played.lines().count(), recorded.lines().count());
+    assert_eq!(replayed.lines().count(), recorded.lines().count());
 }
 
 #[test]
-fn fleet_with_slots_decides_and_sends_as_recorded() {
-    assert_same(
-        &History::new(true).play(),
+fn fleet_with_slots_reproduces_the_recorded_history() {
+    assert_same_lines(
+        &History::new(true).replay(),
         include_str!("data/history-with-slots.txt"),
     );
 }
 
 #[test]
-fn fleet_without_slots_decides_and_sends_as_recorded() {
-    assert_same(
-        &History::new(false).play(),
+fn fleet_without_slots_reproduces_the_recorded_history() {
+    assert_same_lines(
+        &History::new(false).replay(),
         include_str!("data/history-without-slots.txt"),
     );
 }
--- a/crates/quota/tests/replicated_counter.rs
+++ b/crates/quota/tests/replicated_counter.rs
@@ -25,8 +25,8 @@
     let mut sim = SimulatedFleet::new(setup, seed);
     sim.log = Some(vec![]);
     (0..servers).for_each(|server| act(&mut sim, start(server)));
-    while let Some(amiss) = sim.unmet(&Condition::Settled) {
-        assert!(sim.at() < Duration::from_millis(40_000), "{amiss}");
+    while let Some(reason) = sim.unmet(&Condition::Settled) {
+        assert!(sim.at() < Duration::from_millis(40_000), "{reason}");
         sim.pass();
     }
     sim
@@ -52,7 +52,7 @@
 }
 
 /// Lets time pass while all running servers' estimates stay within their bounds.
-fn check_for(sim: &mut SimulatedFleet, keys: &[u32], ms: u64) {
+fn check_estimates_for(sim: &mut SimulatedFleet, keys: &[u32], ms: u64) {
     for _ in 0..ms / CHECK_INTERVAL_MS {
         sim.run(Duration::from_millis(CHECK_INTERVAL_MS));
         let running: Vec<usize> = sim.running().map(|server| server.0).collect();
@@ -82,7 +82,7 @@
         }
         set_rate(&mut sim, 2, zenith, 4.0);
         let keys = [acme, zenith, name_hash("nobody")];
-        check_for(&mut sim, &keys, 12_000);
+        check_estimates_for(&mut sim, &keys, 12_000);
         // Without faults the estimate is exact.
         let (exact, truth) = (estimate(&mut sim, 0, acme, 1.0), sim.truth(acme));
         let bounds = (exact.stale_servers, exact.low, exact.high);
@@ -98,19 +98,19 @@
                 delay: None,
             },
         );
-        check_for(&mut sim, &keys, 6_000);
+        check_estimates_for(&mut sim, &keys, 6_000);
         act(&mut sim, Action::Cut(vec![vec![0, 1, 2], vec![3, 4, 5, 6]]));
         set_rate(&mut sim, 5, acme, 110.0);
-        check_for(&mut sim, &keys, 10_000);
+        check_estimates_for(&mut sim, &keys, 10_000);
         act(&mut sim, Action::Kill(1));
-        check_for(&mut sim, &keys, 2_000);
+        check_estimates_for(&mut sim, &keys, 2_000);
         act(&mut sim, Action::Heal);
         act(&mut sim, start(1));
         act(&mut sim, Action::Stop(3));
-        check_for(&mut sim, &keys, 6_000);
+        check_estimates_for(&mut sim, &keys, 6_000);
         act(&mut sim, Action::Continue(3));
         act(&mut sim, Action::Drain(4));
-        check_for(&mut sim, &keys, 8_000);
+        check_estimates_for(&mut sim, &keys, 8_000);
     }
 }
 
@@ -122,7 +122,7 @@
     let mut sim = settled_fleet(servers, 3);
     let acme = name_hash("acme");
     (0..servers).for_each(|server| set_rate(&mut sim, server, acme, 50.0));
-    check_for(&mut sim, &[acme], 12_000);
+    check_estimates_for(&mut sim, &[acme], 12_000);
     let fair_rate = 10.0;
     let value = |sim: &mut SimulatedFleet| estimate(sim, 0, acme, fair_rate).value;
     assert!((900.0..1_100.0).contains(&value(&mut sim)));
@@ -147,7 +147,7 @@
         (0..20).for_each(|key| set_rate(&mut sim, server, 1_000 + key, 2.0));
         set_rate(&mut sim, server, rare, 0.2);
     }
-    check_for(&mut sim, &[rare], 20_000);
+    check_estimates_for(&mut sim, &[rare], 20_000);
     let counted = estimate(&mut sim, 7, rare, 0.2);
     let truth = f64::from(sim.truth(rare));
     assert!((30.0..90.0).contains(&truth), "{truth}");
@@ -242,11 +242,11 @@
     assert_eq!(merged.1, 10);
     let mut random = oorandom::Rand64::new(4);
     for _ in 0..50 {
-        let mut mixed: Vec<_> = snapshots.iter().chain(&snapshots).cloned().collect();
-        for i in (1..mixed.len()).rev() {
-            mixed.swap(i, random.rand_range(0..i as u64 + 1) as usize);
+        let mut shuffled: Vec<_> = snapshots.iter().chain(&snapshots).cloned().collect();
+        for i in (1..shuffled.len()).rev() {
+            shuffled.swap(i, random.rand_range(0..i as u64 + 1) as usize);
         }
-        assert_eq!(merge(&mixed), merged);
+        assert_eq!(merge(&shuffled), merged);
     }
 }
 
