--- a/crates/quota/src/budget.rs
+++ b/crates/quota/src/budget.rs
@@ -1,10 +1,10 @@
-//! One budget on one server: how much demand there is, from whom to lease units, to whom to grant
-//! them, and when to return them.
+//! One budget on one server: tracks the demand and decides from which servers to lease units, to
+//! which servers to grant them, and when to return them.
 //!
-//! The module owns these decisions and what they rest on. It is given the time, the peers and
-//! their messages, and the starts and ends of calls. It never decides what may be used: that is
-//! the part of [`Ledger`](crate::ledger::Ledger), which stays within the fleet's capacity whatever
-//! is decided here.
+//! The inputs of these decisions are the time, the peers and their messages, and the starts and
+//! ends of calls. How many units may be used is not decided here but by
+//! [`Ledger`](crate::ledger::Ledger), which keeps the fleet within the capacity whatever the
+//! decisions of this module are.
 
 mod demand;
 mod lessee;
@@ -20,7 +20,7 @@
 pub use settings::BudgetSettings;
 use std::collections::BTreeMap;
 
-/// Units that idle for this long, beyond the demand and its headroom, are returned.
+/// Time for which leased units must exceed the demand with its headroom before they are returned.
 const MIN_IDLE_BEFORE_RETURN: Duration = Duration::from_millis(300);
 
 /// A message to a peer.
@@ -29,23 +29,23 @@
     pub(crate) message: Message,
 }
 
-/// Messages to be sent, in order.
+/// Messages to send, in order.
 pub(crate) type Outbox = Vec<Outgoing>;
 
-/// Why the usable units have changed.
+/// Cause of a change of the usable units.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeCause {
-    /// Units were leased from others.
+    /// Units were leased from other servers.
     Leased,
-    /// Units were granted to others.
+    /// Units were granted to other servers.
     Granted,
     /// Leased or granted units were returned.
     Returned,
-    /// A lease was not renewed, or a grant is over.
+    /// A lease was not renewed, or a grant expired.
     Expired,
-    /// The wait after the start is over.
+    /// The wait after the start of the server ended.
     StartupWaitOver,
-    /// The operator set another size, or the fleet has more servers than it is configured for.
+    /// The operator changed the capacity, or the fleet has more servers than it is configured for.
     Reconfigured,
 }
 
@@ -70,22 +70,22 @@
     pub(crate) cause: ChangeCause,
 }
 
-/// One budget as this server uses it.
+/// State of one budget on this server.
 pub struct Budget {
     settings: BudgetSettings,
     name_hash: u32,
     ledger: Ledger,
     demand: DemandTracker,
-    /// A peer waits for a message, which is to be sent sooner than at the next tick.
+    /// Whether a peer waits for a message that must be sent before the next tick.
     is_urgent: bool,
-    /// Since when more units are leased than there is demand for.
+    /// Since when the usable units, some of them leased, have exceeded the demand.
     excess_since: Option<Timestamp>,
     lessees: BTreeMap<IncarnationId, LesseeRecord>,
     lessors: LessorDirectory,
     last_contact: Option<Timestamp>,
-    /// Usable units that were reported last.
+    /// Usable units at the last report.
     reported_usable: u32,
-    /// Why they have changed since.
+    /// Cause of the change of the usable units since the last report.
     change_cause: ChangeCause,
 }
 
@@ -107,17 +107,17 @@
         }
     }
 
-    /// What may be used, as the strict part of the budget accounts for it.
+    /// Returns the ledger, which accounts for the units that may be used.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// The settings of the budget.
+    /// Returns the settings of the budget.
     pub fn settings(&self) -> &BudgetSettings {
         &self.settings
     }
 
-    /// Replaces size and weight; terms and slot stay.
+    /// Applies changed settings, except the lease terms and the slot.
     pub(crate) fn reconfigure(&mut self, settings: &BudgetSettings) {
         let BudgetSettings { terms, slot, .. } = self.settings;
         self.settings = BudgetSettings {
@@ -133,37 +133,37 @@
         self.change_cause = ChangeCause::Reconfigured;
     }
 
-    /// Hash of the name, which stands for the budget in messages.
+    /// Returns the hash of the name, which identifies the budget in messages.
     pub(crate) fn name_hash(&self) -> u32 {
         self.name_hash
     }
 
-    /// Whether a peer waits for a message.
+    /// Reports whether a peer waits for a message that must be sent before the next tick.
     pub(crate) fn is_urgent(&self) -> bool {
         self.is_urgent
     }
 
-    /// When a message of any peer arrived last.
+    /// Returns when the latest message of any peer arrived.
     pub(crate) fn last_contact(&self) -> Option<Timestamp> {
         self.last_contact
     }
 
-    /// Whether anything is open with a peer.
+    /// Reports whether the ledger has a record of grants to, or leases from, a peer.
     pub(crate) fn remembers(&self, peer: IncarnationId) -> bool {
         self.ledger.remembers(peer)
     }
 
-    /// Calls that may be in flight, as far as starts are concerned.
+    /// Returns the number of calls in flight below which a further call may be started.
     pub fn usable(&self, now: Timestamp) -> u32 {
         self.ledger.usable(now)
     }
 
-    /// Calls in flight.
+    /// Returns the calls in flight.
     pub fn in_use(&self) -> u32 {
         self.ledger.in_use()
     }
 
-    /// Whether one more call may be started.
+    /// Reports whether one more call may be started.
     pub fn may_start(&self, now: Timestamp) -> bool {
         self.ledger.may_start(now)
     }
@@ -184,7 +184,7 @@
         self.is_urgent |= has_returns || has_unsatisfied_lessee && has_idle_units;
     }
 
-    /// Sets the number of calls that wait for a unit, or are expected to.
+    /// Sets the number of calls that wait for a unit or are expected to wait for one.
     pub fn set_waiting(&mut self, now: Timestamp, calls: u32) {
         let waiting_increased = self.demand.set_waiting(calls);
         self.update_demand(now);
@@ -192,12 +192,12 @@
         self.is_urgent |= waiting_increased && must_recall;
     }
 
-    /// Calls that this server has work for, with some headroom.
+    /// Returns the calls that this server has in flight or wants to start, with some headroom.
     pub fn demand(&self) -> u32 {
         self.demand.with_headroom(self.settings.capacity)
     }
 
-    /// Upper bound on the time until a unit is free, where none is at present.
+    /// Returns an upper bound on the time until a unit becomes free when none is free now.
     pub fn until_capacity(&self, now: Timestamp) -> Duration {
         let until_usable = self.ledger.usable_from() - now;
         if until_usable > Duration::ZERO && self.ledger.usable(now) == 0 {
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Takes the change of the usable units since the last call, if there is one.
+    /// Returns the change of the usable units since the previous call of this function, if any.
     pub(crate) fn take_change(&mut self, now: Timestamp) -> Option<UsableChange> {
         let after = self.ledger.usable(now);
         let cause = std::mem::replace(&mut self.change_cause, ChangeCause::Expired);
@@ -219,7 +219,8 @@
         })
     }
 
-    /// Does all that is due regularly. `peers` are the active peers.
+    /// Does the periodic work: recalls, offers, returns, renewals and requests. `peers` are the
+    /// active peers.
     pub(crate) fn tick(&mut self, now: Timestamp, peers: &[IncarnationId], out: &mut Outbox) {
         self.send_urgent(now, out);
         let lease = self.settings.terms.lease;
@@ -234,7 +235,7 @@
         }
     }
 
-    /// Sends what a peer waits for: recalls, and returns of recalled units.
+    /// Sends the messages that peers wait for: recalls, offers and returns.
     pub(crate) fn send_urgent(&mut self, now: Timestamp, out: &mut Outbox) {
         self.is_urgent = false;
         self.update_demand(now);
@@ -242,7 +243,7 @@
         self.send_returns(now, out);
     }
 
-    /// Handles a message of an active peer.
+    /// Handles a message from an active peer.
     pub(crate) fn handle_message(
         &mut self,
         now: Timestamp,
@@ -262,7 +263,8 @@
         }
     }
 
-    /// Forgets the peers for which `is_gone` holds, in the ledger once nothing is open with them.
+    /// Removes the peers for which `is_gone` returns true; from the ledger only once they have no
+    /// outstanding grants or open leases.
     pub(crate) fn forget(&mut self, now: Timestamp, is_gone: impl Fn(IncarnationId) -> bool) {
         self.lessees.retain(|id, _| !is_gone(*id));
         self.lessors.forget(&is_gone);
@@ -285,8 +287,9 @@
         }
     }
 
-    /// Whether this server's next call would find no unit. Only then grants are recalled;
-    /// otherwise short bursts of work would move the same units to and fro.
+    /// Reports whether the calls in flight and waiting need all usable units, so that a further call
+    /// would find none. Grants are recalled only then; otherwise short bursts of work would move the
+    /// same units back and forth.
     fn is_exhausted(&self, now: Timestamp) -> bool {
         self.ledger.in_use() + self.demand.waiting() >= self.ledger.usable(now)
     }
--- a/crates/quota/src/budget/demand.rs
+++ b/crates/quota/src/budget/demand.rs
@@ -1,25 +1,26 @@
-//! Demand of this server for a budget's units, now and in the recent mean.
+//! Tracks this server's demand for units of a budget: the current value and a recent mean.
 
 use madderbay::time::{Duration, Timestamp};
 
-/// Headroom beyond the demand, as a fraction of it, so that one more call finds a unit.
+/// Headroom above the demand, as a fraction of it, so that a further call finds a free unit.
 const HEADROOM_FRACTION: f64 = 0.1;
-/// Less than this fraction of a call is ignored in the mean, which decays without end.
+/// Fraction of a call that is ignored when the demand is rounded up, because the mean decays
+/// exponentially and never reaches zero.
 const NEGLIGIBLE_CALLS: f64 = 0.15;
-/// A server with any work in this time keeps at least one unit of its base quota.
+/// A server that had any work within this period keeps at least one unit of its base quota.
 const BUSY_PERIOD: Duration = Duration::from_millis(10_000);
-/// Time constant of the mean. Short peaks beyond the mean recall grants, which takes a message
-/// and the end of a call; units reserved for peaks would idle.
+/// Time constant of the mean. Units for a short peak above the mean are obtained by recalling
+/// grants, which takes one message and the end of a call; units reserved for peaks would be idle.
 const MEAN_TIME_CONSTANT: Duration = Duration::from_millis(1_000);
 
-/// Tracks calls in flight and waiting.
+/// Tracks the calls that are in flight or waiting.
 pub(super) struct DemandTracker {
     waiting: u32,
-    /// Calls in flight and waiting as of `updated_at`.
+    /// Calls in flight plus waiting calls, as of `updated_at`.
     current: f64,
     mean: f64,
     updated_at: Timestamp,
-    /// When there was any work last.
+    /// When a call was last in flight or waiting.
     busy_at: Option<Timestamp>,
 }
 
@@ -34,12 +35,12 @@
         }
     }
 
-    /// Calls that wait for a unit.
+    /// Returns the calls that wait for a unit.
     pub(super) fn waiting(&self) -> u32 {
         self.waiting
     }
 
-    /// Sets the calls that wait, and says whether they are more than before.
+    /// Sets the number of waiting calls and reports whether it increased.
     pub(super) fn set_waiting(&mut self, calls: u32) -> bool {
         std::mem::replace(&mut self.waiting, calls) < calls
     }
@@ -56,14 +57,14 @@
         }
     }
 
-    /// Calls that there is work for, with headroom, up to `capacity`.
+    /// Returns the demand in calls, with headroom, limited to `capacity`.
     pub(super) fn with_headroom(&self, capacity: u32) -> u32 {
         let demand = self.current.max(self.mean);
         let needed = (demand - NEGLIGIBLE_CALLS).ceil() as u32;
         (needed + (demand * HEADROOM_FRACTION) as u32).min(capacity)
     }
 
-    /// Units of the base quota that are not granted to others.
+    /// Returns the units of the base quota that must not be granted to other servers.
     pub(super) fn reserved(&self, now: Timestamp, in_use: u32) -> u32 {
         let is_busy = self.busy_at.is_some_and(|at| now - at < BUSY_PERIOD);
         let needed = (in_use + self.waiting).max(self.mean.round() as u32);
--- a/crates/quota/src/budget/lessee.rs
+++ b/crates/quota/src/budget/lessee.rs
@@ -1,4 +1,4 @@
-//! The role of lessee: requests units from lessors, renews leases and returns units.
+//! Lessee role: requests units from lessors, renews leases and returns units.
 
 use super::{Budget, ChangeCause, Outbox, Outgoing};
 use crate::ledger::{IncarnationId, OpenLease};
@@ -6,45 +6,46 @@
 use madderbay::time::{Duration, Timestamp};
 use std::collections::BTreeMap;
 
-/// Requests that may be made at a time, besides renewals. The number rises with each lessor that
-/// grants units and falls with each that does not: where all servers lack units, requests only
-/// cost.
+/// Initial number of requests that may be sent in one tick, besides renewals. The number grows
+/// with each answer that grants additional units and shrinks with each that grants none: when all
+/// servers lack units, requests cost messages and gain nothing.
 const INITIAL_PARALLEL_REQUESTS: f64 = 4.0;
 const MIN_PARALLEL_REQUESTS: f64 = 1.0;
 const MAX_PARALLEL_REQUESTS: f64 = 64.0;
 const PARALLEL_REQUESTS_RISE: f64 = 1.5;
 const PARALLEL_REQUESTS_FALL: f64 = 0.9;
-/// Lessors over which missing units are spread, where no lessor has offered any.
+/// Number of lessors over which the request for missing units is spread if no lessor has offered
+/// any.
 const REQUEST_SPREAD: u32 = 4;
-/// Backoff for a lessor that has nothing to grant. It doubles up to a maximum, which is longer
-/// the more other lessors there are.
+/// Initial backoff for a lessor that has nothing to grant. The backoff doubles up to a maximum that
+/// increases with the number of known lessors.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_millis(3_200);
 const MAX_BACKOFF_PER_LESSOR: Duration = Duration::from_millis(10);
-/// A request that is not answered in this time is lost.
+/// A request that is not answered within this time is considered lost.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(150);
 /// Fraction of a lease after which it is renewed.
 const RENEWAL_POINT: f64 = 0.45;
 
-/// A lessor, as of its last answer.
+/// State of a lessor, as of its latest grant, recall or offer.
 struct LessorRecord {
-    /// Units that it could grant beyond those that it has granted.
+    /// Units that it could grant in addition to those already granted.
     available: u32,
     retry_at: Timestamp,
     backoff: Duration,
 }
 
-/// Units that a lessor has announced.
+/// Additional units that a lessor can grant, as far as this server knows.
 struct Offer {
     units: u32,
     lessor: IncarnationId,
 }
 
-/// The lessors that have answered, and how many requests are made at a time.
+/// The lessors that have sent a message, and the number of requests that may be sent in one tick.
 pub(super) struct LessorDirectory {
     records: BTreeMap<IncarnationId, LessorRecord>,
     parallel_requests: f64,
-    /// Position among the peers at which the next search for units begins.
+    /// Position in the list of peers at which the next round of requests begins.
     next_peer: usize,
 }
 
@@ -63,7 +64,7 @@
         self.records.retain(|id, _| !is_gone(*id));
     }
 
-    /// Offers that may be taken, the largest first.
+    /// Returns the offers of lessors that are not in backoff, the largest first.
     fn offers(&self, now: Timestamp) -> Vec<Offer> {
         let ready = self
             .records
@@ -78,13 +79,13 @@
         offers
     }
 
-    /// Whether a lessor without an offer may be asked.
+    /// Reports whether a lessor has made no offer and is not in backoff.
     fn may_request_from(&self, now: Timestamp, lessor: IncarnationId) -> bool {
         let record = self.records.get(&lessor);
         record.is_none_or(|r| r.retry_at <= now && r.available == 0)
     }
 
-    /// Adapts the number of parallel requests to an answer.
+    /// Adjusts the number of parallel requests after an answer.
     fn adapt_parallel_requests(&mut self, units_before: u32, units: u32) {
         if units > units_before {
             let raised = self.parallel_requests * PARALLEL_REQUESTS_RISE;
@@ -170,8 +171,8 @@
         }
     }
 
-    /// Requests missing units: first from lessors that have offered units, then from others in
-    /// turn.
+    /// Requests missing units: first from lessors that have offered units, then from the other peers
+    /// in turn.
     pub(super) fn request_units(
         &mut self,
         now: Timestamp,
@@ -204,7 +205,8 @@
         }
     }
 
-    /// Requests `each` units more from peers that have offered none, in turn.
+    /// Requests `units_each` additional units from each of up to `max_requests` peers that have
+    /// offered none, in turn.
     fn request_units_in_turn(
         &mut self,
         now: Timestamp,
@@ -229,7 +231,8 @@
         }
     }
 
-    /// Releases leased units, those of the smallest leases first, so that fewer lessors remain.
+    /// Releases up to `units` leased units, from the smallest leases first, so that fewer lessors
+    /// remain.
     pub(super) fn release_units(&mut self, now: Timestamp, units: u32) {
         let mut leases: Vec<OpenLease> = self.ledger.open_leases(now).collect();
         leases.sort_unstable_by_key(|lease| (lease.units, lease.lessor));
@@ -286,7 +289,7 @@
     ) {
         self.ledger.release(from, recall.kept_units);
         self.is_urgent |= self.ledger.has_returns(now);
-        // The lessor needs its units itself, so others are asked first.
+        // The lessor needs its units itself, so other lessors are asked first.
         self.lessors.record_recall(now, from);
     }
 
--- a/crates/quota/src/budget/lessor.rs
+++ b/crates/quota/src/budget/lessor.rs
@@ -1,4 +1,4 @@
-//! The role of lessor: grants idle units to lessees and recalls them.
+//! Lessor role: grants idle units to lessees and recalls them.
 
 use super::{Budget, ChangeCause, Outbox, Outgoing};
 use crate::ledger::IncarnationId;
@@ -6,17 +6,17 @@
 use crate::water_filling::{Claim, next_grants};
 use madderbay::time::{Duration, Timestamp};
 
-/// Minimum time between two recalls to a lessee, which may wait for calls to end.
+/// Minimum time between two recalls to the same lessee, which may have to wait for calls to end.
 const MIN_RECALL_INTERVAL: Duration = Duration::from_millis(50);
-/// Minimum time between two offers to a lessee, so that units that become idle together are
-/// offered together.
+/// Minimum time between two offers to the same lessee, so that units that become idle at about the
+/// same time are offered together.
 const MIN_OFFER_INTERVAL: Duration = Duration::from_millis(30);
-/// Bounds on a lessee's weight; one that is no finite number counts as the default.
+/// Bounds on a lessee's weight. A weight that is not finite is replaced by the default.
 const MIN_WEIGHT: f64 = 0.01;
 const MAX_WEIGHT: f64 = 100.0;
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// A lessee, as of its last request.
+/// State of a lessee, as of its latest request.
 pub(super) struct LesseeRecord {
     claim: Claim,
     pub(super) requested_at: Timestamp,
@@ -30,7 +30,7 @@
     }
 }
 
-/// Units that a lessee is to have of this lessor.
+/// Number of units of this lessor that a lessee should have.
 struct Target {
     lessee: IncarnationId,
     units: u32,
@@ -50,7 +50,8 @@
 }
 
 impl Budget {
-    /// Units that may be granted to others altogether: the base quota less the own demand.
+    /// Returns the total units that may be granted to other servers: the base quota minus the units
+    /// reserved for this server's own demand.
     pub(super) fn grantable(&self, now: Timestamp) -> u32 {
         let reserved = self.demand.reserved(now, self.ledger.in_use());
         self.ledger.base_quota(now).saturating_sub(reserved)
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Units that each lessee is to have, in the order of the lessees.
+    /// Returns the units that each lessee should have, in the order of the lessees.
     fn targets(&mut self, now: Timestamp) -> Vec<Target> {
         let ledger = &self.ledger;
         for (id, lessee) in &mut self.lessees {
@@ -108,7 +109,7 @@
         }
         let claims: Vec<Claim> = self.lessees.values().map(|lessee| lessee.claim).collect();
         let granted: u32 = claims.iter().map(|claim| claim.granted).sum();
-        // Grants to lessees that no longer request any stay until they are over.
+        // Grants to lessees that no longer send requests stay in place until they expire.
         let other_grants = self.ledger.granted(now) - granted;
         let idle = self.grantable(now).saturating_sub(other_grants);
         let units_to_divide = if self.is_exhausted(now) {
--- a/crates/quota/src/budget/settings.rs
+++ b/crates/quota/src/budget/settings.rs
@@ -3,7 +3,7 @@
 use crate::ledger::LeaseTerms;
 use compact_str::CompactString;
 
-/// A budget as the operator configures it, and what follows for this server.
+/// Settings of a budget, with the slot and the weight of this server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BudgetSettings {
     /// Name of the budget, the same on all servers.
@@ -12,17 +12,18 @@
     pub capacity: u32,
     /// Upper bound on the number of servers in the fleet.
     pub max_servers: u32,
-    /// Slot of this server, from 1 to `max_servers`, where it is configured. Units that do not
-    /// divide evenly belong to the first slots.
+    /// Slot of this server, from 1 to `max_servers`, if one is configured. If the capacity does not
+    /// divide evenly, each of the first slots gets one more unit.
     pub slot: Option<u32>,
-    /// Weight of this server among those that want more than there is.
+    /// Weight of this server when the demand of the servers exceeds the available units.
     pub weight: f64,
     /// Terms of the leases, the same on all servers.
     pub terms: LeaseTerms,
 }
 
 impl BudgetSettings {
-    /// Units that belong to this server while it has granted none: its part of the capacity.
+    /// Returns this server's part of the capacity: the units that it may use while it has granted
+    /// none.
     pub fn base_quota(&self) -> u32 {
         let each = self.capacity / self.max_servers.max(1);
         let remainder = self.capacity % self.max_servers.max(1);
--- a/crates/quota/src/clock_drift.rs
+++ b/crates/quota/src/clock_drift.rs
@@ -1,4 +1,4 @@
-//! The assumption about clocks on which leases and ages of snapshots rest.
+//! The bound on clock drift that leases and snapshot ages rely on.
 
-/// Fraction by which the monotonic clocks of two servers may gain on each other.
+/// Maximum relative difference in rate between the monotonic clocks of two servers.
 pub(crate) const MAX_CLOCK_DRIFT: f64 = 0.02;
--- a/crates/quota/src/counter.rs
+++ b/crates/quota/src/counter.rs
@@ -1,15 +1,15 @@
-//! Counts by key over the whole fleet, each answer with its error bound.
+//! Per-key counts over the whole fleet, estimated with an error bound.
 //!
-//! Each server counts for itself in time slots and sends snapshots of what it counted. A
-//! [`ReplicatedCounter`](crate::counter::ReplicatedCounter) owns the own counts and the latest
-//! snapshot of each incarnation of each other server; snapshots may arrive in any order and more
-//! than once, and they age out.
+//! Each server counts separately, in time slots, and sends snapshots of its counts. A
+//! [`ReplicatedCounter`](crate::counter::ReplicatedCounter) stores the counts of this server and
+//! the latest snapshot of each incarnation of each other server. Snapshots may arrive in any order
+//! and more than once, and they expire.
 //!
-//! An answer covers a window that ended three time slots ago, so that most of what all servers
-//! counted for it is known: the counts of a complete slot never change. Time slots are each
-//! server's own. How long ago one ended is known within bounds by local clocks alone, since
-//! each reply returns the identifier of its poll. The module never sends anything itself: the
-//! owner passes polls, replies and the view of the fleet in.
+//! An estimate covers a window that ended three time slots ago, so that most of the counts of all
+//! servers for it have arrived; the counts of a complete slot never change. Time slots are not
+//! aligned between servers. How long ago a slot ended is known within bounds from local clocks
+//! alone, because each reply echoes the identifier of its poll. The module sends nothing itself:
+//! its owner handles the polls and passes in the replies and changes of the view.
 
 mod estimate;
 mod local;
@@ -31,7 +31,7 @@
 pub use settings::CounterSettings;
 pub use snapshot_source::SnapshotSource;
 
-/// Counts by key over the whole fleet.
+/// Counter of keys over the whole fleet.
 pub struct ReplicatedCounter {
     settings: CounterSettings,
     name_hash: u32,
@@ -42,7 +42,7 @@
 }
 
 impl ReplicatedCounter {
-    /// Creates a counter whose time slots begin at `now`.
+    /// Creates a counter whose first time slot begins at `now`.
     pub fn new(now: Timestamp, settings: CounterSettings) -> ReplicatedCounter {
         let resolution = Resolution::new(&settings);
         ReplicatedCounter {
@@ -55,46 +55,48 @@
         }
     }
 
-    /// The settings of the counter.
+    /// Returns the settings of the counter.
     pub fn settings(&self) -> &CounterSettings {
         &self.settings
     }
 
-    /// Snapshots that were rejected: malformed ones, and those of too many incarnations.
+    /// Returns the number of snapshots that were rejected because they were malformed or came from
+    /// too many incarnations.
     pub fn rejected(&self) -> u64 {
         self.rejected
     }
 
-    /// Hash of the name, which stands for the counter in messages.
+    /// Returns the hash of the name, which identifies the counter in messages.
     pub(crate) fn name_hash(&self) -> u32 {
         self.name_hash
     }
 
-    /// Counts a key `n` times.
+    /// Adds `n` to the count of a key.
     pub fn add(&mut self, now: Timestamp, key: u32, n: u32) {
         self.local.add(now, key, n);
     }
 
-    /// What this server itself counted of a key in the window.
+    /// Estimates the count of a key in the window on this server alone.
     pub fn local_estimate(&self, now: Timestamp, key: u32) -> CountEstimate {
         self.local.estimate(now, key)
     }
 
-    /// What the fleet counted of a key in the window. `fair_rate` is the long-run rate a second
-    /// that is assumed of a server whose snapshots are missing.
+    /// Estimates the count of a key in the window over the whole fleet. `fair_rate` is the long-run
+    /// rate per second that is assumed for a server whose snapshots are missing.
     pub fn estimate(&self, now: Timestamp, key: u32, fair_rate: f64) -> CountEstimate {
         let local = self.local.estimate(now, key);
         self.remote
             .add_estimates(now, key, fair_rate, &self.resolution, local)
     }
 
-    /// Up to `max_keys` keys with the largest recent counts of this server, the largest first.
+    /// Returns up to `max_keys` keys with the largest recent counts on this server, the largest
+    /// first.
     pub fn heaviest_keys(&self, max_keys: usize) -> Vec<u32> {
         self.local.heaviest_keys(max_keys)
     }
 
-    /// Snapshots for a reply: the own one first, then up to `max_remote` of other servers. `draw`
-    /// (0 to 1, exclusive) selects the first of these.
+    /// Returns the snapshots for a reply: first that of this server, then up to `max_remote` of other
+    /// servers. `random`, at least 0 and less than 1, selects the first of these.
     pub fn snapshots(
         &mut self,
         now: Timestamp,
@@ -124,23 +126,24 @@
         self.rejected += u64::from(accepted.is_err());
     }
 
-    /// The view holds a server: it counts, even where it is down and no snapshot arrives.
+    /// Records that the view contains a server. Its counts are then estimated, even while it is down
+    /// and no snapshot of it arrives.
     pub fn server_present(&mut self, now: Timestamp, server: &CompactString) {
         self.remote.server_present(now, server);
     }
 
-    /// A server left or was forgotten: it counts no more.
+    /// Records that a server left or was removed from the view, so that it counts no more requests.
     pub fn server_gone(&mut self, now: Timestamp, server: &CompactString) {
         self.remote.server_gone(now, server);
     }
 
-    /// Forgets snapshots that no window holds any more.
+    /// Removes snapshots of ended incarnations whose counts are no longer part of any window.
     pub fn forget_expired(&mut self, now: Timestamp) {
         self.remote
             .forget_expired(now, self.resolution.max_snapshot_age());
     }
 
-    /// Incarnations of other servers of which a snapshot is remembered.
+    /// Returns the number of incarnations of other servers of which a snapshot is stored.
     pub fn tracked_incarnations(&self) -> usize {
         self.remote.len()
     }
--- a/crates/quota/src/counter/estimate.rs
+++ b/crates/quota/src/counter/estimate.rs
@@ -1,6 +1,6 @@
-//! An estimated count with its error bound.
+//! Estimated counts with error bounds.
 
-/// How often a key came in the window, over the fleet.
+/// Estimate of how often a key was counted in the window.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CountEstimate {
     /// Most likely count.
@@ -9,12 +9,12 @@
     pub low: f64,
     /// Upper bound on the true count.
     pub high: f64,
-    /// Servers whose counts are missing for a part of the window.
+    /// Number of servers whose counts are missing for a part of the window.
     pub stale_servers: usize,
 }
 
 impl CountEstimate {
-    /// Upper bound on the distance between [`CountEstimate::value`] and the true count.
+    /// Returns an upper bound on the difference between [`CountEstimate::value`] and the true count.
     pub fn bound(&self) -> f64 {
         (self.high - self.value).max(self.value - self.low)
     }
--- a/crates/quota/src/counter/local.rs
+++ b/crates/quota/src/counter/local.rs
@@ -1,4 +1,4 @@
-//! What this server counts itself.
+//! Counts of this server.
 
 use super::estimate::CountEstimate;
 use super::resolution::{LAG_SLOTS, RETAINED_SLOTS, WINDOW_SLOTS};
@@ -16,9 +16,9 @@
 pub(super) struct LocalCounts {
     pub(super) began_at: Timestamp,
     pub(super) slot_length: Duration,
-    /// Time slots with counts, the latest last.
+    /// Time slots that have counts, the latest last.
     slots: VecDeque<NumberedSlot>,
-    /// The snapshot sent last.
+    /// The latest snapshot that was returned for a reply.
     pub(super) latest_snapshot: Option<CounterSnapshot>,
 }
 
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Number of the time slot that `now` belongs to.
+    /// Returns the number of the time slot that contains `now`.
     pub(super) fn slot_number(&self, now: Timestamp) -> u64 {
         (now - self.began_at).as_micros() / self.slot_length.as_micros()
     }
@@ -52,7 +52,7 @@
         {
             self.slots.pop_front();
         }
-        // If the clock stepped back, the latest slot counts.
+        // If the clock stepped back, the count is added to the latest slot.
         if let Some(latest) = self.slots.back_mut() {
             latest.slot.add(key, n);
         }
@@ -70,7 +70,8 @@
         let current = self.slot_number(now);
         let mut low: u32 = 0;
         let mut high: u32 = 0;
-        // The slot before the current one is complete; the window ended LAG_SLOTS before its end.
+        // The slot before the current one is complete; the window ended LAG_SLOTS before the end of
+        // that slot.
         for back in LAG_SLOTS + 1..=LAG_SLOTS + WINDOW_SLOTS {
             let number = current.checked_sub(back);
             let Some(slot) = number.and_then(|number| self.slot(number)) else {
@@ -104,7 +105,8 @@
     pub(super) key: u32,
 }
 
-/// Sums of the listed keys over time slots, the largest first; on a tie the larger key.
+/// Returns the sums of the listed keys over the time slots, the largest sum first; for equal sums,
+/// the larger key first.
 pub(super) fn heaviest_first<'a>(slots: impl Iterator<Item = &'a TimeSlot>) -> Vec<KeySum> {
     let mut sums: HashMap<u32, u32> = HashMap::new();
     for slot in slots {
--- a/crates/quota/src/counter/remote.rs
+++ b/crates/quota/src/counter/remote.rs
@@ -1,4 +1,4 @@
-//! What other servers counted: the latest snapshot of each of their incarnations.
+//! Counts of other servers: the latest snapshot of each of their incarnations.
 
 use super::estimate::CountEstimate;
 use super::remote_snapshot::RemoteSnapshot;
@@ -12,19 +12,19 @@
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-/// Upper bound on the incarnations of other servers that are remembered.
+/// Maximum number of incarnations of other servers of which a snapshot is stored.
 const MAX_INCARNATIONS: usize = 4_096;
 
-/// Why a snapshot is rejected.
+/// Reason for rejecting a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum RejectedSnapshot {
-    #[error("the snapshot exceeds the bounds of its format")]
+    #[error("snapshot exceeds the size limits of its format")]
     Malformed,
-    #[error("snapshots of too many incarnations are remembered")]
+    #[error("snapshots of too many incarnations are stored")]
     TooManyIncarnations,
 }
 
-/// Key of a remembered snapshot. The order keeps the incarnations of a server together.
+/// Key of a stored snapshot. Its order keeps the incarnations of a server adjacent.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct SourceKey {
     server: CompactString,
@@ -35,7 +35,8 @@
 #[derive(Default)]
 pub(super) struct RemoteCounts {
     snapshots: BTreeMap<SourceKey, RemoteSnapshot>,
-    /// Servers in the view without a snapshot, and since when they are in the view.
+    /// Servers of the view of which no snapshot is stored, with the time since which they have been in
+    /// the view.
     unreported: BTreeMap<CompactString, Timestamp>,
 }
 
@@ -55,8 +56,9 @@
         self.snapshots.len()
     }
 
-    /// Remembers a snapshot if it is newer, or of a better known age, than the one before.
-    /// Stale snapshots and those of this server itself are ignored without an error.
+    /// Stores a snapshot if it is newer than the stored one of the same incarnation, or if its age is
+    /// known more precisely. Stale snapshots and those of this server's current incarnation are
+    /// ignored without an error.
     pub(super) fn handle_snapshot(
         &mut self,
         now: Timestamp,
@@ -95,7 +97,7 @@
         Ok(())
     }
 
-    /// Inserts a snapshot. All but the latest incarnation of a server count no more.
+    /// Inserts a snapshot and closes all but the latest incarnation of its server.
     fn insert(&mut self, now: Timestamp, key: SourceKey, mut fresh: RemoteSnapshot) {
         let server = key.server.clone();
         self.unreported.remove(&server);
@@ -141,7 +143,8 @@
             .retain(|_, s| s.closed_at.is_none_or(|at| now - at < max_age));
     }
 
-    /// Appends up to `max` snapshots of servers other than `own`, with their ages as of `now`.
+    /// Appends up to `max` snapshots of servers other than `own`, with their ages as of `now`, starting
+    /// at a position chosen by `random`.
     pub(super) fn push_snapshots(
         &self,
         now: Timestamp,
--- a/crates/quota/src/counter/remote_snapshot.rs
+++ b/crates/quota/src/counter/remote_snapshot.rs
@@ -1,4 +1,4 @@
-//! The latest snapshot of one incarnation of another server, and what follows from it.
+//! The latest snapshot of one incarnation of another server, and the estimates based on it.
 
 use super::estimate::CountEstimate;
 use super::resolution::{LAG_SLOTS, RETAINED_SLOTS, Resolution, WINDOW_SLOTS};
@@ -8,8 +8,8 @@
 use crate::message::CounterSnapshot;
 use madderbay::time::{Duration, Timestamp};
 
-/// Time in windows after which a stale server's last rate weighs 1/e of its estimate; its fair
-/// rate makes up the rest.
+/// Time, in windows, after which the last known rate of a stale server has a weight of 1/e in its
+/// estimate; its fair rate has the remaining weight.
 const STALE_RATE_DECAY_WINDOWS: f64 = 1.0;
 
 /// Bounds on the time since a snapshot's latest time slot ended.
@@ -30,7 +30,8 @@
     pub(super) snapshot: CounterSnapshot,
     received_at: Timestamp,
     age_at_receipt: AgeBounds,
-    /// Since when the incarnation counts no more: it left, or a later one is known.
+    /// When the incarnation was found to have ended, because the server left or a later incarnation is
+    /// known.
     pub(super) closed_at: Option<Timestamp>,
 }
 
@@ -58,7 +59,7 @@
         self.closed_at = self.closed_at.or(Some(now));
     }
 
-    /// Time since the latest time slot ended.
+    /// Returns the bounds on the time since the latest time slot ended.
     pub(super) fn age(&self, now: Timestamp) -> AgeBounds {
         let elapsed = now - self.received_at;
         AgeBounds {
@@ -67,13 +68,13 @@
         }
     }
 
-    /// Whether this snapshot is of a later time slot than `known`, or tells its age closer.
+    /// Reports whether this snapshot is of another time slot than `known`, or has a more precise age.
     pub(super) fn improves_on(&self, known: &RemoteSnapshot, now: Timestamp) -> bool {
         known.snapshot.time_slot != self.snapshot.time_slot
             || known.age(now).uncertainty() > self.age(now).uncertainty()
     }
 
-    /// The snapshot with its age as of `now`.
+    /// Returns the snapshot with its age as of `now`.
     pub(super) fn as_of(&self, now: Timestamp) -> CounterSnapshot {
         let age = self.age(now);
         let max_ms = u64::from(u32::MAX) - 1;
@@ -85,7 +86,7 @@
         }
     }
 
-    /// What this incarnation counted of a key in the window.
+    /// Estimates the count of a key by this incarnation in the window.
     pub(super) fn estimate(
         &self,
         now: Timestamp,
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Upper bound on the count of a key beyond its listed counts.
+    /// Returns an upper bound on the count of a key in addition to its listed counts.
     fn max_unlisted_count(&self, key: u32, is_listed: bool) -> u32 {
         let snapshot = &self.snapshot;
         if is_listed {
@@ -141,7 +142,7 @@
             .min(snapshot.max_light_key)
     }
 
-    /// Time slots after the snapshot's that may lie in the window.
+    /// Returns the number of time slots after the snapshot's latest one that may lie in the window.
     fn missing_slots(&self, now: Timestamp, age: &AgeBounds, resolution: &Resolution) -> f64 {
         let slot_length = resolution.slot_length;
         let slots = |duration: Duration| duration.as_micros() / slot_length.as_micros();
@@ -152,13 +153,13 @@
         });
         let latest_end = window_end(resolution).max(since_close);
         let ended = slots(age.max.saturating_sub(latest_end));
-        // Slots that ended before the window began are no part of it.
+        // Slots that ended before the window began are not part of it.
         let before_window = slots(age.min.saturating_sub(window_start(resolution)));
         ended.saturating_sub(before_window).min(WINDOW_SLOTS) as f64
     }
 
-    /// Rate a second that is expected since the snapshot: the last one, which decays to the fair
-    /// one.
+    /// Returns the expected rate per second since the snapshot. It starts at the last known rate and
+    /// decays to `fair_rate`.
     fn expected_rate(
         &self,
         listed: Option<&[u32]>,
@@ -175,7 +176,7 @@
     }
 }
 
-/// Whether a time slot lies in the window.
+/// Certainty that a time slot lies in the window.
 #[derive(Clone, Copy, PartialEq)]
 enum Overlap {
     None,
@@ -183,17 +184,18 @@
     Certain,
 }
 
-/// Time since the end of the window.
+/// Returns the time since the end of the window.
 fn window_end(resolution: &Resolution) -> Duration {
     resolution.slot_length.mul_f64(LAG_SLOTS as f64)
 }
 
-/// Time since the start of the window.
+/// Returns the time since the start of the window.
 fn window_start(resolution: &Resolution) -> Duration {
     resolution.slot_length.mul_f64(RETAINED_SLOTS as f64)
 }
 
-/// Whether the time slot that is `back` slots before a snapshot's latest one lies in the window.
+/// Determines whether the time slot that is `back` slots before a snapshot's latest one lies in the
+/// window.
 fn slot_overlap(age: &AgeBounds, back: u64, resolution: &Resolution) -> Overlap {
     let end = window_end(resolution);
     let start = window_start(resolution);
--- a/crates/quota/src/counter/resolution.rs
+++ b/crates/quota/src/counter/resolution.rs
@@ -1,18 +1,19 @@
-//! How a counter divides time: the slots of its window, and the slots for which its counts are remembered.
+//! Time resolution of a counter: the slots of its window, and the slots for which it keeps counts.
 
 use super::settings::CounterSettings;
 use madderbay::time::Duration;
 
-/// Time slots of a window.
+/// Number of time slots in a window.
 pub(super) const WINDOW_SLOTS: u64 = 10;
-/// Time slots between the end of a window and its estimate: time for snapshots to arrive.
+/// Number of time slots between the end of a window and its estimate, so that snapshots have time to
+/// arrive.
 pub(super) const LAG_SLOTS: u64 = 3;
-/// Time slots that are remembered and sent.
+/// Number of time slots for which counts are kept and sent.
 pub(super) const RETAINED_SLOTS: u64 = WINDOW_SLOTS + LAG_SLOTS;
-/// Shortest time slot.
+/// Minimum length of a time slot.
 const MIN_SLOT_LENGTH: Duration = Duration::from_millis(10);
 
-/// Windows and slots of a counter, and the bound on a server's counts.
+/// Window and slot length of a counter, and the maximum rate per key and server.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Resolution {
     pub(super) window: Duration,
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Age from which on no window holds a snapshot's counts any more.
+    /// Returns the age from which a snapshot's counts are no longer part of any window.
     pub(super) fn max_snapshot_age(&self) -> Duration {
         self.slot_length.mul_f64((2 * RETAINED_SLOTS) as f64)
     }
--- a/crates/quota/src/counter/snapshot.rs
+++ b/crates/quota/src/counter/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots of what this server counted, for other servers.
+//! Snapshots of this server's counts, which are sent to other servers.
 
 use super::local::{KeySum, LocalCounts, heaviest_first};
 use super::resolution::RETAINED_SLOTS;
@@ -8,20 +8,20 @@
 use madderbay::time::Timestamp;
 use std::collections::HashMap;
 
-/// Keys that a snapshot lists one by one: those with the largest counts.
+/// Maximum number of keys that a snapshot lists individually: those with the largest counts.
 pub(super) const MAX_SNAPSHOT_KEYS: usize = 12;
-/// Cells of a snapshot's sketch, which holds the other keys.
+/// Number of cells of a snapshot's sketch, which holds the counts of the other keys.
 pub(super) const SNAPSHOT_SKETCH_CELLS: usize = 64;
 
-/// Counts of the keys that a snapshot does not list.
+/// Counts of the light keys: those that a snapshot does not list.
 struct LightKeys {
-    /// Upper bound on the count of any of them.
+    /// Upper bound on the count of any light key.
     max_count: u32,
     sketch: Vec<u32>,
 }
 
 impl LocalCounts {
-    /// The snapshot as of the latest complete time slot; `None` while there is no such slot.
+    /// Returns the snapshot as of the latest complete time slot; `None` while there is no such slot.
     pub(super) fn snapshot(
         &mut self,
         now: Timestamp,
@@ -44,7 +44,7 @@
         Some(snapshot)
     }
 
-    /// Whole milliseconds since the end of a time slot.
+    /// Returns the whole milliseconds since the end of a time slot.
     fn age_ms(&self, now: Timestamp, slot_number: u64) -> u32 {
         let end_micros = (slot_number + 1) * self.slot_length.as_micros();
         let end = self.began_at + madderbay::time::Duration::from_micros(end_micros);
@@ -82,7 +82,7 @@
     }
 }
 
-/// Sums of the time slots' sketches, by cell.
+/// Returns the sums of the time slots' sketches by cell.
 fn sum_sketches(slots: &[Option<&TimeSlot>]) -> HashMap<u16, u32> {
     let mut sums: HashMap<u16, u32> = HashMap::new();
     for slot in slots.iter().flatten() {
@@ -97,7 +97,7 @@
     sketch.values().copied().max().unwrap_or(0)
 }
 
-/// Counts of a key by time slot, the latest first, without trailing zeros.
+/// Returns the counts of a key by time slot, the latest first, without trailing zeros.
 fn key_counts(key: u32, slots: &[Option<&TimeSlot>]) -> KeyCounts {
     let count = |slot: &Option<&TimeSlot>| {
         slot.and_then(|slot| slot.listed.get(&key))
@@ -113,8 +113,9 @@
     KeyCounts { key, counts }
 }
 
-/// The sketch of the keys that are not listed; empty where there are none. `unlisted` are the
-/// sums of the time slots' own sketches.
+/// Returns the sketch of the keys that the snapshot does not list; empty if there are none.
+/// `light_sums` are the counts of these keys as far as the time slots list them, and `unlisted` are
+/// the sums of the time slots' own sketches.
 fn sum_light_keys(light_sums: &[KeySum], unlisted: &HashMap<u16, u32>) -> LightKeys {
     let mut sketch = vec![0u32; SNAPSHOT_SKETCH_CELLS];
     let mut max_count = max_cell(unlisted);
--- a/crates/quota/src/counter/snapshot_source.rs
+++ b/crates/quota/src/counter/snapshot_source.rs
@@ -1,12 +1,12 @@
-//! Whose counts a snapshot holds.
+//! Identity of the server whose counts a snapshot holds.
 
 use compact_str::CompactString;
 
-/// The server, in one incarnation, that a snapshot is about.
+/// One incarnation of a server, as the source of a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SnapshotSource<'a> {
     /// Name of the server.
     pub server: &'a CompactString,
-    /// Its incarnation.
+    /// Incarnation of the server.
     pub incarnation: u64,
 }
--- a/crates/quota/src/counter/time_slot.rs
+++ b/crates/quota/src/counter/time_slot.rs
@@ -2,12 +2,13 @@
 
 use std::collections::HashMap;
 
-/// Keys that a time slot counts one by one. Beyond them the rarest keys go into a sketch.
+/// Maximum number of keys that a time slot counts individually. Beyond it, the rarest keys are moved
+/// to a sketch.
 const MAX_LISTED_KEYS: usize = 256;
-/// Cells of a time slot's sketch.
+/// Number of cells of a time slot's sketch.
 pub(super) const SLOT_SKETCH_CELLS: usize = 1_024;
 
-/// Cell of a sketch with `cells` cells to which a key belongs.
+/// Returns the cell of a key in a sketch with `cells` cells.
 pub(super) fn sketch_cell(key: u32, cells: usize) -> usize {
     (key.wrapping_mul(0x9e37_79b1) >> 16) as usize % cells
 }
@@ -18,7 +19,7 @@
     pub(super) max: u32,
 }
 
-/// Counts of one time slot. Memory is bounded whatever keys come.
+/// Counts of one time slot. Memory use is bounded whatever the number of different keys.
 #[derive(Clone, Default)]
 pub(super) struct TimeSlot {
     /// Counts of the listed keys.
@@ -39,8 +40,9 @@
         self.listed.insert(key, n);
     }
 
-    /// Moves the rarest listed key to the sketch, unless it has a larger count than the new key,
-    /// which then goes there itself. Says whether the new key is to be listed.
+    /// Makes room for a new key by moving the rarest listed key to the sketch. If that key has a
+    /// larger count than the new key, the new key is added to the sketch instead. Reports whether the
+    /// new key is to be listed.
     fn evict_for(&mut self, key: u32, n: u32) -> bool {
         let rarest = self
             .listed
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -1,11 +1,12 @@
-//! The strict part of a budget: the units that this server may use, granted and leased ones
-//! included, such that no two servers ever use the same unit.
+//! The safety-critical part of a budget: accounts for the units that this server may use,
+//! including granted and leased units, so that no two servers ever use the same unit.
 //!
-//! The ledger owns all open grants (as a lessor) and leases (as a lessee) of one budget, and the
-//! count of calls in flight. It is given the time and the decisions of [`crate::budget`]: how
-//! much is requested, granted and returned. Whatever is decided there, the sum of calls in flight
-//! over the fleet never exceeds the sum of all base quotas. It never sees names, randomness or
-//! demand. `docs/notes/quotas.md` states the invariant and its proof.
+//! The ledger stores all outstanding grants (as a lessor) and leases (as a lessee) of one budget,
+//! and the number of calls in flight. Its inputs are the time and the decisions of
+//! [`crate::budget`]: how many units are requested, granted and returned. Whatever these decisions
+//! are, the sum of calls in flight over the fleet never exceeds the sum of all base quotas. The
+//! ledger does not depend on names, randomness or demand. `docs/notes/quotas.md` states the
+//! invariant and its proof.
 
 mod grants;
 mod incarnation_id;
@@ -25,10 +26,12 @@
 pub struct Ledger {
     terms: LeaseTerms,
     base_quota: u32,
-    /// Until then a former incarnation of this server may still have grants or calls open.
+    /// Time from which the base quota may be used. Until then a former incarnation of this server
+    /// may still have grants outstanding or calls in flight.
     usable_from: Timestamp,
     in_use: u32,
-    /// Identifier of the latest request. Never reset, not even once a lessor is forgotten.
+    /// Identifier of the latest request to any lessor. It is never reset, not even when a lessor is
+    /// removed.
     last_request_id: u32,
     grants: BTreeMap<IncarnationId, GrantHistory>,
     leases: BTreeMap<IncarnationId, LeaseRecord>,
@@ -49,7 +52,7 @@
         }
     }
 
-    /// Base quota in units as of `now`: 0 until it is usable.
+    /// Returns the base quota in units as of `now`; 0 until it is usable.
     pub fn base_quota(&self, now: Timestamp) -> u32 {
         if now >= self.usable_from {
             self.base_quota
@@ -58,38 +61,38 @@
         }
     }
 
-    /// Base quota in units, also where it is not usable yet.
+    /// Returns the base quota in units, even if it is not usable yet.
     pub fn eventual_base_quota(&self) -> u32 {
         self.base_quota
     }
 
-    /// Replaces the base quota; `usable_from` also replaces the time at which it is usable.
+    /// Replaces the base quota and, if `usable_from` is given, the time from which it is usable.
     pub fn set_base_quota(&mut self, units: u32, usable_from: Option<Timestamp>) {
         self.base_quota = units;
         self.usable_from = usable_from.unwrap_or(self.usable_from);
     }
 
-    /// Time from which the base quota may be used.
+    /// Returns the time from which the base quota may be used.
     pub fn usable_from(&self) -> Timestamp {
         self.usable_from
     }
 
-    /// Calls that may be in flight, as far as starts are concerned.
+    /// Returns the number of calls in flight below which a further call may be started.
     pub fn usable(&self, now: Timestamp) -> u32 {
         self.base_quota(now).saturating_sub(self.granted(now)) + self.leased(now)
     }
 
-    /// Calls in flight, including those that outlast the lease that they were started on.
+    /// Returns the calls in flight, including those that outlast the lease they were started on.
     pub fn in_use(&self) -> u32 {
         self.in_use
     }
 
-    /// Whether one more call may be started.
+    /// Reports whether one more call may be started.
     pub fn may_start(&self, now: Timestamp) -> bool {
         self.in_use < self.usable(now)
     }
 
-    /// Counts a started call, also one that [`Ledger::may_start`] did not allow.
+    /// Counts a started call, even one that [`Ledger::may_start`] did not allow.
     pub fn call_started(&mut self) {
         self.in_use += 1;
     }
@@ -99,7 +102,8 @@
         self.in_use = self.in_use.saturating_sub(1);
     }
 
-    /// Forgets the servers for which `is_gone` holds and with which nothing is open any more.
+    /// Removes the records of the servers for which `is_gone` returns true, except those with
+    /// outstanding grants or open leases.
     pub fn forget(&mut self, now: Timestamp, is_gone: impl Fn(IncarnationId) -> bool) {
         self.grants
             .retain(|id, grants| !is_gone(*id) || grants.units(now) > 0);
@@ -107,38 +111,39 @@
             .retain(|id, lease| !is_gone(*id) || lease.is_open(now));
     }
 
-    /// Whether anything is remembered of a server.
+    /// Reports whether there is a record of grants to, or leases from, an incarnation of a server.
     pub fn remembers(&self, id: IncarnationId) -> bool {
         self.grants.contains_key(&id) || self.leases.contains_key(&id)
     }
 
-    /// Whether nothing is remembered of any server.
+    /// Reports whether there are no records of any server.
     pub fn is_empty(&self) -> bool {
         self.grants.is_empty() && self.leases.is_empty()
     }
 }
 
-/// The role of lessor.
+/// Operations of the lessor role.
 impl Ledger {
-    /// Units granted to other servers that may still be in use there.
+    /// Returns the units granted to other servers that may still be in use there.
     pub fn granted(&self, now: Timestamp) -> u32 {
         self.grants.values().map(|grants| grants.units(now)).sum()
     }
 
-    /// Units granted to one lessee that may still be in use there.
+    /// Returns the units granted to one lessee that may still be in use there.
     pub fn granted_to(&self, now: Timestamp, lessee: IncarnationId) -> u32 {
         self.grants
             .get(&lessee)
             .map_or(0, |grants| grants.units(now))
     }
 
-    /// Upper bound on a grant to a lessee in total units, including what it has already.
+    /// Returns the largest total that may be granted to a lessee, including the units already
+    /// granted to it.
     pub fn max_grant(&self, now: Timestamp, lessee: IncarnationId) -> u32 {
         let base = self.base_quota(now);
         let granted = self.granted(now);
         let already_granted = self.granted_to(now, lessee);
         match base.checked_sub(granted) {
-            // Only idle units may be granted beyond what the lessee has.
+            // Beyond the units that the lessee already has, only idle units may be granted.
             Some(own_units) => already_granted + own_units.saturating_sub(self.in_use),
             None => already_granted.saturating_sub(granted - base),
         }
@@ -147,7 +152,7 @@
     /// Answers a lessee's request with at most `units` in total and returns the units granted.
     ///
     /// A repeated request gets the same answer again. Returns `None` for a request that is older
-    /// than the one answered last; it needs no answer.
+    /// than the latest answered one, which needs no answer.
     pub fn answer_request(
         &mut self,
         now: Timestamp,
@@ -161,8 +166,8 @@
         grants.answer(now, request_id, units.min(max_units), held_until)
     }
 
-    /// A lessee returns the grant that answered `request_id`, and all before it, down to
-    /// `kept_units`.
+    /// Handles a return: reduces the grant that answered `request_id`, and all earlier grants to the
+    /// lessee, to `kept_units`.
     pub fn handle_return(&mut self, lessee: IncarnationId, request_id: u32, kept_units: u32) {
         if let Some(grants) = self.grants.get_mut(&lessee) {
             grants.reduce(request_id, kept_units);
@@ -170,19 +175,19 @@
     }
 }
 
-/// The role of lessee.
+/// Operations of the lessee role.
 impl Ledger {
-    /// Units of other servers on which calls may be started.
+    /// Returns the units leased from other servers on which calls may be started.
     pub fn leased(&self, now: Timestamp) -> u32 {
         self.leases.values().map(|lease| lease.units(now)).sum()
     }
 
-    /// Units of one lessor on which calls may be started.
+    /// Returns the units leased from one lessor on which calls may be started.
     pub fn leased_from(&self, now: Timestamp, lessor: IncarnationId) -> u32 {
         self.leases.get(&lessor).map_or(0, |lease| lease.units(now))
     }
 
-    /// Leases on which calls may be started, in the order of the lessors' identifiers.
+    /// Returns the leases on which calls may be started, in the order of the lessors' identifiers.
     pub fn open_leases(&self, now: Timestamp) -> impl Iterator<Item = OpenLease> {
         self.leases
             .iter()
@@ -199,17 +204,17 @@
         self.last_request_id
     }
 
-    /// When the request to a lessor was made that is not answered yet.
+    /// Returns when the pending request to a lessor was made, if there is one.
     pub fn pending_request_at(&self, lessor: IncarnationId) -> Option<Timestamp> {
         self.leases.get(&lessor)?.requested_at()
     }
 
-    /// Accepts a lessor's answer to a request; the grant replaces the earlier ones of that lessor.
+    /// Accepts a lessor's answer to a request. The grant replaces earlier grants of that lessor.
     ///
     /// # Errors
     ///
-    /// The answer is rejected, and nothing changes but that the request is no longer pending, if
-    /// no such request is pending or if the lease is already over.
+    /// Rejects the answer if no such request is pending or if the lease has already expired. In
+    /// the latter case the request is no longer pending; nothing else changes.
     pub fn accept_grant(
         &mut self,
         now: Timestamp,
@@ -224,7 +229,7 @@
         lease.accept(now, self.terms.lessee_use(), request_id, units)
     }
 
-    /// From now on no call is started on more than `kept_units` of a lessor's units. The units
+    /// Lets no further call start on more than `kept_units` of a lessor's units. The released units
     /// are returned once no call in flight needs them.
     pub fn release(&mut self, lessor: IncarnationId, kept_units: u32) {
         if let Some(lease) = self.leases.get_mut(&lessor) {
@@ -232,12 +237,12 @@
         }
     }
 
-    /// Whether a return is still to be sent and no call in flight needs the units any more.
+    /// Reports whether a return is due whose units are no longer needed by any call in flight.
     pub fn has_returns(&self, now: Timestamp) -> bool {
         self.in_use <= self.usable(now) && self.leases.values().any(LeaseRecord::has_return)
     }
 
-    /// Takes the returns to be sent: of units that no call in flight needs.
+    /// Takes the returns to send, of units that no call in flight needs.
     pub fn take_returns(&mut self, now: Timestamp) -> Vec<LeaseReturn> {
         if self.in_use > self.usable(now) {
             return vec![];
--- a/crates/quota/src/ledger/grants.rs
+++ b/crates/quota/src/ledger/grants.rs
@@ -1,12 +1,12 @@
-//! What a lessor has granted to one lessee.
+//! Grants from this server, as a lessor, to one lessee.
 
 use madderbay::time::Timestamp;
 
-/// Upper bound on the grants to one lessee that are remembered apart. Beyond it the two oldest
-/// are merged.
+/// Maximum number of grants to one lessee that are stored separately. Beyond it the two oldest
+/// grants are merged.
 const MAX_PENDING_GRANTS: usize = 16;
 
-/// One grant that its lessee may still use, or have calls in flight on.
+/// A grant that its lessee may still use or still have calls in flight on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PendingGrant {
     pub(super) request_id: u32,
@@ -14,10 +14,10 @@
     held_until: Timestamp,
 }
 
-/// All grants to one lessee that are not over, and the answer to its latest request.
+/// All unexpired grants to one lessee, and the answer to its latest request.
 ///
-/// A grant replaces an earlier one, but calls may still be in flight on the earlier one. So the
-/// largest grant that is not over counts.
+/// A grant replaces the earlier ones, but calls may still be in flight on an earlier one. So the
+/// units held back for the lessee are those of its largest unexpired grant.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct GrantHistory {
     pub(super) pending: Vec<PendingGrant>,
@@ -26,14 +26,14 @@
 }
 
 impl GrantHistory {
-    /// Units held back for the lessee.
+    /// Returns the units held back for the lessee.
     pub(super) fn units(&self, now: Timestamp) -> u32 {
         let pending = self.pending.iter().filter(|g| now < g.held_until);
         pending.map(|g| g.units).max().unwrap_or(0)
     }
 
-    /// Answers a request with `units`: the same again for the request answered last, nothing for
-    /// an older one.
+    /// Answers a request with `units`. A repetition of the latest answered request gets the same
+    /// answer again; an older request gets none.
     pub(super) fn answer(
         &mut self,
         now: Timestamp,
@@ -44,7 +44,8 @@
         if request_id <= self.answered_request_id {
             return (request_id == self.answered_request_id).then_some(self.answered_units);
         }
-        // An earlier grant that is no larger than this one ends sooner and binds nothing more.
+        // An earlier grant that is no larger than this one also expires sooner, so it no longer
+        // holds back any units.
         self.pending
             .retain(|g| now < g.held_until && g.units > units);
         if self.pending.len() >= MAX_PENDING_GRANTS {
@@ -62,14 +63,14 @@
         Some(units)
     }
 
-    /// Merges the two oldest grants into one with the units of the larger and the end of the
-    /// later, so that no unit is free too early.
+    /// Merges the two oldest grants into one, with the units of the larger and the expiry of the
+    /// later, so that no unit is freed too early.
     fn merge_oldest(&mut self) {
         let oldest = self.pending.remove(0);
         self.pending[0].units = self.pending[0].units.max(oldest.units);
     }
 
-    /// Reduces the grant that answered `request_id`, and all before it, to `kept_units`.
+    /// Reduces the grant that answered `request_id`, and all earlier grants, to `kept_units`.
     pub(super) fn reduce(&mut self, request_id: u32, kept_units: u32) {
         let returned = self
             .pending
--- a/crates/quota/src/ledger/incarnation_id.rs
+++ b/crates/quota/src/ledger/incarnation_id.rs
@@ -1,5 +1,5 @@
-//! The identifier of another server's incarnation.
+//! Identifiers of incarnations of other servers.
 
-/// One incarnation of another server, as a small number that is valid in this process only.
+/// Small integer that identifies one incarnation of another server within this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct IncarnationId(pub u32);
--- a/crates/quota/src/ledger/leases.rs
+++ b/crates/quota/src/ledger/leases.rs
@@ -1,20 +1,20 @@
-//! What a lessee has leased from one lessor.
+//! The lease that this server, as a lessee, has from one lessor.
 
 use super::incarnation_id::IncarnationId;
 use madderbay::time::{Duration, Timestamp};
 
-/// Times that each return is sent, because a datagram may be lost. A doubled return changes
-/// nothing.
+/// Number of times that each return is sent, because a datagram may be lost. Receiving a return
+/// twice has no further effect.
 const RETURN_TRANSMISSIONS: u8 = 2;
 
-/// Why an answer of a lessor is not accepted.
+/// Reason for not accepting a lessor's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RejectedGrant {
-    /// The request was answered before, was replaced by a later one, or was never made.
-    #[error("no such request is pending")]
+    /// The request was already answered, was replaced by a later one, or was never made.
+    #[error("no pending request has this identifier")]
     UnknownRequest,
-    /// The lease that the answer grants is already over.
-    #[error("the lease is over")]
+    /// The lease that the answer grants has already expired.
+    #[error("the lease has already expired")]
     LeaseOver,
 }
 
@@ -25,7 +25,7 @@
     pub lessor: IncarnationId,
     /// Units leased.
     pub units: u32,
-    /// Time that is left to start calls on them.
+    /// Time left in which calls may be started on them.
     pub remaining: Duration,
 }
 
@@ -34,20 +34,20 @@
 pub struct LeaseReturn {
     /// The lessor.
     pub lessor: IncarnationId,
-    /// Request that the returned grant answered.
+    /// Identifier of the request that the returned grant answered.
     pub request_id: u32,
     /// Units that the lessee keeps.
     pub kept_units: u32,
 }
 
-/// A request to a lessor that is not answered yet.
+/// A request to a lessor that has not been answered yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PendingRequest {
     request_id: u32,
     pub(super) requested_at: Timestamp,
 }
 
-/// The grant of one lessor that was accepted last.
+/// The latest accepted grant of one lessor, and the pending request to it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct LeaseRecord {
     request_id: u32,
@@ -62,7 +62,7 @@
         now < self.usable_until
     }
 
-    /// Units on which calls may be started.
+    /// Returns the units on which calls may be started.
     pub(super) fn units(&self, now: Timestamp) -> u32 {
         if self.is_open(now) { self.units } else { 0 }
     }
@@ -88,7 +88,7 @@
         self.pending_request.map(|request| request.requested_at)
     }
 
-    /// Accepts an answer. The lease counts from the request, `usable` long.
+    /// Accepts an answer. The lease lasts for `usable` from the time of the request.
     pub(super) fn accept(
         &mut self,
         now: Timestamp,
@@ -111,7 +111,7 @@
         Ok(())
     }
 
-    /// Keeps no more than `kept_units`; a return is due for the others.
+    /// Reduces the lease to at most `kept_units` and schedules the return of the others.
     pub(super) fn release(&mut self, kept_units: u32) {
         if self.units > kept_units {
             self.units = kept_units;
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,14 +1,14 @@
-//! Quotas of a fleet of servers: budgets of calls in flight upstream, which the fleet as a whole
-//! never exceeds, and replicated counters, whose estimates have an error bound.
+//! Quotas for a fleet of servers: budgets that limit the upstream calls in flight over the whole
+//! fleet, and replicated counters whose estimates have an error bound.
 //!
-//! A budget's capacity is divided into base quotas, one for each of the servers that the fleet
-//! may have. A server leases its idle units to servers with demand. Whatever datagrams are lost,
-//! delayed or doubled, and whichever servers crash or pause, no more calls than the capacity are
-//! in flight: see [`ledger`].
+//! A budget's capacity is divided into base quotas, one for each server that the fleet may have.
+//! A server with idle units leases them to servers with demand. The calls in flight never exceed
+//! the capacity, even if datagrams are lost, delayed or duplicated, or servers crash or pause: see
+//! [`ledger`].
 //!
-//! [`FleetQuotas`] is the state machine of one server. It owns the budgets and the counters; it
-//! is given the time, a random seed, the view of `madderbay_membership` and datagrams, and
-//! returns datagrams to send. It never does I/O.
+//! [`FleetQuotas`] is the state machine of one server. It owns the budgets and the counters. Its
+//! inputs are the time, a random seed, the membership view of `madderbay_membership` and
+//! datagrams; its output is datagrams to send. It does no I/O.
 //!
 //! ```
 //! use madderbay::time::{Duration, Timestamp};
@@ -34,31 +34,31 @@
 //! let peer = |name: &str| vec![Peer { name: name.into(), incarnation: 1, active: true }];
 //! a.set_view(at(0), 1, peer("b"));
 //! b.set_view(at(0), 1, peer("a"));
-//! // A new incarnation waits until all grants of a former one are over, then uses its base quota.
+//! // A new incarnation uses its base quota once all grants of the former one have expired.
 //! assert_eq!(a.budgets()[0].usable(at(0)), 0);
-//! let begun = at(0) + terms.lessor_hold();
-//! assert_eq!(a.budgets()[0].usable(begun), 4);
-//! // Only a has demand: b leases it all units that it has.
-//! a.budgets_mut()[0].set_waiting(begun, 8);
+//! let usable_from = at(0) + terms.lessor_hold();
+//! assert_eq!(a.budgets()[0].usable(usable_from), 4);
+//! // Only server a has demand, so server b leases all of its units to it.
+//! a.budgets_mut()[0].set_waiting(usable_from, 8);
 //! for step in 0..5 {
-//!     let now = begun + ms(step * 100);
+//!     let now = usable_from + ms(step * 100);
 //!     a.handle_timeout(now);
 //!     a.take_datagrams().iter().for_each(|d| b.handle_datagram(now, &"a".into(), &d.1));
 //!     b.handle_timeout(now);
 //!     b.take_datagrams().iter().for_each(|d| a.handle_datagram(now, &"b".into(), &d.1));
 //! }
-//! assert_eq!(a.budgets()[0].usable(begun + ms(500)), 8);
-//! assert_eq!(b.budgets()[0].usable(begun + ms(500)), 0);
+//! assert_eq!(a.budgets()[0].usable(usable_from + ms(500)), 8);
+//! assert_eq!(b.budgets()[0].usable(usable_from + ms(500)), 0);
 //! ```
 
-/// Budgets: decisions on requests, grants and returns.
+/// Budgets: decide when to request, grant, recall and return units.
 pub mod budget;
 mod clock_drift;
-/// Replicated counters.
+/// Replicated counters: per-key counts over the whole fleet, with error bounds.
 pub mod counter;
 mod fleet_quotas;
 mod ids;
-/// Ledgers: the invariant behind the budgets.
+/// Ledgers: enforce that the fleet never exceeds the capacity of a budget.
 pub mod ledger;
 mod message;
 mod water_filling;
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -1,8 +1,8 @@
 //! Messages between the servers of a fleet about budgets and counters, and their codec.
 //!
-//! The module owns the datagram's layout: postcard, so the order of the fields and of the
-//! variants is the wire format and must not change. The membership layer carries, checks and
-//! bounds the datagrams; nothing here does I/O.
+//! Datagrams are encoded with postcard, so the order of the fields and of the variants is the wire
+//! format and must not change. The membership layer sends and receives the datagrams, verifies
+//! them and limits their size; this module does no I/O.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
@@ -12,14 +12,14 @@
 pub(crate) struct Datagram {
     /// Incarnation number of the sender.
     pub(crate) from_incarnation: u64,
-    /// Incarnation number that the datagram is meant for; 0 while the sender does not know it.
+    /// Incarnation number of the intended receiver; 0 while the sender does not know it.
     pub(crate) to_incarnation: u64,
-    /// Slot of the sender's base quotas; 0 without one.
+    /// Slot of the sender's base quotas; 0 if it has none.
     pub(crate) from_slot: u32,
     pub(crate) messages: Vec<Message>,
 }
 
-/// One message; the variant's position is its kind on the wire.
+/// One message. The position of the variant encodes its kind on the wire.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Message {
     LeaseRequest(LeaseRequest),
@@ -31,44 +31,44 @@
     UnitsAvailable(UnitsAvailable),
 }
 
-/// A lessee requests units of a budget from a lessor.
+/// Request of a lessee for units of a budget from a lessor.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct LeaseRequest {
     pub(crate) budget_hash: u32,
-    /// Identifies the request; rises with each request of an incarnation.
+    /// Identifies the request; increases with each request of an incarnation.
     pub(crate) request_id: u32,
-    /// Units requested in total, including those that the lessor grants already.
+    /// Units requested in total, including those that the lessor has already granted.
     pub(crate) units: u32,
     /// Calls that the lessee may have in flight without this lessor's units.
     pub(crate) other_units: u32,
-    /// Calls that the lessee has work for.
+    /// Calls that the lessee has in flight or wants to start, with headroom.
     pub(crate) demand: u32,
-    /// Weight of the lessee among those that compete for idle units.
+    /// Weight of the lessee among the lessees that compete for idle units.
     pub(crate) weight: f32,
 }
 
-/// A lessor answers a request.
+/// Answer of a lessor to a [`LeaseRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct LeaseGrant {
     pub(crate) budget_hash: u32,
     pub(crate) request_id: u32,
-    /// Units granted in total, replacing earlier grants.
+    /// Units granted in total. Replaces earlier grants.
     pub(crate) units: u32,
-    /// Units that the lessor could grant beyond these.
+    /// Units that the lessor could grant in addition.
     pub(crate) available: u32,
 }
 
-/// A lessee returns units of a grant and of all earlier grants of the lessor.
+/// Return of units of a grant, and of all earlier grants, from a lessee to the lessor.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct LeaseReturn {
     pub(crate) budget_hash: u32,
-    /// Request that the grant answered.
+    /// Identifier of the request that the grant answered.
     pub(crate) request_id: u32,
     /// Units that the lessee keeps.
     pub(crate) kept_units: u32,
 }
 
-/// A lessor recalls units that it has granted.
+/// Recall of granted units by a lessor.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct LeaseRecall {
     pub(crate) budget_hash: u32,
@@ -76,10 +76,10 @@
     pub(crate) kept_units: u32,
 }
 
-/// Asks for the counter snapshots that the receiver knows.
+/// Request for the counter snapshots that the receiver has.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct CounterPoll {
-    /// Returned by the reply, which bounds the reply's age by the sender's own clock.
+    /// Echoed in the reply, so that the sender can bound the reply's age by its own clock.
     pub(crate) poll_id: u32,
 }
 
@@ -90,36 +90,37 @@
     pub(crate) snapshots: Vec<CounterSnapshot>,
 }
 
-/// A lessor offers idle units to a lessee whose last request was not fully granted.
+/// Offer of idle units by a lessor to a lessee whose latest request was not fully granted.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct UnitsAvailable {
     pub(crate) budget_hash: u32,
-    /// Units beyond those that the lessee has.
+    /// Units offered in addition to those that the lessee has.
     pub(crate) units: u32,
 }
 
-/// What one incarnation of a server counted, as of its latest complete time slot.
+/// Counts of one incarnation of a server, as of its latest complete time slot.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CounterSnapshot {
     /// Hash of the counter's name: see [`name_hash`].
     pub counter_hash: u32,
-    /// Name of the server that counted.
+    /// Name of the server whose counts these are.
     pub server: CompactString,
     /// Incarnation of that server.
     pub incarnation: u64,
     /// Number of the latest complete time slot.
     pub time_slot: u64,
-    /// Lower bound on the time since that slot's end when this was sent, in milliseconds.
+    /// Lower bound on the time from the end of that slot to the sending of the snapshot, in
+    /// milliseconds.
     pub min_age_ms: u32,
-    /// Upper bound on the same, in milliseconds.
+    /// Upper bound on the same time, in milliseconds.
     pub max_age_ms: u32,
     /// The keys with the largest counts.
     pub heavy_keys: Vec<KeyCounts>,
-    /// Upper bound on the count that any key has beyond its listed counts.
+    /// Upper bound on the count of any key in addition to its listed counts.
     pub max_unlisted: u32,
     /// Upper bound on the count of any key that is not listed.
     pub max_light_key: u32,
-    /// Sketch of the keys that are not listed, over all time slots: sums by hashed cell.
+    /// Sketch of the keys that are not listed: sums by hashed cell over all time slots.
     pub sketch: Vec<u32>,
 }
 
@@ -128,11 +129,11 @@
 pub struct KeyCounts {
     /// Hash of the key's name: see [`name_hash`].
     pub key: u32,
-    /// Counts by time slot, the latest slot first; trailing zeros are left out.
+    /// Counts by time slot, the latest slot first. Trailing zeros are omitted.
     pub counts: Vec<u32>,
 }
 
-/// Why a datagram can't be decoded or encoded.
+/// Error in decoding or encoding a datagram.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub(crate) enum CodecError {
     #[error("datagram can't be decoded: {0}")]
@@ -142,7 +143,7 @@
 }
 
 impl Message {
-    /// Hash of the budget that a message about leases names; `None` for one about counters.
+    /// Returns the hash of the budget that a lease message refers to; `None` for a counter message.
     pub(crate) fn budget_hash(&self) -> Option<u32> {
         match self {
             Message::LeaseRequest(request) => Some(request.budget_hash),
@@ -166,7 +167,7 @@
 }
 
 impl CounterSnapshot {
-    /// Length of the encoded snapshot in bytes.
+    /// Returns the length of the encoded snapshot in bytes.
     pub(crate) fn encoded_len(&self) -> Result<usize, CodecError> {
         postcard::to_stdvec(self)
             .map(|bytes| bytes.len())
@@ -174,7 +175,7 @@
     }
 }
 
-/// Hash that stands for a budget's, counter's or key's name in datagrams.
+/// Returns the hash that identifies the name of a budget, counter or key in datagrams.
 pub fn name_hash(name: &str) -> u32 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes()) as u32
 }
--- a/crates/quota/src/water_filling.rs
+++ b/crates/quota/src/water_filling.rs
@@ -1,18 +1,19 @@
-//! Water filling (max-min fairness): how a lessor divides its idle units among its lessees.
+//! Water filling (max-min fairness): divides a lessor's idle units among its lessees.
 //!
-//! The module is given the idle units and one [`Claim`] a lessee. It keeps no state, and it
-//! never decides how many units are idle: see [`crate::budget`].
+//! The functions take the number of idle units, which [`crate::budget`] determines, and one
+//! [`Claim`] per lessee. They keep no state.
 
-/// What one lessee claims, as its lessor knows it.
+/// Demand of one lessee and the units that it already has, as its lessor knows them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Claim {
     /// Calls that the lessee may have in flight without this lessor's units.
     pub(crate) other_units: u32,
-    /// Calls that the lessee has work for.
+    /// Calls that the lessee has in flight or wants to start, with headroom.
     pub(crate) demand: u32,
-    /// Weight of the lessee: its units are divided by this before they are compared.
+    /// Weight of the lessee. Its units are divided by the weight before they are compared with those
+    /// of other lessees.
     pub(crate) weight: f64,
-    /// Units that this lessor grants it at present.
+    /// Units that this lessor has currently granted to the lessee.
     pub(crate) granted: u32,
 }
 
@@ -26,11 +27,11 @@
     }
 }
 
-/// A grant that exceeds its fair share by no more than this is left as it is. Moving a single
-/// unit to and fro would cost more than it gains.
+/// Excess of a grant over its fair share, in units, up to which the grant is left unchanged. Moving
+/// a single unit back and forth would cost more than it gains.
 const MAX_TOLERATED_EXCESS_UNITS: u32 = 1;
 
-/// Max-min fair shares of `idle` units, one a claim in the order of `claims`.
+/// Returns the max-min fair shares of `idle` units, one for each claim in the order of `claims`.
 pub(crate) fn max_min_shares(idle: u32, claims: &[Claim]) -> Vec<u32> {
     let mut shares = vec![0; claims.len()];
     for _ in 0..idle {
@@ -44,7 +45,7 @@
 
 fn lowest_unsatisfied(claims: &[Claim], shares: &[u32]) -> Option<usize> {
     let fill_level = |i: usize| claims[i].fill_level(shares[i]);
-    // On equal levels the lessee that already has the unit keeps it.
+    // If the levels are equal, a lessee that already has the unit keeps it.
     let is_new = |i: usize| shares[i] >= claims[i].granted;
     (0..claims.len())
         .filter(|i| !claims[*i].is_satisfied_with(shares[*i]))
@@ -54,11 +55,12 @@
         })
 }
 
-/// Units that each lessee is to have next, one figure a claim.
+/// Returns the units that each lessee should have next, one number for each claim in the order of
+/// `claims`.
 ///
-/// A grant above its fair share moves half of the way, because all lessors move at the same
-/// time and none knows what the others do. While there is enough for all, no lessee loses
-/// units that it has. Units that the lessor needs itself are taken back at once.
+/// A grant above its fair share is reduced by half of the excess, because all lessors adjust their
+/// grants at the same time without knowing each other's decisions. While there is enough for all,
+/// no lessee loses units that it has. Units that the lessor needs itself are taken back at once.
 pub(crate) fn next_grants(idle: u32, claims: &[Claim]) -> Vec<u32> {
     let shares = max_min_shares(idle, claims);
     let granted: u32 = claims.iter().map(|c| c.granted).sum();
