--- a/crates/quota/src/counter.rs
+++ b/crates/quota/src/counter.rs
@@ -132,7 +132,7 @@
         self.remote.server_present(now, server);
     }
 
-    /// Records that a server left or was removed from the view, so that it counts no more requests.
+    /// Records that a server left or was removed from the view. It is assumed to count nothing more.
     pub fn server_gone(&mut self, now: Timestamp, server: &CompactString) {
         self.remote.server_gone(now, server);
     }
--- a/crates/quota/src/counter/estimate.rs
+++ b/crates/quota/src/counter/estimate.rs
@@ -1,6 +1,6 @@
 //! Estimated counts with error bounds.
 
-/// Estimate of how often a key was counted in the window.
+/// Estimate of how often a key was counted in the window, by one server or by the whole fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CountEstimate {
     /// Most likely count.
--- a/crates/quota/src/counter/remote_snapshot.rs
+++ b/crates/quota/src/counter/remote_snapshot.rs
@@ -68,7 +68,8 @@
         }
     }
 
-    /// Reports whether this snapshot is of another time slot than `known`, or has a more precise age.
+    /// Reports whether this snapshot is of a later time slot than `known`, or of the same one with a
+    /// more precise age. `known` must not be of a later time slot.
     pub(super) fn improves_on(&self, known: &RemoteSnapshot, now: Timestamp) -> bool {
         known.snapshot.time_slot != self.snapshot.time_slot
             || known.age(now).uncertainty() > self.age(now).uncertainty()
--- a/crates/quota/src/fleet_quotas.rs
+++ b/crates/quota/src/fleet_quotas.rs
@@ -1,9 +1,9 @@
 //! The state machine of a server's quotas: it routes messages between the budgets, the counters
 //! and the peers.
 //!
-//! It owns the budgets, the counters, the view of the peers and the queue of messages. It is
-//! given the time, changes of the view and datagrams, and returns datagrams, the time of its next
-//! timeout and events for the log. It does no I/O, reads no clock and starts no call itself.
+//! It owns the budgets, the counters, the view of the peers and the queue of outgoing messages.
+//! Its inputs are the time, changes of the view and datagrams. Its outputs are datagrams, the time
+//! of its next timeout and events for the log. It does no I/O, reads no clock and starts no calls.
 
 mod counter_polls;
 mod incarnations;
@@ -25,11 +25,11 @@
 pub use status::{BudgetEvent, BudgetView, Totals};
 use std::collections::BTreeMap;
 
-/// Interval of the regular work on budgets.
+/// Interval of the periodic work on budgets and counters.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Minimum time between two ticks of which the second is urgent: a peer waits for a message.
+/// Minimum time between a tick and an urgent one, which sends a message that a peer waits for.
 const MIN_URGENT_INTERVAL: Duration = Duration::from_millis(10);
-/// Upper bound on the events that wait for the log.
+/// Maximum number of events that wait to be logged.
 const MAX_PENDING_EVENTS: usize = 64;
 
 /// Settings of a server's quotas.
@@ -37,15 +37,15 @@
 pub struct Settings {
     /// Name of this server.
     pub name: CompactString,
-    /// A number that no other incarnation of any server has.
+    /// Incarnation number of this server, different from that of any other incarnation of any server.
     pub incarnation: u64,
-    /// The budgets.
+    /// Settings of the budgets.
     pub budgets: Vec<BudgetSettings>,
-    /// The counters.
+    /// Settings of the counters.
     pub counters: Vec<CounterSettings>,
 }
 
-/// This server's incarnation as the view of the fleet numbers it.
+/// Name of this server and its incarnation number in the membership view.
 struct OwnIdentity {
     incarnation: u64,
     server: CompactString,
@@ -61,7 +61,7 @@
     budgets: Vec<Budget>,
     counters: Vec<ReplicatedCounter>,
     is_surplus: bool,
-    /// The view has changed since the base quotas were assigned.
+    /// Whether the view has changed since the base quotas were assigned.
     view_changed: bool,
     ticked_at: Timestamp,
     next_tick: Timestamp,
@@ -72,7 +72,7 @@
 }
 
 impl FleetQuotas {
-    /// Creates the quotas of a server that starts at `now`. `seed` seeds the random choices of
+    /// Creates the quotas of a server that starts at `now`. `seed` initializes the random choices of
     /// peers and intervals.
     pub fn new(now: Timestamp, seed: u64, settings: Settings) -> FleetQuotas {
         let budgets = settings.budgets.iter().map(|b| {
@@ -105,47 +105,47 @@
         }
     }
 
-    /// The budgets, in the order of the settings.
+    /// Returns the budgets, in the order of the settings.
     pub fn budgets(&self) -> &[Budget] {
         &self.budgets
     }
 
-    /// The budgets, to count the starts and ends of calls.
+    /// Returns the budgets mutably, to count the starts and ends of calls.
     pub fn budgets_mut(&mut self) -> &mut [Budget] {
         &mut self.budgets
     }
 
-    /// One budget.
+    /// Returns one budget.
     pub fn budget(&self, budget: BudgetId) -> &Budget {
         &self.budgets[budget.index()]
     }
 
-    /// One budget, to count the starts and ends of its calls.
+    /// Returns one budget mutably, to count the starts and ends of its calls.
     pub fn budget_mut(&mut self, budget: BudgetId) -> &mut Budget {
         &mut self.budgets[budget.index()]
     }
 
-    /// One counter.
+    /// Returns one counter.
     pub fn counter(&self, counter: CounterId) -> &ReplicatedCounter {
         &self.counters[counter.index()]
     }
 
-    /// The counters, in the order of the settings.
+    /// Returns the counters, in the order of the settings.
     pub fn counters(&self) -> &[ReplicatedCounter] {
         &self.counters
     }
 
-    /// The counters, to count keys.
+    /// Returns the counters mutably, to count keys.
     pub fn counters_mut(&mut self) -> &mut [ReplicatedCounter] {
         &mut self.counters
     }
 
-    /// Totals of the datagrams and events since the start.
+    /// Returns the totals of datagrams and dropped events since the start.
     pub fn totals(&self) -> &Totals {
         &self.totals
     }
 
-    /// Replaces the view: this server's incarnation there, and all other servers.
+    /// Replaces the view: this server's incarnation number in it, and all other servers.
     pub fn set_view(&mut self, now: Timestamp, incarnation: u64, peers: Vec<Peer>) {
         self.set_incarnation(now, incarnation);
         for name in self.peers.names_missing_from(&peers) {
@@ -156,14 +156,14 @@
             .for_each(|peer| self.update_peer(now, peer));
     }
 
-    /// Sets this server's incarnation as the view numbers it.
+    /// Sets this server's incarnation number in the view.
     pub fn set_incarnation(&mut self, now: Timestamp, incarnation: u64) {
         if std::mem::replace(&mut self.own.incarnation, incarnation) != incarnation {
             self.assign_base_quotas(now);
         }
     }
 
-    /// The view holds a server, or holds it in another state than before.
+    /// Adds a server to the view, or updates its state there.
     pub fn update_peer(&mut self, now: Timestamp, peer: Peer) {
         self.counters
             .iter_mut()
@@ -172,7 +172,7 @@
         self.schedule_assignment();
     }
 
-    /// The view no longer holds a server, or the server has left.
+    /// Removes a server that has left or is no longer in the view.
     pub fn remove_peer(&mut self, now: Timestamp, name: &CompactString) {
         self.counters
             .iter_mut()
@@ -182,7 +182,8 @@
         }
     }
 
-    /// Applies changed sizes and weights. Added and removed budgets take a restart.
+    /// Applies changed settings, such as capacities and weights. Lease terms and slots do not change.
+    /// Adding or removing a budget requires a restart.
     pub fn reload(&mut self, now: Timestamp, budgets: &[BudgetSettings]) {
         for budget in &mut self.budgets {
             let name = &budget.settings().name;
@@ -194,7 +195,7 @@
         self.settings.budgets = self.budgets.iter().map(|b| b.settings().clone()).collect();
     }
 
-    /// When [`FleetQuotas::handle_timeout`] is to be called next.
+    /// Returns when [`FleetQuotas::handle_timeout`] must be called next.
     pub fn next_timeout(&self) -> Timestamp {
         let urgent = self
             .is_urgent()
@@ -207,12 +208,13 @@
         urgent.map_or(regular, |urgent| regular.min(urgent))
     }
 
-    /// Whether a peer waits for a message, which changes [`FleetQuotas::next_timeout`].
+    /// Reports whether a peer waits for a message, which may bring [`FleetQuotas::next_timeout`]
+    /// forward.
     pub fn is_urgent(&self) -> bool {
         self.budgets.iter().any(Budget::is_urgent)
     }
 
-    /// Does what is due at `now`.
+    /// Does the work that is due at `now`.
     pub fn handle_timeout(&mut self, now: Timestamp) {
         if now >= self.next_tick {
             self.next_tick = now + TICK_INTERVAL;
@@ -244,7 +246,8 @@
         }
         self.counters.iter_mut().for_each(|c| c.forget_expired(now));
         let incarnations = &mut self.incarnations;
-        // A peer that has sent nothing yet is asked too: its answer tells its incarnation.
+        // Units are also requested from peers that have sent nothing yet. Their answer contains their
+        // incarnation number.
         let active = self.peers.active().iter();
         let peers: Vec<_> = active.filter_map(|name| incarnations.id_of(name)).collect();
         let mut out = Outbox::new();
@@ -256,8 +259,8 @@
         self.record_events(now);
     }
 
-    /// Forgets incarnations that are over, or whose server the view no longer holds, once nothing
-    /// is open with them.
+    /// Removes incarnations that have ended, or whose server is no longer in the view, once they have
+    /// no outstanding grants or open leases.
     fn forget_retired_incarnations(&mut self, now: Timestamp) {
         let peers = &self.peers;
         self.incarnations
@@ -287,12 +290,12 @@
         }
     }
 
-    /// Takes the events since the last call.
+    /// Takes the events since the previous call of this function.
     pub fn take_events(&mut self) -> Vec<BudgetEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// The state of each budget.
+    /// Returns the state of each budget.
     pub fn budget_views(&self, now: Timestamp) -> Vec<BudgetView> {
         self.budgets
             .iter()
@@ -300,10 +303,11 @@
             .collect()
     }
 
-    /// The rate a second that this server may take of a rate of `per_second` for the whole fleet.
-    /// While the fleet stays within that rate, it is all that the others leave; otherwise it is a
-    /// fraction of the rate by what this server counts. `servers` is the number of servers that
-    /// share the rate.
+    /// Returns the rate per second that this server may use of the fleet-wide rate `per_second`.
+    ///
+    /// While the fleet stays within that rate, this is all that the other servers leave unused;
+    /// otherwise it is a fraction of the rate in proportion to this server's own count. `servers` is
+    /// the number of servers that share the rate.
     pub fn allowance(
         &self,
         now: Timestamp,
@@ -326,7 +330,7 @@
         (per_second - others).max(fraction).max(0.0)
     }
 
-    /// What the fleet counted of a key: see [`ReplicatedCounter::estimate`].
+    /// Estimates the count of a key over the whole fleet: see [`ReplicatedCounter::estimate`].
     pub fn estimate(
         &self,
         now: Timestamp,
--- a/crates/quota/src/fleet_quotas/counter_polls.rs
+++ b/crates/quota/src/fleet_quotas/counter_polls.rs
@@ -1,27 +1,28 @@
-//! Polls of random peers for counter snapshots.
+//! Schedules polls of random peers for counter snapshots.
 
 use crate::message::CounterPoll;
 use compact_str::CompactString;
 use madderbay::time::{Duration, Timestamp};
 
-/// Mean interval of the polls of a small fleet, and its lower bound in a large one.
+/// Mean interval between the polls that one server of a small fleet sends, and the lower bound on the
+/// mean interval in a large fleet.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Number of servers beyond which the interval falls with the size of the fleet.
+/// Number of servers above which the poll interval decreases with the size of the fleet.
 const SMALL_FLEET_SERVERS: usize = 24;
-/// Bounds of an interval, as fractions of the mean one.
+/// Lower bound and range of the random interval, as fractions of the mean interval.
 const MIN_INTERVAL_FRACTION: f64 = 0.75;
 const INTERVAL_FRACTION_RANGE: f64 = 0.5;
-/// A reply that takes longer is ignored.
+/// Time after which a poll is discarded, so that a later reply to it is ignored.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// A poll that is not answered yet.
+/// A poll that has not been answered yet.
 struct OpenPoll {
     id: u32,
     sent_at: Timestamp,
 }
 
-/// The open polls and the time of the next one.
+/// The open polls and the time of the next poll.
 pub(super) struct CounterPolls {
     next_poll: Timestamp,
     open: Vec<OpenPoll>,
@@ -41,7 +42,7 @@
         self.next_poll
     }
 
-    /// When an open poll was sent.
+    /// Returns when an open poll was sent.
     pub(super) fn sent_at(&self, id: u32) -> Option<Timestamp> {
         self.open
             .iter()
@@ -49,7 +50,7 @@
             .map(|poll| poll.sent_at)
     }
 
-    /// Schedules the next poll and starts one to a random peer, if there is any.
+    /// Schedules the next poll and starts a poll of a random peer, if there is one.
     pub(super) fn start(
         &mut self,
         now: Timestamp,
--- a/crates/quota/src/fleet_quotas/incarnations/tests.rs
+++ b/crates/quota/src/fleet_quotas/incarnations/tests.rs
@@ -1,4 +1,4 @@
-//! In which order identifiers are used again.
+//! The order in which identifiers are reused.
 
 use super::*;
 
@@ -15,7 +15,8 @@
     CompactString::from(format!("n{server}"))
 }
 
-/// The identifiers that servers get which come after as many have left in one tick.
+/// Returns the identifiers assigned to new incarnations of [`SERVERS`] servers after the former
+/// incarnations were all retired in one tick.
 fn reused_identifiers() -> Vec<Option<IncarnationId>> {
     let mut incarnations = Incarnations::default();
     for server in 0..SERVERS {
@@ -28,7 +29,8 @@
         .collect()
 }
 
-/// Identifiers were freed in the order of a hash table: a simulated run could not be repeated.
+/// Guards against freeing identifiers in the iteration order of a hash table, which made simulated
+/// runs irreproducible.
 #[test]
 fn identifiers_of_servers_that_leave_together_are_reused_in_a_fixed_order() {
     let first = reused_identifiers();
--- a/crates/quota/src/fleet_quotas/messaging.rs
+++ b/crates/quota/src/fleet_quotas/messaging.rs
@@ -1,4 +1,4 @@
-//! Datagrams in and out, and the routing of their messages.
+//! Receives and sends datagrams, and routes their messages.
 
 use super::FleetQuotas;
 use super::incarnations::PeerIdentity;
@@ -10,13 +10,14 @@
 use madderbay::time::Timestamp;
 use madderbay_membership::MAX_SUBSYSTEM_PAYLOAD_BYTES;
 
-/// Upper bound on the snapshots of other servers in one reply, as far as they fit a datagram.
+/// Maximum number of snapshots of other servers in one reply. Fewer are sent if they do not fit into
+/// the datagram.
 const MAX_REMOTE_SNAPSHOTS_PER_REPLY: usize = 10;
-/// Bytes of a datagram that are reserved for what surrounds the snapshots of a reply.
+/// Bytes of a datagram that are reserved for all data of a reply other than the snapshots.
 const REPLY_OVERHEAD_BYTES: usize = 40;
 
 impl FleetQuotas {
-    /// Handles a datagram from a server that the view holds as active.
+    /// Handles a datagram from a server that is active in the view.
     pub fn handle_datagram(&mut self, now: Timestamp, from: &CompactString, bytes: &[u8]) {
         self.totals.datagrams_received += 1;
         let Ok(datagram) = Datagram::decode(bytes) else {
@@ -51,7 +52,7 @@
         self.queue(out);
     }
 
-    /// Passes a message about leases to the budget that it names, if there is one.
+    /// Passes a lease message to the budget that it refers to, if there is one.
     fn handle_lease_message(
         &mut self,
         now: Timestamp,
@@ -66,8 +67,8 @@
         }
     }
 
-    /// Whether a message about leases is meant for this incarnation. A request may come from a
-    /// lessee that does not know the incarnation yet.
+    /// Reports whether a lease message is addressed to this incarnation. Requests with an unknown
+    /// receiver incarnation are accepted, because a lessee may not know it yet.
     fn is_meant_for(&self, to_incarnation: u64, message: &Message) -> bool {
         let is_request = matches!(message, Message::LeaseRequest(_));
         to_incarnation == self.settings.incarnation || to_incarnation == 0 && is_request
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Replies with as many snapshots as fit a datagram.
+    /// Replies with as many snapshots as fit into a datagram.
     fn reply_to_poll(&mut self, now: Timestamp, to: &CompactString, poll_id: u32) {
         let random = self.random.rand_float();
         let own = SnapshotSource {
@@ -116,7 +117,7 @@
             .push(Message::CounterReply(reply));
     }
 
-    /// Queues messages. Those to an incarnation that is over are dropped.
+    /// Queues messages. Messages to an incarnation that has ended are dropped.
     pub(super) fn queue(&mut self, out: Outbox) {
         for outgoing in out {
             if let Some(name) = self.incarnations.name_of_current(outgoing.to) {
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Takes the datagrams to be sent, each with the name of its receiver.
+    /// Takes the datagrams to send, each with the name of its receiver.
     pub fn take_datagrams(&mut self) -> Vec<(CompactString, Vec<u8>)> {
         let mut datagrams = vec![];
         for (to, messages) in std::mem::take(&mut self.queued) {
--- a/crates/quota/src/fleet_quotas/peers.rs
+++ b/crates/quota/src/fleet_quotas/peers.rs
@@ -1,22 +1,22 @@
-//! The other servers of the fleet, as the view holds them.
+//! The other servers of the fleet, according to the membership view.
 
 use compact_str::CompactString;
 use madderbay::time::{Duration, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One other server, as the view holds it.
+/// Another server of the fleet, according to the membership view.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Peer {
     /// Name of the server.
     pub name: CompactString,
-    /// Its incarnation, as the view numbers it.
+    /// Incarnation number of the server in the view.
     pub incarnation: u64,
-    /// Whether it is a member to which datagrams are sent; otherwise it is down and still
-    /// remembered.
+    /// Whether the server is a member to which datagrams are sent; otherwise it is down but still in
+    /// the view.
     pub active: bool,
 }
 
-/// A server that the view no longer holds.
+/// A server that is no longer in the view.
 struct LostPeer {
     incarnation: u64,
     lost_at: Timestamp,
@@ -26,13 +26,14 @@
 #[derive(Default)]
 pub(super) struct PeerTable {
     peers: BTreeMap<CompactString, Peer>,
-    /// Names of the active peers, in a random order, so that not all servers ask the same peer.
+    /// Names of the active peers, in a random order, so that not all servers send their requests to
+    /// the same peer.
     active: Vec<CompactString>,
     lost: BTreeMap<CompactString, LostPeer>,
 }
 
 impl PeerTable {
-    /// Names of the known peers that are not among `peers`.
+    /// Returns the names of the stored peers that are not among `peers`.
     pub(super) fn names_missing_from(&self, peers: &[Peer]) -> Vec<CompactString> {
         let present: BTreeSet<&CompactString> = peers.iter().map(|peer| &peer.name).collect();
         self.peers
@@ -42,7 +43,7 @@
             .collect()
     }
 
-    /// Adds or replaces a peer. Draws one random number for each that becomes active.
+    /// Adds or replaces a peer. Draws one random number if the peer becomes active.
     pub(super) fn update(&mut self, peer: Peer, random: &mut oorandom::Rand64) {
         let name = peer.name.clone();
         let is_active = peer.active;
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Removes a peer and says whether it was known.
+    /// Removes a peer and reports whether it was in the table.
     pub(super) fn remove(&mut self, now: Timestamp, name: &CompactString) -> bool {
         let Some(peer) = self.peers.remove(name) else {
             return false;
@@ -76,28 +77,28 @@
         self.peers.contains_key(name)
     }
 
-    /// Names of the active peers.
+    /// Returns the names of the active peers.
     pub(super) fn active(&self) -> &[CompactString] {
         &self.active
     }
 
-    /// Whether any lost peer is remembered.
+    /// Reports whether any lost peer is still stored.
     pub(super) fn has_lost(&self) -> bool {
         !self.lost.is_empty()
     }
 
-    /// Forgets peers that were lost `max_age` ago or earlier.
+    /// Deletes the peers that were lost `max_age` ago or earlier.
     pub(super) fn forget_lost(&mut self, now: Timestamp, max_age: Duration) {
         self.lost.retain(|_, lost| now - lost.lost_at < max_age);
     }
 
-    /// Peers of the view.
+    /// Returns the peers that are in the view.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Peer> {
         self.peers.values()
     }
 
-    /// Names and incarnations of the servers that the view holds, or that are lost and still
-    /// remembered.
+    /// Returns the names and incarnations of the servers that are in the view, and of the lost ones
+    /// that are still stored.
     pub(super) fn known_servers(&self) -> impl Iterator<Item = (&CompactString, u64)> {
         let present = self
             .peers
--- a/crates/quota/src/fleet_quotas/slot_assignment.rs
+++ b/crates/quota/src/fleet_quotas/slot_assignment.rs
@@ -1,18 +1,19 @@
-//! Which servers have base quotas.
+//! Decides which servers have base quotas.
 //!
 //! A server with a configured slot has that slot's base quota, unless an earlier server has the
-//! same slot. A server without one has a base quota unless there are `max_servers` earlier
-//! servers in the view. Servers that are lost count until all that they had is over.
+//! same slot. A server without a slot has a base quota unless there are `max_servers` earlier
+//! servers in the view. Lost servers are included until all their grants and calls have ended.
 
 use super::{FleetQuotas, MIN_URGENT_INTERVAL};
 use crate::budget::{Budget, BudgetSettings};
 use compact_str::CompactString;
 use madderbay::time::{Duration, Timestamp};
 
-/// Time in which a view settles: until then a server without a slot does not know all others.
+/// Time until the view of a new server is complete. Before, a server without a slot may not know all
+/// other servers.
 const VIEW_SETTLING_TIME: Duration = Duration::from_millis(2_000);
 
-/// How long a server waits for its view before it uses its base quota.
+/// Returns how long a server waits for a complete view before it uses its base quota.
 pub(super) fn settling_time(budget: &BudgetSettings) -> Duration {
     if budget.slot.is_some() {
         Duration::ZERO
@@ -28,18 +29,19 @@
         self.is_surplus
     }
 
-    /// The configured slot of this server.
+    /// Returns the configured slot of this server.
     pub(super) fn own_slot(&self) -> Option<u32> {
         self.settings.budgets.iter().find_map(|b| b.slot)
     }
 
-    /// Assigns base quotas soon. Changes of the view that come together are handled together.
+    /// Schedules an early assignment of base quotas. Changes of the view that arrive at about the same
+    /// time are handled together.
     pub(super) fn schedule_assignment(&mut self) {
         self.view_changed = true;
         self.next_tick = self.next_tick.min(self.ticked_at + MIN_URGENT_INTERVAL);
     }
 
-    /// Forgets peers that were lost so long ago that none of their calls is in flight.
+    /// Deletes peers that were lost so long ago that none of their calls is still in flight.
     pub(super) fn forget_lost_peers(&mut self, now: Timestamp) {
         let holds = self
             .budgets
@@ -71,7 +73,7 @@
         }
     }
 
-    /// Whether a server started before this one, as far as the view tells.
+    /// Reports whether a server started before this one, according to the incarnations in the view.
     fn is_earlier(&self, name: &CompactString, incarnation: u64) -> bool {
         (incarnation, name) < (self.own.incarnation, &self.own.server)
     }
@@ -89,7 +91,8 @@
 fn assign_base_quota(budget: &mut Budget, now: Timestamp, units: u32) {
     let before = budget.ledger().eventual_base_quota();
     if units > before && before == 0 {
-        // The server that had it may still have granted it, or have calls in flight on it.
+        // The server that had this base quota before may still have granted units of it or have calls
+        // in flight on them.
         let hold = now + budget.settings().terms.lessor_hold();
         let usable_from = hold.max(budget.ledger().usable_from());
         budget.set_base_quota(units, Some(usable_from));
--- a/crates/quota/src/fleet_quotas/status.rs
+++ b/crates/quota/src/fleet_quotas/status.rs
@@ -1,10 +1,10 @@
-//! What the quotas report: events for the log, views of the budgets, totals.
+//! Status reports: events for the log, the state of the budgets, and totals.
 
 use crate::budget::{Budget, ChangeCause, UsableChange};
 use compact_str::CompactString;
 use madderbay::time::{Duration, Timestamp};
 
-/// A change of a budget's usable units, for the log.
+/// A change of a budget's usable units, reported in the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BudgetEvent {
     /// Name of the budget.
@@ -13,11 +13,11 @@
     pub usable_before: u32,
     /// Usable units after the change.
     pub usable_after: u32,
-    /// Why they changed.
+    /// Cause of the change.
     pub cause: ChangeCause,
-    /// Units granted to others after the change.
+    /// Units granted to other servers after the change.
     pub granted: u32,
-    /// Units leased from others after the change.
+    /// Units leased from other servers after the change.
     pub leased: u32,
 }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// The event of the log line with its values, as the operators' page quotes it.
+/// Formats the event and the values of the log line, as quoted in the operators' documentation.
 impl std::fmt::Display for BudgetEvent {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         let BudgetEvent {
@@ -62,17 +62,17 @@
     pub capacity: u32,
     /// Base quota in units; 0 until it is usable.
     pub base_quota: u32,
-    /// Units granted to others.
+    /// Units granted to other servers.
     pub granted: u32,
-    /// Units leased from others.
+    /// Units leased from other servers.
     pub leased: u32,
     /// Calls that may be in flight on this server.
     pub usable: u32,
     /// Calls in flight on this server.
     pub in_use: u32,
-    /// Calls that this server has work for, with some headroom.
+    /// Calls that this server has in flight or wants to start, with some headroom.
     pub demand: u32,
-    /// Time since a message about this budget arrived, from any server.
+    /// Time since the latest message about this budget arrived from any server.
     pub since_contact: Option<Duration>,
     /// Time until the base quota is usable.
     pub until_usable: Duration,
@@ -104,12 +104,13 @@
     pub datagrams_received: u64,
     /// Datagrams that could not be decoded.
     pub datagrams_rejected: u64,
-    /// Messages for another incarnation of this server, and datagrams of too many incarnations.
+    /// Lease messages addressed to another incarnation of this server, plus datagrams that were dropped
+    /// because there were too many incarnations.
     pub misdirected: u64,
     /// Datagrams sent.
     pub datagrams_sent: u64,
     /// Bytes of the datagrams sent.
     pub bytes_sent: u64,
-    /// Events that were dropped because too many waited for the log.
+    /// Events that were dropped because too many were waiting to be logged.
     pub events_dropped: u64,
 }
--- a/crates/quota/src/ledger/tests.rs
+++ b/crates/quota/src/ledger/tests.rs
@@ -24,7 +24,7 @@
 fn lease_starts_at_the_request_and_lessor_holds_units_until_the_longest_call_has_ended() {
     let (mut a, mut b) = (ledger(4), ledger(2));
     let request = b.new_request(at(0), LESSOR);
-    // The answer is made late and arrives late.
+    // The request is answered late, and the answer arrives late.
     assert_eq!(a.answer_request(at(400), LESSEE, request, 3), Some(3));
     assert_eq!((a.usable(at(400)), a.granted(at(400))), (1, 3));
     assert_eq!(b.accept_grant(at(700), LESSOR, request, 3), Ok(()));
@@ -32,7 +32,7 @@
     assert_eq!(
         again,
         Err(RejectedGrant::UnknownRequest),
-        "a grant is accepted once"
+        "a grant is accepted only once"
     );
     assert_eq!((b.usable(at(949)), b.usable(at(950))), (5, 2));
     let over = at(400) + TERMS.lessor_hold();
@@ -55,11 +55,11 @@
     );
     assert_eq!(a.answer_request(at(30), LESSEE, 1, 3), None);
     let other = a.answer_request(at(40), OTHER_LESSEE, 1, 4);
-    assert_eq!(other, Some(1), "no more than there is");
+    assert_eq!(other, Some(1), "no more than the idle units");
 }
 
-/// However often a lessee requests more or less within a lease, it is answered, and units that
-/// may still be in use stay held back.
+/// Every request of a lessee within one lease is answered, whether it asks for more or fewer units,
+/// and units that may still be in use are held back.
 #[test]
 fn many_requests_within_one_lease_are_answered() {
     let mut a = ledger(40);
@@ -71,7 +71,11 @@
         let now = at(40 + u64::from(n));
         let granted = a.answer_request(now, LESSEE, 40 + n, 40 - n);
         assert_eq!(granted, Some(40 - n), "less each time");
-        assert_eq!(a.granted(now), 40, "calls on the largest may be in flight");
+        assert_eq!(
+            a.granted(now),
+            40,
+            "calls on the largest grant may be in flight"
+        );
     }
     assert_eq!(a.granted(at(80) + TERMS.lessor_hold()), 0);
     a.handle_return(LESSEE, 40, 0);
@@ -103,7 +107,11 @@
     (0..3).for_each(|_| b.call_started());
     b.release(LESSOR, 1);
     let state = (b.usable(at(2)), b.take_returns(at(2)));
-    assert_eq!(state, (1, vec![]), "two calls too many are in flight");
+    assert_eq!(
+        state,
+        (1, vec![]),
+        "two calls beyond the kept unit are in flight"
+    );
     (0..2).for_each(|_| b.call_ended());
     let returns = b.take_returns(at(3));
     let expected = LeaseReturn {
@@ -114,7 +122,7 @@
     assert_eq!(returns, vec![expected]);
     a.handle_return(LESSEE, first, 1);
     assert_eq!(a.usable(at(4)), 3);
-    // A later grant is larger; the former grant's return arrives again and takes nothing of it.
+    // A later grant is larger. A duplicate return of the former grant does not reduce it.
     let second = b.new_request(at(5), LESSOR);
     assert_eq!(a.answer_request(at(5), LESSEE, second, 4), Some(4));
     a.handle_return(LESSEE, first, 1);
@@ -128,7 +136,7 @@
     let mut a = Ledger::new(TERMS, 4, at(0) + TERMS.lessor_hold());
     assert_eq!((a.usable(at(3_059)), a.usable(at(3_060))), (0, 4));
     assert_eq!(a.answer_request(at(100), LESSEE, 1, 4), Some(0));
-    // A server that is gone is forgotten once nothing is open with it.
+    // A removed server is deleted from the ledger once it has no outstanding grants.
     a.forget(at(100), |_| true);
     assert!(a.is_empty());
 }
--- a/crates/quota/src/ledger/tests/lease_model.rs
+++ b/crates/quota/src/ledger/tests/lease_model.rs
@@ -1,7 +1,6 @@
-//! Three ledgers and everything that may happen between them, explored exhaustively: requests,
-//! grants and returns that are lost, doubled and delayed, servers that pause, crash and restart
-//! without state, calls that stay in flight upstream for as long as they may. Every decision of
-//! every server is tried in every order.
+//! Model checking of three ledgers. All interleavings of the decisions of all servers are explored,
+//! with requests, grants and returns that are lost, duplicated and delayed, servers that pause,
+//! crash and restart without state, and calls that stay in flight upstream for as long as allowed.
 
 mod defect;
 mod world;
@@ -109,7 +108,7 @@
             [UNITS_ARE_LEASED, UNITS_ARE_REUSED],
             "{faults:?}"
         );
-        assert!(states > 10_000, "{states} states are no exploration");
+        assert!(states > 10_000, "only {states} states explored");
         println!("{faults:?}: {states} states");
     }
 }
--- a/crates/quota/src/ledger/tests/lease_model/defect.rs
+++ b/crates/quota/src/ledger/tests/lease_model/defect.rs
@@ -1,20 +1,21 @@
-//! Defects that may be planted into the ledgers, to show that the model finds them.
+//! Known defects that can be planted in the ledgers, to verify that the model finds them.
 
 use crate::ledger::*;
 
-/// A defect, or none.
+/// A known defect, or none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Defect {
     None,
-    /// A lease counts from the receipt of its grant.
+    /// A lease lasts from the receipt of its grant instead of from its request.
     LeaseFromReceipt,
-    /// A return subtracts the returned units each time that it arrives.
+    /// A return subtracts the returned units each time it arrives, so that a duplicate subtracts them
+    /// again.
     ReturnSubtracts,
-    /// A restarted server uses its base quota at once.
+    /// A restarted server uses its base quota at once, without the startup wait.
     NoStartupWait,
 }
 
-/// Plants [`Defect::LeaseFromReceipt`].
+/// Implements [`Defect::LeaseFromReceipt`]: sets the time of the pending request to `now`.
 pub(super) fn restart_pending_request(ledger: &mut Ledger, now: Timestamp, lessor: IncarnationId) {
     let lease = ledger.leases.get_mut(&lessor);
     if let Some(request) = lease.and_then(|lease| lease.pending_request.as_mut()) {
@@ -22,7 +23,7 @@
     }
 }
 
-/// Plants [`Defect::ReturnSubtracts`].
+/// Implements [`Defect::ReturnSubtracts`]: subtracts `units` from the returned grants.
 pub(super) fn subtract_return(
     ledger: &mut Ledger,
     lessee: IncarnationId,
--- a/crates/quota/src/ledger/tests/lease_model/world.rs
+++ b/crates/quota/src/ledger/tests/lease_model/world.rs
@@ -1,12 +1,12 @@
-//! The state of the model: servers, calls upstream and messages in transit, and what each step
-//! does to them.
+//! The state of the model (servers, upstream calls and messages in transit) and its transitions.
 
 use super::defect::{Defect, restart_pending_request, subtract_return};
 use crate::ledger::*;
 use madderbay::time::Duration;
 
 const SERVERS: usize = 3;
-/// One server has all units, so that every call of another is on a lease.
+/// Base quotas of the servers. One server has all units, so that every call of another server needs a
+/// lease.
 const BASE_QUOTAS: [u32; SERVERS] = [2, 0, 0];
 pub(super) const CAPACITY: usize = 2;
 const TERMS: LeaseTerms = LeaseTerms {
@@ -14,14 +14,14 @@
     max_call: Duration::from_micros(1),
     guard: Duration::ZERO,
 };
-/// Bounds of one history.
+/// Limits on the length of one history.
 const MAX_TICKS: u64 = 5;
 const INITIAL_LEASES_EXPIRED_TICK: u64 = 4;
 const MAX_ENVELOPES_IN_TRANSIT: usize = 2;
 const MAX_REQUESTS: u8 = 2;
 const MAX_RETURNS: u8 = 1;
 
-/// Faults that may still be injected into a history.
+/// Number of faults that may still be injected into a history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct FaultBudget {
     pub(super) pauses: u8,
@@ -46,7 +46,7 @@
     },
 }
 
-/// A server in one incarnation.
+/// One incarnation of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Address {
     server: usize,
@@ -65,7 +65,7 @@
     ledger: Ledger,
     incarnation: u8,
     paused: bool,
-    /// Calls that ended during a pause; the ledger counts them when the server resumes.
+    /// Calls that ended while the server was paused. The ledger counts their ends when it resumes.
     uncounted_ends: u32,
 }
 
@@ -102,7 +102,7 @@
     Crash { server: usize },
 }
 
-/// Each incarnation of a server is another peer.
+/// Returns a different identifier for each incarnation of each server.
 fn incarnation_id(of: Address) -> IncarnationId {
     IncarnationId(of.server as u32 * 10 + u32::from(of.incarnation))
 }
@@ -147,7 +147,7 @@
             .count()
     }
 
-    /// Whether a lease that was granted at the start is over.
+    /// Reports whether a lease that was granted at the start has expired.
     pub(super) fn initial_leases_expired(&self) -> bool {
         self.now >= INITIAL_LEASES_EXPIRED_TICK
     }
@@ -156,7 +156,7 @@
         self.requests > 0
     }
 
-    /// Appends all steps that may be next.
+    /// Appends all steps that are possible in this state.
     pub(super) fn push_steps(&self, steps: &mut Vec<Step>) {
         if self.now < MAX_TICKS {
             steps.push(Step::Tick);
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Takes a step; `None` where it is impossible.
+    /// Applies a step. Returns `None` if it is impossible in this state.
     pub(super) fn apply(&mut self, step: Step, defect: Defect) -> Option<()> {
         match step {
             Step::Tick => self.tick(),
@@ -299,7 +299,7 @@
                 if defect == Defect::LeaseFromReceipt {
                     restart_pending_request(&mut server.ledger, now, from);
                 }
-                // A rejected grant changes nothing, as in the server.
+                // As in the server, a rejected grant has no effect.
                 let _ = server.ledger.accept_grant(now, from, request_id, units);
             }
             ModelMessage::Return {
@@ -326,7 +326,7 @@
         (0..ends).for_each(|_| server.ledger.call_ended());
     }
 
-    /// The server restarts at once, without state; its calls stay in flight upstream.
+    /// Restarts the server at once, without its state. Its calls stay in flight upstream.
     fn crash(&mut self, server: usize, defect: Defect) {
         self.faults.crashes -= 1;
         let no_wait = defect == Defect::NoStartupWait;
@@ -345,7 +345,7 @@
         };
     }
 
-    /// Appends the steps that one server may take.
+    /// Appends the steps that are possible for one server.
     fn push_server_steps(&self, at: usize, steps: &mut Vec<Step>) {
         let (now, server) = (self.time(), &self.servers[at]);
         if server.paused {
@@ -367,7 +367,7 @@
         if self.in_transit.len() == MAX_ENVELOPES_IN_TRANSIT {
             return;
         }
-        // The server that has all units never needs to request any.
+        // The server that has all units never requests any.
         if at > 0 && self.requests < MAX_REQUESTS {
             steps.extend((1..=2).map(|units| Step::Request {
                 from: at,
--- a/crates/quota/src/message/tests.rs
+++ b/crates/quota/src/message/tests.rs
@@ -1,4 +1,4 @@
-//! Datagrams that an earlier version sent: see `tests/data/README.md`.
+//! Compatibility with datagrams that an earlier version sent: see `tests/data/README.md`.
 
 use super::*;
 
@@ -11,7 +11,8 @@
     0x1234_5678_9abc_0002,
 ];
 
-/// A recorded datagram with one message, from the server in one slot to that in another.
+/// Returns a datagram with one message from the server in `from_slot` to the server in `to_slot`, as
+/// in the recorded fleet.
 fn datagram(from_slot: u32, to_slot: u32, message: Message) -> Datagram {
     let incarnation = |slot: u32| INCARNATIONS[slot as usize - 1];
     Datagram {
@@ -22,7 +23,7 @@
     }
 }
 
-/// The bytes decode to the datagram, and the datagram encodes to the bytes.
+/// Checks that the bytes decode to the datagram and that the datagram encodes to the bytes.
 fn check_codec(bytes: &[u8], expected: &Datagram) {
     assert_eq!(Datagram::decode(bytes).as_ref(), Ok(expected));
     assert_eq!(expected.encode().as_deref(), Ok(bytes));
@@ -108,11 +109,11 @@
     let decoded = Datagram::decode(bytes).expect("decoded");
     assert_eq!(decoded.encode().as_deref(), Ok(bytes.as_slice()));
     let [Message::CounterReply(reply)] = decoded.messages.as_slice() else {
-        panic!("another message: {decoded:?}");
+        panic!("unexpected messages: {decoded:?}");
     };
     assert_eq!(reply.poll_id, 3);
     let [own, all_listed, unlisted] = reply.snapshots.as_slice() else {
-        panic!("three servers counted: {reply:?}");
+        panic!("expected snapshots of three servers: {reply:?}");
     };
     assert_eq!(
         (own.server.as_str(), own.incarnation, own.time_slot),
--- a/crates/quota/src/water_filling/tests.rs
+++ b/crates/quota/src/water_filling/tests.rs
@@ -30,13 +30,17 @@
         "no more than the demand"
     );
     let tie = [claim(3, 9, 1.0, 0), claim(3, 9, 1.0, 1)];
-    assert_eq!(max_min_shares(1, &tie), [0, 1], "a tie moves nothing");
+    assert_eq!(
+        max_min_shares(1, &tie),
+        [0, 1],
+        "at a tie the unit stays with its lessee"
+    );
     assert_eq!(max_min_shares(4, &[]), [0u32; 0]);
 }
 
 #[test]
 fn excess_grants_are_halved_and_one_excess_unit_is_tolerated() {
-    // One lessee has all units; another arrives with as much demand.
+    // One lessee has all units; another lessee with the same demand is added.
     assert_eq!(
         next_grants(12, &[claim(0, 20, 1.0, 12), claim(0, 20, 1.0, 0)]),
         [9, 6]
@@ -47,6 +51,6 @@
     );
     // The lessor needs units itself and takes them back at once.
     assert_eq!(next_grants(2, &[claim(0, 20, 1.0, 12)]), [2]);
-    // No other lessee wants the excess.
+    // No other lessee has demand for the excess.
     assert_eq!(next_grants(12, &[claim(0, 4, 1.0, 6)]), [6]);
 }
--- a/crates/quota/tests/fleet.rs
+++ b/crates/quota/tests/fleet.rs
@@ -1,6 +1,6 @@
-//! Budgets of simulated fleets: every script under `tests/shared`, over many seeds on clocks that
-//! drift apart, and random histories. `crates/server/tests/shared` plays the same scripts on
-//! real processes.
+//! Budgets of simulated fleets: runs every script under `tests/shared` with many seeds and drifting
+//! clocks, and random histories. `crates/server/tests/shared` runs the same scripts with real
+//! processes.
 
 mod support;
 
@@ -19,11 +19,11 @@
     let (scripts, failed) = run_all_scripts(&folder, SEEDS);
     assert!(
         scripts >= 10 || std::env::var("FLEET_SCRIPT").is_ok(),
-        "scripts are found"
+        "only {scripts} scripts found"
     );
     assert!(
         failed.is_empty(),
-        "{} plays failed:\n{}",
+        "{} runs failed:\n{}",
         failed.len(),
         failed.join("\n")
     );
@@ -34,7 +34,7 @@
     FleetSetup::with_budget(servers, capacity, Duration::from_millis(call_ms))
 }
 
-/// Each of the servers has demand for more than its base quota.
+/// Servers whose demand exceeds their base quotas join within 7 s.
 #[test]
 fn joining_servers_use_the_capacity_and_never_exceed_it() {
     let (servers, capacity) = (300, 600);
@@ -42,7 +42,7 @@
     for server in 0..servers {
         act(&mut sim, start(server));
         act(&mut sim, Action::Demand(server, 10));
-        // All join within 7 s.
+        // 300 servers in batches of 15, one batch every 330 ms: all join within 7 s.
         if server % 15 == 14 {
             sim.run(Duration::from_millis(330));
         }
@@ -59,9 +59,9 @@
     assert!(sim.peak <= capacity, "{} in flight", sim.peak);
 }
 
-/// Random histories: crashes, pauses longer than a lease, partitions in one direction and both,
-/// loss, duplication, delays of up to a second, old datagrams, changing demand. The command
-/// `--example quotas simulated-histories` plays ten thousand.
+/// Runs random histories with crashes, pauses longer than a lease, partitions in one or both
+/// directions, loss, duplication, delays of up to a second, old datagrams and changing demand. The
+/// command `--example quotas simulated-histories` runs ten thousand.
 #[test]
 fn random_histories_never_exceed_the_capacity() {
     for seed in 0..150u64 {
--- a/crates/quota/tests/recorded_histories.rs
+++ b/crates/quota/tests/recorded_histories.rs
@@ -1,5 +1,6 @@
-//! Histories of three servers with fixed seeds and times, against the record of an earlier
-//! version: the same decisions, estimates and datagrams, byte for byte. See `data/README.md`.
+//! Replays histories of three servers with fixed seeds and times, and compares them with the record
+//! of an earlier version: decisions, estimates and datagrams must be the same, byte for byte. See
+//! `data/README.md`.
 
 use madderbay::time::{Duration, Timestamp};
 use madderbay_quota::{
@@ -11,7 +12,7 @@
 const NAMES: [&str; SERVERS] = ["north-1", "north-2", "south-1"];
 const END_MS: u64 = 12_000;
 const PHASE_MS: u64 = 2_000;
-/// Calls that each server has work for, by phase and budget.
+/// Calls that each server has in flight or wants to start, by phase and budget.
 const DEMAND: [[[u32; SERVERS]; 2]; 6] = [
     [[0, 0, 0], [0, 0, 0]],
     [[30, 0, 2], [5, 5, 5]],
@@ -20,9 +21,10 @@
     [[12, 12, 12], [3, 3, 3]],
     [[0, 0, 40], [0, 7, 0]],
 ];
-/// Keys that each server counts, and counts a millisecond: few keys at the first, more than a
-/// snapshot lists at the second, more than a time slot lists at the third.
+/// Number of different keys that each server counts: few on the first server, more than a snapshot
+/// lists on the second, and more than a time slot lists on the third.
 const KEYS: [u64; SERVERS] = [6, 40, 2_000];
+/// Counts of each server per millisecond.
 const COUNTS_PER_MS: [usize; SERVERS] = [1, 2, 6];
 const KEY: &str = "tenant-3";
 
@@ -62,7 +64,7 @@
     ends_at: u64,
     server: usize,
     budget: BudgetId,
-    /// The caller's incarnation, as the view numbers it.
+    /// Incarnation number of the caller in the view.
     incarnation: u64,
 }
 
@@ -77,13 +79,13 @@
     with_slots: bool,
     now: u64,
     servers: Vec<FleetQuotas>,
-    /// Incarnations, as the view numbers them.
+    /// Incarnation numbers of the servers in the view.
     incarnations: [u64; SERVERS],
     random: oorandom::Rand64,
     calls: Vec<Call>,
     in_transit: Vec<InTransit>,
     lines: Vec<String>,
-    /// All datagrams, each after the positions of its sender and receiver.
+    /// All datagrams that were sent, each preceded by the indices of its sender and receiver.
     sent: Vec<Vec<u8>>,
 }
 
@@ -107,7 +109,7 @@
         history
     }
 
-    /// A server that starts now, with a view of all others.
+    /// Returns a server that starts now, with a view of all other servers.
     fn start_server(&self, server: usize, incarnation: u64) -> FleetQuotas {
         let settings = settings(server, incarnation, self.with_slots);
         let mut quotas = FleetQuotas::new(at(self.now), 7 + incarnation, settings);
@@ -232,7 +234,8 @@
         }
     }
 
-    /// Of twenty datagrams one is lost, one is doubled and late, one is cut short.
+    /// Sends the datagrams of a server. Of twenty datagrams, one on average is lost, one is duplicated
+    /// with a late second copy, and one is truncated.
     fn send(&mut self, from: usize) {
         for (to, mut bytes) in self.servers[from].take_datagrams() {
             let to = NAMES.iter().position(|name| *name == to).expect("a server");
@@ -337,7 +340,7 @@
     )
 }
 
-/// An event in the words of the log at the time of the record.
+/// Formats an event in the wording of the log at the time of the record.
 fn recorded_event(event: &BudgetEvent) -> String {
     let cause = match event.cause {
         ChangeCause::Leased => "borrowed",
@@ -353,7 +356,7 @@
     )
 }
 
-/// Compares line by line, so that a failure names the first difference.
+/// Compares line by line, so that a failure reports the first difference.
 fn assert_same_lines(replayed: &str, recorded: &str) {
     for (number, (replayed, recorded)) in replayed.lines().zip(recorded.lines()).enumerate() {
         assert_eq!(replayed, recorded, "line {}", number + 1);
--- a/crates/quota/tests/replicated_counter.rs
+++ b/crates/quota/tests/replicated_counter.rs
@@ -1,5 +1,6 @@
-//! Counters of simulated fleets against the true counts: always within the error bound, through
-//! loss, partitions, crashes and pauses. And counters alone: snapshots in any order, many keys.
+//! Compares the counters of simulated fleets with the true counts: estimates must stay within their
+//! error bounds through loss, partitions, crashes and pauses. Also tests single counters with
+//! snapshots in any order and with many keys.
 
 mod support;
 
@@ -11,10 +12,10 @@
 use support::{act, start};
 
 const WINDOW: Duration = Duration::from_millis(5_000);
-/// Interval at which all servers' estimates are compared with the true counts.
+/// Interval at which the estimates of all servers are compared with the true counts.
 const CHECK_INTERVAL_MS: u64 = 250;
 
-/// A fleet of `servers` with one counter, all started and in one view.
+/// Returns a fleet of `servers` with one counter. All servers have started and have the same view.
 fn settled_fleet(servers: usize, seed: u64) -> SimulatedFleet {
     let down_retention = Duration::from_millis(30_000);
     let setup = FleetSetup {
@@ -32,7 +33,7 @@
     sim
 }
 
-/// A server's estimate of a key. The simulation compares it with the true count.
+/// Returns a running server's estimate of a key, which the simulation compares with the true count.
 fn estimate(sim: &mut SimulatedFleet, server: usize, key: u32, fair_rate: f64) -> CountEstimate {
     try_estimate(sim, server, key, fair_rate).expect("a running server")
 }
@@ -46,12 +47,13 @@
     sim.checked_estimate(server, key, fair_rate)
 }
 
-/// Requests of a key arrive at a server from now on.
+/// Sets the rate at which requests with a key arrive at a server from now on.
 fn set_rate(sim: &mut SimulatedFleet, server: usize, key: u32, per_second: f64) {
     sim.set_request_rate(server, key, per_second);
 }
 
-/// Lets time pass while all running servers' estimates stay within their bounds.
+/// Advances the simulation and checks that the estimates of all running servers stay within their
+/// bounds.
 fn check_estimates_for(sim: &mut SimulatedFleet, keys: &[u32], ms: u64) {
     for _ in 0..ms / CHECK_INTERVAL_MS {
         sim.run(Duration::from_millis(CHECK_INTERVAL_MS));
@@ -114,8 +116,8 @@
     }
 }
 
-/// The estimate of partitioned servers decays to their fair rate: never to nothing, and it does
-/// not stay at their last rate.
+/// The estimate for partitioned servers decays to their fair rate. It neither drops to zero nor stays
+/// at their last known rate.
 #[test]
 fn stale_servers_decay_to_their_fair_rate() {
     let servers = 4;
@@ -131,7 +133,8 @@
     let soon = value(&mut sim);
     sim.run(Duration::from_millis(17_000));
     let late = value(&mut sim);
-    // Its own 250, and 50 of each of three others, which have a fair rate of 10 a second.
+    // 250 counts of the server itself, and 50 of each of the three others, whose fair rate is 10 per
+    // second.
     assert!(
         soon > late && (395.0..460.0).contains(&late),
         "{soon} and {late}"
@@ -166,7 +169,8 @@
     Timestamp::from_micros(1_000_000 + ms * 1_000)
 }
 
-/// A hundred thousand keys: memory is bounded, and heavy keys are exact to the stated error.
+/// Counts a hundred thousand keys: memory is bounded, and the estimates of heavy keys are within their
+/// error bounds.
 #[test]
 fn many_keys_take_bounded_memory() {
     let mut counter = ReplicatedCounter::new(at(0), settings());
@@ -179,7 +183,7 @@
         }
         if ms % 10 == 0 {
             counter.add(at(ms), heavy, 1);
-            // The window of the estimate at the end: time slots 3 to 12.
+            // The window of the final estimate: time slots 3 to 12.
             truth += u32::from((1_500..6_500).contains(&ms));
         }
     }
@@ -199,7 +203,7 @@
     assert!(counter.heaviest_keys(1_000).len() <= 256 * 14);
 }
 
-/// Snapshots of five servers, each in two incarnations, at three times.
+/// Returns snapshots of five servers, each with two incarnations, at three times.
 fn snapshots_of_five_servers(key: u32) -> Vec<CounterSnapshot> {
     let mut snapshots = vec![];
     for server in 0..5u64 {
@@ -250,7 +254,8 @@
     }
 }
 
-/// The largest possible incarnation supersedes the former ones like any later one. A peer may send it.
+/// The largest possible incarnation number, which a peer may send, supersedes smaller ones like any
+/// other.
 #[test]
 fn largest_incarnation_supersedes_former_ones() {
     let key = name_hash("acme");
--- a/crates/quota/tests/support/mod.rs
+++ b/crates/quota/tests/support/mod.rs
@@ -1,15 +1,15 @@
-//! Steps that the tests on simulated fleets share.
+//! Helpers shared by the tests on simulated fleets.
 
 use madderbay::time::Duration;
 use madderbay_testkit::fleet::script::{Action, Fleet};
 use madderbay_testkit::fleet::simulated::SimulatedFleet;
 
-/// Does something to the fleet that can't fail.
+/// Applies an action that must succeed.
 pub(crate) fn act(sim: &mut SimulatedFleet, act: Action) {
     sim.act(&act).expect("done");
 }
 
-/// Starts a server under its own name, with a clock that is right.
+/// Returns the action that starts a server under its own name, with a clock offset of zero.
 pub(crate) fn start(server: usize) -> Action {
     Action::Start {
         who: server,
