--- a/crates/quota/src/budget.rs
+++ b/crates/quota/src/budget.rs
@@ -287,9 +287,9 @@
         }
     }
 
-    /// Reports whether the calls in flight and waiting need all usable units, so that a further call
-    /// would find none. Grants are recalled only then; otherwise short bursts of work would move the
-    /// same units back and forth.
+    /// Reports whether the calls in flight and waiting need all usable units, so that a further
+    /// call would find none. Grants are recalled only then; otherwise short bursts of work would
+    /// move the same units back and forth.
     fn is_exhausted(&self, now: Timestamp) -> bool {
         self.ledger.in_use() + self.demand.waiting() >= self.ledger.usable(now)
     }
--- a/crates/quota/src/budget/lessee.rs
+++ b/crates/quota/src/budget/lessee.rs
@@ -6,26 +6,26 @@
 use madderbay::time::{Duration, Timestamp};
 use std::collections::BTreeMap;
 
-/// Initial number of requests that may be sent in one tick, besides renewals. The number grows
-/// with each answer that grants additional units and shrinks with each that grants none: when all
-/// servers lack units, requests cost messages and gain nothing.
+/// Initial value, bounds and adjustment factors of the number of requests that may be sent in one
+/// tick, besides renewals. The number grows with each answer that grants additional units and
+/// shrinks with each that grants none: when all servers lack units, requests only cost messages.
 const INITIAL_PARALLEL_REQUESTS: f64 = 4.0;
 const MIN_PARALLEL_REQUESTS: f64 = 1.0;
 const MAX_PARALLEL_REQUESTS: f64 = 64.0;
-const PARALLEL_REQUESTS_RISE: f64 = 1.5;
-const PARALLEL_REQUESTS_FALL: f64 = 0.9;
+const PARALLEL_REQUESTS_INCREASE_FACTOR: f64 = 1.5;
+const PARALLEL_REQUESTS_DECREASE_FACTOR: f64 = 0.9;
 /// Number of lessors over which the request for missing units is spread if no lessor has offered
 /// any.
 const REQUEST_SPREAD: u32 = 4;
-/// Initial backoff for a lessor that has nothing to grant. The backoff doubles up to a maximum that
-/// increases with the number of known lessors.
+/// Initial and maximum backoff for a lessor that has nothing to grant. The backoff doubles up to a
+/// maximum that increases with the number of known lessors.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_millis(3_200);
 const MAX_BACKOFF_PER_LESSOR: Duration = Duration::from_millis(10);
 /// A request that is not answered within this time is considered lost.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(150);
 /// Fraction of a lease after which it is renewed.
-const RENEWAL_POINT: f64 = 0.45;
+const RENEWAL_FRACTION: f64 = 0.45;
 
 /// State of a lessor, as of its latest grant, recall or offer.
 struct LessorRecord {
@@ -88,10 +88,10 @@
     /// Adjusts the number of parallel requests after an answer.
     fn adapt_parallel_requests(&mut self, units_before: u32, units: u32) {
         if units > units_before {
-            let raised = self.parallel_requests * PARALLEL_REQUESTS_RISE;
+            let raised = self.parallel_requests * PARALLEL_REQUESTS_INCREASE_FACTOR;
             self.parallel_requests = raised.min(MAX_PARALLEL_REQUESTS);
         } else if units_before == 0 {
-            let lowered = self.parallel_requests * PARALLEL_REQUESTS_FALL;
+            let lowered = self.parallel_requests * PARALLEL_REQUESTS_DECREASE_FACTOR;
             self.parallel_requests = lowered.max(MIN_PARALLEL_REQUESTS);
         }
     }
@@ -161,7 +161,7 @@
     }
 
     pub(super) fn renew_leases(&mut self, now: Timestamp, out: &mut Outbox) {
-        let renewal = self.settings.terms.lease.mul_f64(1.0 - RENEWAL_POINT);
+        let renewal = self.settings.terms.lease.mul_f64(1.0 - RENEWAL_FRACTION);
         let leases = self.ledger.open_leases(now);
         let due: Vec<OpenLease> = leases.filter(|lease| lease.remaining < renewal).collect();
         for OpenLease { lessor, units, .. } in due {
@@ -171,8 +171,8 @@
         }
     }
 
-    /// Requests missing units: first from lessors that have offered units, then from the other peers
-    /// in turn.
+    /// Requests missing units: first from lessors that have offered units, then from the other
+    /// peers in turn.
     pub(super) fn request_units(
         &mut self,
         now: Timestamp,
--- a/crates/quota/src/counter.rs
+++ b/crates/quota/src/counter.rs
@@ -95,8 +95,8 @@
         self.local.heaviest_keys(max_keys)
     }
 
-    /// Returns the snapshots for a reply: first that of this server, then up to `max_remote` of other
-    /// servers. `random`, at least 0 and less than 1, selects the first of these.
+    /// Returns the snapshots for a reply: first that of this server, then up to `max_remote` of
+    /// other servers. `random`, at least 0 and less than 1, selects the first of these.
     pub fn snapshots(
         &mut self,
         now: Timestamp,
@@ -126,13 +126,14 @@
         self.rejected += u64::from(accepted.is_err());
     }
 
-    /// Records that the view contains a server. Its counts are then estimated, even while it is down
-    /// and no snapshot of it arrives.
+    /// Records that the view contains a server. Its counts are then estimated, even while it is
+    /// down and no snapshot of it arrives.
     pub fn server_present(&mut self, now: Timestamp, server: &CompactString) {
         self.remote.server_present(now, server);
     }
 
-    /// Records that a server left or was removed from the view. It is assumed to count nothing more.
+    /// Records that a server left or was removed from the view. It is assumed to count nothing
+    /// more.
     pub fn server_gone(&mut self, now: Timestamp, server: &CompactString) {
         self.remote.server_gone(now, server);
     }
--- a/crates/quota/src/counter/estimate.rs
+++ b/crates/quota/src/counter/estimate.rs
@@ -14,7 +14,8 @@
 }
 
 impl CountEstimate {
-    /// Returns an upper bound on the difference between [`CountEstimate::value`] and the true count.
+    /// Returns an upper bound on the difference between [`CountEstimate::value`] and the true
+    /// count.
     pub fn bound(&self) -> f64 {
         (self.high - self.value).max(self.value - self.low)
     }
--- a/crates/quota/src/counter/remote.rs
+++ b/crates/quota/src/counter/remote.rs
@@ -35,8 +35,8 @@
 #[derive(Default)]
 pub(super) struct RemoteCounts {
     snapshots: BTreeMap<SourceKey, RemoteSnapshot>,
-    /// Servers of the view of which no snapshot is stored, with the time since which they have been in
-    /// the view.
+    /// Servers of the view of which no snapshot is stored, with the time since which they have been
+    /// in the view.
     unreported: BTreeMap<CompactString, Timestamp>,
 }
 
@@ -56,8 +56,8 @@
         self.snapshots.len()
     }
 
-    /// Stores a snapshot if it is newer than the stored one of the same incarnation, or if its age is
-    /// known more precisely. Stale snapshots and those of this server's current incarnation are
+    /// Stores a snapshot if it is newer than the stored one of the same incarnation, or if its age
+    /// is known more precisely. Stale snapshots and those of this server's current incarnation are
     /// ignored without an error.
     pub(super) fn handle_snapshot(
         &mut self,
@@ -143,8 +143,8 @@
             .retain(|_, s| s.closed_at.is_none_or(|at| now - at < max_age));
     }
 
-    /// Appends up to `max` snapshots of servers other than `own`, with their ages as of `now`, starting
-    /// at a position chosen by `random`.
+    /// Appends up to `max` snapshots of servers other than `own`, with their ages as of `now`,
+    /// starting at a position chosen by `random`.
     pub(super) fn push_snapshots(
         &self,
         now: Timestamp,
--- a/crates/quota/src/counter/remote_snapshot.rs
+++ b/crates/quota/src/counter/remote_snapshot.rs
@@ -30,8 +30,8 @@
     pub(super) snapshot: CounterSnapshot,
     received_at: Timestamp,
     age_at_receipt: AgeBounds,
-    /// When the incarnation was found to have ended, because the server left or a later incarnation is
-    /// known.
+    /// When the incarnation was found to have ended, because the server left or a later incarnation
+    /// is known.
     pub(super) closed_at: Option<Timestamp>,
 }
 
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Reports whether this snapshot is of a later time slot than `known`, or of the same one with a
-    /// more precise age. `known` must not be of a later time slot.
+    /// Reports whether this snapshot is of a later time slot than `known`, or of the same one with
+    /// a more precise age. `known` must not be of a later time slot.
     pub(super) fn improves_on(&self, known: &RemoteSnapshot, now: Timestamp) -> bool {
         known.snapshot.time_slot != self.snapshot.time_slot
             || known.age(now).uncertainty() > self.age(now).uncertainty()
@@ -159,8 +159,8 @@
         ended.saturating_sub(before_window).min(WINDOW_SLOTS) as f64
     }
 
-    /// Returns the expected rate per second since the snapshot. It starts at the last known rate and
-    /// decays to `fair_rate`.
+    /// Returns the expected rate per second since the snapshot. It starts at the last known rate
+    /// and decays to `fair_rate`.
     fn expected_rate(
         &self,
         listed: Option<&[u32]>,
--- a/crates/quota/src/counter/resolution.rs
+++ b/crates/quota/src/counter/resolution.rs
@@ -5,8 +5,8 @@
 
 /// Number of time slots in a window.
 pub(super) const WINDOW_SLOTS: u64 = 10;
-/// Number of time slots between the end of a window and its estimate, so that snapshots have time to
-/// arrive.
+/// Number of time slots between the end of a window and its estimate, so that snapshots have time
+/// to arrive.
 pub(super) const LAG_SLOTS: u64 = 3;
 /// Number of time slots for which counts are kept and sent.
 pub(super) const RETAINED_SLOTS: u64 = WINDOW_SLOTS + LAG_SLOTS;
--- a/crates/quota/src/counter/settings.rs
+++ b/crates/quota/src/counter/settings.rs
@@ -10,7 +10,7 @@
     pub name: CompactString,
     /// Length of the window that an estimate covers.
     pub window: Duration,
-    /// Upper bound on the count of one key on one server per second. It limits the assumed counts of
-    /// servers whose snapshots are missing.
+    /// Upper bound on the count of one key on one server per second. It limits the assumed counts
+    /// of servers whose snapshots are missing.
     pub max_per_second: f64,
 }
--- a/crates/quota/src/counter/snapshot.rs
+++ b/crates/quota/src/counter/snapshot.rs
@@ -21,7 +21,8 @@
 }
 
 impl LocalCounts {
-    /// Returns the snapshot as of the latest complete time slot; `None` while there is no such slot.
+    /// Returns the snapshot as of the latest complete time slot; `None` while there is no such
+    /// slot.
     pub(super) fn snapshot(
         &mut self,
         now: Timestamp,
--- a/crates/quota/src/counter/time_slot.rs
+++ b/crates/quota/src/counter/time_slot.rs
@@ -2,8 +2,8 @@
 
 use std::collections::HashMap;
 
-/// Maximum number of keys that a time slot counts individually. Beyond it, the rarest keys are moved
-/// to a sketch.
+/// Maximum number of keys that a time slot counts individually. Beyond it, the rarest keys are
+/// moved to a sketch.
 const MAX_LISTED_KEYS: usize = 256;
 /// Number of cells of a time slot's sketch.
 pub(super) const SLOT_SKETCH_CELLS: usize = 1_024;
@@ -41,8 +41,8 @@
     }
 
     /// Makes room for a new key by moving the rarest listed key to the sketch. If that key has a
-    /// larger count than the new key, the new key is added to the sketch instead. Reports whether the
-    /// new key is to be listed.
+    /// larger count than the new key, the new key is added to the sketch instead. Reports whether
+    /// the new key is to be listed.
     fn evict_for(&mut self, key: u32, n: u32) -> bool {
         let rarest = self
             .listed
--- a/crates/quota/src/fleet_quotas.rs
+++ b/crates/quota/src/fleet_quotas.rs
@@ -37,7 +37,8 @@
 pub struct Settings {
     /// Name of this server.
     pub name: CompactString,
-    /// Incarnation number of this server, different from that of any other incarnation of any server.
+    /// Incarnation number of this server, different from that of any other incarnation of any
+    /// server.
     pub incarnation: u64,
     /// Settings of the budgets.
     pub budgets: Vec<BudgetSettings>,
@@ -72,8 +73,8 @@
 }
 
 impl FleetQuotas {
-    /// Creates the quotas of a server that starts at `now`. `seed` initializes the random choices of
-    /// peers and intervals.
+    /// Creates the quotas of a server that starts at `now`. `seed` initializes the random choices
+    /// of peers and intervals.
     pub fn new(now: Timestamp, seed: u64, settings: Settings) -> FleetQuotas {
         let budgets = settings.budgets.iter().map(|b| {
             let startup_wait = b.terms.lessor_hold() + slot_assignment::settling_time(b);
@@ -182,8 +183,8 @@
         }
     }
 
-    /// Applies changed settings, such as capacities and weights. Lease terms and slots do not change.
-    /// Adding or removing a budget requires a restart.
+    /// Applies changed settings, such as capacities and weights. Lease terms and slots do not
+    /// change. Adding or removing a budget requires a restart.
     pub fn reload(&mut self, now: Timestamp, budgets: &[BudgetSettings]) {
         for budget in &mut self.budgets {
             let name = &budget.settings().name;
@@ -246,8 +247,8 @@
         }
         self.counters.iter_mut().for_each(|c| c.forget_expired(now));
         let incarnations = &mut self.incarnations;
-        // Units are also requested from peers that have sent nothing yet. Their answer contains their
-        // incarnation number.
+        // Units are also requested from peers that have sent nothing yet. Their answer contains
+        // their incarnation number.
         let active = self.peers.active().iter();
         let peers: Vec<_> = active.filter_map(|name| incarnations.id_of(name)).collect();
         let mut out = Outbox::new();
@@ -259,8 +260,8 @@
         self.record_events(now);
     }
 
-    /// Removes incarnations that have ended, or whose server is no longer in the view, once they have
-    /// no outstanding grants or open leases.
+    /// Removes incarnations that have ended, or whose server is no longer in the view, once they
+    /// have no outstanding grants or open leases.
     fn forget_retired_incarnations(&mut self, now: Timestamp) {
         let peers = &self.peers;
         self.incarnations
@@ -306,8 +307,8 @@
     /// Returns the rate per second that this server may use of the fleet-wide rate `per_second`.
     ///
     /// While the fleet stays within that rate, this is all that the other servers leave unused;
-    /// otherwise it is a fraction of the rate in proportion to this server's own count. `servers` is
-    /// the number of servers that share the rate.
+    /// otherwise it is a fraction of the rate in proportion to this server's own count. `servers`
+    /// is the number of servers that share the rate.
     pub fn allowance(
         &self,
         now: Timestamp,
--- a/crates/quota/src/fleet_quotas/counter_polls.rs
+++ b/crates/quota/src/fleet_quotas/counter_polls.rs
@@ -4,8 +4,8 @@
 use compact_str::CompactString;
 use madderbay::time::{Duration, Timestamp};
 
-/// Mean interval between the polls that one server of a small fleet sends, and the lower bound on the
-/// mean interval in a large fleet.
+/// Mean interval between the polls that one server of a small fleet sends, and the lower bound on
+/// the mean interval in a large fleet.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Number of servers above which the poll interval decreases with the size of the fleet.
--- a/crates/quota/src/fleet_quotas/incarnations.rs
+++ b/crates/quota/src/fleet_quotas/incarnations.rs
@@ -36,7 +36,8 @@
 }
 
 impl Incarnations {
-    /// Returns the identifier of the incarnation that sent a datagram; `None` if there are too many.
+    /// Returns the identifier of the incarnation that sent a datagram; `None` if there are too
+    /// many.
     ///
     /// If a request was sent to the server before its incarnation was known, the incarnation that
     /// sends the first datagram gets the identifier that was used for the request.
@@ -87,7 +88,8 @@
         Some(IncarnationId(self.names.len() as u32 - 1))
     }
 
-    /// Returns the name of the server whose current incarnation has the identifier, if there is one.
+    /// Returns the name of the server whose current incarnation has the identifier, if there is
+    /// one.
     pub(super) fn name_of_current(&self, id: IncarnationId) -> Option<&CompactString> {
         let name = self.names.get(id.0 as usize)?;
         let is_current = self
@@ -113,8 +115,8 @@
     pub(super) fn retire_servers(&mut self, is_gone: impl Fn(&CompactString) -> bool) {
         let names = self.current.keys().filter(|name| is_gone(name));
         let mut gone: Vec<CompactString> = names.cloned().collect();
-        // Identifiers are reused in an order that depends on the order in which they are freed. Sorting
-        // makes it the same in a repeated run.
+        // Identifiers are reused in an order that depends on the order in which they are freed.
+        // Sorting makes it the same in a repeated run.
         gone.sort_unstable();
         let retired = gone.iter().filter_map(|name| self.current.remove(name));
         self.retired.extend(retired.map(|current| current.id));
@@ -125,7 +127,8 @@
         self.retired.iter().copied().collect()
     }
 
-    /// Frees the identifiers of retired incarnations, except those for which `is_open` returns true.
+    /// Frees the identifiers of retired incarnations, except those for which `is_open` returns
+    /// true.
     pub(super) fn release_retired(&mut self, is_open: impl Fn(IncarnationId) -> bool) {
         let retired = std::mem::take(&mut self.retired);
         let (open, closed): (Vec<_>, Vec<_>) = retired.into_iter().partition(|id| is_open(*id));
--- a/crates/quota/src/fleet_quotas/messaging.rs
+++ b/crates/quota/src/fleet_quotas/messaging.rs
@@ -10,8 +10,8 @@
 use madderbay::time::Timestamp;
 use madderbay_membership::MAX_SUBSYSTEM_PAYLOAD_BYTES;
 
-/// Maximum number of snapshots of other servers in one reply. Fewer are sent if they do not fit into
-/// the datagram.
+/// Maximum number of snapshots of other servers in one reply. Fewer are sent if they do not fit
+/// into the datagram.
 const MAX_REMOTE_SNAPSHOTS_PER_REPLY: usize = 10;
 /// Bytes of a datagram that are reserved for all data of a reply other than the snapshots.
 const REPLY_OVERHEAD_BYTES: usize = 40;
--- a/crates/quota/src/fleet_quotas/peers.rs
+++ b/crates/quota/src/fleet_quotas/peers.rs
@@ -11,8 +11,8 @@
     pub name: CompactString,
     /// Incarnation number of the server in the view.
     pub incarnation: u64,
-    /// Whether the server is a member to which datagrams are sent; otherwise it is down but still in
-    /// the view.
+    /// Whether the server is a member to which datagrams are sent; otherwise it is down but still
+    /// in the view.
     pub active: bool,
 }
 
--- a/crates/quota/src/fleet_quotas/slot_assignment.rs
+++ b/crates/quota/src/fleet_quotas/slot_assignment.rs
@@ -9,8 +9,8 @@
 use compact_str::CompactString;
 use madderbay::time::{Duration, Timestamp};
 
-/// Time until the view of a new server is complete. Before, a server without a slot may not know all
-/// other servers.
+/// Time until the view of a new server is complete. Before, a server without a slot may not know
+/// all other servers.
 const VIEW_SETTLING_TIME: Duration = Duration::from_millis(2_000);
 
 /// Returns how long a server waits for a complete view before it uses its base quota.
@@ -34,8 +34,8 @@
         self.settings.budgets.iter().find_map(|b| b.slot)
     }
 
-    /// Schedules an early assignment of base quotas. Changes of the view that arrive at about the same
-    /// time are handled together.
+    /// Schedules an early assignment of base quotas. Changes of the view that arrive at about the
+    /// same time are handled together.
     pub(super) fn schedule_assignment(&mut self) {
         self.view_changed = true;
         self.next_tick = self.next_tick.min(self.ticked_at + MIN_URGENT_INTERVAL);
@@ -91,8 +91,8 @@
 fn assign_base_quota(budget: &mut Budget, now: Timestamp, units: u32) {
     let before = budget.ledger().eventual_base_quota();
     if units > before && before == 0 {
-        // The server that had this base quota before may still have granted units of it or have calls
-        // in flight on them.
+        // The server that had this base quota before may still have granted units of it or have
+        // calls in flight on them.
         let hold = now + budget.settings().terms.lessor_hold();
         let usable_from = hold.max(budget.ledger().usable_from());
         budget.set_base_quota(units, Some(usable_from));
--- a/crates/quota/src/fleet_quotas/status.rs
+++ b/crates/quota/src/fleet_quotas/status.rs
@@ -104,8 +104,8 @@
     pub datagrams_received: u64,
     /// Datagrams that could not be decoded.
     pub datagrams_rejected: u64,
-    /// Lease messages addressed to another incarnation of this server, plus datagrams that were dropped
-    /// because there were too many incarnations.
+    /// Lease messages addressed to another incarnation of this server, plus datagrams that were
+    /// dropped because there were too many incarnations.
     pub misdirected: u64,
     /// Datagrams sent.
     pub datagrams_sent: u64,
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -166,8 +166,8 @@
         grants.answer(now, request_id, units.min(max_units), held_until)
     }
 
-    /// Handles a return: reduces the grant that answered `request_id`, and all earlier grants to the
-    /// lessee, to `kept_units`.
+    /// Handles a return: reduces the grant that answered `request_id`, and all earlier grants to
+    /// the lessee, to `kept_units`.
     pub fn handle_return(&mut self, lessee: IncarnationId, request_id: u32, kept_units: u32) {
         if let Some(grants) = self.grants.get_mut(&lessee) {
             grants.reduce(request_id, kept_units);
--- a/crates/quota/src/ledger/tests.rs
+++ b/crates/quota/src/ledger/tests.rs
@@ -102,7 +102,9 @@
 fn return_waits_for_calls_in_flight_and_tolerates_duplicates_and_delay() {
     let (mut a, mut b) = (ledger(4), ledger(0));
     let first = b.new_request(at(0), LESSOR);
-    let units = a.answer_request(at(0), LESSEE, first, 4).expect("answered");
+    let units = a
+        .answer_request(at(0), LESSEE, first, 4)
+        .expect("request is answered");
     assert_eq!(b.accept_grant(at(1), LESSOR, first, units), Ok(()));
     (0..3).for_each(|_| b.call_started());
     b.release(LESSOR, 1);
--- a/crates/quota/src/ledger/tests/lease_model/defect.rs
+++ b/crates/quota/src/ledger/tests/lease_model/defect.rs
@@ -8,8 +8,8 @@
     None,
     /// A lease lasts from the receipt of its grant instead of from its request.
     LeaseFromReceipt,
-    /// A return subtracts the returned units each time it arrives, so that a duplicate subtracts them
-    /// again.
+    /// A return subtracts the returned units each time it arrives, so that a duplicate subtracts
+    /// them again.
     ReturnSubtracts,
     /// A restarted server uses its base quota at once, without the startup wait.
     NoStartupWait,
--- a/crates/quota/src/ledger/tests/lease_model/world.rs
+++ b/crates/quota/src/ledger/tests/lease_model/world.rs
@@ -5,8 +5,8 @@
 use madderbay::time::Duration;
 
 const SERVERS: usize = 3;
-/// Base quotas of the servers. One server has all units, so that every call of another server needs a
-/// lease.
+/// Base quotas of the servers. One server has all units, so that every call of another server needs
+/// a lease.
 const BASE_QUOTAS: [u32; SERVERS] = [2, 0, 0];
 pub(super) const CAPACITY: usize = 2;
 const TERMS: LeaseTerms = LeaseTerms {
--- a/crates/quota/src/message/tests.rs
+++ b/crates/quota/src/message/tests.rs
@@ -11,8 +11,8 @@
     0x1234_5678_9abc_0002,
 ];
 
-/// Returns a datagram with one message from the server in `from_slot` to the server in `to_slot`, as
-/// in the recorded fleet.
+/// Returns a datagram with one message from the server in `from_slot` to the server in `to_slot`,
+/// as in the recorded fleet.
 fn datagram(from_slot: u32, to_slot: u32, message: Message) -> Datagram {
     let incarnation = |slot: u32| INCARNATIONS[slot as usize - 1];
     Datagram {
@@ -106,7 +106,7 @@
 #[test]
 fn recorded_counter_reply_round_trips() {
     let bytes = include_bytes!("../../tests/data/cells.bin");
-    let decoded = Datagram::decode(bytes).expect("decoded");
+    let decoded = Datagram::decode(bytes).expect("datagram decodes");
     assert_eq!(decoded.encode().as_deref(), Ok(bytes.as_slice()));
     let [Message::CounterReply(reply)] = decoded.messages.as_slice() else {
         panic!("unexpected messages: {decoded:?}");
--- a/crates/quota/src/water_filling.rs
+++ b/crates/quota/src/water_filling.rs
@@ -10,8 +10,8 @@
     pub(crate) other_units: u32,
     /// Calls that the lessee has in flight or wants to start, with headroom.
     pub(crate) demand: u32,
-    /// Weight of the lessee. Its units are divided by the weight before they are compared with those
-    /// of other lessees.
+    /// Weight of the lessee. Its units are divided by the weight before they are compared with
+    /// those of other lessees.
     pub(crate) weight: f64,
     /// Units that this lessor has currently granted to the lessee.
     pub(crate) granted: u32,
--- a/crates/quota/tests/recorded_histories.rs
+++ b/crates/quota/tests/recorded_histories.rs
@@ -234,8 +234,8 @@
         }
     }
 
-    /// Sends the datagrams of a server. Of twenty datagrams, one on average is lost, one is duplicated
-    /// with a late second copy, and one is truncated.
+    /// Sends the datagrams of a server. Of twenty datagrams, one on average is lost, one is
+    /// duplicated with a late second copy, and one is truncated.
     fn send(&mut self, from: usize) {
         for (to, mut bytes) in self.servers[from].take_datagrams() {
             let to = NAMES.iter().position(|name| *name == to).expect("a server");
--- a/crates/quota/tests/replicated_counter.rs
+++ b/crates/quota/tests/replicated_counter.rs
@@ -116,8 +116,8 @@
     }
 }
 
-/// The estimate for partitioned servers decays to their fair rate. It neither drops to zero nor stays
-/// at their last known rate.
+/// The estimate for partitioned servers decays to their fair rate. It neither drops to zero nor
+/// stays at their last known rate.
 #[test]
 fn stale_servers_decay_to_their_fair_rate() {
     let servers = 4;
@@ -130,14 +130,14 @@
     assert!((900.0..1_100.0).contains(&value(&mut sim)));
     act(&mut sim, Action::Cut(vec![vec![0], vec![1, 2, 3]]));
     sim.run(Duration::from_millis(8_000));
-    let soon = value(&mut sim);
+    let after_8_s = value(&mut sim);
     sim.run(Duration::from_millis(17_000));
-    let late = value(&mut sim);
-    // 250 counts of the server itself, and 50 of each of the three others, whose fair rate is 10 per
-    // second.
+    let after_25_s = value(&mut sim);
+    // 250 counts of the server itself, and 50 of each of the three others, whose fair rate is 10
+    // per second.
     assert!(
-        soon > late && (395.0..460.0).contains(&late),
-        "{soon} and {late}"
+        after_8_s > after_25_s && (395.0..460.0).contains(&after_25_s),
+        "{after_8_s} and {after_25_s}"
     );
 }
 
@@ -169,8 +169,8 @@
     Timestamp::from_micros(1_000_000 + ms * 1_000)
 }
 
-/// Counts a hundred thousand keys: memory is bounded, and the estimates of heavy keys are within their
-/// error bounds.
+/// Counts a hundred thousand keys: memory is bounded, and the estimates of heavy keys are within
+/// their error bounds.
 #[test]
 fn many_keys_take_bounded_memory() {
     let mut counter = ReplicatedCounter::new(at(0), settings());
--- a/crates/quota/tests/support/mod.rs
+++ b/crates/quota/tests/support/mod.rs
@@ -5,8 +5,8 @@
 use madderbay_testkit::fleet::simulated::SimulatedFleet;
 
 /// Applies an action that must succeed.
-pub(crate) fn act(sim: &mut SimulatedFleet, act: Action) {
-    sim.act(&act).expect("done");
+pub(crate) fn act(sim: &mut SimulatedFleet, action: Action) {
+    sim.act(&action).expect("action succeeds");
 }
 
 /// Returns the action that starts a server under its own name, with a clock offset of zero.
