--- a/crates/quota/src/budget/lessee.rs
+++ b/crates/quota/src/budget/lessee.rs
@@ -1,4 +1,4 @@
-//! The role of lessee: requests units from lessors, renews leases and returns units.
+//! Lessee role: requests units from lessors, renews leases and returns units.
 
 use super::{Budget, ChangeCause, Outbox, Outgoing};
 use crate::ledger::{IncarnationId, OpenLease};
@@ -6,45 +6,46 @@
 use madderbay::time::{Duration, Timestamp};
 use std::collections::BTreeMap;
 
-/// Requests that may be made at a time, besides renewals. The number rises with each lessor that
-/// grants units and falls with each that does not: where all servers lack units, requests only
-/// cost.
+/// Initial value, bounds and adjustment factors of the number of requests that may be sent in one
+/// tick, besides renewals. The number grows with each answer that grants additional units and
+/// shrinks with each that grants none: when all servers lack units, requests only cost messages.
 const INITIAL_PARALLEL_REQUESTS: f64 = 4.0;
 const MIN_PARALLEL_REQUESTS: f64 = 1.0;
 const MAX_PARALLEL_REQUESTS: f64 = 64.0;
-const PARALLEL_REQUESTS_RISE: f64 = 1.5;
-const PARALLEL_REQUESTS_FALL: f64 = 0.9;
-/// Lessors over which missing units are spread, where no lessor has offered any.
+const PARALLEL_REQUESTS_INCREASE_FACTOR: f64 = 1.5;
+const PARALLEL_REQUESTS_DECREASE_FACTOR: f64 = 0.9;
+/// Number of lessors over which the request for missing units is spread if no lessor has offered
+/// any.
 const REQUEST_SPREAD: u32 = 4;
-/// Backoff for a lessor that has nothing to grant. It doubles up to a maximum, which is longer
-/// the more other lessors there are.
+/// Initial and maximum backoff for a lessor that has nothing to grant. The backoff doubles up to a
+/// maximum that increases with the number of known lessors.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_millis(3_200);
 const MAX_BACKOFF_PER_LESSOR: Duration = Duration::from_millis(10);
-/// A request that is not answered in this time is lost.
+/// A request that is not answered within this time is considered lost.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(150);
 /// Fraction of a lease after which it is renewed.
-const RENEWAL_POINT: f64 = 0.45;
+const RENEWAL_FRACTION: f64 = 0.45;
 
-/// A lessor, as of its last answer.
+/// State of a lessor, as of its latest grant, recall or offer.
 struct LessorRecord {
-    /// Units that it could grant beyond those that it has granted.
+    /// Units that it could grant in addition to those already granted.
     available: u32,
     retry_at: Timestamp,
     backoff: Duration,
 }
 
-/// Units that a lessor has announced.
+/// Additional units that a lessor can grant, as far as this server knows.
 struct Offer {
     units: u32,
     lessor: IncarnationId,
 }
 
-/// The lessors that have answered, and how many requests are made at a time.
+/// The lessors that have sent a message, and the number of requests that may be sent in one tick.
 pub(super) struct LessorDirectory {
     records: BTreeMap<IncarnationId, LessorRecord>,
     parallel_requests: f64,
-    /// Position among the peers at which the next search for units begins.
+    /// Position in the list of peers at which the next round of requests begins.
     next_peer: usize,
 }
 
@@ -63,7 +64,7 @@
         self.records.retain(|id, _| !is_gone(*id));
     }
 
-    /// Offers that may be taken, the largest first.
+    /// Returns the offers of lessors that are not in backoff, the largest first.
     fn offers(&self, now: Timestamp) -> Vec<Offer> {
         let ready = self
             .records
@@ -78,19 +79,19 @@
         offers
     }
 
-    /// Whether a lessor without an offer may be asked.
-    fn may_ask(&self, now: Timestamp, lessor: IncarnationId) -> bool {
+    /// Reports whether a lessor has made no offer and is not in backoff.
+    fn may_request_from(&self, now: Timestamp, lessor: IncarnationId) -> bool {
         let record = self.records.get(&lessor);
         record.is_none_or(|r| r.retry_at <= now && r.available == 0)
     }
 
-    /// Adapts the number of parallel requests to an answer.
-    fn adapt(&mut self, units_before: u32, units: u32) {
+    /// Adjusts the number of parallel requests after an answer.
+    fn adapt_parallel_requests(&mut self, units_before: u32, units: u32) {
         if units > units_before {
-            let raised = self.parallel_requests * PARALLEL_REQUESTS_RISE;
+            let raised = self.parallel_requests * PARALLEL_REQUESTS_INCREASE_FACTOR;
             self.parallel_requests = raised.min(MAX_PARALLEL_REQUESTS);
         } else if units_before == 0 {
-            let lowered = self.parallel_requests * PARALLEL_REQUESTS_FALL;
+            let lowered = self.parallel_requests * PARALLEL_REQUESTS_DECREASE_FACTOR;
             self.parallel_requests = lowered.max(MIN_PARALLEL_REQUESTS);
         }
     }
@@ -99,13 +100,13 @@
         &mut self,
         now: Timestamp,
         lessor: IncarnationId,
-        got_more: bool,
+        is_increase: bool,
         available: u32,
     ) {
-        let by_lessors = MAX_BACKOFF_PER_LESSOR.mul_f64(self.records.len() as f64);
-        let max_backoff = by_lessors.max(INITIAL_BACKOFF).min(MAX_BACKOFF);
+        let scaled_max = MAX_BACKOFF_PER_LESSOR.mul_f64(self.records.len() as f64);
+        let max_backoff = scaled_max.max(INITIAL_BACKOFF).min(MAX_BACKOFF);
         let backoff = match self.records.get(&lessor) {
-            _ if got_more || available > 0 => Duration::ZERO,
+            _ if is_increase || available > 0 => Duration::ZERO,
             Some(r) if r.backoff > Duration::ZERO => (r.backoff + r.backoff).min(max_backoff),
             _ => INITIAL_BACKOFF,
         };
@@ -160,7 +161,7 @@
     }
 
     pub(super) fn renew_leases(&mut self, now: Timestamp, out: &mut Outbox) {
-        let renewal = self.settings.terms.lease.mul_f64(1.0 - RENEWAL_POINT);
+        let renewal = self.settings.terms.lease.mul_f64(1.0 - RENEWAL_FRACTION);
         let leases = self.ledger.open_leases(now);
         let due: Vec<OpenLease> = leases.filter(|lease| lease.remaining < renewal).collect();
         for OpenLease { lessor, units, .. } in due {
@@ -170,8 +171,8 @@
         }
     }
 
-    /// Requests missing units: first from lessors that have offered units, then from others in
-    /// turn.
+    /// Requests missing units: first from lessors that have offered units, then from the other
+    /// peers in turn.
     pub(super) fn request_units(
         &mut self,
         now: Timestamp,
@@ -191,24 +192,25 @@
                 break;
             }
             if !self.awaits_answer(now, lessor) {
-                let more = available.min(missing);
-                let units = self.ledger.leased_from(now, lessor) + more;
+                let additional = available.min(missing);
+                let units = self.ledger.leased_from(now, lessor) + additional;
                 self.send_request(now, lessor, units, out);
-                missing -= more;
+                missing -= additional;
                 requests += 1;
             }
         }
         if missing > 0 {
-            let each = missing.div_ceil(REQUEST_SPREAD).max(1);
-            self.search_units(now, each, max_requests - requests, peers, out);
+            let units_each = missing.div_ceil(REQUEST_SPREAD).max(1);
+            self.request_units_in_turn(now, units_each, max_requests - requests, peers, out);
         }
     }
 
-    /// Requests `each` units more from peers that have offered none, in turn.
-    fn search_units(
+    /// Requests `units_each` additional units from each of up to `max_requests` peers that have
+    /// offered none, in turn.
+    fn request_units_in_turn(
         &mut self,
         now: Timestamp,
-        each: u32,
+        units_each: u32,
         max_requests: usize,
         peers: &[IncarnationId],
         out: &mut Outbox,
@@ -220,8 +222,8 @@
             }
             let position = (self.lessors.next_peer + step) % peers.len();
             let lessor = peers[position];
-            if self.lessors.may_ask(now, lessor) && !self.awaits_answer(now, lessor) {
-                let units = self.ledger.leased_from(now, lessor) + each;
+            if self.lessors.may_request_from(now, lessor) && !self.awaits_answer(now, lessor) {
+                let units = self.ledger.leased_from(now, lessor) + units_each;
                 self.send_request(now, lessor, units, out);
                 requests += 1;
                 self.lessors.next_peer = (position + 1) % peers.len();
@@ -229,7 +231,8 @@
         }
     }
 
-    /// Releases leased units, those of the smallest leases first, so that fewer lessors remain.
+    /// Releases up to `units` leased units, from the smallest leases first, so that fewer lessors
+    /// remain.
     pub(super) fn release_units(&mut self, now: Timestamp, units: u32) {
         let mut leases: Vec<OpenLease> = self.ledger.open_leases(now).collect();
         leases.sort_unstable_by_key(|lease| (lease.units, lease.lessor));
@@ -273,7 +276,7 @@
         if units > units_before {
             self.change_cause = ChangeCause::Leased;
         }
-        self.lessors.adapt(units_before, units);
+        self.lessors.adapt_parallel_requests(units_before, units);
         self.lessors
             .record_grant(now, from, units > units_before, grant.available);
     }
@@ -286,7 +289,7 @@
     ) {
         self.ledger.release(from, recall.kept_units);
         self.is_urgent |= self.ledger.has_returns(now);
-        // The lessor needs its units itself, so others are asked first.
+        // The lessor needs its units itself, so other lessors are asked first.
         self.lessors.record_recall(now, from);
     }
 
--- a/crates/quota/src/budget/lessor.rs
+++ b/crates/quota/src/budget/lessor.rs
@@ -1,4 +1,4 @@
-//! The role of lessor: grants idle units to lessees and recalls them.
+//! Lessor role: grants idle units to lessees and recalls them.
 
 use super::{Budget, ChangeCause, Outbox, Outgoing};
 use crate::ledger::IncarnationId;
@@ -6,17 +6,17 @@
 use crate::water_filling::{Claim, next_grants};
 use madderbay::time::{Duration, Timestamp};
 
-/// Minimum time between two recalls to a lessee, which may wait for calls to end.
+/// Minimum time between two recalls to the same lessee, which may have to wait for calls to end.
 const MIN_RECALL_INTERVAL: Duration = Duration::from_millis(50);
-/// Minimum time between two offers to a lessee, so that units that become idle together are
-/// offered together.
+/// Minimum time between two offers to the same lessee, so that units that become idle at about the
+/// same time are offered together.
 const MIN_OFFER_INTERVAL: Duration = Duration::from_millis(30);
-/// Bounds on a lessee's weight; one that is no finite number counts as the default.
+/// Bounds on a lessee's weight. A weight that is not finite is replaced by the default.
 const MIN_WEIGHT: f64 = 0.01;
 const MAX_WEIGHT: f64 = 100.0;
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// A lessee, as of its last request.
+/// State of a lessee, as of its latest request.
 pub(super) struct LesseeRecord {
     claim: Claim,
     pub(super) requested_at: Timestamp,
@@ -30,17 +30,17 @@
     }
 }
 
-/// Units that a lessee is to have of this lessor.
+/// Number of units of this lessor that a lessee should have.
 struct Target {
     lessee: IncarnationId,
     units: u32,
 }
 
-fn was_within(now: Timestamp, at: Option<Timestamp>, interval: Duration) -> bool {
+fn is_within(now: Timestamp, at: Option<Timestamp>, interval: Duration) -> bool {
     at.is_some_and(|at| now - at < interval)
 }
 
-fn sound_weight(weight: f32) -> f64 {
+fn sanitize_weight(weight: f32) -> f64 {
     let weight = f64::from(weight);
     if weight.is_finite() {
         weight.clamp(MIN_WEIGHT, MAX_WEIGHT)
@@ -50,7 +50,8 @@
 }
 
 impl Budget {
-    /// Units that may be granted to others altogether: the base quota less the own demand.
+    /// Returns the total units that may be granted to other servers: the base quota minus the units
+    /// reserved for this server's own demand.
     pub(super) fn grantable(&self, now: Timestamp) -> u32 {
         let reserved = self.demand.reserved(now, self.ledger.in_use());
         self.ledger.base_quota(now).saturating_sub(reserved)
@@ -74,7 +75,7 @@
                 continue;
             };
             let granted = lessee.claim.granted;
-            if target < granted && !was_within(now, lessee.recalled_at, MIN_RECALL_INTERVAL) {
+            if target < granted && !is_within(now, lessee.recalled_at, MIN_RECALL_INTERVAL) {
                 lessee.recalled_at = Some(now);
                 let recall = LeaseRecall {
                     budget_hash,
@@ -86,7 +87,7 @@
                 });
             } else if target > granted
                 && idle > 0
-                && !was_within(now, lessee.offered_at, MIN_OFFER_INTERVAL)
+                && !is_within(now, lessee.offered_at, MIN_OFFER_INTERVAL)
             {
                 lessee.offered_at = Some(now);
                 let units = idle.min(target - granted);
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Units that each lessee is to have, in the order of the lessees.
+    /// Returns the units that each lessee should have, in the order of the lessees.
     fn targets(&mut self, now: Timestamp) -> Vec<Target> {
         let ledger = &self.ledger;
         for (id, lessee) in &mut self.lessees {
@@ -108,15 +109,15 @@
         }
         let claims: Vec<Claim> = self.lessees.values().map(|lessee| lessee.claim).collect();
         let granted: u32 = claims.iter().map(|claim| claim.granted).sum();
-        // Grants to lessees that no longer request any stay until they are over.
-        let others = self.ledger.granted(now) - granted;
-        let idle = self.grantable(now).saturating_sub(others);
-        let divided = if self.is_exhausted(now) {
+        // Grants to lessees that no longer send requests stay in place until they expire.
+        let other_grants = self.ledger.granted(now) - granted;
+        let idle = self.grantable(now).saturating_sub(other_grants);
+        let units_to_divide = if self.is_exhausted(now) {
             idle
         } else {
             idle.max(granted)
         };
-        let units = next_grants(divided, &claims);
+        let units = next_grants(units_to_divide, &claims);
         let lessees = self.lessees.keys().zip(units);
         lessees
             .map(|(lessee, units)| Target {
@@ -171,15 +172,15 @@
         let claim = Claim {
             other_units: request.other_units.min(max_units),
             demand: request.demand.min(max_units),
-            weight: sound_weight(request.weight),
+            weight: sanitize_weight(request.weight),
             granted: 0,
         };
-        let known = self.lessees.get(&from);
+        let former_record = self.lessees.get(&from);
         let record = LesseeRecord {
             claim,
             requested_at: now,
-            recalled_at: known.and_then(|lessee| lessee.recalled_at),
-            offered_at: known.and_then(|lessee| lessee.offered_at),
+            recalled_at: former_record.and_then(|lessee| lessee.recalled_at),
+            offered_at: former_record.and_then(|lessee| lessee.offered_at),
         };
         self.lessees.insert(from, record);
     }
--- a/crates/quota/src/ledger/tests/lease_model.rs
+++ b/crates/quota/src/ledger/tests/lease_model.rs
@@ -1,7 +1,6 @@
-//! Three ledgers and everything that may happen between them, explored exhaustively: requests,
-//! grants and returns that are lost, doubled and delayed, servers that pause, crash and restart
-//! without state, calls that stay in flight upstream for as long as they may. Every decision of
-//! every server is tried in every order.
+//! Model checking of three ledgers. All interleavings of the decisions of all servers are explored,
+//! with requests, grants and returns that are lost, duplicated and delayed, servers that pause,
+//! crash and restart without state, and calls that stay in flight upstream for as long as allowed.
 
 mod defect;
 mod world;
@@ -28,7 +27,7 @@
     ..NO_FAULTS
 };
 
-const NEVER_OVER_CAPACITY: &str = "calls in flight never exceed the capacity";
+const CAPACITY_IS_NEVER_EXCEEDED: &str = "calls in flight never exceed the capacity";
 const UNITS_ARE_LEASED: &str = "idle units reach the server with demand";
 const UNITS_ARE_REUSED: &str = "the lessor uses its units again";
 
@@ -57,14 +56,16 @@
 
     fn properties(&self) -> Vec<Property<LeaseModel>> {
         vec![
-            Property::always(NEVER_OVER_CAPACITY, |_, world: &World| {
+            Property::always(CAPACITY_IS_NEVER_EXCEEDED, |_, world: &World| {
                 world.calls_in_flight() <= CAPACITY
             }),
             Property::sometimes(UNITS_ARE_LEASED, |_, world: &World| {
                 world.calls_of(1) == CAPACITY
             }),
             Property::sometimes(UNITS_ARE_REUSED, |_, world: &World| {
-                world.is_late() && world.has_requests() && world.calls_of(0) == CAPACITY
+                world.initial_leases_expired()
+                    && world.has_requests()
+                    && world.calls_of(0) == CAPACITY
             }),
         ]
     }
@@ -92,7 +93,7 @@
 fn finds_violation(defect: Defect, faults: FaultBudget) -> bool {
     explore(defect, faults)
         .discoveries
-        .contains(&NEVER_OVER_CAPACITY)
+        .contains(&CAPACITY_IS_NEVER_EXCEEDED)
 }
 
 #[test]
@@ -107,7 +108,7 @@
             [UNITS_ARE_LEASED, UNITS_ARE_REUSED],
             "{faults:?}"
         );
-        assert!(states > 10_000, "{states} states are no exploration");
+        assert!(states > 10_000, "only {states} states explored");
         println!("{faults:?}: {states} states");
     }
 }
--- a/crates/quota/tests/replicated_counter.rs
+++ b/crates/quota/tests/replicated_counter.rs
@@ -1,5 +1,6 @@
-//! Counters of simulated fleets against the true counts: always within the error bound, through
-//! loss, partitions, crashes and pauses. And counters alone: snapshots in any order, many keys.
+//! Compares the counters of simulated fleets with the true counts: estimates must stay within their
+//! error bounds through loss, partitions, crashes and pauses. Also tests single counters with
+//! snapshots in any order and with many keys.
 
 mod support;
 
@@ -11,10 +12,10 @@
 use support::{act, start};
 
 const WINDOW: Duration = Duration::from_millis(5_000);
-/// Interval at which all servers' estimates are compared with the true counts.
+/// Interval at which the estimates of all servers are compared with the true counts.
 const CHECK_INTERVAL_MS: u64 = 250;
 
-/// A fleet of `servers` with one counter, all started and in one view.
+/// Returns a fleet of `servers` with one counter. All servers have started and have the same view.
 fn settled_fleet(servers: usize, seed: u64) -> SimulatedFleet {
     let down_retention = Duration::from_millis(30_000);
     let setup = FleetSetup {
@@ -25,14 +26,14 @@
     let mut sim = SimulatedFleet::new(setup, seed);
     sim.log = Some(vec![]);
     (0..servers).for_each(|server| act(&mut sim, start(server)));
-    while let Some(amiss) = sim.unmet(&Condition::Settled) {
-        assert!(sim.at() < Duration::from_millis(40_000), "{amiss}");
+    while let Some(reason) = sim.unmet(&Condition::Settled) {
+        assert!(sim.at() < Duration::from_millis(40_000), "{reason}");
         sim.pass();
     }
     sim
 }
 
-/// A server's estimate of a key. The simulation compares it with the true count.
+/// Returns a running server's estimate of a key, which the simulation compares with the true count.
 fn estimate(sim: &mut SimulatedFleet, server: usize, key: u32, fair_rate: f64) -> CountEstimate {
     try_estimate(sim, server, key, fair_rate).expect("a running server")
 }
@@ -46,13 +47,14 @@
     sim.checked_estimate(server, key, fair_rate)
 }
 
-/// Requests of a key arrive at a server from now on.
+/// Sets the rate at which requests with a key arrive at a server from now on.
 fn set_rate(sim: &mut SimulatedFleet, server: usize, key: u32, per_second: f64) {
     sim.set_request_rate(server, key, per_second);
 }
 
-/// Lets time pass while all running servers' estimates stay within their bounds.
-fn check_for(sim: &mut SimulatedFleet, keys: &[u32], ms: u64) {
+/// Advances the simulation and checks that the estimates of all running servers stay within their
+/// bounds.
+fn check_estimates_for(sim: &mut SimulatedFleet, keys: &[u32], ms: u64) {
     for _ in 0..ms / CHECK_INTERVAL_MS {
         sim.run(Duration::from_millis(CHECK_INTERVAL_MS));
         let running: Vec<usize> = sim.running().map(|server| server.0).collect();
@@ -82,7 +84,7 @@
         }
         set_rate(&mut sim, 2, zenith, 4.0);
         let keys = [acme, zenith, name_hash("nobody")];
-        check_for(&mut sim, &keys, 12_000);
+        check_estimates_for(&mut sim, &keys, 12_000);
         // Without faults the estimate is exact.
         let (exact, truth) = (estimate(&mut sim, 0, acme, 1.0), sim.truth(acme));
         let bounds = (exact.stale_servers, exact.low, exact.high);
@@ -98,43 +100,44 @@
                 delay: None,
             },
         );
-        check_for(&mut sim, &keys, 6_000);
+        check_estimates_for(&mut sim, &keys, 6_000);
         act(&mut sim, Action::Cut(vec![vec![0, 1, 2], vec![3, 4, 5, 6]]));
         set_rate(&mut sim, 5, acme, 110.0);
-        check_for(&mut sim, &keys, 10_000);
+        check_estimates_for(&mut sim, &keys, 10_000);
         act(&mut sim, Action::Kill(1));
-        check_for(&mut sim, &keys, 2_000);
+        check_estimates_for(&mut sim, &keys, 2_000);
         act(&mut sim, Action::Heal);
         act(&mut sim, start(1));
         act(&mut sim, Action::Stop(3));
-        check_for(&mut sim, &keys, 6_000);
+        check_estimates_for(&mut sim, &keys, 6_000);
         act(&mut sim, Action::Continue(3));
         act(&mut sim, Action::Drain(4));
-        check_for(&mut sim, &keys, 8_000);
+        check_estimates_for(&mut sim, &keys, 8_000);
     }
 }
 
-/// The estimate of partitioned servers decays to their fair rate: never to nothing, and it does
-/// not stay at their last rate.
+/// The estimate for partitioned servers decays to their fair rate. It neither drops to zero nor
+/// stays at their last known rate.
 #[test]
 fn stale_servers_decay_to_their_fair_rate() {
     let servers = 4;
     let mut sim = settled_fleet(servers, 3);
     let acme = name_hash("acme");
     (0..servers).for_each(|server| set_rate(&mut sim, server, acme, 50.0));
-    check_for(&mut sim, &[acme], 12_000);
+    check_estimates_for(&mut sim, &[acme], 12_000);
     let fair_rate = 10.0;
     let value = |sim: &mut SimulatedFleet| estimate(sim, 0, acme, fair_rate).value;
     assert!((900.0..1_100.0).contains(&value(&mut sim)));
     act(&mut sim, Action::Cut(vec![vec![0], vec![1, 2, 3]]));
     sim.run(Duration::from_millis(8_000));
-    let soon = value(&mut sim);
+    let after_8_s = value(&mut sim);
     sim.run(Duration::from_millis(17_000));
-    let late = value(&mut sim);
-    // Its own 250, and 50 of each of three others, which have a fair rate of 10 a second.
+    let after_25_s = value(&mut sim);
+    // 250 counts of the server itself, and 50 of each of the three others, whose fair rate is 10
+    // per second.
     assert!(
-        soon > late && (395.0..460.0).contains(&late),
-        "{soon} and {late}"
+        after_8_s > after_25_s && (395.0..460.0).contains(&after_25_s),
+        "{after_8_s} and {after_25_s}"
     );
 }
 
@@ -147,7 +150,7 @@
         (0..20).for_each(|key| set_rate(&mut sim, server, 1_000 + key, 2.0));
         set_rate(&mut sim, server, rare, 0.2);
     }
-    check_for(&mut sim, &[rare], 20_000);
+    check_estimates_for(&mut sim, &[rare], 20_000);
     let counted = estimate(&mut sim, 7, rare, 0.2);
     let truth = f64::from(sim.truth(rare));
     assert!((30.0..90.0).contains(&truth), "{truth}");
@@ -166,7 +169,8 @@
     Timestamp::from_micros(1_000_000 + ms * 1_000)
 }
 
-/// A hundred thousand keys: memory is bounded, and heavy keys are exact to the stated error.
+/// Counts a hundred thousand keys: memory is bounded, and the estimates of heavy keys are within
+/// their error bounds.
 #[test]
 fn many_keys_take_bounded_memory() {
     let mut counter = ReplicatedCounter::new(at(0), settings());
@@ -179,7 +183,7 @@
         }
         if ms % 10 == 0 {
             counter.add(at(ms), heavy, 1);
-            // The window of the estimate at the end: time slots 3 to 12.
+            // The window of the final estimate: time slots 3 to 12.
             truth += u32::from((1_500..6_500).contains(&ms));
         }
     }
@@ -199,7 +203,7 @@
     assert!(counter.heaviest_keys(1_000).len() <= 256 * 14);
 }
 
-/// Snapshots of five servers, each in two incarnations, at three times.
+/// Returns snapshots of five servers, each with two incarnations, at three times.
 fn snapshots_of_five_servers(key: u32) -> Vec<CounterSnapshot> {
     let mut snapshots = vec![];
     for server in 0..5u64 {
@@ -242,15 +246,16 @@
     assert_eq!(merged.1, 10);
     let mut random = oorandom::Rand64::new(4);
     for _ in 0..50 {
-        let mut mixed: Vec<_> = snapshots.iter().chain(&snapshots).cloned().collect();
-        for i in (1..mixed.len()).rev() {
-            mixed.swap(i, random.rand_range(0..i as u64 + 1) as usize);
+        let mut shuffled: Vec<_> = snapshots.iter().chain(&snapshots).cloned().collect();
+        for i in (1..shuffled.len()).rev() {
+            shuffled.swap(i, random.rand_range(0..i as u64 + 1) as usize);
         }
-        assert_eq!(merge(&mixed), merged);
+        assert_eq!(merge(&shuffled), merged);
     }
 }
 
-/// The largest possible incarnation supersedes the former ones like any later one. A peer may send it.
+/// The largest possible incarnation number, which a peer may send, supersedes smaller ones like any
+/// other.
 #[test]
 fn largest_incarnation_supersedes_former_ones() {
     let key = name_hash("acme");
