--- a/crates/operator-config/src/concurrency.rs
+++ b/crates/operator-config/src/concurrency.rs
@@ -1,7 +1,7 @@
 //! Concurrency limits: pools of handlers and the reserve (`[pools]`, `[pool NAME]`, `[reserve]`).
 
 use crate::error::Problem;
-use crate::file::File;
+use crate::file::OperatorFile;
 use crate::handler_groups::{self, HANDLERS};
 use crate::keys::{ENABLED, NumberKey, WordKey};
 use crate::names::Names;
@@ -44,12 +44,12 @@
 ];
 
 /// By default a tenth of the capacity: one of the first ten units.
-const PART: NumberKey<f64> = NumberKey {
+const RESERVE_FRACTION: NumberKey<f64> = NumberKey {
     name: "part",
     range: 0.0..=MAX_RESERVE_FRACTION,
     default: 0.1,
 };
-const RESERVE_KEYS: &[&str] = &[HANDLERS, PART.name];
+const RESERVE_KEYS: &[&str] = &[HANDLERS, RESERVE_FRACTION.name];
 
 /// Upper bound on a pool's runs or calls in flight: more than any server has.
 const MAX_IN_FLIGHT: usize = 100_000;
@@ -58,7 +58,7 @@
 /// Upper bound on the reserve: with more, it would be the rule and not the exception.
 const MAX_RESERVE_FRACTION: f64 = 0.5;
 /// Name of the pool of all handlers that are in no other.
-const REST: &str = "rest";
+const REST_POOL: &str = "rest";
 
 /// Concurrency limits by pool of handlers.
 #[derive(Clone, Debug, PartialEq)]
@@ -98,7 +98,7 @@
 }
 
 /// Reads `[pools]`, all `[pool NAME]` and `[reserve]`.
-pub(crate) fn read(file: &mut File) -> Option<PoolsConfig> {
+pub(crate) fn read(file: &mut OperatorFile) -> Option<PoolsConfig> {
     let head = file.take_one("pools", POOLS_KEYS);
     let sections = file.take("pool", POOL_KEYS);
     let reserve = file.take_one("reserve", RESERVE_KEYS);
@@ -112,7 +112,7 @@
     let pools = handler_groups::read_each(file, &sections, read_pool);
     let reserve = reserve.map(|section| Reserve {
         handlers: file.names(&section, HANDLERS),
-        fraction: file.number(&section, PART),
+        fraction: file.number(&section, RESERVE_FRACTION),
     });
     enabled.then_some(PoolsConfig {
         adaptive,
@@ -121,10 +121,10 @@
     })
 }
 
-fn read_pool(file: &mut File, section: &Section, earlier: &[Pool]) -> Pool {
+fn read_pool(file: &mut OperatorFile, section: &Section, earlier: &[Pool]) -> Pool {
     if section.name.is_empty() {
         file.section_error(section, Problem::UnnamedPool);
-    } else if section.name == REST {
+    } else if section.name == REST_POOL {
         file.section_error(section, Problem::ReservedPoolName);
     }
     let earlier = earlier.iter().map(|pool| (&pool.name, &pool.handlers));
@@ -134,7 +134,7 @@
         name: section.name.clone(),
         handlers,
         weight,
-        call_weight: file.number(section, CALLS_WEIGHT.or(weight)),
+        call_weight: file.number(section, CALLS_WEIGHT.with_default(weight)),
         max_runs: file.optional_number(section, RUNS),
         max_calls: file.optional_number(section, CALLS),
     }
--- a/crates/operator-config/src/control.rs
+++ b/crates/operator-config/src/control.rs
@@ -1,7 +1,7 @@
 //! The control socket, on which a running server answers queries (`[control]`).
 
 use crate::error::Problem;
-use crate::file::File;
+use crate::file::OperatorFile;
 use std::path::PathBuf;
 
 const SOCKET: &str = "socket";
@@ -18,7 +18,7 @@
 }
 
 /// Reads `[control]`. The section has no switch: it is on where it stands.
-pub(crate) fn read(file: &mut File) -> Option<ControlSocket> {
+pub(crate) fn read(file: &mut OperatorFile) -> Option<ControlSocket> {
     let section = file.take_one("control", KEYS)?;
     let socket = section.get(SOCKET).unwrap_or("");
     if socket.is_empty() || socket.len() > MAX_PATH_BYTES {
--- a/crates/operator-config/src/file.rs
+++ b/crates/operator-config/src/file.rs
@@ -5,17 +5,17 @@
 use ini::{Ini, ParseOption, Properties};
 
 /// An operator file while it is read. Each part takes its sections out; what remains is unknown.
-pub(crate) struct File {
+pub(crate) struct OperatorFile {
     name: String,
     text: String,
     sections: Vec<Section>,
     errors: Vec<OperatorFileError>,
 }
 
-impl File {
+impl OperatorFile {
     /// Parses the text into sections.
-    pub(crate) fn parse(name: &str, text: &str) -> Result<File, OperatorFileErrors> {
-        let mut file = File {
+    pub(crate) fn parse(name: &str, text: &str) -> Result<OperatorFile, OperatorFileErrors> {
+        let mut file = OperatorFile {
             name: name.into(),
             text: text.into(),
             sections: vec![],
--- a/crates/operator-config/src/handler_groups.rs
+++ b/crates/operator-config/src/handler_groups.rs
@@ -2,7 +2,7 @@
 //! because no two may name the same handlers, or only some of the same.
 
 use crate::error::Problem;
-use crate::file::File;
+use crate::file::OperatorFile;
 use crate::names::Names;
 use crate::section::Section;
 
@@ -11,9 +11,9 @@
 
 /// Reads sections in their order. `read_one` is also given what was read of those before.
 pub(crate) fn read_each<T>(
-    file: &mut File,
+    file: &mut OperatorFile,
     sections: &[Section],
-    read_one: impl Fn(&mut File, &Section, &[T]) -> T,
+    read_one: impl Fn(&mut OperatorFile, &Section, &[T]) -> T,
 ) -> Vec<T> {
     let mut groups = vec![];
     for section in sections {
@@ -26,7 +26,7 @@
 /// Reads the handlers of a group that shares none with the `earlier` groups of its kind, which are
 /// given by their names and handlers.
 pub(crate) fn read_disjoint<'a>(
-    file: &mut File,
+    file: &mut OperatorFile,
     section: &Section,
     kind: &'static str,
     earlier: impl Iterator<Item = (&'a String, &'a Names)> + Clone,
@@ -37,7 +37,7 @@
 }
 
 /// Reads the handlers of a group, which has at least one.
-pub(crate) fn read(file: &mut File, section: &Section, kind: &'static str) -> Names {
+pub(crate) fn read(file: &mut OperatorFile, section: &Section, kind: &'static str) -> Names {
     let handlers = file.names(section, HANDLERS);
     if handlers.names.is_empty() {
         file.key_error(section, HANDLERS, Problem::NoHandlers(kind));
@@ -47,7 +47,7 @@
 
 /// Reports the first handler that belongs to an earlier group of the same kind.
 fn check_disjoint<'a>(
-    file: &mut File,
+    file: &mut OperatorFile,
     section: &Section,
     kind: &'static str,
     handlers: &Names,
--- a/crates/operator-config/src/idempotency_store.rs
+++ b/crates/operator-config/src/idempotency_store.rs
@@ -2,7 +2,7 @@
 //! (`[kept-results]`).
 
 use crate::error::Problem;
-use crate::file::File;
+use crate::file::OperatorFile;
 use crate::keys::{ENABLED, NumberKey, WordKey};
 use std::path::PathBuf;
 
@@ -47,7 +47,7 @@
 }
 
 /// Reads `[kept-results]`.
-pub(crate) fn read(file: &mut File) -> Option<IdempotencyStoreConfig> {
+pub(crate) fn read(file: &mut OperatorFile) -> Option<IdempotencyStoreConfig> {
     let section = file.take_one("kept-results", KEYS)?;
     let enabled = file.word(&section, &ENABLED);
     let directory = section.get(DIRECTORY).unwrap_or("");
--- a/crates/operator-config/src/keys.rs
+++ b/crates/operator-config/src/keys.rs
@@ -1,11 +1,11 @@
 //! The one way in which a key is read: a constant of its type holds its name, what it may be and its
-//! default, and [`File`] reads it from a section.
+//! default, and [`OperatorFile`] reads it from a section.
 //!
 //! A value that is wrong is reported, and the default stands in for it, so that the rest of the file
 //! is checked too.
 
 use crate::error::Problem;
-use crate::file::File;
+use crate::file::OperatorFile;
 use crate::names::{Names, is_name};
 use crate::section::Section;
 use std::fmt::Display;
@@ -23,7 +23,7 @@
 
 impl<T> NumberKey<T> {
     /// The same key with a default that depends on the rest of the file.
-    pub(crate) fn or(self, default: T) -> NumberKey<T> {
+    pub(crate) fn with_default(self, default: T) -> NumberKey<T> {
         NumberKey { default, ..self }
     }
 }
@@ -37,7 +37,7 @@
 }
 
 /// A key that is `on` or `off`.
-pub(crate) const fn switch(name: &'static str, default: bool) -> WordKey<bool> {
+pub(crate) const fn on_off(name: &'static str, default: bool) -> WordKey<bool> {
     WordKey {
         name,
         words: &[("on", true), ("off", false)],
@@ -46,7 +46,7 @@
 }
 
 /// Whether a part is on. Each part has this key; none is on without it.
-pub(crate) const ENABLED: WordKey<bool> = switch("enabled", false);
+pub(crate) const ENABLED: WordKey<bool> = on_off("enabled", false);
 
 /// A key with an IP address and a port.
 pub(crate) struct AddressKey {
@@ -56,7 +56,7 @@
 
 impl AddressKey {
     /// The same key with a default that depends on the rest of the file.
-    pub(crate) fn or(self, default: SocketAddr) -> AddressKey {
+    pub(crate) fn with_default(self, default: SocketAddr) -> AddressKey {
         AddressKey { default, ..self }
     }
 }
@@ -69,13 +69,13 @@
 
 impl NameKey<'_> {
     /// The same key with a default that depends on the rest of the file.
-    pub(crate) fn or<'a>(&self, default: &'a str) -> NameKey<'a> {
+    pub(crate) fn with_default<'a>(&self, default: &'a str) -> NameKey<'a> {
         let name = self.name;
         NameKey { name, default }
     }
 }
 
-impl File {
+impl OperatorFile {
     /// Reads a number.
     pub(crate) fn number<T>(&mut self, section: &Section, key: NumberKey<T>) -> T
     where
@@ -145,7 +145,7 @@
 
     /// Reads names with commas between them. A name that stands twice is reported.
     pub(crate) fn names(&mut self, section: &Section, key: &str) -> Names {
-        let names: Vec<String> = list(section.get(key).unwrap_or(""))
+        let names: Vec<String> = split_list(section.get(key).unwrap_or(""))
             .map(Into::into)
             .collect();
         let repeated = (0..names.len()).find(|index| names[..*index].contains(&names[*index]));
@@ -172,7 +172,7 @@
 }
 
 /// What stands between the commas of a value, without spaces and without empty parts.
-pub(crate) fn list(text: &str) -> impl Iterator<Item = &str> {
+pub(crate) fn split_list(text: &str) -> impl Iterator<Item = &str> {
     text.split(',')
         .map(str::trim)
         .filter(|part| !part.is_empty())
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -34,7 +34,7 @@
 pub use error::{OperatorFileError, OperatorFileErrors, Place, Problem};
 pub use names::Names;
 
-use file::File;
+use file::OperatorFile;
 
 /// Everything that an operator file says; what is off is `None`.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -58,7 +58,7 @@
 /// # Errors
 /// Everything that is wrong, in the order of the lines. Where the text is not INI, that alone.
 pub fn read(name: &str, text: &str) -> Result<OperatorConfig, OperatorFileErrors> {
-    let mut file = File::parse(name, text)?;
+    let mut file = OperatorFile::parse(name, text)?;
     let concurrency = concurrency::read(&mut file);
     let idempotency_store = idempotency_store::read(&mut file);
     let membership = membership::read(&mut file);
--- a/crates/operator-config/src/membership.rs
+++ b/crates/operator-config/src/membership.rs
@@ -1,8 +1,8 @@
 //! The view of the fleet (`[members]`).
 
 use crate::error::Problem;
-use crate::file::File;
-use crate::keys::{AddressKey, ENABLED, NameKey, NumberKey, list};
+use crate::file::OperatorFile;
+use crate::keys::{AddressKey, ENABLED, NameKey, NumberKey, split_list};
 use crate::section::Section;
 use ipnet::IpNet;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -27,7 +27,7 @@
     range: 1..=10_000,
     default: 2_000,
 };
-const MEMORY_S: NumberKey<u64> = NumberKey {
+const DOWN_RETENTION_S: NumberKey<u64> = NumberKey {
     name: "memory_s",
     range: 1..=86_400,
     default: 60,
@@ -54,7 +54,7 @@
     JOIN,
     LISTEN.name,
     MAX_MEMBERS.name,
-    MEMORY_S.name,
+    DOWN_RETENTION_S.name,
     NETWORKS,
     PROBE_MS.name,
     SUSPICION_MS.name,
@@ -100,11 +100,11 @@
 }
 
 /// Reads `[members]`.
-pub(crate) fn read(file: &mut File) -> Option<MembershipConfig> {
+pub(crate) fn read(file: &mut OperatorFile) -> Option<MembershipConfig> {
     let section = file.take_one("members", KEYS)?;
     let enabled = file.word(&section, &ENABLED);
     let listen = file.address(&section, &LISTEN);
-    let advertise = file.address(&section, &ADVERTISE.or(listen));
+    let advertise = file.address(&section, &ADVERTISE.with_default(listen));
     let members = MembershipConfig {
         listen,
         advertise,
@@ -115,7 +115,7 @@
         max_members: file.number(&section, MAX_MEMBERS),
         probe_ms: file.number(&section, PROBE_MS),
         suspicion_ms: file.number(&section, SUSPICION_MS),
-        down_retention_s: file.number(&section, MEMORY_S),
+        down_retention_s: file.number(&section, DOWN_RETENTION_S),
     };
     if enabled {
         check_reachable(file, &section, advertise);
@@ -127,9 +127,9 @@
     enabled.then_some(members)
 }
 
-fn read_join(file: &mut File, section: &Section) -> Vec<SocketAddr> {
+fn read_join(file: &mut OperatorFile, section: &Section) -> Vec<SocketAddr> {
     let mut addresses = vec![];
-    for text in list(section.get(JOIN).unwrap_or("")) {
+    for text in split_list(section.get(JOIN).unwrap_or("")) {
         match text.parse() {
             Ok(address) => addresses.push(address),
             Err(_) => file.key_error(section, JOIN, Problem::InvalidAddress(text.into())),
@@ -138,8 +138,8 @@
     addresses
 }
 
-/// Reads the networks. An empty part of the list is an error, where [`list`] would leave it out.
-fn read_networks(file: &mut File, section: &Section) -> Vec<IpNet> {
+/// Reads the networks. An empty part of the list is an error, where [`split_list`] would leave it out.
+fn read_networks(file: &mut OperatorFile, section: &Section) -> Vec<IpNet> {
     let texts: Vec<&str> = match section.get(NETWORKS) {
         Some(text) => text.split(',').map(str::trim).collect(),
         None => DEFAULT_NETWORKS.to_vec(),
@@ -161,7 +161,7 @@
 }
 
 /// Reports that other servers can't send to this one.
-fn check_reachable(file: &mut File, section: &Section, advertise: SocketAddr) {
+fn check_reachable(file: &mut OperatorFile, section: &Section, advertise: SocketAddr) {
     if section.get(LISTEN.name).is_none() {
         file.key_error(section, LISTEN.name, Problem::NoListenAddress);
     } else if advertise.ip().is_unspecified() || advertise.port() == 0 {
@@ -171,11 +171,11 @@
 }
 
 /// Reports addresses, this server's own among them, that belong to none of the networks.
-fn check_networks(file: &mut File, section: &Section, members: &MembershipConfig) {
-    let own = Some(&members.advertise).filter(|address| address.port() != 0);
-    let own = own.map(|address| (advertising_key(section), address));
+fn check_networks(file: &mut OperatorFile, section: &Section, members: &MembershipConfig) {
+    let advertised = Some(&members.advertise).filter(|address| address.port() != 0);
+    let advertised = advertised.map(|address| (advertising_key(section), address));
     let join = members.join.iter().map(|address| (JOIN, address));
-    for (key, address) in join.chain(own) {
+    for (key, address) in join.chain(advertised) {
         if !members.networks.iter().any(|n| n.contains(&address.ip())) {
             file.key_error(section, key, Problem::OutsideOfNetworks(*address));
         }
--- a/crates/operator-config/src/quota.rs
+++ b/crates/operator-config/src/quota.rs
@@ -1,7 +1,7 @@
 //! Quotas and counters of the whole fleet (`[shared]`, `[budget NAME]`, `[count NAME]`).
 
 use crate::error::Problem;
-use crate::file::File;
+use crate::file::OperatorFile;
 use crate::handler_groups::{self, HANDLERS};
 use crate::keys::{ENABLED, NumberKey, WordKey};
 use crate::names::Names;
@@ -37,7 +37,7 @@
     range: 200..=60_000,
     default: 1_000,
 };
-const LONGEST_MS: NumberKey<u64> = NumberKey {
+const MAX_CALL_MS: NumberKey<u64> = NumberKey {
     name: "longest_ms",
     range: 50..=600_000,
     default: 2_000,
@@ -46,7 +46,7 @@
     CALLS.name,
     HANDLERS,
     LEASE_MS.name,
-    LONGEST_MS.name,
+    MAX_CALL_MS.name,
     SERVERS.name,
 ];
 
@@ -130,7 +130,7 @@
 }
 
 /// Reads `[shared]`, all `[budget NAME]` and all `[count NAME]`. `has_members`: `[members]` is on.
-pub(crate) fn read(file: &mut File, has_members: bool) -> Option<QuotaConfig> {
+pub(crate) fn read(file: &mut OperatorFile, has_members: bool) -> Option<QuotaConfig> {
     let head = file.take_one("shared", SHARED_KEYS);
     let budget_sections = file.take("budget", BUDGET_KEYS);
     let count_sections = file.take("count", COUNT_KEYS);
@@ -165,7 +165,7 @@
     enabled.then_some(shared)
 }
 
-fn read_budget(file: &mut File, section: &Section, earlier: &[Budget]) -> Budget {
+fn read_budget(file: &mut OperatorFile, section: &Section, earlier: &[Budget]) -> Budget {
     file.require_section_name(section);
     file.require_key(section, CALLS.name);
     file.require_key(section, SERVERS.name);
@@ -179,12 +179,17 @@
         capacity: file.number(section, CALLS),
         max_servers: file.number(section, SERVERS),
         lease_ms: file.number(section, LEASE_MS),
-        max_call_ms: file.number(section, LONGEST_MS),
+        max_call_ms: file.number(section, MAX_CALL_MS),
     }
 }
 
 /// With fewer calls than servers only slots tell which servers have a base quota.
-fn check_base_quota(file: &mut File, section: &Section, budget: &Budget, slot: Option<u32>) {
+fn check_base_quota(
+    file: &mut OperatorFile,
+    section: &Section,
+    budget: &Budget,
+    slot: Option<u32>,
+) {
     if budget.capacity < budget.max_servers && slot.is_none() {
         let problem = Problem::NoBaseQuota {
             calls: budget.capacity,
@@ -194,7 +199,7 @@
     }
 }
 
-fn read_count(file: &mut File, section: &Section) -> Counter {
+fn read_count(file: &mut OperatorFile, section: &Section) -> Counter {
     file.require_section_name(section);
     if section.get(BY.name).is_none() {
         file.key_error(section, BY.name, Problem::NoCounterKind);
--- a/crates/operator-config/src/upstream.rs
+++ b/crates/operator-config/src/upstream.rs
@@ -1,14 +1,14 @@
 //! The backends upstream and how calls are divided among them (`[routes]`, `[backend NAME]`).
 
 use crate::error::Problem;
-use crate::file::File;
+use crate::file::OperatorFile;
 use crate::handler_groups::{self, HANDLERS};
-use crate::keys::{AddressKey, ENABLED, NameKey, NumberKey, WordKey, switch};
+use crate::keys::{AddressKey, ENABLED, NameKey, NumberKey, WordKey, on_off};
 use crate::names::Names;
 use crate::section::Section;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
-const HEDGING: WordKey<bool> = switch("hedges", true);
+const HEDGING: WordKey<bool> = on_off("hedges", true);
 const MIN_LOCAL_FRACTION: NumberKey<f64> = NumberKey {
     name: "near_least",
     range: 0.01..=1.0,
@@ -24,7 +24,7 @@
     range: 0.0..=1.0,
     default: 0.1,
 };
-const GOSSIP: WordKey<bool> = switch("shares", true);
+const GOSSIP: WordKey<bool> = on_off("shares", true);
 /// Its default in `[routes]` is the zone of `[members]`.
 const ZONE: NameKey<'static> = NameKey {
     name: "zone",
@@ -92,7 +92,7 @@
 }
 
 /// Reads `[routes]` and all `[backend NAME]`. `member_zone`: the zone of `[members]`, if that is on.
-pub(crate) fn read(file: &mut File, member_zone: Option<&str>) -> Option<RoutingConfig> {
+pub(crate) fn read(file: &mut OperatorFile, member_zone: Option<&str>) -> Option<RoutingConfig> {
     let head = file.take_one("routes", ROUTES_KEYS);
     let sections = file.take("backend", BACKEND_KEYS);
     let Some(head) = head else {
@@ -112,7 +112,10 @@
         file.section_error(&head, Problem::TooManyBackends { max: MAX_BACKENDS });
     }
     let routes = RoutingConfig {
-        zone: file.name(&head, &ZONE.or(member_zone.unwrap_or(ZONE.default))),
+        zone: file.name(
+            &head,
+            &ZONE.with_default(member_zone.unwrap_or(ZONE.default)),
+        ),
         max_ejected_fraction: file.number(&head, MAX_EJECTED_FRACTION),
         min_local_fraction: file.number(&head, MIN_LOCAL_FRACTION),
         retry_ratio: file.number(&head, RETRY_RATIO),
@@ -123,7 +126,7 @@
     enabled.then_some(routes)
 }
 
-fn read_backend(file: &mut File, section: &Section) -> Backend {
+fn read_backend(file: &mut OperatorFile, section: &Section) -> Backend {
     file.require_section_name(section);
     file.require_key(section, ADDRESS.name);
     let address = file.address(section, &ADDRESS);
@@ -142,7 +145,7 @@
 
 /// Reports a backend that has some of the handlers of an earlier one, or its address.
 fn check_against_earlier(
-    file: &mut File,
+    file: &mut OperatorFile,
     section: &Section,
     backend: &Backend,
     earlier: &[Backend],
--- a/crates/operator-config/tests/operator_file/form.rs
+++ b/crates/operator-config/tests/operator_file/form.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn rejects_keys_and_sections_that_stand_twice() {
+fn rejects_repeated_keys_and_sections() {
     assert_eq!(
         error_lines("[pools]\nenabled = on\nenabled = off\n"),
         ["o.ini:3: [pools] enabled: stands twice"]
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn rejects_a_name_on_a_section_that_has_none() {
+fn rejects_a_name_on_a_section_that_takes_none() {
     assert_eq!(
         error_lines("[pools x]\n"),
         ["o.ini:1: [pools x]: has no name of its own"]
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn reports_a_text_that_is_not_ini_in_one_line() {
+fn reports_text_that_is_not_ini_in_one_line() {
     assert_eq!(error_lines("[pools\nenabled = on\n").len(), 1);
 }
 
--- a/crates/operator-config/tests/operator_file/membership.rs
+++ b/crates/operator-config/tests/operator_file/membership.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn reports_addresses_names_and_times_that_can_not_be() {
+fn reports_invalid_addresses_names_and_times() {
     let text = "[members]\nenabled = on\nlisten = 0.0.0.0:7946\njoin = 192.0.2.1:1, here\nfleet = a b\n\
                 networks = 10.0.0.0/8, ten\nprobe_ms = 500\nsuspicion_ms = 900\n[control]\n";
     let expected = [
--- a/crates/operator-config/tests/operator_file/quota.rs
+++ b/crates/operator-config/tests/operator_file/quota.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn reports_budgets_and_counters_that_can_not_be() {
+fn reports_invalid_budgets_and_counters() {
     assert_eq!(
         error_lines(&format!("{MEMBERS}{INVALID}")),
         [
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_budget_needs_the_section_that_all_share() {
+fn a_budget_requires_the_shared_section() {
     assert_eq!(
         error_lines("[budget a]\ncalls = 1\n"),
         ["o.ini:1: [budget a]: goes with a section [shared]"]
--- a/crates/operator-config/tests/operator_file/upstream.rs
+++ b/crates/operator-config/tests/operator_file/upstream.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn reports_routes_and_backends_that_can_not_be() {
+fn reports_invalid_routes_and_backends() {
     let text = "[routes]\nenabled = on\nout_most = 1\n[backend a]\nhandlers = x, y\n[backend b c]\n\
                 address = 0.0.0.0:1\nweight = 0\nhandlers = y\n";
     assert_eq!(
--- a/crates/server/src/cli.rs
+++ b/crates/server/src/cli.rs
@@ -23,13 +23,13 @@
     /// For tests with incarnations on differing clocks: milliseconds added to the Unix clock that distinguishes
     /// incarnations
     #[arg(
-        long,
+        long = "unix-ahead-ms",
         hide = true,
         value_name = "MS",
         default_value_t = 0,
         allow_hyphen_values = true
     )]
-    pub(crate) unix_ahead_ms: i64,
+    pub(crate) incarnation_offset_ms: i64,
     /// What to do; without a command, `run`.
     #[command(subcommand)]
     pub(crate) command: Option<Command>,
--- a/crates/server/src/commands.rs
+++ b/crates/server/src/commands.rs
@@ -63,7 +63,10 @@
 pub(crate) fn execute(arguments: Arguments) -> Result<(), CommandError> {
     let operator_file = arguments.operator_file.as_deref();
     match arguments.command.unwrap_or(Command::Run) {
-        Command::Run => Ok(startup::run(operator_file, arguments.unix_ahead_ms)?),
+        Command::Run => Ok(startup::run(
+            operator_file,
+            arguments.incarnation_offset_ms,
+        )?),
         Command::Check { file } => check(&file),
         Command::Members(arguments) => query(Subject::Members, &arguments),
         Command::Shared(arguments) => query(Subject::Quotas, &arguments),
--- a/crates/server/src/fleet/control_client.rs
+++ b/crates/server/src/fleet/control_client.rs
@@ -2,8 +2,8 @@
 //! of JSON or as text. It keeps no connection and no state between queries.
 
 use super::control_protocol::{
-    BackendRecord, CountRecord, END, ErrorLine, MAX_ANSWER_LINE_BYTES, MemberRecord,
-    MembershipHead, Query, QuotaRecord, SharedRecord,
+    BackendRecord, CountRecord, END_LINE, ErrorLine, MAX_ANSWER_LINE_BYTES, MemberRecord,
+    MembershipHead, Query, QuotaRecord, QuotasRecord,
 };
 use serde::de::DeserializeOwned;
 use serde_json::{Value, json};
@@ -93,7 +93,7 @@
         bounded.read_line(&mut line)?;
         match line.trim_end() {
             "" => return Err(ErrorKind::UnexpectedEof.into()),
-            END => return Ok(lines),
+            END_LINE => return Ok(lines),
             line => lines.push(line.to_string()),
         }
     }
@@ -139,13 +139,13 @@
 
 fn member_line(member: &MemberRecord) -> String {
     let received = age(member.last_received_ms, "-");
-    let paused = if member.health_score > 0 {
+    let impaired = if member.health_score > 0 {
         ", held up"
     } else {
         ""
     };
     format!(
-        "{:<20} {:<9} {:<10} {:<22} {received}{paused}\n",
+        "{:<20} {:<9} {:<10} {:<22} {received}{impaired}\n",
         member.name, member.state, member.zone, member.address
     )
 }
@@ -189,11 +189,11 @@
     for line in &lines[1..] {
         let value = serde_json::from_str(line)?;
         match serde_json::from_str(line)? {
-            SharedRecord::Quota(record) => {
+            QuotasRecord::Quota(record) => {
                 text += &quota_line(&record);
                 budgets.push(value);
             }
-            SharedRecord::Count(record) => {
+            QuotasRecord::Count(record) => {
                 text += &count_line(&record);
                 counts.push(value);
             }
--- a/crates/server/src/fleet/control_protocol.rs
+++ b/crates/server/src/fleet/control_protocol.rs
@@ -1,5 +1,5 @@
 //! What travels over the control socket. A query is one line of JSON, `{"ask":WORD}`; its answer is lines of JSON of
-//! bounded length: a head, records of one kind, and [`END`]. A refused query is answered by an [`ErrorLine`].
+//! bounded length: a head, records of one kind, and [`END_LINE`]. A refused query is answered by an [`ErrorLine`].
 //!
 //! The members' names on the wire are fixed, since operators' scripts read them; where they differ from the fields'
 //! names, serde renames them. Members are written in the order of the fields.
@@ -11,7 +11,7 @@
 /// Longest line of an answer, in bytes; names are bounded far more tightly.
 pub(super) const MAX_ANSWER_LINE_BYTES: u64 = 4 << 10;
 /// The last line of every answer.
-pub(super) const END: &str = "{\"end\":true}";
+pub(super) const END_LINE: &str = "{\"end\":true}";
 
 /// What can be asked about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -107,7 +107,7 @@
 
 /// The head of an answer about quotas and counters.
 #[derive(Debug, Serialize, Deserialize)]
-pub(super) struct SharedHead {
+pub(super) struct QuotasHead {
     /// This server.
     pub(super) name: String,
 }
@@ -122,7 +122,7 @@
 /// A quota, or what was counted for one key.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(untagged)]
-pub(super) enum SharedRecord {
+pub(super) enum QuotasRecord {
     /// A quota.
     Quota(QuotaRecord),
     /// What was counted for one key.
--- a/crates/server/src/fleet/control_protocol/tests.rs
+++ b/crates/server/src/fleet/control_protocol/tests.rs
@@ -26,7 +26,7 @@
     assert_eq!(line(&Query { word }), r#"{"ask":"members"}"#);
     let reason = "no".into();
     assert_eq!(line(&ErrorLine { reason }), r#"{"wrong":"no"}"#);
-    assert_eq!(END, json!({ "end": true }).to_string());
+    assert_eq!(END_LINE, json!({ "end": true }).to_string());
 }
 
 #[test]
@@ -63,7 +63,7 @@
 #[test]
 fn other_heads_keep_their_names() {
     let name = "n1".into();
-    assert_eq!(line(&SharedHead { name }), r#"{"name":"n1"}"#);
+    assert_eq!(line(&QuotasHead { name }), r#"{"name":"n1"}"#);
     let head = BackendsHead { backends: true };
     assert_eq!(line(&head), r#"{"backends":true}"#);
 }
@@ -83,7 +83,7 @@
         until_usable_ms: 9,
     };
     assert_eq!(
-        line(&SharedRecord::Quota(quota)),
+        line(&QuotasRecord::Quota(quota)),
         r#"{"name":"trip-book","whole":1,"own":2,"lent":3,"borrowed":4,"usable":5,"in_use":6,"wants":7,"heard_ms":8,"waits_ms":9}"#
     );
 }
@@ -98,7 +98,7 @@
         stale_servers: 3,
     };
     assert_eq!(
-        line(&SharedRecord::Count(count)),
+        line(&QuotasRecord::Count(count)),
         r#"{"name":"tenants","of":"acme","value":1.5,"bound":2.5,"unheard":3}"#
     );
 }
--- a/crates/server/src/fleet/control_socket.rs
+++ b/crates/server/src/fleet/control_socket.rs
@@ -5,8 +5,8 @@
 
 use super::backends::Backends;
 use super::control_protocol::{
-    BackendRecord, BackendsHead, CountRecord, END, ErrorLine, MAX_QUERY_BYTES, MemberRecord,
-    MembershipHead, Query, QuotaRecord, SharedHead, SharedRecord, Subject,
+    BackendRecord, BackendsHead, CountRecord, END_LINE, ErrorLine, MAX_QUERY_BYTES, MemberRecord,
+    MembershipHead, Query, QuotaRecord, QuotasHead, QuotasRecord, Subject,
 };
 use super::counter_names::{CounterKey, CounterNames};
 use super::gossip::Fleet;
@@ -94,10 +94,10 @@
 pub fn listen(path: &Path) -> Result<UnixListener, ControlSocketError> {
     check_replaceable(path)?;
     // Made beside the path and moved there, so that the socket is never open to others.
-    let fresh = path.with_extension(format!("{}", std::process::id()));
-    let _ = std::fs::remove_file(&fresh);
-    bind_private(&fresh, path).map_err(|source| {
-        let _ = std::fs::remove_file(&fresh);
+    let temporary = path.with_extension(format!("{}", std::process::id()));
+    let _ = std::fs::remove_file(&temporary);
+    bind_private(&temporary, path).map_err(|source| {
+        let _ = std::fs::remove_file(&temporary);
         io_error(path, source)
     })
 }
@@ -116,10 +116,10 @@
     }
 }
 
-fn bind_private(fresh: &Path, path: &Path) -> std::io::Result<UnixListener> {
-    let listener = UnixListener::bind(fresh)?;
-    std::fs::set_permissions(fresh, std::fs::Permissions::from_mode(0o600))?;
-    std::fs::rename(fresh, path)?;
+fn bind_private(temporary: &Path, path: &Path) -> std::io::Result<UnixListener> {
+    let listener = UnixListener::bind(temporary)?;
+    std::fs::set_permissions(temporary, std::fs::Permissions::from_mode(0o600))?;
+    std::fs::rename(temporary, path)?;
     Ok(listener)
 }
 
@@ -200,17 +200,20 @@
 /// An answer without records, whose head says why the query is rejected.
 fn error_answer(reason: &str) -> String {
     let reason = reason.to_string();
-    compose(&ErrorLine { reason }, std::iter::empty::<ErrorLine>())
+    format_answer(&ErrorLine { reason }, std::iter::empty::<ErrorLine>())
 }
 
 /// An answer of a head, records and the end line.
-fn compose(head: &impl Serialize, records: impl IntoIterator<Item = impl Serialize>) -> String {
+fn format_answer(
+    head: &impl Serialize,
+    records: impl IntoIterator<Item = impl Serialize>,
+) -> String {
     let mut text = String::new();
     push_line(&mut text, head);
     for record in records {
         push_line(&mut text, &record);
     }
-    text + END + "\n"
+    text + END_LINE + "\n"
 }
 
 /// Adds one line of JSON.
@@ -232,7 +235,7 @@
         last_received_ms: view.last_received_ms,
         digest: format!("{:016x}", view.digest),
     };
-    compose(&head, view.members.iter().map(member_record))
+    format_answer(&head, view.members.iter().map(member_record))
 }
 
 fn member_record(member: &MemberView) -> MemberRecord {
@@ -252,7 +255,7 @@
 fn backends_answer(backends: &Backends) -> String {
     let manager = backends.manager().borrow();
     let statuses = manager.backend_statuses(backends.now());
-    compose(
+    format_answer(
         &BackendsHead { backends: true },
         statuses.into_iter().map(backend_record),
     )
@@ -281,7 +284,7 @@
     let now = fleet.now();
     let stack = fleet.stack().borrow();
     let quotas = stack.quotas()?;
-    let head = SharedHead {
+    let head = QuotasHead {
         name: stack.membership().local_identity().name.to_string(),
     };
     let budgets = quotas.budget_views(now).into_iter().map(quota_record);
@@ -290,12 +293,12 @@
     let counts = CounterId::first(counters.len())
         .zip(counters)
         .flat_map(|(id, counter)| count_records(now, id, counter, names));
-    Some(compose(&head, budgets.chain(counts)))
+    Some(format_answer(&head, budgets.chain(counts)))
 }
 
-fn quota_record(budget: BudgetView) -> SharedRecord {
+fn quota_record(budget: BudgetView) -> QuotasRecord {
     let in_ms = |duration: Duration| duration.as_micros() / 1_000;
-    SharedRecord::Quota(QuotaRecord {
+    QuotasRecord::Quota(QuotaRecord {
         name: budget.name.to_string(),
         capacity: budget.capacity,
         base_quota: budget.base_quota,
@@ -315,12 +318,12 @@
     id: CounterId,
     counter: &ReplicatedCounter,
     names: &CounterNames,
-) -> Vec<SharedRecord> {
+) -> Vec<QuotasRecord> {
     let heaviest = counter.heaviest_keys(MAX_REPORTED_KEYS);
     let keys = names.keys(id).filter(|k| heaviest.contains(&k.hash));
     let record = |key: CounterKey<'_>| {
         let estimate = counter.estimate(now, key.hash, key.fair_rate);
-        SharedRecord::Count(CountRecord {
+        QuotasRecord::Count(CountRecord {
             name: counter.settings().name.to_string(),
             key: key.name.to_string(),
             estimate: estimate.value,
--- a/crates/server/src/fleet/gossip.rs
+++ b/crates/server/src/fleet/gossip.rs
@@ -125,11 +125,11 @@
     /// Notifies the fleet that this server leaves; the last datagrams are sent at once.
     pub fn leave(&self, socket: &UdpSocket) {
         self.stack.borrow_mut().membership_mut().leave(self.now());
-        self.carry_out(socket);
+        self.send_and_log(socket);
     }
 
     /// Sends what the state machines have to send, and logs their events.
-    fn carry_out(&self, socket: &UdpSocket) {
+    fn send_and_log(&self, socket: &UdpSocket) {
         self.send_datagrams(socket);
         let lines = self.take_event_lines();
         if let Some(backends) = &self.backends {
@@ -213,7 +213,7 @@
         }
         fleet.handle_datagrams(&socket, &mut limit, &mut buffer);
         fleet.stack.borrow_mut().handle_timeout(fleet.now());
-        fleet.carry_out(&socket);
+        fleet.send_and_log(&socket);
         // Tasks with requests that are ready go first.
         tokio::task::yield_now().await;
     }
--- a/crates/server/src/fleet/gossip/datagram_limit/tests.rs
+++ b/crates/server/src/fleet/gossip/datagram_limit/tests.rs
@@ -7,32 +7,32 @@
 const FLOOD_SECONDS: u64 = 10;
 
 /// Datagrams that are looked at of a flood with so many a second, evenly spread.
-fn looked_at(datagrams_per_second: u64) -> u64 {
+fn count_admitted(datagrams_per_second: u64) -> u64 {
     let start = Timestamp::from_micros(1_000_000);
     let mut limit = DatagramLimit::new(start);
     let count = datagrams_per_second * FLOOD_SECONDS;
-    let taken = (0..count).filter(|n| {
+    let admitted = (0..count).filter(|n| {
         let elapsed = Duration::from_micros(n * 1_000_000 / datagrams_per_second);
         limit.try_take(start + elapsed)
     });
-    taken.count() as u64
+    admitted.count() as u64
 }
 
-/// A flood silenced the view of the fleet: of 6,000 a second one in ten passed, of 10,000 one in fifty.
+/// A flood silenced the view of the fleet: of 6,000 a second one in ten admitted, of 10,000 one in fifty.
 #[test]
-fn permitted_rate_passes_whatever_the_flood() {
+fn admits_the_permitted_rate_during_any_flood() {
     let permitted = DATAGRAMS_PER_SECOND as u64 * FLOOD_SECONDS;
     for flood in [6_000, 10_000, 50_000, 1_000_000] {
-        let passed = looked_at(flood);
-        let most = permitted + u64::from(MAX_BURST);
+        let admitted = count_admitted(flood);
+        let max_admitted = permitted + u64::from(MAX_BURST);
         assert!(
-            (permitted..=most).contains(&passed),
-            "{passed} of {flood} a second"
+            (permitted..=max_admitted).contains(&admitted),
+            "{admitted} of {flood} a second"
         );
     }
     for flood in [100, 4_000, 5_000] {
         assert_eq!(
-            looked_at(flood),
+            count_admitted(flood),
             flood * FLOOD_SECONDS,
             "of {flood} a second"
         );
--- a/crates/server/src/fleet/gossip/event_log.rs
+++ b/crates/server/src/fleet/gossip/event_log.rs
@@ -5,7 +5,7 @@
 use madderbay::time::{Duration, Timestamp};
 
 /// Lines in one interval.
-const MAX_LINES: u32 = 200;
+const MAX_LINES_PER_INTERVAL: u32 = 200;
 /// Length of an interval.
 const INTERVAL: Duration = Duration::from_millis(10_000);
 
@@ -18,7 +18,7 @@
     /// Begins the first interval.
     pub(super) fn new(now: Timestamp) -> EventLog {
         EventLog {
-            limiter: RateLimiter::new(now, MAX_LINES, Refill::EachInterval(INTERVAL)),
+            limiter: RateLimiter::new(now, MAX_LINES_PER_INTERVAL, Refill::EachInterval(INTERVAL)),
         }
     }
 
--- a/crates/server/src/fleet/quota_leases.rs
+++ b/crates/server/src/fleet/quota_leases.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 
 /// Upper bound on the tenants whose rates are reported at a time: those with the most requests.
-const MAX_RATED_TENANTS: usize = 256;
+const MAX_REPORTED_TENANTS: usize = 256;
 
 /// Answers the core from the fleet's quotas. Where the fleet shares none, nothing is usable.
 pub struct FleetQuotaSource {
@@ -126,7 +126,7 @@
         let (Some(quotas), Some(counter)) = (self.quotas(), names.tenant_counter()) else {
             return vec![];
         };
-        let active = quotas.counter(counter).heaviest_keys(MAX_RATED_TENANTS);
+        let active = quotas.counter(counter).heaviest_keys(MAX_REPORTED_TENANTS);
         let keys = names.keys(counter).filter(|k| active.contains(&k.hash));
         let rate = |key: CounterKey<'_>| {
             let CountedSubject::Tenant(tenant) = key.subject else {
--- a/crates/server/src/fleet/quota_plan.rs
+++ b/crates/server/src/fleet/quota_plan.rs
@@ -25,7 +25,7 @@
     /// For the core: one group for each budget, in the same order.
     pub groups: Vec<QuotaGroup>,
     /// The names of what is counted.
-    pub counted: CounterNames,
+    pub counter_names: CounterNames,
 }
 
 /// Plans the section.
@@ -51,7 +51,7 @@
             counters: counters(section),
         },
         groups,
-        counted: counter_names(section, settings),
+        counter_names: counter_names(section, settings),
     };
     handlers.finish(plan)
 }
--- a/crates/server/src/fleet_endpoint.rs
+++ b/crates/server/src/fleet_endpoint.rs
@@ -30,13 +30,13 @@
     /// The section `[members]`.
     pub(crate) members: &'a MembershipConfig,
     /// Quotas and counters, where `[shared]` is on.
-    pub(crate) sharing: Option<QuotaPlan>,
+    pub(crate) quota: Option<QuotaPlan>,
     /// The backends whose state the fleet exchanges, where `[routes]` is on.
     pub(crate) backends: Option<Rc<Backends>>,
     /// The clock of the fleet's state machines.
     pub(crate) clock: MonotonicClock,
     /// Added to the clock that distinguishes incarnations, in milliseconds.
-    pub(crate) unix_ahead_ms: i64,
+    pub(crate) incarnation_offset_ms: i64,
 }
 
 impl FleetEndpoint {
@@ -71,13 +71,13 @@
         let name = config.name.clone();
         return Err(StartError::MemberName { name });
     }
-    let (quotas, counter_names) = match setup.sharing {
-        Some(sharing) => (Some(sharing.settings), sharing.counted),
+    let (quotas, counter_names) = match setup.quota {
+        Some(quota) => (Some(quota.settings), quota.counter_names),
         None => (None, CounterNames::default()),
     };
     let fleet_config = FleetConfig {
         seed: config.seed,
-        incarnation: incarnation(setup.unix_ahead_ms),
+        incarnation: incarnation(setup.incarnation_offset_ms),
         membership: membership_settings(setup.members, &config.name),
         quotas,
         counter_names,
@@ -87,6 +87,6 @@
 }
 
 /// The Unix time of this start, in milliseconds: a later start of the same server has a greater one.
-fn incarnation(unix_ahead_ms: i64) -> u64 {
-    (clock::unix_micros() / 1_000).saturating_add_signed(unix_ahead_ms)
+fn incarnation(incarnation_offset_ms: i64) -> u64 {
+    (clock::unix_micros() / 1_000).saturating_add_signed(incarnation_offset_ms)
 }
--- a/crates/server/src/operator_plan.rs
+++ b/crates/server/src/operator_plan.rs
@@ -60,24 +60,27 @@
 /// The sections that differ between two operator files and that only a restart applies.
 pub(crate) fn restart_only_differences(
     at_start: &OperatorConfig,
-    fresh: &OperatorConfig,
+    reloaded: &OperatorConfig,
 ) -> Vec<&'static str> {
     let sections = [
-        ("[pools]", at_start.concurrency != fresh.concurrency),
+        ("[pools]", at_start.concurrency != reloaded.concurrency),
         (
             "[kept-results]",
-            at_start.idempotency_store != fresh.idempotency_store,
+            at_start.idempotency_store != reloaded.idempotency_store,
+        ),
+        ("[members]", at_start.membership != reloaded.membership),
+        (
+            "[control]",
+            at_start.control_socket != reloaded.control_socket,
         ),
-        ("[members]", at_start.membership != fresh.membership),
-        ("[control]", at_start.control_socket != fresh.control_socket),
         // Of these a reload applies what is in them, and not whether they are on.
         (
             "[shared]",
-            at_start.quota.is_some() != fresh.quota.is_some(),
+            at_start.quota.is_some() != reloaded.quota.is_some(),
         ),
         (
             "[routes]",
-            at_start.upstream.is_some() != fresh.upstream.is_some(),
+            at_start.upstream.is_some() != reloaded.upstream.is_some(),
         ),
     ];
     let differing = sections.into_iter().filter(|(_, differs)| *differs);
@@ -89,7 +92,7 @@
     /// `[pools]` and `[reserve]`: concurrency limits by pool.
     pub(crate) concurrency: Option<ConcurrencyConfig>,
     /// `[shared]`: quotas and counters of the fleet.
-    pub(crate) sharing: Option<QuotaPlan>,
+    pub(crate) quota: Option<QuotaPlan>,
     /// `[routes]`: the backends.
     pub(crate) routing: Option<RoutingPlan>,
 }
@@ -105,7 +108,7 @@
             .concurrency
             .as_ref()
             .map(|section| concurrency_limits::plan(section, settings));
-        let sharing = operator
+        let quota = operator
             .quota
             .as_ref()
             .map(|section| quota_plan::plan(section, config));
@@ -115,16 +118,16 @@
             .map(|section| routing_plan::plan(section, settings));
         match (
             concurrency.transpose(),
-            sharing.transpose(),
+            quota.transpose(),
             routing.transpose(),
         ) {
-            (Ok(concurrency), Ok(sharing), Ok(routing)) => Ok(OperatorPlan {
+            (Ok(concurrency), Ok(quota), Ok(routing)) => Ok(OperatorPlan {
                 concurrency: with_upstream_groups(concurrency, routing.as_ref()),
-                sharing,
+                quota,
                 routing,
             }),
-            (concurrency, sharing, routing) => {
-                let unknown = [concurrency.err(), sharing.err(), routing.err()];
+            (concurrency, quota, routing) => {
+                let unknown = [concurrency.err(), quota.err(), routing.err()];
                 let sections = unknown.into_iter().flatten().collect();
                 Err(OperatorError::UnknownHandlers(sections))
             }
--- a/crates/server/src/reload.rs
+++ b/crates/server/src/reload.rs
@@ -15,19 +15,19 @@
 
 /// Moves to the addresses of the configuration, and takes its time for a shutdown.
 fn reload_config(server: &Server) {
-    let fresh = match config::load() {
-        Ok(fresh) => fresh,
+    let reloaded = match config::load() {
+        Ok(reloaded) => reloaded,
         Err(error) => return log::warn!("reload: refused, error={error}"),
     };
-    for member in server.config().restart_only_differences(&fresh) {
+    for member in server.config().restart_only_differences(&reloaded) {
         log::warn!("reload: restart required, changed={member}");
     }
-    server.reloadable().update(&fresh);
-    let catalogue = fresh.catalogue.map(|address| address.to_string());
+    server.reloadable().update(&reloaded);
+    let catalogue = reloaded.catalogue.map(|address| address.to_string());
     log::info!(
         "reload: applied, engine={}, registry={}, catalogue={}",
-        fresh.engine,
-        fresh.registry,
+        reloaded.engine,
+        reloaded.registry,
         catalogue.as_deref().unwrap_or("none")
     );
 }
@@ -47,8 +47,8 @@
                 .for_each(|l| log::warn!("reload: operator file refused, error={l}"));
         }
     };
-    if let (Some(fleet), Some(sharing)) = (server.fleet(), plan.sharing) {
-        fleet.reload(&sharing.settings.budgets);
+    if let (Some(fleet), Some(quota)) = (server.fleet(), plan.quota) {
+        fleet.reload(&quota.settings.budgets);
     }
     if let (Some(backends), Some(routing)) = (server.backends(), plan.routing) {
         backends.reload(routing);
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -69,10 +69,10 @@
         let fleet_setup = operator.membership.as_ref().map(|members| FleetSetup {
             config: &config,
             members,
-            sharing: plan.sharing,
+            quota: plan.quota,
             backends: backends.clone(),
             clock: fleet_clock,
-            unix_ahead_ms: setup.unix_ahead_ms,
+            incarnation_offset_ms: setup.incarnation_offset_ms,
         });
         let fleet = join_fleet(fleet_setup, &backends, &core).await?;
         let control_socket =
@@ -156,8 +156,8 @@
 
     /// Writes all counters to the log.
     pub(crate) fn log_counters(&self) {
-        let of_fleet = self.fleet().map(Fleet::counters).unwrap_or_default();
-        logging::plain(self.core.borrow().counter_lines() + &of_fleet);
+        let fleet_counters = self.fleet().map(Fleet::counters).unwrap_or_default();
+        logging::plain(self.core.borrow().counter_lines() + &fleet_counters);
     }
 }
 
@@ -254,7 +254,7 @@
         backends.iter().for_each(tasks::spawn_backends);
         return Ok(None);
     };
-    let quota_groups = setup.sharing.as_ref().map(|s| s.groups.clone());
+    let quota_groups = setup.quota.as_ref().map(|s| s.groups.clone());
     let endpoint = FleetEndpoint::join(setup).await?;
     if let Some(groups) = quota_groups {
         let source = endpoint.fleet().quota_source().clone();
--- a/crates/server/src/setup.rs
+++ b/crates/server/src/setup.rs
@@ -28,15 +28,15 @@
     /// The store of durable results, where `[kept-results]` is on.
     pub(crate) store: Option<durability::OpenedStore>,
     /// Added to the clock that distinguishes incarnations, in milliseconds.
-    pub(crate) unix_ahead_ms: i64,
+    pub(crate) incarnation_offset_ms: i64,
 }
 
 impl Setup {
     /// Reads and checks everything; the first fault ends it. A configuration that is still being written is waited
-    /// for. `unix_ahead_ms` is added to the clock that distinguishes incarnations.
+    /// for. `incarnation_offset_ms` is added to the clock that distinguishes incarnations.
     pub(crate) fn read(
         operator_file: Option<&Path>,
-        unix_ahead_ms: i64,
+        incarnation_offset_ms: i64,
     ) -> Result<Setup, StartError> {
         let operator = operator_plan::read(operator_file)?;
         let config = wait_for_config()?;
@@ -48,7 +48,7 @@
             operator,
             plan,
             store,
-            unix_ahead_ms,
+            incarnation_offset_ms,
         })
     }
 }
--- a/crates/server/src/shutdown.rs
+++ b/crates/server/src/shutdown.rs
@@ -14,16 +14,16 @@
 /// How often the progress of a drain is looked at.
 const POLL_INTERVAL: StdDuration = StdDuration::from_millis(10);
 /// The server must have been at rest for this long, after the grace period, before the connections are ended.
-const REST_BEFORE_END: StdDuration = StdDuration::from_millis(60);
+const QUIESCENCE_BEFORE_CLOSE: StdDuration = StdDuration::from_millis(60);
 /// Listening ends this long before the stop at the latest. Connections that are still open then have that long for
 /// their last answers.
-const LAST_ANSWERS: StdDuration = StdDuration::from_millis(500);
+const LAST_ANSWERS_TIME: StdDuration = StdDuration::from_millis(500);
 /// Ended connections that are at rest are waited for this long, for their peers to see the end.
-const PEERS_SEE_END: StdDuration = StdDuration::from_millis(250);
+const PEER_CLOSE_TIMEOUT: StdDuration = StdDuration::from_millis(250);
 
 /// Drains the server and takes it out of the fleet; operators' signals are served meanwhile.
 pub(crate) async fn run(server: &Server, signals: &mut OperatorSignals) {
-    let mut drain = DrainProgress::begin(server);
+    let mut drain = DrainProgress::start(server);
     tokio::select! {
         () = drain.finish(server) => {}
         () = signals.serve(server) => {}
@@ -35,38 +35,41 @@
 
 /// The progress of a drain.
 struct DrainProgress {
-    began: Timestamp,
+    started_at: Timestamp,
     /// Time between the signal and the kill.
-    stop: StdDuration,
+    stop_timeout: StdDuration,
     /// New connections are accepted for this long.
-    listen_for: StdDuration,
+    accept_for: StdDuration,
     /// For how long the server has been at rest, in steps of [`POLL_INTERVAL`].
-    at_rest_for: StdDuration,
+    quiescent_for: StdDuration,
     /// Connections that owe nothing have been ended.
-    is_ending: bool,
+    is_closing: bool,
 }
 
 impl DrainProgress {
     /// Notifies the fleet, and the load balancers through the core.
-    fn begin(server: &Server) -> DrainProgress {
-        let began = server.clock().now();
-        let stop = server.reloadable().stop_timeout();
-        log::info!("server: draining, remaining_ms={}", stop.as_millis());
+    fn start(server: &Server) -> DrainProgress {
+        let started_at = server.clock().now();
+        let stop_timeout = server.reloadable().stop_timeout();
+        log::info!(
+            "server: draining, remaining_ms={}",
+            stop_timeout.as_millis()
+        );
         if let Some(fleet) = server.fleet() {
             fleet.drain();
         }
         // The decision module's last answers leave before the stop that it is given; the process outlasts them.
-        let last_answer = stop.saturating_sub(KILL_MARGIN);
+        let last_answer = stop_timeout.saturating_sub(KILL_MARGIN);
         let last_answer = Duration::from_micros(last_answer.as_micros() as u64);
-        server.core().borrow_mut().drain(began, last_answer);
+        server.core().borrow_mut().drain(started_at, last_answer);
         let grace = server.config().settings.rules.drain_grace;
         let grace = StdDuration::from_micros(grace.as_micros());
         DrainProgress {
-            began,
-            stop,
-            listen_for: grace.min(stop.saturating_sub(LAST_ANSWERS)),
-            at_rest_for: StdDuration::ZERO,
-            is_ending: false,
+            started_at,
+            stop_timeout,
+            accept_for: grace.min(stop_timeout.saturating_sub(LAST_ANSWERS_TIME)),
+            quiescent_for: StdDuration::ZERO,
+            is_closing: false,
         }
     }
 
@@ -84,36 +87,36 @@
 
     /// Looks at the server once; says whether the drain is over.
     fn step(&mut self, server: &Server) -> bool {
-        let elapsed = server.clock().now() - self.began;
+        let elapsed = server.clock().now() - self.started_at;
         let elapsed = StdDuration::from_micros(elapsed.as_micros());
-        let is_grace_over = elapsed > self.listen_for;
+        let is_grace_over = elapsed > self.accept_for;
         if is_grace_over {
             server.stop_listening();
         }
-        let is_at_rest = server.core().borrow().is_quiescent();
-        if is_at_rest && is_grace_over {
-            self.at_rest_for += POLL_INTERVAL;
+        let is_quiescent = server.core().borrow().is_quiescent();
+        if is_quiescent && is_grace_over {
+            self.quiescent_for += POLL_INTERVAL;
         } else {
-            self.at_rest_for = StdDuration::ZERO;
+            self.quiescent_for = StdDuration::ZERO;
         }
-        self.end_connections_after_rest(server);
-        self.is_over(server) || elapsed + KILL_MARGIN > self.stop
+        self.close_connections_once_quiescent(server);
+        self.is_complete(server) || elapsed + KILL_MARGIN > self.stop_timeout
     }
 
     /// Ends the connections once, and counts the rest anew from there.
-    fn end_connections_after_rest(&mut self, server: &Server) {
-        if self.at_rest_for >= REST_BEFORE_END && !self.is_ending {
-            self.is_ending = true;
+    fn close_connections_once_quiescent(&mut self, server: &Server) {
+        if self.quiescent_for >= QUIESCENCE_BEFORE_CLOSE && !self.is_closing {
+            self.is_closing = true;
             server.core().borrow_mut().close_connections();
-            self.at_rest_for = POLL_INTERVAL;
+            self.quiescent_for = POLL_INTERVAL;
         }
     }
 
     /// At rest, and either without connections or with peers that do not close theirs.
-    fn is_over(&self, server: &Server) -> bool {
-        let is_at_rest = self.at_rest_for > StdDuration::ZERO;
+    fn is_complete(&self, server: &Server) -> bool {
+        let is_quiescent = self.quiescent_for > StdDuration::ZERO;
         let has_no_connection = server.core().borrow().has_no_connections();
-        let has_waited_for_peers = self.is_ending && self.at_rest_for >= PEERS_SEE_END;
-        is_at_rest && has_no_connection || has_waited_for_peers
+        let has_waited_for_peers = self.is_closing && self.quiescent_for >= PEER_CLOSE_TIMEOUT;
+        is_quiescent && has_no_connection || has_waited_for_peers
     }
 }
--- a/crates/server/src/startup.rs
+++ b/crates/server/src/startup.rs
@@ -13,10 +13,13 @@
 use std::path::Path;
 use tokio::task::LocalSet;
 
-/// Starts a server and serves until a signal stops it. `unix_ahead_ms` is added to the clock that distinguishes
+/// Starts a server and serves until a signal stops it. `incarnation_offset_ms` is added to the clock that distinguishes
 /// incarnations.
-pub(crate) fn run(operator_file: Option<&Path>, unix_ahead_ms: i64) -> Result<(), StartError> {
-    let setup = Setup::read(operator_file, unix_ahead_ms)?;
+pub(crate) fn run(
+    operator_file: Option<&Path>,
+    incarnation_offset_ms: i64,
+) -> Result<(), StartError> {
+    let setup = Setup::read(operator_file, incarnation_offset_ms)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
--- a/crates/settings/src/records.rs
+++ b/crates/settings/src/records.rs
@@ -5,7 +5,7 @@
 
 use crate::error::{InvalidValue, NumberRange, SettingsError};
 use crate::raw::{Raw, RawInfo, RawPermissions, RawRules, RawTenant};
-use crate::section::{Section, Words, distinct_names};
+use crate::section::{Section, Words, check_distinct_names};
 use crate::settings::Settings;
 use madderbay::interface::{
     Cancellation, Downstream, FleetPosition, Handler, LoadReport, Machine, RetrySafety, Rules,
@@ -57,8 +57,8 @@
     check_classes_exist(raw)?;
     check_ranges(&raw.family_info, &raw.rules)?;
     check_lists_by_class(raw)?;
-    distinct_names(CLASSES, raw.classes.iter().map(|c| c.name.as_str()))?;
-    distinct_names(TENANTS, raw.tenants.iter().map(|t| t.name.as_str()))?;
+    check_distinct_names(CLASSES, raw.classes.iter().map(|c| c.name.as_str()))?;
+    check_distinct_names(TENANTS, raw.tenants.iter().map(|t| t.name.as_str()))?;
     check_calls_have_upstream(&raw.family_info)?;
     let handlers = (0..raw.classes.len()).map(|index| handler(raw, index));
     let handlers = handlers.collect::<Result<_, _>>()?;
--- a/crates/settings/src/section.rs
+++ b/crates/settings/src/section.rs
@@ -87,7 +87,7 @@
 
 /// Checks that no two entries of a list have the same name, so that a name tells which is meant.
 /// Empty names are not compared.
-pub(crate) fn distinct_names<'a>(
+pub(crate) fn check_distinct_names<'a>(
     list: &str,
     names: impl Iterator<Item = &'a str>,
 ) -> Result<(), SettingsError> {
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -4,7 +4,7 @@
 use madderbay_settings::{InvalidValue, Settings, SettingsError, read};
 
 /// Two handlers, one of them with idempotency keys, and an upstream that all servers share.
-const GOOD: &str = r#"{"classes": [
+const VALID: &str = r#"{"classes": [
  {"name": "look", "aim_us": 900000, "hard_limit_us": 2500000, "importance": 1.0, "effect": "read_like"},
  {"name": "sell", "aim_us": 1500000, "hard_limit_us": 3500000, "importance": 2.0, "effect": "idempotency_key",
   "repeat_window_us": 5000000}],
@@ -14,8 +14,8 @@
  "permissions": {"retry_after": true, "max_retry_after_us": 1000000},
  "rules": {"tip_multiple": 7.0}, "servers": 3}"#;
 
-fn with(changes: &[(&str, &str)]) -> Result<Settings, SettingsError> {
-    let mut text = GOOD.to_string();
+fn read_modified(changes: &[(&str, &str)]) -> Result<Settings, SettingsError> {
+    let mut text = VALID.to_string();
     for (from, to) in changes {
         assert!(text.contains(from), "{from}");
         text = text.replace(from, to);
@@ -23,14 +23,14 @@
     read(text.as_bytes())
 }
 
-fn good(changes: &[(&str, &str)]) -> Settings {
-    with(changes).unwrap_or_else(|error| panic!("{error}"))
+fn read_valid(changes: &[(&str, &str)]) -> Settings {
+    read_modified(changes).unwrap_or_else(|error| panic!("{error}"))
 }
 
 /// Each case: a text of the good settings, its replacement, and the line of the error.
 fn assert_errors(cases: &[(&str, &str, &str)]) {
     for (from, to, expected) in cases {
-        let error = with(&[(from, to)]).err().map(|e| e.to_string());
+        let error = read_modified(&[(from, to)]).err().map(|e| e.to_string());
         assert_eq!(error.as_deref(), Some(*expected), "{from} -> {to}");
     }
 }
@@ -43,7 +43,7 @@
         ("freeze", Cancellation::Pauses),
     ];
     for (word, cancellation) in words {
-        let settings = good(&[("freeze", word)]);
+        let settings = read_valid(&[("freeze", word)]);
         assert_eq!(settings.machine.cancellation, cancellation, "{word}");
     }
 }
@@ -57,14 +57,14 @@
         ("weight", LoadReport::Weight),
     ];
     for (word, load_report) in words {
-        let settings = good(&[("\"allowance\"", &format!("\"{word}\""))]);
+        let settings = read_valid(&[("\"allowance\"", &format!("\"{word}\""))]);
         assert_eq!(settings.downstream.load_report, load_report, "{word}");
     }
 }
 
 #[test]
 fn reads_a_handler_that_must_not_be_retried() {
-    let settings = good(&[("idempotency_key", "non_idempotent")]);
+    let settings = read_valid(&[("idempotency_key", "non_idempotent")]);
     assert_eq!(
         settings.handlers[1].retry_safety,
         RetrySafety::NonIdempotent
@@ -73,20 +73,20 @@
 
 #[test]
 fn reads_a_server_without_upstream() {
-    let settings = good(&[("one_for_all", "none"), ("[true, true]", "[false, false]")]);
+    let settings = read_valid(&[("one_for_all", "none"), ("[true, true]", "[false, false]")]);
     assert_eq!(settings.upstream.kind, UpstreamKind::None);
 }
 
 #[test]
-fn reads_a_site_without_tenants() {
+fn reads_settings_without_tenants() {
     let tenants =
         r#"[{"name": "a", "allowance_per_s": 5.0}, {"name": "b", "allowance_per_s": 5.0}]"#;
-    assert!(good(&[(tenants, "[]")]).tenants.is_empty());
+    assert!(read_valid(&[(tenants, "[]")]).tenants.is_empty());
 }
 
 #[test]
 fn ignores_unknown_keys_and_takes_defaults_for_absent_ones() {
-    let settings = good(&[(
+    let settings = read_valid(&[(
         "\"upstreams\": 3",
         "\"upstreams\": 3, \"tells_gone\": false, \"new_key\": [1, {}]",
     )]);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn rejects_words_that_are_unknown() {
+fn rejects_unknown_words() {
     assert_errors(&[
         (
             "\"freeze\"",
@@ -223,7 +223,7 @@
 
 #[test]
 fn reports_the_first_error_in_the_order_of_the_checks() {
-    let error = with(&[
+    let error = read_modified(&[
         ("\"freeze\"", "\"melt\""),
         ("\"importance\": 2.0", "\"importance\": -2.0"),
         ("\"blowup\": 9.0", "\"blowup\": 0.5"),
@@ -239,8 +239,8 @@
 }
 
 #[test]
-fn reports_missing_keys_and_text_that_is_no_json() {
-    let error = with(&[("\"servers\": 3", "\"tier\": 0")]).err();
+fn reports_missing_keys_and_text_that_is_not_json() {
+    let error = read_modified(&[("\"servers\": 3", "\"tier\": 0")]).err();
     let line = error.expect("a key is missing").to_string();
     assert!(
         line.starts_with("settings: missing field `servers`"),
