--- a/crates/operator-config/src/concurrency.rs
+++ b/crates/operator-config/src/concurrency.rs
@@ -19,7 +19,7 @@
     range: 1..=MAX_IN_FLIGHT,
     default: MAX_IN_FLIGHT,
 };
-/// Its default is the pool's weight.
+/// Defaults to the pool's weight.
 const CALLS_WEIGHT: NumberKey<f64> = NumberKey {
     name: "calls_weight",
     range: 0.0..=MAX_WEIGHT,
@@ -43,7 +43,7 @@
     WEIGHT.name,
 ];
 
-/// By default a tenth of the capacity: one of the first ten units.
+/// Defaults to a tenth of the capacity: one of the first ten units.
 const RESERVE_FRACTION: NumberKey<f64> = NumberKey {
     name: "part",
     range: 0.0..=MAX_RESERVE_FRACTION,
@@ -51,23 +51,23 @@
 };
 const RESERVE_KEYS: &[&str] = &[HANDLERS, RESERVE_FRACTION.name];
 
-/// Upper bound on a pool's runs or calls in flight: more than any server has.
+/// Upper bound on a pool's runs or calls in flight, more than any server has.
 const MAX_IN_FLIGHT: usize = 100_000;
 /// Upper bound on weights.
 const MAX_WEIGHT: f64 = 1_000_000.0;
-/// Upper bound on the reserve: with more, it would be the rule and not the exception.
+/// Upper bound on the reserve. A larger reserve would be the rule and not the exception.
 const MAX_RESERVE_FRACTION: f64 = 0.5;
-/// Name of the pool of all handlers that are in no other.
+/// Reserved name of the pool of all handlers that are in no other pool.
 const REST_POOL: &str = "rest";
 
 /// Concurrency limits by pool of handlers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolsConfig {
-    /// Whether the limit on calls adapts to the upstream; otherwise it stays at this server's quota.
+    /// Whether the limit on calls adapts to the upstream; otherwise it equals this server's quota.
     pub adaptive: bool,
     /// The pools in the order of the file.
     pub pools: Vec<Pool>,
-    /// The reserve, where there is one.
+    /// The reserve, if it is set.
     pub reserve: Option<Reserve>,
 }
 
@@ -76,11 +76,11 @@
 pub struct Pool {
     /// Name of the pool, unique in the file.
     pub name: String,
-    /// Its handlers, which are in no other pool.
+    /// Its handlers; each handler is in at most one pool.
     pub handlers: Names,
-    /// Weight of the pool among those that want runs, 0 to 1,000,000.
+    /// Weight of the pool when runs are divided among pools that demand them, 0 to 1,000,000.
     pub weight: f64,
-    /// Weight of the pool among those that want calls, 0 to 1,000,000.
+    /// Weight of the pool when calls are divided among pools that demand them, 0 to 1,000,000.
     pub call_weight: f64,
     /// Upper bound on its runs in flight.
     pub max_runs: Option<usize>,
@@ -91,9 +91,9 @@
 /// Capacity that is set aside for some handlers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reserve {
-    /// The handlers; without any, the server chooses the one with the shortest runs.
+    /// The handlers that may use it. If there are none, the server selects the handler with the shortest runs.
     pub handlers: Names,
-    /// Fraction of all runs, and of all calls where the handlers make any, 0 to 0.5.
+    /// Fraction of all runs, and of all calls if the handlers make calls, 0 to 0.5.
     pub fraction: f64,
 }
 
--- a/crates/operator-config/src/control.rs
+++ b/crates/operator-config/src/control.rs
@@ -7,7 +7,7 @@
 const SOCKET: &str = "socket";
 const KEYS: &[&str] = &[SOCKET];
 
-/// Bytes of the longest path that a Unix socket may have, with some to spare.
+/// Maximum length of the path in bytes, slightly below the system's limit for Unix sockets.
 const MAX_PATH_BYTES: usize = 100;
 
 /// The control socket.
@@ -17,7 +17,7 @@
     pub socket: PathBuf,
 }
 
-/// Reads `[control]`. The section has no switch: it is on where it stands.
+/// Reads `[control]`. The section has no key `enabled`; the socket is enabled if the section is present.
 pub(crate) fn read(file: &mut OperatorFile) -> Option<ControlSocket> {
     let section = file.take_one("control", KEYS)?;
     let socket = section.get(SOCKET).unwrap_or("");
--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Everything that is wrong with an operator file, in the order of the lines; at least one error.
+/// All errors of an operator file, in the order of their lines. There is at least one.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{}", self.lines().join("\n"))]
 pub struct OperatorFileErrors {
@@ -11,30 +11,30 @@
 }
 
 impl OperatorFileErrors {
-    /// Sorts the errors by line, and those of one line by their text.
+    /// Sorts the errors by line, and errors of the same line by their text.
     pub(crate) fn sorted(mut errors: Vec<OperatorFileError>) -> OperatorFileErrors {
         errors.sort_by_cached_key(|error| (error.place.line, error.to_string()));
         OperatorFileErrors { errors }
     }
 
-    /// The errors in the order of the lines.
+    /// Returns the errors in the order of their lines.
     pub fn iter(&self) -> impl Iterator<Item = &OperatorFileError> {
         self.errors.iter()
     }
 
-    /// The errors as the operator sees them, one line each.
+    /// Returns the error messages for the operator, one line each.
     pub fn lines(&self) -> Vec<String> {
         self.iter().map(ToString::to_string).collect()
     }
 }
 
-/// One thing that is wrong with an operator file.
+/// One error of an operator file.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{place}: {problem}")]
 pub struct OperatorFileError {
-    /// Where it is wrong.
+    /// Where the error is.
     pub place: Box<Place>,
-    /// What is wrong there.
+    /// What is wrong.
     pub problem: Problem,
 }
 
@@ -43,11 +43,11 @@
 pub struct Place {
     /// Name of the file.
     pub file: String,
-    /// Line, from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// Title of the section, as in `pool seats`; `None` outside of all sections.
+    /// Title of the section, as in `pool seats`; `None` outside of any section.
     pub section: Option<String>,
-    /// The key; `None` where the section itself, or the text, is meant.
+    /// The key; `None` if the error concerns a whole section or the file.
     pub key: Option<String>,
 }
 
@@ -66,79 +66,79 @@
 /// What is wrong at a place of an operator file.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Problem {
-    /// The text is not INI: what the parser reports.
+    /// The text is not INI; holds the message of the parser.
     #[error("{0}")]
     Syntax(String),
-    /// A key stands before the first section.
+    /// A key precedes the first section.
     #[error("stands in no section")]
     OutsideOfSections,
-    /// A section or a key stands a second time.
+    /// A section or a key is repeated.
     #[error("stands twice")]
     Repeated,
     /// The section does not exist.
     #[error("no such section")]
     UnknownSection,
-    /// The section has no such key.
+    /// The section does not have the key.
     #[error("no such key; known are {}", known.join(", "))]
     UnknownKey {
-        /// The keys that it has.
+        /// The keys of the section.
         known: &'static [&'static str],
     },
-    /// A section of which there is only one has a name.
+    /// The section's title has a name, but there can be only one section of its kind.
     #[error("has no name of its own")]
     UnexpectedSectionName,
-    /// The name of a section is empty or has other characters.
+    /// The name of a section is empty, is too long or has invalid characters.
     #[error("has a name of letters, digits, '-', '_' and '.', 63 at most")]
     InvalidSectionName,
-    /// A section needs another one, of that title.
+    /// The section requires another one with this title, which is absent.
     #[error("goes with a section [{0}]")]
     MissingSection(&'static str),
 
-    /// A key without default is absent.
+    /// A required key is absent.
     #[error("has to be set")]
     NotSet,
-    /// A number is no number, or out of its range.
+    /// The value is not a number or is out of range.
     #[error("'{text}' is no number from {min} to {max}")]
     NumberOutOfRange {
-        /// The value as it stands.
+        /// The value as written in the file.
         text: String,
-        /// The least number allowed.
+        /// The smallest valid number.
         min: String,
-        /// The greatest number allowed.
+        /// The largest valid number.
         max: String,
     },
-    /// A value is none of the words that the key may have.
+    /// The value is not one of the key's words.
     #[error("'{text}' is none of {}", words.join(", "))]
     UnknownWord {
-        /// The value as it stands.
+        /// The value as written in the file.
         text: String,
-        /// The words that the key may have.
+        /// The valid words.
         words: Vec<&'static str>,
     },
-    /// A value is not an IP address with a port.
+    /// The value is not an IP address with a port.
     #[error("'{0}' is no address and port")]
     InvalidAddress(String),
-    /// A value is neither a network nor an IP address.
+    /// The value is neither a network nor an IP address.
     #[error("'{0}' is no network, as in 10.0.0.0/8")]
     InvalidNetwork(String),
-    /// A value has other characters than a name, or too many.
+    /// The value has characters that are invalid in a name, or too many characters.
     #[error("'{0}' is no name of letters, digits, '-', '_' and '.', 63 at most")]
     InvalidName(String),
-    /// A list has a name a second time.
+    /// A list has the same name twice.
     #[error("'{0}' stands twice")]
     RepeatedName(String),
-    /// A name in a list is none of those known.
+    /// A list has an unknown name.
     #[error("'{name}' is no {kind}; known are {}", known.join(", "))]
     UnknownName {
-        /// The name as it stands.
+        /// The name as written in the file.
         name: String,
-        /// What it should name, as in `handler`.
+        /// The kind of thing that it should name, as in `handler`.
         kind: &'static str,
-        /// The names known.
+        /// The known names.
         known: Vec<String>,
     },
 
-    /// A section that groups handlers has none.
+    /// A section that groups handlers does not list any.
     #[error("a {0} has at least one handler")]
     NoHandlers(&'static str),
     /// A handler belongs to an earlier section of the same kind.
@@ -154,34 +154,34 @@
     /// A pool has no name.
     #[error("a pool has a name: [pool NAME]")]
     UnnamedPool,
-    /// A pool has the name of the one that holds all other handlers.
+    /// A pool has the name that is reserved for the pool of all other handlers.
     #[error("'rest' is the pool of what is in no other")]
     ReservedPoolName,
 
-    /// The idempotency store is on and has no directory.
+    /// The idempotency store is enabled and has no directory.
     #[error("has to name a folder")]
     NoDirectory,
     /// The path of the control socket is empty or too long.
     #[error("has to name a path of 1 to {max_bytes} bytes")]
     InvalidSocketPath {
-        /// Bytes of the longest path.
+        /// Maximum length of the path in bytes.
         max_bytes: usize,
     },
 
-    /// The membership is on and has no address to listen on.
+    /// The membership is enabled and has no address to listen on.
     #[error("has to name an address and port")]
     NoListenAddress,
-    /// Other servers can't send to the address.
+    /// Other servers can't send datagrams to the address.
     #[error("'{0}' is nowhere that others can send to")]
     UnusableAdvertisedAddress(SocketAddr),
     /// An address belongs to none of the fleet's networks.
     #[error("'{0}' lies in none of the networks")]
     OutsideOfNetworks(SocketAddr),
-    /// The suspicion is shorter than two probes.
+    /// The suspicion timeout is shorter than two probe intervals.
     #[error("a suspicion outlasts two probes, or one lost datagram takes a server down")]
     SuspicionTooShort,
 
-    /// Quotas are on without the membership.
+    /// Quotas are enabled, but the membership is not.
     #[error("goes with [members], by which servers hear each other")]
     QuotasWithoutMembership,
     /// A budget's base quotas are all 0, and this server has no slot.
@@ -190,15 +190,15 @@
          [shared]"
     )]
     NoBaseQuota {
-        /// Calls in flight that the whole fleet may have.
+        /// Number of calls that the whole fleet may have in flight.
         calls: u32,
         /// Upper bound on the number of servers.
         servers: u32,
     },
-    /// A counter does not say what it counts by.
+    /// The kind of a counter's keys is not set.
     #[error("has to be tenant or handler")]
     NoCounterKind,
-    /// There are several counters by tenant.
+    /// More than one counter has tenants as its keys.
     #[error("one count by tenant is enough: it is what allowances go by")]
     SeveralTenantCounters,
 
@@ -208,16 +208,16 @@
     /// Another backend has the same address.
     #[error("is backend {0}'s already")]
     BackendAddressTaken(String),
-    /// Two backends have some handlers in common, and each others too.
+    /// Two backends have some, but not all, handlers in common.
     #[error("shares some handlers with backend {0}, and not all")]
     PartlySharedHandlers(String),
-    /// Routing is on and has no backends.
+    /// Routing is enabled and has no backends.
     #[error("goes with sections [backend NAME]")]
     NoBackends,
     /// There are too many backends.
     #[error("has more than {max} backends")]
     TooManyBackends {
-        /// The most there may be.
+        /// The maximum number of backends.
         max: usize,
     },
 }
--- a/crates/operator-config/src/file.rs
+++ b/crates/operator-config/src/file.rs
@@ -1,10 +1,10 @@
-//! An operator file while it is read: the sections that no part has taken yet, and the errors so far.
+//! An operator file while it is being read: the sections that have not been read yet, and the errors found so far.
 
 use crate::error::{OperatorFileError, OperatorFileErrors, Place, Problem};
 use crate::section::{Entry, Section};
 use ini::{Ini, ParseOption, Properties};
 
-/// An operator file while it is read. Each part takes its sections out; what remains is unknown.
+/// An operator file while it is being read. Each module takes its sections out; those that remain are unknown.
 pub(crate) struct OperatorFile {
     name: String,
     text: String,
@@ -71,8 +71,8 @@
         self.sections.push(section);
     }
 
-    /// The first line after another one that fulfils a condition; the other one where none does. The
-    /// INI parser reports no lines.
+    /// Returns the number of the first line after `line` that fulfils a condition, or `line` itself (at least 1) if
+    /// there is none. The search is needed because the INI parser does not report line numbers.
     fn line_after(&self, line: usize, condition: impl Fn(&str) -> bool) -> usize {
         let mut lines = (1..).zip(self.text.lines());
         lines
@@ -80,7 +80,7 @@
             .map_or(line.max(1), |(number, _)| number)
     }
 
-    /// Takes out all sections of a kind, in their order. Other keys than the known ones are errors.
+    /// Takes out all sections of a kind, in their order, and reports keys that are not in `known`.
     pub(crate) fn take(&mut self, kind: &str, known: &'static [&'static str]) -> Vec<Section> {
         let sections = std::mem::take(&mut self.sections);
         let (taken, rest): (Vec<Section>, _) = sections.into_iter().partition(|s| s.kind == kind);
@@ -94,7 +94,7 @@
         taken
     }
 
-    /// Takes out the one section of a kind that has no names.
+    /// Takes out the only section of a kind whose title has no name, and reports a name as an error.
     pub(crate) fn take_one(
         &mut self,
         kind: &str,
@@ -107,18 +107,18 @@
         sections.into_iter().next()
     }
 
-    /// Reports an error on a section as a whole.
+    /// Reports an error that concerns a whole section.
     pub(crate) fn section_error(&mut self, section: &Section, problem: Problem) {
         self.report(section.line, Some(&section.title), None, problem);
     }
 
-    /// Reports an error on a key, whether it stands in the section or is absent.
+    /// Reports an error that concerns a key, which may be present or absent.
     pub(crate) fn key_error(&mut self, section: &Section, key: &str, problem: Problem) {
         let place = self.place(section, key);
         self.errors.push(OperatorFileError { place, problem });
     }
 
-    /// Reports that sections need another one, which is absent.
+    /// Reports for each of the sections that the required section is absent.
     pub(crate) fn require_section<'a>(
         &mut self,
         sections: impl IntoIterator<Item = &'a Section>,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// The place of a key; the section's line where the key is absent.
+    /// Returns the place of a key, with the section's line if the key is absent.
     pub(crate) fn place(&self, section: &Section, key: &str) -> Box<Place> {
         Box::new(Place {
             file: self.name.clone(),
@@ -149,7 +149,7 @@
         self.errors.push(OperatorFileError { place, problem });
     }
 
-    /// Ends the reading. Sections that no part has taken are errors.
+    /// Reports the remaining sections as unknown, and returns all errors if there are any.
     pub(crate) fn finish(mut self) -> Result<(), OperatorFileErrors> {
         for section in std::mem::take(&mut self.sections) {
             self.section_error(&section, Problem::UnknownSection);
--- a/crates/operator-config/src/handler_groups.rs
+++ b/crates/operator-config/src/handler_groups.rs
@@ -1,15 +1,15 @@
-//! Sections that group handlers: pools, budgets and backends. Each is read together with those of its kind before it,
-//! because no two may name the same handlers, or only some of the same.
+//! Reads the sections that group handlers: pools, budgets and backends. Each section is compared with the earlier
+//! ones of its kind: pools and budgets may not share handlers, and backends may not share only some of theirs.
 
 use crate::error::Problem;
 use crate::file::OperatorFile;
 use crate::names::Names;
 use crate::section::Section;
 
-/// The key with the names of a group's handlers.
+/// The key that lists a group's handlers.
 pub(crate) const HANDLERS: &str = "handlers";
 
-/// Reads sections in their order. `read_one` is also given what was read of those before.
+/// Reads sections in their order. `read_one` also receives the groups that were read from the earlier sections.
 pub(crate) fn read_each<T>(
     file: &mut OperatorFile,
     sections: &[Section],
@@ -23,7 +23,7 @@
     groups
 }
 
-/// Reads the handlers of a group that shares none with the `earlier` groups of its kind, which are
+/// Reads the handlers of a group that may not share any with the `earlier` groups of its kind, which are
 /// given by their names and handlers.
 pub(crate) fn read_disjoint<'a>(
     file: &mut OperatorFile,
@@ -36,7 +36,7 @@
     handlers
 }
 
-/// Reads the handlers of a group, which has at least one.
+/// Reads the handlers of a group, which must have at least one.
 pub(crate) fn read(file: &mut OperatorFile, section: &Section, kind: &'static str) -> Names {
     let handlers = file.names(section, HANDLERS);
     if handlers.names.is_empty() {
--- a/crates/operator-config/src/idempotency_store.rs
+++ b/crates/operator-config/src/idempotency_store.rs
@@ -1,5 +1,5 @@
-//! The idempotency store: results of requests with an idempotency key that survive a restart
-//! (`[kept-results]`).
+//! Settings of the idempotency store, which keeps the results of requests with an idempotency key across
+//! restarts (`[kept-results]`).
 
 use crate::error::Problem;
 use crate::file::OperatorFile;
@@ -30,19 +30,19 @@
     SYNC.name,
 ];
 
-/// 1 TiB in MiB: more than any server gives the store.
+/// Upper bound on sizes: 1 TiB in MiB, more than any server gives the store.
 const MAX_MB: usize = 1 << 20;
 
-/// The idempotency store on disk.
+/// Settings of the idempotency store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IdempotencyStoreConfig {
-    /// A directory that exists and that no other process uses.
+    /// Directory of the store, which must exist and must not be used by another process.
     pub directory: PathBuf,
-    /// Memory for results of earlier incarnations, in MiB.
+    /// Maximum memory for results of earlier incarnations, in MiB.
     pub memory_mb: usize,
-    /// Size of all files together, in MiB.
+    /// Maximum size of all files together, in MiB.
     pub disk_mb: usize,
-    /// Whether all records that wait share one sync of the disk; otherwise each has its own.
+    /// Whether all waiting records share one sync to disk; otherwise each record is synced on its own.
     pub grouped: bool,
 }
 
--- a/crates/operator-config/src/keys.rs
+++ b/crates/operator-config/src/keys.rs
@@ -1,8 +1,8 @@
-//! The one way in which a key is read: a constant of its type holds its name, what it may be and its
+//! Typed keys of the operator file: a constant for each key holds its name, its valid values and its
 //! default, and [`OperatorFile`] reads it from a section.
 //!
-//! A value that is wrong is reported, and the default stands in for it, so that the rest of the file
-//! is checked too.
+//! An invalid value is reported and replaced by the default, so that the rest of the file is checked
+//! too.
 
 use crate::error::Problem;
 use crate::file::OperatorFile;
@@ -13,30 +13,30 @@
 use std::ops::RangeInclusive;
 use std::str::FromStr;
 
-/// A key with a number.
+/// A key whose value is a number.
 pub(crate) struct NumberKey<T> {
     pub(crate) name: &'static str,
-    /// The numbers that it may have.
+    /// The valid numbers.
     pub(crate) range: RangeInclusive<T>,
     pub(crate) default: T,
 }
 
 impl<T> NumberKey<T> {
-    /// The same key with a default that depends on the rest of the file.
+    /// Returns the same key with another default, which may depend on the rest of the file.
     pub(crate) fn with_default(self, default: T) -> NumberKey<T> {
         NumberKey { default, ..self }
     }
 }
 
-/// A key with one of a few words.
+/// A key whose value is one of a fixed set of words.
 pub(crate) struct WordKey<T: 'static> {
     pub(crate) name: &'static str,
-    /// The words that it may have, each with its meaning.
+    /// The valid words, each with its meaning.
     pub(crate) words: &'static [(&'static str, T)],
     pub(crate) default: T,
 }
 
-/// A key that is `on` or `off`.
+/// Creates a key whose value is `on` or `off`.
 pub(crate) const fn on_off(name: &'static str, default: bool) -> WordKey<bool> {
     WordKey {
         name,
@@ -45,30 +45,30 @@
     }
 }
 
-/// Whether a part is on. Each part has this key; none is on without it.
+/// Whether a feature is enabled. Features that have this key are off unless it is set.
 pub(crate) const ENABLED: WordKey<bool> = on_off("enabled", false);
 
-/// A key with an IP address and a port.
+/// A key whose value is an IP address and a port.
 pub(crate) struct AddressKey {
     pub(crate) name: &'static str,
     pub(crate) default: SocketAddr,
 }
 
 impl AddressKey {
-    /// The same key with a default that depends on the rest of the file.
+    /// Returns the same key with another default, which may depend on the rest of the file.
     pub(crate) fn with_default(self, default: SocketAddr) -> AddressKey {
         AddressKey { default, ..self }
     }
 }
 
-/// A key with a name.
+/// A key whose value is a name.
 pub(crate) struct NameKey<'a> {
     pub(crate) name: &'static str,
     pub(crate) default: &'a str,
 }
 
 impl NameKey<'_> {
-    /// The same key with a default that depends on the rest of the file.
+    /// Returns the same key with another default, which may depend on the rest of the file.
     pub(crate) fn with_default<'a>(&self, default: &'a str) -> NameKey<'a> {
         let name = self.name;
         NameKey { name, default }
@@ -98,7 +98,7 @@
         key.default
     }
 
-    /// Reads a number that may be absent.
+    /// Reads an optional number.
     pub(crate) fn optional_number<T>(&mut self, section: &Section, key: NumberKey<T>) -> Option<T>
     where
         T: FromStr + PartialOrd + Display,
@@ -107,7 +107,7 @@
         Some(self.number(section, key))
     }
 
-    /// Reads one of a few words.
+    /// Reads one of the key's words.
     pub(crate) fn word<T: Copy>(&mut self, section: &Section, key: &WordKey<T>) -> T {
         let Some(text) = section.get(key.name) else {
             return key.default;
@@ -134,7 +134,7 @@
         })
     }
 
-    /// Reads a name. One that is wrong is reported and returned.
+    /// Reads a name. An invalid name is reported, but still returned.
     pub(crate) fn name(&mut self, section: &Section, key: &NameKey<'_>) -> String {
         let text = section.get(key.name).unwrap_or(key.default).to_string();
         if !is_name(&text) {
@@ -143,7 +143,7 @@
         text
     }
 
-    /// Reads names with commas between them. A name that stands twice is reported.
+    /// Reads a comma-separated list of names and reports the first repeated name.
     pub(crate) fn names(&mut self, section: &Section, key: &str) -> Names {
         let names: Vec<String> = split_list(section.get(key).unwrap_or(""))
             .map(Into::into)
@@ -156,14 +156,15 @@
         Names::new(names, self.place(section, key))
     }
 
-    /// Reports a key without default that is absent.
+    /// Reports an error if a required key is absent.
     pub(crate) fn require_key(&mut self, section: &Section, key: &str) {
         if section.get(key).is_none() {
             self.key_error(section, key, Problem::NotSet);
         }
     }
 
-    /// Reports a section whose own name is none. It stands in log lines and JSON without quoting.
+    /// Reports an error if the name of a section is empty or invalid. Log lines and JSON contain the name without
+    /// quoting.
     pub(crate) fn require_section_name(&mut self, section: &Section) {
         if section.name.is_empty() || !is_name(&section.name) {
             self.section_error(section, Problem::InvalidSectionName);
@@ -171,7 +172,7 @@
     }
 }
 
-/// What stands between the commas of a value, without spaces and without empty parts.
+/// Splits a comma-separated value, trims its entries and skips empty ones.
 pub(crate) fn split_list(text: &str) -> impl Iterator<Item = &str> {
     text.split(',')
         .map(str::trim)
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,8 +1,8 @@
-//! The operator file: what a server does beyond its platform, as INI.
+//! The operator file: an INI file that enables and configures a server's features beyond its platform's.
 //!
-//! [`read`] is given the text and returns checked records, or every error with its line. It does
-//! no I/O, and it knows no handlers: whether a name is one is decided later, by [`Names::indices`].
-//! A part whose section is absent or says `enabled = off` is `None`.
+//! [`read`] parses and checks the text, and returns the settings or every error with its line. It does no I/O. It does
+//! not know which handlers exist; [`Names::indices`] resolves their names later. A feature whose section is absent or
+//! has `enabled = off` is `None`.
 //!
 //! ```
 //! let text = "[pools]\nenabled = on\n[pool seats]\nhandlers = book\nweigth = 2\n";
@@ -22,13 +22,13 @@
 /// The idempotency store on disk.
 pub mod idempotency_store;
 mod keys;
-/// The view of the fleet.
+/// Settings of the fleet's membership.
 pub mod membership;
 mod names;
 /// Quotas and counters of the whole fleet.
 pub mod quota;
 mod section;
-/// The backends upstream.
+/// The upstream backends.
 pub mod upstream;
 
 pub use error::{OperatorFileError, OperatorFileErrors, Place, Problem};
@@ -36,27 +36,27 @@
 
 use file::OperatorFile;
 
-/// Everything that an operator file says; what is off is `None`.
+/// The settings of an operator file. Features that are off are `None`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorConfig {
     /// Concurrency limits by pool of handlers, and the reserve.
     pub concurrency: Option<concurrency::PoolsConfig>,
     /// The idempotency store on disk.
     pub idempotency_store: Option<idempotency_store::IdempotencyStoreConfig>,
-    /// The view of the fleet.
+    /// Settings of the fleet's membership.
     pub membership: Option<membership::MembershipConfig>,
     /// The control socket.
     pub control_socket: Option<control::ControlSocket>,
     /// Quotas and counters of the whole fleet.
     pub quota: Option<quota::QuotaConfig>,
-    /// The backends upstream.
+    /// The upstream backends.
     pub upstream: Option<upstream::RoutingConfig>,
 }
 
-/// Reads the text of an operator file. `name` is the file's name in the errors.
+/// Reads the text of an operator file. `name` is the name of the file in error messages.
 ///
 /// # Errors
-/// Everything that is wrong, in the order of the lines. Where the text is not INI, that alone.
+/// Returns all errors in the order of their lines, or only the syntax error if the text is not INI.
 pub fn read(name: &str, text: &str) -> Result<OperatorConfig, OperatorFileErrors> {
     let mut file = OperatorFile::parse(name, text)?;
     let concurrency = concurrency::read(&mut file);
--- a/crates/operator-config/src/membership.rs
+++ b/crates/operator-config/src/membership.rs
@@ -1,4 +1,4 @@
-//! The view of the fleet (`[members]`).
+//! Settings of the fleet's membership (`[members]`).
 
 use crate::error::Problem;
 use crate::file::OperatorFile;
@@ -7,7 +7,7 @@
 use ipnet::IpNet;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, SocketAddrV4};
 
-/// Its default is the address listened on.
+/// Defaults to the address of the key `listen`.
 const ADVERTISE: AddressKey = AddressKey {
     name: "advertise",
     default: UNSET_ADDRESS,
@@ -17,7 +17,7 @@
     default: "madderbay",
 };
 const JOIN: &str = "join";
-/// Has to be set; the default only stands in where it is not.
+/// Required if the membership is enabled; the default is used only if the key is absent.
 const LISTEN: AddressKey = AddressKey {
     name: "listen",
     default: UNSET_ADDRESS,
@@ -61,9 +61,9 @@
     ZONE.name,
 ];
 
-/// Stands for an address that is not set: port 0 is no port.
+/// Represents an address that is not set; port 0 is not a valid port.
 const UNSET_ADDRESS: SocketAddr = SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0));
-/// Networks of a fleet that names none: those that are not routed between sites.
+/// Networks that are allowed by default: those that are not routed between sites.
 const DEFAULT_NETWORKS: [&str; 5] = [
     "127.0.0.0/8",
     "10.0.0.0/8",
@@ -71,21 +71,21 @@
     "192.168.0.0/16",
     "fd00::/8",
 ];
-/// Probes that a suspicion has to outlast.
+/// Minimum length of a suspicion, in probe intervals.
 const MIN_PROBES_IN_SUSPICION: u64 = 2;
 
-/// The view of the fleet.
+/// Settings of the fleet's membership.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipConfig {
     /// Address on which this server receives datagrams.
     pub listen: SocketAddr,
-    /// Address to which other servers send.
+    /// Address to which other servers send their datagrams.
     pub advertise: SocketAddr,
-    /// Addresses that are contacted at the start.
+    /// Addresses of members that are contacted at the start.
     pub join: Vec<SocketAddr>,
     /// Name of the fleet.
     pub fleet: String,
-    /// Networks to which every address of the fleet belongs.
+    /// Networks to one of which every address of the fleet must belong.
     pub networks: Vec<IpNet>,
     /// Availability zone of this server; may be empty.
     pub zone: String,
@@ -138,7 +138,7 @@
     addresses
 }
 
-/// Reads the networks. An empty part of the list is an error, where [`split_list`] would leave it out.
+/// Reads the networks. An empty entry is an error, unlike with [`split_list`], which skips it.
 fn read_networks(file: &mut OperatorFile, section: &Section) -> Vec<IpNet> {
     let texts: Vec<&str> = match section.get(NETWORKS) {
         Some(text) => text.split(',').map(str::trim).collect(),
@@ -154,13 +154,13 @@
     networks
 }
 
-/// A network, or a single address as a network of its own.
+/// Parses a network, or a single address as a network of one address.
 fn parse_network(text: &str) -> Option<IpNet> {
     let network = text.parse::<IpNet>().ok();
     network.or_else(|| text.parse::<IpAddr>().ok().map(IpNet::from))
 }
 
-/// Reports that other servers can't send to this one.
+/// Reports an error if other servers can't send datagrams to this one.
 fn check_reachable(file: &mut OperatorFile, section: &Section, advertise: SocketAddr) {
     if section.get(LISTEN.name).is_none() {
         file.key_error(section, LISTEN.name, Problem::NoListenAddress);
@@ -170,7 +170,7 @@
     }
 }
 
-/// Reports addresses, this server's own among them, that belong to none of the networks.
+/// Reports addresses that belong to none of the networks, including the address that this server advertises.
 fn check_networks(file: &mut OperatorFile, section: &Section, members: &MembershipConfig) {
     let advertised = Some(&members.advertise).filter(|address| address.port() != 0);
     let advertised = advertised.map(|address| (advertising_key(section), address));
@@ -182,7 +182,7 @@
     }
 }
 
-/// The key that says what address others send to.
+/// Returns the key from which the advertised address is taken.
 fn advertising_key(section: &Section) -> &'static str {
     if section.get(ADVERTISE.name).is_some() {
         ADVERTISE.name
--- a/crates/operator-config/src/names.rs
+++ b/crates/operator-config/src/names.rs
@@ -1,21 +1,21 @@
-//! Names: the characters that they may have, and lists of them.
+//! Names: their valid characters, and lists of names.
 
 use crate::error::{OperatorFileError, Place, Problem};
 
-/// Bytes of the longest name. Longer names would not fit into every datagram about a server.
+/// Maximum length of a name in bytes. Longer names would not fit into every datagram about a server.
 const MAX_NAME_BYTES: usize = 63;
 
-/// Whether a text has only the characters of a name. The empty text is one.
+/// Reports whether a text is a valid name, which may be empty.
 pub(crate) fn is_name(text: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
     text.len() <= MAX_NAME_BYTES && text.bytes().all(is_allowed)
 }
 
-/// The names that a key lists, and its place, for errors that are found once it is known what they
-/// may name.
+/// The names that a key lists, together with the key's place. Unknown names can only be detected later, and
+/// the error then refers to this place.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
-    /// The names in their order.
+    /// The names in the order of the file.
     pub names: Vec<String>,
     place: Box<Place>,
 }
@@ -25,10 +25,11 @@
         Names { names, place }
     }
 
-    /// The index of each name among the known ones. `kind` says what they name, as in `handler`.
+    /// Returns the index of each name among the known ones. `kind` is the kind of thing that they name, as in
+    /// `handler`.
     ///
     /// # Errors
-    /// The first name that is not known, with its place.
+    /// Returns the first unknown name with its place.
     pub fn indices(
         &self,
         known: &[String],
--- a/crates/operator-config/src/quota.rs
+++ b/crates/operator-config/src/quota.rs
@@ -12,7 +12,7 @@
     range: 1..=MAX_SERVERS,
     default: 1,
 };
-/// A server of more weight would leave the others nothing.
+/// The upper bound keeps one server from taking nearly all capacity from the others.
 const WEIGHT: NumberKey<f64> = NumberKey {
     name: "weight",
     range: 0.01..=100.0,
@@ -20,13 +20,13 @@
 };
 const SHARED_KEYS: &[&str] = &[ENABLED.name, SLOT.name, WEIGHT.name];
 
-/// Has to be set; the default only stands in where it is not.
+/// A required key; the default is used only after its absence has been reported.
 const CALLS: NumberKey<u32> = NumberKey {
     name: "calls",
     range: 1..=MAX_CALLS,
     default: 1,
 };
-/// Has to be set; the default only stands in where it is not.
+/// A required key; the default is used only after its absence has been reported.
 const SERVERS: NumberKey<u32> = NumberKey {
     name: "servers",
     range: 1..=MAX_SERVERS,
@@ -50,7 +50,7 @@
     SERVERS.name,
 ];
 
-/// Has to be set; the default only stands in where it is not.
+/// A required key; the default is used only after its absence has been reported.
 const BY: WordKey<CounterKind> = WordKey {
     name: "by",
     words: &[
@@ -71,17 +71,17 @@
 };
 const COUNT_KEYS: &[&str] = &[BY.name, MAX_PER_SECOND.name, WINDOW_S.name];
 
-/// Upper bound on the servers of a fleet.
+/// Upper bound on the number of servers in a fleet.
 const MAX_SERVERS: u32 = 10_000;
-/// Upper bound on the calls in flight of a fleet.
+/// Upper bound on the number of calls that a fleet may have in flight.
 const MAX_CALLS: u32 = 1_000_000;
 
 /// Quotas and counters of the whole fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaConfig {
-    /// Slot of this server, from 1, where it has one that no other server has.
+    /// Slot of this server, from 1, unique in the fleet; `None` if it has no fixed slot.
     pub slot: Option<u32>,
-    /// Weight of this server among those that want more than there is, 0.01 to 100.
+    /// Weight of this server when capacity is divided among servers that demand more than there is, 0.01 to 100.
     pub weight: f64,
     /// The budgets in the order of the file.
     pub budgets: Vec<Budget>,
@@ -94,24 +94,24 @@
 pub struct Budget {
     /// Name of the budget, the same on all servers.
     pub name: String,
-    /// Handlers whose calls it bounds; they are in no other budget.
+    /// Handlers whose calls it limits; each handler is in at most one budget.
     pub handlers: Names,
-    /// Calls in flight that the whole fleet may have.
+    /// Number of calls that the whole fleet may have in flight.
     pub capacity: u32,
     /// Upper bound on the number of servers in the fleet.
     pub max_servers: u32,
-    /// Time in which a lessee may start calls on a lease, in milliseconds.
+    /// Time for which a lessee may start calls on a lease, in milliseconds.
     pub lease_ms: u64,
-    /// Longest time that a call is waited for, in milliseconds.
+    /// Maximum time to wait for a call, in milliseconds.
     pub max_call_ms: u64,
 }
 
-/// What a counter has one count for each of.
+/// The kind of keys of a counter, each of which has a count of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CounterKind {
-    /// Each tenant.
+    /// One count for each tenant.
     Tenant,
-    /// Each handler.
+    /// One count for each handler.
     Handler,
 }
 
@@ -120,16 +120,17 @@
 pub struct Counter {
     /// Name of the counter, the same on all servers.
     pub name: String,
-    /// What it counts by.
+    /// The kind of its keys.
     pub by: CounterKind,
-    /// Time that it counts over, in seconds.
+    /// Length of the time window in which requests are counted, in seconds.
     pub window_s: u64,
-    /// Upper bound on the requests of one tenant or handler that a server reads, in requests per
+    /// Upper bound on the requests of one tenant or handler that a server receives, in requests per
     /// second. The error bound of the counter depends on it.
     pub max_per_second: f64,
 }
 
-/// Reads `[shared]`, all `[budget NAME]` and all `[count NAME]`. `has_members`: `[members]` is on.
+/// Reads `[shared]`, all `[budget NAME]` and all `[count NAME]`. `has_members` says whether
+/// `[members]` is enabled.
 pub(crate) fn read(file: &mut OperatorFile, has_members: bool) -> Option<QuotaConfig> {
     let head = file.take_one("shared", SHARED_KEYS);
     let budget_sections = file.take("budget", BUDGET_KEYS);
@@ -183,7 +184,8 @@
     }
 }
 
-/// With fewer calls than servers only slots tell which servers have a base quota.
+/// Reports a missing slot if a budget has fewer calls than servers: then the slots determine which servers
+/// have a base quota.
 fn check_base_quota(
     file: &mut OperatorFile,
     section: &Section,
--- a/crates/operator-config/src/section.rs
+++ b/crates/operator-config/src/section.rs
@@ -1,33 +1,33 @@
-//! One section of an operator file as it stands.
+//! One section of an operator file, with its keys and values as text.
 
-/// A section: its title, its keys with their values, and the lines of all of them.
+/// A section: its title, its keys with their values, and their line numbers.
 #[derive(Clone)]
 pub(crate) struct Section {
     /// First word of the title, as in `pool`.
     pub(crate) kind: String,
-    /// Rest of the title, as in `seats`; empty where there is none.
+    /// Rest of the title, as in `seats`; empty if there is none.
     pub(crate) name: String,
-    /// What stands between the brackets.
+    /// The text between the brackets.
     pub(crate) title: String,
-    /// Line of the title.
+    /// Line number of the title.
     pub(crate) line: usize,
     /// The keys in the order of the file.
     pub(crate) entries: Vec<Entry>,
 }
 
-/// One key of a section.
+/// One key of a section with its value.
 #[derive(Clone)]
 pub(crate) struct Entry {
     /// Name of the key.
     pub(crate) key: String,
-    /// Its value, without spaces around it.
+    /// Its value, without surrounding spaces.
     pub(crate) value: String,
-    /// Its line.
+    /// Its line number.
     pub(crate) line: usize,
 }
 
 impl Section {
-    /// A section without keys.
+    /// Creates a section without keys.
     pub(crate) fn new(title: &str, line: usize) -> Section {
         let (kind, name) = title.split_once(' ').unwrap_or((title, ""));
         Section {
@@ -39,17 +39,17 @@
         }
     }
 
-    /// The value of a key as it stands; `None` where the key is absent.
+    /// Returns the text of a key's value, or `None` if the key is absent.
     pub(crate) fn get(&self, key: &str) -> Option<&str> {
         self.entry(key).map(|entry| entry.value.as_str())
     }
 
-    /// The line of a key, or of the title where the key is absent.
+    /// Returns the line number of a key, or of the title if the key is absent.
     pub(crate) fn line_of(&self, key: &str) -> usize {
         self.entry(key).map_or(self.line, |entry| entry.line)
     }
 
-    /// The first entry of a key.
+    /// Returns the first entry of a key.
     pub(crate) fn entry(&self, key: &str) -> Option<&Entry> {
         self.entries.iter().find(|entry| entry.key == key)
     }
--- a/crates/operator-config/src/upstream.rs
+++ b/crates/operator-config/src/upstream.rs
@@ -1,4 +1,4 @@
-//! The backends upstream and how calls are divided among them (`[routes]`, `[backend NAME]`).
+//! The upstream backends and how calls are distributed among them (`[routes]`, `[backend NAME]`).
 
 use crate::error::Problem;
 use crate::file::OperatorFile;
@@ -25,7 +25,7 @@
     default: 0.1,
 };
 const GOSSIP: WordKey<bool> = on_off("shares", true);
-/// Its default in `[routes]` is the zone of `[members]`.
+/// In `[routes]`, it defaults to the zone of `[members]`.
 const ZONE: NameKey<'static> = NameKey {
     name: "zone",
     default: "",
@@ -40,12 +40,12 @@
     ZONE.name,
 ];
 
-/// Has to be set; the default only stands in where it is not.
+/// A required key; the default is used only after its absence has been reported.
 const ADDRESS: AddressKey = AddressKey {
     name: "address",
     default: SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1)),
 };
-/// A backend of more weight would leave the others nothing.
+/// The upper bound keeps one backend from taking nearly all calls from the others.
 const WEIGHT: NumberKey<f64> = NumberKey {
     name: "weight",
     range: 0.01..=100.0,
@@ -56,42 +56,43 @@
 /// Upper bound on the number of backends.
 const MAX_BACKENDS: usize = 5_000;
 
-/// How calls are divided among backends.
+/// How calls are distributed among backends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutingConfig {
     /// Availability zone of this server; may be empty.
     pub zone: String,
-    /// Fraction of a group of backends that may be ejected at a time, 0 to 0.9.
+    /// Maximum fraction of a group of backends that may be ejected at the same time, 0 to 0.9.
     pub max_ejected_fraction: f64,
-    /// Fraction of the local zone's weight that has to be available for all calls to stay local, 0.01
-    /// to 1.
+    /// Minimum fraction of the local zone's weight that has to be available for all calls to stay in the
+    /// zone, 0.01 to 1.
     pub min_local_fraction: f64,
-    /// Retry budget: retries allowed for each first attempt, hedges among them, 0 to 1.
+    /// Retry budget: number of retries allowed per first attempt, 0 to 1. Hedges count as retries.
     pub retry_ratio: f64,
     /// Whether hedged requests are sent.
     pub hedging: bool,
-    /// Whether this server's judgements are sent to other servers, and theirs are considered.
+    /// Whether this server sends its outlier detection results to other servers and takes theirs into account.
     pub gossip: bool,
     /// The backends in the order of the file.
     pub backends: Vec<Backend>,
 }
 
-/// One upstream server.
+/// One upstream backend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Backend {
     /// Name of the backend, unique in the file.
     pub name: String,
-    /// Address of the backend, which no other backend has.
+    /// Address of the backend, unique in the file.
     pub address: SocketAddr,
     /// Availability zone; may be empty.
     pub zone: String,
     /// Weight among the backends of the same handlers, 0.01 to 100.
     pub weight: f64,
-    /// Handlers whose calls it takes. Two backends have the same handlers, or none in common.
+    /// Handlers whose calls it serves. Two backends have either the same handlers or none in common.
     pub handlers: Names,
 }
 
-/// Reads `[routes]` and all `[backend NAME]`. `member_zone`: the zone of `[members]`, if that is on.
+/// Reads `[routes]` and all `[backend NAME]`. `member_zone` is the zone of `[members]`, if that is
+/// enabled.
 pub(crate) fn read(file: &mut OperatorFile, member_zone: Option<&str>) -> Option<RoutingConfig> {
     let head = file.take_one("routes", ROUTES_KEYS);
     let sections = file.take("backend", BACKEND_KEYS);
@@ -143,7 +144,7 @@
     }
 }
 
-/// Reports a backend that has some of the handlers of an earlier one, or its address.
+/// Reports a backend that has only some of the handlers of an earlier one, or its address.
 fn check_against_earlier(
     file: &mut OperatorFile,
     section: &Section,
@@ -163,7 +164,7 @@
     }
 }
 
-/// Whether two backends have handlers in common, but not the same ones.
+/// Reports whether two backends have some, but not all, handlers in common.
 fn overlaps_partly(a: &Backend, b: &Backend) -> bool {
     let sorted = |backend: &Backend| {
         let mut names = backend.handlers.names.clone();
--- a/crates/operator-config/tests/operator_file/deployed_files.rs
+++ b/crates/operator-config/tests/operator_file/deployed_files.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{full_file, read_valid};
 
-/// With all comments taken for keys it reads the same as with none of its keys.
+/// The deployed file reads the same as a file that sets none of the optional keys, and mentions each key.
 #[test]
 fn full_file_shows_each_key_with_its_default() {
     let text = full_file();
--- a/crates/operator-config/tests/operator_file/form.rs
+++ b/crates/operator-config/tests/operator_file/form.rs
@@ -1,4 +1,4 @@
-//! The form of the file: sections, keys, and how errors are reported.
+//! The format of the file: sections, keys, and how errors are reported.
 
 use crate::support::{error_lines, full_file, read_valid};
 use madderbay_operator_config::{OperatorConfig, Problem, read};
@@ -12,7 +12,7 @@
     );
 }
 
-/// Every error is reported at once, each in one line that names its place.
+/// All errors are reported at once, each in one line that names its place.
 #[test]
 fn reports_all_errors_in_the_order_of_their_lines() {
     let text = "stray = 1\n[pools]\nenabled = yes\nlimit = fixed\n[pool a]\nhandlers = x, x\nweight = -1\n\
@@ -74,7 +74,7 @@
     assert_eq!(error_lines("[pools\nenabled = on\n").len(), 1);
 }
 
-/// Whatever the text is, it is read or its errors have one line each.
+/// Any text is either read or reported with one line for each error.
 #[test]
 fn reads_or_reports_every_prefix_of_a_file() {
     let text = full_file();
--- a/crates/server/src/cli.rs
+++ b/crates/server/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: its sub-commands, flags and environment variables. It does nothing but parse.
+//! The command line: its subcommands, flags and environment variables. This module only parses it.
 
 use clap::{Args, Parser, Subcommand};
 use std::path::PathBuf;
@@ -11,7 +11,7 @@
 #[derive(Parser)]
 #[command(name = "madderbay", version)]
 pub(crate) struct Arguments {
-    /// The operator file: what this server does beyond its platform; without one all of that is off
+    /// The operator file, which enables features beyond the platform's; without it all of these are off
     #[arg(
         id = "operator",
         long = "operator",
@@ -20,8 +20,8 @@
         global = true
     )]
     pub(crate) operator_file: Option<PathBuf>,
-    /// For tests with incarnations on differing clocks: milliseconds added to the Unix clock that distinguishes
-    /// incarnations
+    /// Milliseconds added to the Unix time from which the incarnation number is taken, for tests in which the
+    /// incarnations of a server have different clocks
     #[arg(
         long = "unix-ahead-ms",
         hide = true,
@@ -30,25 +30,25 @@
         allow_hyphen_values = true
     )]
     pub(crate) incarnation_offset_ms: i64,
-    /// What to do; without a command, `run`.
+    /// The command to run; `run` if there is none.
     #[command(subcommand)]
     pub(crate) command: Option<Command>,
 }
 
-// A sub-command. No doc comment: clap would print it; those of the variants are the help.
+// A subcommand. This is no doc comment because clap would print it. The variants' doc comments are the help text.
 #[derive(Subcommand)]
 pub(crate) enum Command {
     /// Serve, as configured by the file that RELAY_CONFIG names; the default command
     Run,
-    /// Report what is wrong with an operator file, one line each; with RELAY_CONFIG set, its handlers are checked too
+    /// Check an operator file and print one line per error; with RELAY_CONFIG set, names of handlers are checked too
     Check { file: PathBuf },
-    /// Show the members of the fleet, as a running server sees them
+    /// Show the members of the fleet as a running server sees them
     Members(QueryArguments),
     /// Show the quotas and counters that a running server shares with its fleet
     Shared(QueryArguments),
     /// Show the backends of a running server
     Routes(QueryArguments),
-    /// Show what a directory of durable results holds, also while a server uses it
+    /// Show the contents of a directory of durable results; a server may be using it
     Kept {
         #[command(subcommand)]
         command: StoreCommand,
@@ -58,10 +58,10 @@
 /// A query to a running server.
 #[derive(Args)]
 pub(crate) struct QueryArguments {
-    /// The server's control socket, as its operator file names it
+    /// Path of the server's control socket, as set in its operator file
     #[arg(long, value_name = "PATH")]
     pub(crate) socket: PathBuf,
-    /// Print one line, a JSON object
+    /// Print one line that holds a JSON object
     #[arg(long)]
     pub(crate) json: bool,
     /// Repeat every second until interrupted
@@ -69,19 +69,18 @@
     pub(crate) watch: bool,
 }
 
-// A sub-command of `kept`. No doc comment, for the same reason.
+// A subcommand of `kept`. This is no doc comment for the same reason.
 #[derive(Subcommand)]
 pub(crate) enum StoreCommand {
-    /// One line for each request with an idempotency key: key, state, expiry, size of the result
+    /// Print one line for each request with an idempotency key: key, state, expiry, size of the result
     List { directory: PathBuf },
-    /// One line for each damaged or incomplete record; exits with status 1 if there is any
+    /// Print one line for each damaged or incomplete record; exit with status 1 if there is any
     Verify { directory: PathBuf },
-    /// One line of JSON for each request with an idempotency key, with its result
+    /// Print one line of JSON for each request with an idempotency key, with its result
     Export { directory: PathBuf },
 }
 
-/// Parses the command line. Help and errors are printed here, an error as one line; the status to exit with is
-/// returned then.
+/// Parses the command line. Prints help, or an error as one line, and then returns the exit status as the error.
 pub(crate) fn parse() -> Result<Arguments, ExitCode> {
     Arguments::try_parse().map_err(|error| {
         if !error.use_stderr() {
--- a/crates/server/src/commands.rs
+++ b/crates/server/src/commands.rs
@@ -1,4 +1,4 @@
-//! Runs the command that the command line names. An error carries the lines to print and the exit status.
+//! Runs the command given on the command line. An error holds the lines to print and the exit status.
 
 use crate::cli::{Arguments, Command, INVALID_INPUT, QueryArguments, StoreCommand};
 use crate::operator_plan::{self, OperatorError, OperatorPlan};
@@ -18,13 +18,13 @@
 /// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CommandError {
-    /// The server could not start.
+    /// The server can't start.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// `check` found a wrong operator file.
+    /// The operator file given to `check` is invalid.
     #[error(transparent)]
     Operator(#[from] OperatorError),
-    /// `check` found no valid configuration to check the operator file against.
+    /// The configuration against which `check` compares the operator file is missing or invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// A query to a running server failed.
@@ -33,13 +33,13 @@
     /// A directory of durable results can't be read.
     #[error(transparent)]
     Store(#[from] InspectionError),
-    /// A directory of durable results is damaged; what is wrong was printed as the command's output.
+    /// A directory of durable results is damaged. The command has already printed the defects as its output.
     #[error("the store is damaged")]
     DamagedStore,
 }
 
 impl CommandError {
-    /// The lines for standard error.
+    /// Returns the lines to print on standard error.
     pub(crate) fn lines(&self) -> Vec<String> {
         match self {
             CommandError::Start(error) => error.lines(),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// [`INVALID_INPUT`] where the input of a start or of a check is wrong, else 1.
+    /// Returns [`INVALID_INPUT`] if an input of the start or of `check` is invalid, otherwise 1.
     pub(crate) fn exit_status(&self) -> ExitCode {
         match self {
             CommandError::Start(error) if error.is_invalid_input() => ExitCode::from(INVALID_INPUT),
@@ -59,7 +59,7 @@
     }
 }
 
-/// Runs the command; without one, serves.
+/// Runs the command; without a command, serves.
 pub(crate) fn execute(arguments: Arguments) -> Result<(), CommandError> {
     let operator_file = arguments.operator_file.as_deref();
     match arguments.command.unwrap_or(Command::Run) {
@@ -75,7 +75,7 @@
     }
 }
 
-/// Checks an operator file, and its handlers' names where a configuration is at hand.
+/// Checks an operator file, and also its names of handlers if the environment variable for the configuration is set.
 fn check(file: &Path) -> Result<(), CommandError> {
     let operator = operator_plan::read(Some(file))?;
     if std::env::var_os("RELAY_CONFIG").is_some() {
@@ -85,7 +85,7 @@
     Ok(())
 }
 
-/// Asks a running server, once or again and again, and prints its answers.
+/// Queries a running server, once or repeatedly, and prints its answers.
 fn query(subject: Subject, arguments: &QueryArguments) -> Result<(), CommandError> {
     let format = if arguments.json {
         Format::Json
@@ -95,7 +95,7 @@
     let mut out = std::io::stdout();
     loop {
         let answer = control_client::query(&arguments.socket, subject, format)?;
-        // Where the reader has closed the pipe, there is nobody left to print for.
+        // The write fails if the reader has closed the pipe; the command then ends.
         if writeln!(out, "{answer}").is_err() || !arguments.watch {
             return Ok(());
         }
@@ -103,7 +103,7 @@
     }
 }
 
-/// Prints what a directory of durable results holds.
+/// Prints the contents or the defects of a directory of durable results.
 fn inspect_store(command: &StoreCommand) -> Result<(), CommandError> {
     let lines = match command {
         StoreCommand::List { directory } => store_inspection::list(directory),
--- a/crates/server/src/fleet/backends.rs
+++ b/crates/server/src/fleet/backends.rs
@@ -1,7 +1,8 @@
-//! The upstream backends as the core asks for them, alone or with what the fleet's gossip brings.
+//! The core's `BackendSelector` over the upstream backends, with or without the results that other servers of the
+//! fleet report by gossip.
 //!
-//! `Backends` owns the `UpstreamManager` together with the gossip driver, and a clock that both share. It borrows
-//! the manager for one call at a time, never across an await.
+//! `Backends` shares the `UpstreamManager` and its clock with the gossip driver. It borrows the manager for one call
+//! at a time, never across an await.
 
 use super::routing_plan::RoutingPlan;
 use crate::core::backend_selector::BackendSelector;
@@ -25,28 +26,28 @@
 }
 
 impl Backends {
-    /// Creates the backends of a plan. `seed` is that of all random draws.
+    /// Creates the backends of a plan. `seed` seeds all random draws.
     pub fn new(seed: u64, clock: MonotonicClock, plan: RoutingPlan) -> Backends {
         let manager = UpstreamManager::new(clock(), seed, plan.settings, plan.backends);
         Backends::over(Rc::new(RefCell::new(manager)), clock)
     }
 
-    /// Creates the same over an existing manager.
+    /// Creates the backends over an existing manager.
     pub fn over(manager: Rc<RefCell<UpstreamManager>>, clock: MonotonicClock) -> Backends {
         Backends { manager, clock }
     }
 
-    /// The manager, which selects backends and observes their calls.
+    /// Returns the manager, which selects backends and observes their calls.
     pub fn manager(&self) -> &Rc<RefCell<UpstreamManager>> {
         &self.manager
     }
 
-    /// The time on the clock that the manager is given.
+    /// Returns the time of the manager's clock.
     pub fn now(&self) -> Timestamp {
         (self.clock)()
     }
 
-    /// Replaces settings and backends by those of a reloaded plan.
+    /// Replaces the settings and backends by those of a reloaded plan.
     pub fn reload(&self, plan: RoutingPlan) {
         self.manager
             .borrow_mut()
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Drives the manager's timers until the process ends, where no gossip driver does.
+    /// Runs the manager's timers until the process ends, for a server without gossip driver.
     pub async fn run(self: Rc<Self>) {
         loop {
             let wait = self.manager.borrow().next_timeout() - self.now();
--- a/crates/server/src/fleet/control_client.rs
+++ b/crates/server/src/fleet/control_client.rs
@@ -1,5 +1,5 @@
-//! The client's side of the control socket, for the command line: sends one query and renders its answer, as one line
-//! of JSON or as text. It keeps no connection and no state between queries.
+//! The client side of the control socket, used by the command line: sends one query and renders its answer as one
+//! line of JSON or as text. It keeps no connection and no state between queries.
 
 use super::control_protocol::{
     BackendRecord, CountRecord, END_LINE, ErrorLine, MAX_ANSWER_LINE_BYTES, MemberRecord,
@@ -14,19 +14,19 @@
 
 pub use super::control_protocol::Subject;
 
-/// A server that sends nothing for this long counts as hung.
+/// A server that sends nothing for this long is considered unresponsive.
 const READ_TIMEOUT: StdDuration = StdDuration::from_secs(5);
 
-/// The form of a rendered answer.
+/// The output format of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// One line, a JSON object.
+    /// One line that holds a JSON object.
     Json,
-    /// Lines for a reader.
+    /// Lines of text for people.
     Text,
 }
 
-/// Why a query has no answer. Each names the socket's path.
+/// Why a query failed. Each error names the socket's path.
 #[derive(Debug, thiserror::Error)]
 pub enum QueryError {
     /// The socket can't be connected to, or the connection failed or timed out.
@@ -34,7 +34,7 @@
     Io {
         /// The socket's path.
         path: PathBuf,
-        /// What the system reported.
+        /// The error that the system reported.
         source: std::io::Error,
     },
     /// The server rejected the query.
@@ -42,23 +42,23 @@
     Rejected {
         /// The socket's path.
         path: PathBuf,
-        /// The server's words.
+        /// The reason that the server gave.
         reason: String,
     },
-    /// A line of the answer is not what the protocol has there.
+    /// A line of the answer does not conform to the protocol.
     #[error("{}: an answer that can't be read: {source}", path.display())]
     Malformed {
         /// The socket's path.
         path: PathBuf,
-        /// What was found.
+        /// The error of the JSON parser.
         source: serde_json::Error,
     },
 }
 
-/// Asks the server that listens on `path`.
+/// Queries the server that listens on `path` and returns its rendered answer.
 ///
 /// # Errors
-/// Without a connection, without a complete answer in time, and where the server rejects the query.
+/// Fails if the connection fails, if the answer is incomplete, late or malformed, or if the server rejects the query.
 pub fn query(path: &Path, subject: Subject, format: Format) -> Result<String, QueryError> {
     let lines = exchange(path, subject).map_err(|source| QueryError::Io {
         path: path.into(),
@@ -79,7 +79,7 @@
     })
 }
 
-/// Sends the query and reads the answer's lines, without the end line.
+/// Sends the query and returns the lines of the answer without the end line.
 fn exchange(path: &Path, subject: Subject) -> std::io::Result<Vec<String>> {
     let word = subject.word().to_string();
     let mut stream = UnixStream::connect(path)?;
@@ -108,7 +108,7 @@
     lines.iter().map(|l| serde_json::from_str(l)).collect()
 }
 
-/// Seconds of an age in milliseconds, or what stands for none.
+/// Formats an age in milliseconds as seconds, or returns `none` if there is no age.
 fn age(ms: Option<u64>, none: &str) -> String {
     ms.map_or(none.into(), |ms| format!("{:.1} s ago", ms as f64 / 1e3))
 }
--- a/crates/server/src/fleet/control_protocol.rs
+++ b/crates/server/src/fleet/control_protocol.rs
@@ -1,34 +1,35 @@
-//! What travels over the control socket. A query is one line of JSON, `{"ask":WORD}`; its answer is lines of JSON of
-//! bounded length: a head, records of one kind, and [`END_LINE`]. A refused query is answered by an [`ErrorLine`].
+//! The protocol of the control socket. A query is one line of JSON, `{"ask":WORD}`. Its answer consists of lines of
+//! JSON of bounded length: a head, records of one kind, and [`END_LINE`]. A rejected query is answered with an
+//! [`ErrorLine`].
 //!
-//! The members' names on the wire are fixed, since operators' scripts read them; where they differ from the fields'
-//! names, serde renames them. Members are written in the order of the fields.
+//! The JSON keys are fixed because operators' scripts read them; serde renames the fields whose names differ. Keys
+//! are written in the order of the fields.
 
 use serde::{Deserialize, Serialize};
 
-/// Longest query with its line feed, in bytes.
+/// Maximum length of a query in bytes, including its line feed.
 pub(super) const MAX_QUERY_BYTES: u64 = 256;
-/// Longest line of an answer, in bytes; names are bounded far more tightly.
+/// Maximum length of a line of an answer, in bytes. Lines stay far below it, because names are much shorter.
 pub(super) const MAX_ANSWER_LINE_BYTES: u64 = 4 << 10;
 /// The last line of every answer.
 pub(super) const END_LINE: &str = "{\"end\":true}";
 
-/// What can be asked about.
+/// The subject of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Subject {
-    /// The view of the fleet's membership.
+    /// This server's view of the fleet's membership.
     Members,
-    /// Quotas and counters that the fleet shares.
+    /// The quotas and counters that the fleet shares.
     Quotas,
     /// The backends that this server calls.
     Backends,
 }
 
 impl Subject {
-    /// Every subject.
+    /// All subjects.
     const ALL: [Subject; 3] = [Subject::Members, Subject::Quotas, Subject::Backends];
 
-    /// The word for it in a query.
+    /// Returns the word that stands for the subject in a query.
     pub(super) fn word(self) -> &'static str {
         match self {
             Subject::Members => "members",
@@ -37,13 +38,13 @@
         }
     }
 
-    /// The subject that a query's word stands for, if there is one.
+    /// Returns the subject that a word of a query stands for, or `None` for an unknown word.
     pub(super) fn from_word(word: &str) -> Option<Subject> {
         Subject::ALL.into_iter().find(|s| s.word() == word)
     }
 }
 
-/// One query. The word may be unknown: that is for the server to reject.
+/// One query. The server rejects a query whose word is unknown.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Query {
     /// The word for the subject.
@@ -51,10 +52,10 @@
     pub(super) word: String,
 }
 
-/// Why a query was rejected.
+/// The answer to a rejected query.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct ErrorLine {
-    /// One sentence for the operator.
+    /// Why the query was rejected, as one sentence for the operator.
     #[serde(rename = "wrong")]
     pub(super) reason: String,
 }
@@ -62,18 +63,18 @@
 /// The head of an answer about members. Times are ages in milliseconds.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct MembershipHead {
-    /// This server.
+    /// Name of this server.
     pub(super) name: String,
     /// How much of the fleet this server receives from.
     #[serde(rename = "hears")]
     pub(super) coverage: String,
-    /// How long the coverage has been so.
+    /// Time since the coverage last changed.
     pub(super) since_ms: u64,
-    /// Other members that are not down.
+    /// Number of other members that are not down.
     pub(super) active: usize,
-    /// Other members that are down without having left, while the view remembers them.
+    /// Number of other members that are down without having left and that the view still remembers.
     pub(super) missing: usize,
-    /// Age of the last datagram of any member.
+    /// Age of the last datagram received from any member.
     #[serde(rename = "last_ms")]
     pub(super) last_received_ms: Option<u64>,
     /// Hash of the view, in hexadecimal; equal views have equal digests.
@@ -89,18 +90,18 @@
     pub(super) state: String,
     /// Its zone.
     pub(super) zone: String,
-    /// Where its datagrams are sent.
+    /// Address to which its datagrams are sent.
     pub(super) address: String,
-    /// Distinguishes its starts; a later one has a greater number.
+    /// Number of its incarnation; a later incarnation has a greater number.
     #[serde(rename = "life")]
     pub(super) incarnation: u64,
-    /// Changes of its identity within the incarnation.
+    /// Number of changes of its identity within the incarnation.
     #[serde(rename = "turn")]
     pub(super) revision: u32,
-    /// Age of its last datagram; nothing if none arrived, and for this server.
+    /// Age of the last datagram received from it; `None` if none was received, and for this server itself.
     #[serde(rename = "heard_ms")]
     pub(super) last_received_ms: Option<u64>,
-    /// The health score that it reports: 0 if healthy, at most 8.
+    /// The local health score that it reports, from 0 (healthy) to 8.
     #[serde(rename = "held_up")]
     pub(super) health_score: u8,
 }
@@ -108,7 +109,7 @@
 /// The head of an answer about quotas and counters.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct QuotasHead {
-    /// This server.
+    /// Name of this server.
     pub(super) name: String,
 }
 
@@ -119,13 +120,13 @@
     pub(super) backends: bool,
 }
 
-/// A quota, or what was counted for one key.
+/// A record about a quota, or about one key of a counter.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(untagged)]
 pub(super) enum QuotasRecord {
     /// A quota.
     Quota(QuotaRecord),
-    /// What was counted for one key.
+    /// The estimated count of one key.
     Count(CountRecord),
 }
 
@@ -134,27 +135,27 @@
 pub(super) struct QuotaRecord {
     /// The budget's name.
     pub(super) name: String,
-    /// Calls in flight of the whole fleet.
+    /// Number of calls that the whole fleet may have in flight.
     #[serde(rename = "whole")]
     pub(super) capacity: u32,
-    /// What this server may use without any lease; 0 until that is usable.
+    /// Quota that this server may use without any lease; 0 until it is usable.
     #[serde(rename = "own")]
     pub(super) base_quota: u32,
-    /// Leased to other servers.
+    /// Quota leased to other servers.
     #[serde(rename = "lent")]
     pub(super) granted: u32,
-    /// Leased from other servers.
+    /// Quota leased from other servers.
     #[serde(rename = "borrowed")]
     pub(super) leased: u32,
-    /// Calls that this server may have in flight now.
+    /// Number of calls that this server may have in flight now.
     pub(super) usable: u32,
-    /// Calls of this server in flight.
+    /// Number of calls that this server has in flight.
     #[serde(rename = "in_use")]
     pub(super) in_flight: u32,
-    /// Calls that this server has work for, with some headroom.
+    /// Number of calls that this server has work for, with some headroom.
     #[serde(rename = "wants")]
     pub(super) demand: u32,
-    /// Time since a message about this budget arrived, from any server.
+    /// Time since a message about this budget last arrived from any server.
     #[serde(rename = "heard_ms")]
     pub(super) since_contact_ms: Option<u64>,
     /// Time until the base quota is usable.
@@ -162,26 +163,26 @@
     pub(super) until_usable_ms: u64,
 }
 
-/// One key of a replicated counter: an estimate of its total, and how far off that may be.
+/// One key of a replicated counter: an estimate of its total, and the maximum error of the estimate.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct CountRecord {
     /// The counter's name.
     pub(super) name: String,
-    /// The handler or tenant.
+    /// Name of the handler or tenant.
     #[serde(rename = "of")]
     pub(super) key: String,
-    /// Requests in the window, over the fleet.
+    /// Estimated number of requests in the counter's window, over the whole fleet.
     #[serde(rename = "value")]
     pub(super) estimate: f64,
-    /// How far the estimate is off at most.
+    /// Maximum error of the estimate.
     #[serde(rename = "bound")]
     pub(super) max_error: f64,
-    /// Servers whose counts are missing for a part of the window.
+    /// Number of servers whose counts are missing for a part of the window.
     #[serde(rename = "unheard")]
     pub(super) stale_servers: usize,
 }
 
-/// One backend, with what outlier detection counts of it.
+/// One backend, with the figures of outlier detection.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct BackendRecord {
     /// Its name in the operator file.
@@ -190,26 +191,26 @@
     pub(super) state: String,
     /// Its weight in selection, as a fraction of the weight that the operator set.
     pub(super) weight: f64,
-    /// Recent successes and failures seen by this server.
+    /// Number of recent successes and failures observed by this server.
     #[serde(rename = "seen")]
     pub(super) observed: u64,
-    /// Recent failures seen by this server.
+    /// Number of recent failures observed by this server.
     #[serde(rename = "bad")]
     pub(super) failures: u64,
-    /// Other servers whose reports on it count.
+    /// Number of other servers whose reports on the backend are taken into account.
     #[serde(rename = "heard_from")]
     pub(super) witnesses: usize,
-    /// What those reports weigh, in failures of this server's own.
+    /// Weight of those reports, expressed as a number of failures observed by this server.
     #[serde(rename = "heard")]
     pub(super) gossip_failures: f64,
     /// Its zone.
     pub(super) zone: String,
-    /// Where it is called.
+    /// Address to which its calls are sent.
     pub(super) address: String,
-    /// Attempts of this server in flight.
+    /// Number of attempts that this server has in flight.
     #[serde(rename = "in_hand")]
     pub(super) in_flight: usize,
-    /// Recent mean time of a successful call, where there was any.
+    /// Recent mean time of successful calls in milliseconds; `None` if there were none.
     #[serde(rename = "pace_ms")]
     pub(super) typical_latency_ms: Option<f64>,
 }
--- a/crates/server/src/fleet/control_protocol/tests.rs
+++ b/crates/server/src/fleet/control_protocol/tests.rs
@@ -1,9 +1,9 @@
-//! Operators' scripts read these names. Each test lists them beside the fields that the code has.
+//! Checks that the JSON keys of the control protocol stay the same, since operators' scripts read them.
 
 use super::*;
 use serde_json::json;
 
-/// One line as it is written, which has to be read back as the same.
+/// Serializes a record to its line, and checks that parsing and serializing the line gives the same text.
 fn line<T: Serialize + for<'a> Deserialize<'a>>(record: &T) -> String {
     let line = serde_json::to_string(record).unwrap();
     let read: T = serde_json::from_str(&line).unwrap();
--- a/crates/server/src/fleet/control_socket.rs
+++ b/crates/server/src/fleet/control_socket.rs
@@ -1,7 +1,7 @@
-//! The server's side of the control socket: answers queries about what this server knows, and changes nothing.
+//! The server side of the control socket: answers queries about the state of this server without changing it.
 //!
-//! It owns the listening socket, the socket's file and a bounded number of connections. It is given the fleet and the
-//! backends, and borrows them only while it forms one answer, never across an await.
+//! It owns the listening socket, the socket's file and a bounded number of connections. It borrows the fleet and the
+//! backends only while it composes an answer, never across an await.
 
 use super::backends::Backends;
 use super::control_protocol::{
@@ -28,44 +28,44 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// A client has this long to send a query, and again to read the answer.
+/// Time that a client has to send a query, and again to read the answer.
 const CLIENT_TIMEOUT: StdDuration = StdDuration::from_secs(5);
-/// Pause after an accept that failed.
+/// Pause after a failed accept.
 const ACCEPT_BACKOFF: StdDuration = StdDuration::from_secs(5);
-/// Connections served at a time; further ones wait in the listener's backlog.
+/// Maximum number of connections served at a time; further ones wait in the listener's backlog.
 const MAX_CLIENTS: usize = 4;
-/// Keys reported of one counter: those most counted on this server.
+/// Maximum number of keys reported for a counter: those with the largest counts on this server.
 const MAX_REPORTED_KEYS: usize = 50;
 
 /// Why the control socket can't be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlSocketError {
-    /// The path is taken by something that is not a socket.
+    /// The file at the path is not a socket.
     #[error("control socket {}: is there, and is no socket", path.display())]
     NotASocket {
         /// The socket's path.
         path: PathBuf,
     },
-    /// A running process listens on the path.
+    /// Another process listens on the path.
     #[error("control socket {}: another process listens there", path.display())]
     InUse {
         /// The socket's path.
         path: PathBuf,
     },
-    /// The system refused to look at, make or move the socket's file.
+    /// The socket's file can't be inspected, created or moved.
     #[error("control socket {}: {source}", path.display())]
     Io {
         /// The socket's path.
         path: PathBuf,
-        /// What the system reported.
+        /// The error that the system reported.
         source: std::io::Error,
     },
 }
 
-/// What queries are answered from; an absent part is off in the operator file.
+/// The state from which queries are answered. A part that the operator file does not enable is `None`.
 #[derive(Clone, Default)]
 pub struct Sources {
-    /// The view of the fleet, and the quotas on top of it.
+    /// The view of the fleet, with its quotas and counters.
     pub fleet: Option<Rc<Fleet>>,
     /// The backends.
     pub backends: Option<Rc<Backends>>,
@@ -75,7 +75,7 @@
 pub struct SocketFile(PathBuf);
 
 impl SocketFile {
-    /// Takes over the file that [`listen`] made at `path`.
+    /// Takes ownership of the file that [`listen`] created at `path`.
     pub fn new(path: PathBuf) -> SocketFile {
         SocketFile(path)
     }
@@ -87,13 +87,14 @@
     }
 }
 
-/// Listens on `path`, for the file's owner alone. The file of a former incarnation is replaced.
+/// Listens on `path` with a socket that only the file's owner can use. The file of an earlier incarnation is replaced.
 ///
 /// # Errors
-/// Where another process listens on `path`, where its file is not a socket, and where the system refuses.
+/// Fails if another process listens on `path`, if the file there is not a socket, or if the system reports an error.
 pub fn listen(path: &Path) -> Result<UnixListener, ControlSocketError> {
     check_replaceable(path)?;
-    // Made beside the path and moved there, so that the socket is never open to others.
+    // The socket is created under another name and moved to `path` once its mode is set, so that other users can
+    // never connect to it.
     let temporary = path.with_extension(format!("{}", std::process::id()));
     let _ = std::fs::remove_file(&temporary);
     bind_private(&temporary, path).map_err(|source| {
@@ -128,7 +129,7 @@
     ControlSocketError::Io { path, source }
 }
 
-/// Accepts connections until the process ends, and serves each in a task of its own.
+/// Accepts connections until the process ends and serves each in a task of its own.
 pub async fn run(listener: UnixListener, sources: Sources) {
     let clients = Arc::new(Semaphore::new(MAX_CLIENTS));
     loop {
@@ -153,7 +154,7 @@
     }
 }
 
-/// Answers the queries of one client until it closes, waits too long or sends a line that is too long.
+/// Answers the queries of one client until it closes the connection, times out or sends a line that is too long.
 async fn serve(stream: UnixStream, sources: &Sources) -> std::io::Result<()> {
     let (reader, mut writer) = stream.into_split();
     let mut reader = BufReader::new(reader);
@@ -179,7 +180,7 @@
     }
 }
 
-/// All lines of the answer to one query.
+/// Returns all lines of the answer to one query.
 fn answer(line: &[u8], sources: &Sources) -> String {
     let Ok(query) = serde_json::from_slice::<Query>(line) else {
         return error_answer("a question is a line as {\"ask\":\"members\"}");
@@ -197,13 +198,13 @@
     found.unwrap_or_else(|| error_answer(&format!("no {section} in the operator file")))
 }
 
-/// An answer without records, whose head says why the query is rejected.
+/// Returns an answer without records whose head says why the query is rejected.
 fn error_answer(reason: &str) -> String {
     let reason = reason.to_string();
     format_answer(&ErrorLine { reason }, std::iter::empty::<ErrorLine>())
 }
 
-/// An answer of a head, records and the end line.
+/// Returns an answer that consists of a head, records and the end line.
 fn format_answer(
     head: &impl Serialize,
     records: impl IntoIterator<Item = impl Serialize>,
@@ -216,13 +217,13 @@
     text + END_LINE + "\n"
 }
 
-/// Adds one line of JSON.
+/// Appends one line of JSON.
 fn push_line(text: &mut String, record: &impl Serialize) {
     *text += &serde_json::to_string(record).unwrap_or_default();
     text.push('\n');
 }
 
-/// The view of the membership.
+/// Returns the answer about the members of the fleet.
 fn members_answer(fleet: &Fleet) -> String {
     let view = fleet.stack().borrow().membership().view();
     let connectivity = &view.connectivity;
@@ -251,7 +252,7 @@
     }
 }
 
-/// The backends, with what outlier detection knows of them.
+/// Returns the answer about the backends, with the figures of outlier detection.
 fn backends_answer(backends: &Backends) -> String {
     let manager = backends.manager().borrow();
     let statuses = manager.backend_statuses(backends.now());
@@ -279,7 +280,7 @@
     }
 }
 
-/// Quotas and counters; nothing where the fleet shares none.
+/// Returns the answer about quotas and counters, or `None` if the fleet shares none.
 fn quotas_answer(fleet: &Fleet) -> Option<String> {
     let now = fleet.now();
     let stack = fleet.stack().borrow();
@@ -312,7 +313,7 @@
     })
 }
 
-/// The keys of one counter that are most counted on this server.
+/// Returns the records of the keys of one counter that have the largest counts on this server.
 fn count_records(
     now: Timestamp,
     id: CounterId,
--- a/crates/server/src/fleet/counter_names.rs
+++ b/crates/server/src/fleet/counter_names.rs
@@ -1,17 +1,17 @@
-//! The names of what the fleet's counters count. A counter goes by handlers or by tenants; on the wire, a key is the
-//! hash of its name.
+//! The names of the handlers and tenants that the fleet's counters count. The keys of a counter are either handlers or
+//! tenants; in datagrams, a key is represented by the hash of its name.
 
 use madderbay::interface::{HandlerId, TenantId};
 use madderbay_quota::{CounterId, name_hash};
 
-/// The names of handlers and tenants, and which counters go by which.
+/// The names of handlers and tenants, and for each counter which of the two are its keys.
 #[derive(Clone, Debug, Default)]
 pub struct CounterNames {
     handlers: Vec<KeyName>,
     tenants: Vec<KeyName>,
-    /// The allowance of each tenant over the fleet, in requests a second.
+    /// Tenant quota of each tenant over the whole fleet, in requests per second.
     tenant_allowances: Vec<f64>,
-    /// Servers of the fleet.
+    /// Number of servers in the fleet.
     servers: u32,
     /// For each counter, whether its keys are tenants.
     by_tenant: Vec<bool>,
@@ -24,7 +24,7 @@
     hash: u32,
 }
 
-/// What the keys of a counter stand for.
+/// The handler or tenant whose requests a key of a counter counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CountedSubject {
     /// Requests of a handler.
@@ -36,19 +36,21 @@
 /// One key of a counter.
 #[derive(Clone, Copy, Debug)]
 pub struct CounterKey<'a> {
-    /// What it stands for.
+    /// The handler or tenant that it stands for.
     pub subject: CountedSubject,
     /// Its name.
     pub name: &'a str,
     /// The hash of its name.
     pub hash: u32,
-    /// What one server counts of it in the long run, in requests a second: its fair part of the allowance.
+    /// Rate that one server counts on average if the tenant's quota is divided equally over the servers, in requests
+    /// per second; 0 for a handler.
     pub fair_rate: f64,
 }
 
 impl CounterNames {
-    /// Creates the names of a fleet of `servers` servers. `tenant_allowances`, in requests a second over the fleet, go
-    /// with `tenants`; `by_tenant` has an entry for each counter.
+    /// Creates the names for a fleet of `servers` servers. `tenant_allowances` has one entry for each of `tenants`, in
+    /// requests per second over the whole fleet. `by_tenant` has one entry for each counter: whether its keys are
+    /// tenants.
     pub fn new(
         handlers: &[String],
         tenants: &[String],
@@ -65,7 +67,7 @@
         }
     }
 
-    /// All keys of a counter, in the order of their indices.
+    /// Returns all keys of a counter in the order of their indices.
     pub fn keys(&self, counter: CounterId) -> impl Iterator<Item = CounterKey<'_>> {
         let by_tenant = self.by_tenant[counter.index()];
         let names = if by_tenant {
@@ -95,7 +97,7 @@
         }
     }
 
-    /// For each counter, the hash of the key under which it counts a request.
+    /// Returns, for each counter, the hash of the key under which it counts a request.
     pub(super) fn hashes_of_request(
         &self,
         handler: HandlerId,
@@ -111,7 +113,7 @@
         })
     }
 
-    /// The first counter whose keys are tenants.
+    /// Returns the first counter whose keys are tenants.
     pub(super) fn tenant_counter(&self) -> Option<CounterId> {
         let index = self.by_tenant.iter().position(|by_tenant| *by_tenant);
         index.map(CounterId::new)
@@ -122,12 +124,12 @@
         self.tenant_allowances[tenant.index()]
     }
 
-    /// Servers of the fleet.
+    /// Number of servers in the fleet.
     pub(super) fn servers(&self) -> u32 {
         self.servers
     }
 
-    /// The allowance of a tenant, divided equally over the servers.
+    /// Returns a tenant's quota divided equally over the servers.
     fn fair_rate(&self, tenant: TenantId) -> f64 {
         let allowance = self.tenant_allowances.get(tenant.index()).copied();
         allowance.unwrap_or(0.0) / f64::from(self.servers.max(1))
--- a/crates/server/src/fleet/gossip.rs
+++ b/crates/server/src/fleet/gossip.rs
@@ -1,8 +1,9 @@
-//! The gossip driver: carries the datagrams of the fleet's state machines over one UDP socket, beside the requests.
+//! The gossip driver: sends and receives the datagrams of the fleet's state machines over one UDP socket, on the
+//! thread that also serves the requests.
 //!
-//! `Fleet` owns the state machines together with the core's `FleetQuotaSource`, and what the driver counts and
-//! logs. `run` owns the socket's turns: each takes a bounded number of datagrams. State machines are borrowed for
-//! one step at a time, never across an await.
+//! `Fleet` shares the state machines with the core's `FleetQuotaSource` and owns the driver's counters and event log.
+//! `run` reads a bounded number of datagrams in each turn. The state machines are borrowed for one step at a time,
+//! never across an await.
 
 mod counters;
 mod datagram_limit;
@@ -24,44 +25,44 @@
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 
-/// Datagrams taken at a time, before other tasks have their turn.
+/// Maximum number of datagrams handled before the driver yields to other tasks.
 const MAX_DATAGRAMS_PER_TURN: usize = 32;
-/// One byte more than any valid datagram, so that a longer one is seen to be longer.
+/// One byte more than the longest valid datagram, so that a longer datagram is detected.
 const RECEIVE_BUFFER_BYTES: usize = madderbay_membership::MAX_DATAGRAM_BYTES + 1;
 
-/// What a fleet's state machines are created from.
+/// Settings from which the fleet's state machines are created.
 pub struct FleetConfig {
     /// Seed of all random draws.
     pub seed: u64,
-    /// Distinguishes the incarnations of this server; a later one has a greater number.
+    /// Number of this server's incarnation; a later incarnation has a greater number.
     pub incarnation: u64,
     /// Settings of the membership.
     pub membership: madderbay_membership::Settings,
-    /// Settings of the quotas and counters, where they are on.
+    /// Settings of the quotas and counters, if these are enabled.
     pub quotas: Option<madderbay_quota::Settings>,
-    /// The names of what is counted.
+    /// Names of the handlers and tenants that the counters count.
     pub counter_names: CounterNames,
-    /// The backends, where they are on; the driver drives them too.
+    /// The backends, if these are enabled. The driver also runs their timers and exchanges their gossip.
     pub backends: Option<Rc<Backends>>,
 }
 
-/// This server's view of its fleet, and what rests on it.
+/// This server's view of its fleet, and the quotas and backends whose state is exchanged with it.
 pub struct Fleet {
     stack: Rc<RefCell<FleetStack>>,
     quota_source: Rc<FleetQuotaSource>,
     backends: Option<Rc<Backends>>,
     clock: MonotonicClock,
     event_log: RefCell<EventLog>,
-    /// Received datagrams that were dropped over the limit.
+    /// Number of received datagrams that were dropped because they exceeded the rate limit.
     dropped_datagrams: Cell<u64>,
-    /// Datagrams that the system did not take at once.
+    /// Number of datagrams that the socket did not accept at once and that were therefore not sent.
     unsent_datagrams: Cell<u64>,
-    /// Notified where something has to be sent before the next timer.
+    /// Notified when datagrams have to be sent before the next timer is due.
     send_pending: Rc<Notify>,
 }
 
 impl Fleet {
-    /// Creates the state machines. `clock` starts at 0 and never steps.
+    /// Creates the state machines. `clock` starts at 0 and is monotonic.
     pub fn new(config: FleetConfig, clock: MonotonicClock) -> Fleet {
         let start = Timestamp::default();
         let seed = config.seed;
@@ -92,22 +93,22 @@
         }
     }
 
-    /// The time on the clock that the state machines are given.
+    /// Returns the time of the state machines' clock.
     pub fn now(&self) -> Timestamp {
         (self.clock)()
     }
 
-    /// What the core asks for its quotas.
+    /// Returns the source from which the core takes its quotas.
     pub fn quota_source(&self) -> &Rc<FleetQuotaSource> {
         &self.quota_source
     }
 
-    /// The state machines.
+    /// Returns the state machines.
     pub(super) fn stack(&self) -> &RefCell<FleetStack> {
         &self.stack
     }
 
-    /// Takes over the sizes and weights of a reloaded operator file.
+    /// Applies the sizes and weights of the budgets of a reloaded operator file.
     pub fn reload(&self, budgets: &[BudgetSettings]) {
         let now = self.now();
         if let Some(quotas) = self.stack.borrow_mut().quotas_mut() {
@@ -116,19 +117,19 @@
         self.send_pending.notify_one();
     }
 
-    /// Notifies the fleet that this server drains.
+    /// Notifies the fleet that this server is draining.
     pub fn drain(&self) {
         self.stack.borrow_mut().membership_mut().drain(self.now());
         self.send_pending.notify_one();
     }
 
-    /// Notifies the fleet that this server leaves; the last datagrams are sent at once.
+    /// Notifies the fleet that this server is leaving, and sends the last datagrams at once.
     pub fn leave(&self, socket: &UdpSocket) {
         self.stack.borrow_mut().membership_mut().leave(self.now());
         self.send_and_log(socket);
     }
 
-    /// Sends what the state machines have to send, and logs their events.
+    /// Sends the pending datagrams of the state machines and logs their events.
     fn send_and_log(&self, socket: &UdpSocket) {
         self.send_datagrams(socket);
         let lines = self.take_event_lines();
@@ -138,7 +139,8 @@
         self.event_log.borrow_mut().write(self.now(), &lines);
     }
 
-    /// Hands the socket what is to be sent. What it can't take at once is lost, as any datagram may be.
+    /// Passes the pending datagrams to the socket. Those that it does not accept at once are dropped, which the
+    /// protocol tolerates like any other loss of a datagram.
     fn send_datagrams(&self, socket: &UdpSocket) {
         for (to, bytes) in self.stack.borrow_mut().take_datagrams() {
             if socket.try_send_to(&bytes, to).is_err() {
@@ -147,7 +149,7 @@
         }
     }
 
-    /// The log lines of all events since the last time.
+    /// Removes all events since the last call and returns their log lines.
     fn take_event_lines(&self) -> Vec<String> {
         let mut stack = self.stack.borrow_mut();
         let membership_events = stack.membership_mut().take_events();
@@ -157,10 +159,10 @@
         membership_lines.chain(quota_lines).collect()
     }
 
-    /// Takes up to [`MAX_DATAGRAMS_PER_TURN`] received datagrams from the socket.
+    /// Reads up to [`MAX_DATAGRAMS_PER_TURN`] datagrams from the socket and passes them to the state machines.
     fn handle_datagrams(&self, socket: &UdpSocket, limit: &mut DatagramLimit, buffer: &mut [u8]) {
         for _ in 0..MAX_DATAGRAMS_PER_TURN {
-            // An error here is a peer's answer to a datagram that was sent: there is nothing to do.
+            // Either no datagram is left, or an earlier one did not reach a peer. Neither needs handling.
             let Ok((length, from)) = socket.try_recv_from(buffer) else {
                 return;
             };
@@ -174,13 +176,13 @@
         }
     }
 
-    /// How long the driver may sleep.
+    /// Returns how long the driver may sleep.
     fn time_to_next_timeout(&self) -> StdDuration {
         let wait = self.stack.borrow().next_timeout() - self.now();
         StdDuration::from_micros(wait.as_micros())
     }
 
-    /// All counters, one line each.
+    /// Returns all counters as text, one line each.
     pub fn counters(&self) -> String {
         let stack = self.stack.borrow();
         let driver = counters::DriverCounters {
@@ -200,7 +202,7 @@
     counter.set(counter.get() + 1);
 }
 
-/// Receives, drives the timers and sends, until the process ends.
+/// Receives datagrams, runs the timers and sends datagrams until the process ends.
 pub async fn run(socket: Rc<UdpSocket>, fleet: Rc<Fleet>) {
     let mut limit = DatagramLimit::new(fleet.now());
     let mut buffer = [0; RECEIVE_BUFFER_BYTES];
@@ -214,7 +216,7 @@
         fleet.handle_datagrams(&socket, &mut limit, &mut buffer);
         fleet.stack.borrow_mut().handle_timeout(fleet.now());
         fleet.send_and_log(&socket);
-        // Tasks with requests that are ready go first.
+        // Lets the tasks run that have requests to handle.
         tokio::task::yield_now().await;
     }
 }
--- a/crates/server/src/fleet/gossip/counters.rs
+++ b/crates/server/src/fleet/gossip/counters.rs
@@ -1,22 +1,22 @@
-//! The counters of the fleet, one line each in a fixed order. Their names are fixed, since operators' scripts read
-//! them.
+//! Formats the counters of the fleet, one line each in a fixed order. The names of the counters are fixed because
+//! operators' scripts read them.
 
 use crate::support::metrics::Lines;
 use madderbay::time::Timestamp;
 use madderbay_membership::Membership;
 use madderbay_quota::FleetQuotas;
 
-/// What the driver itself counts.
+/// Counters of the gossip driver itself.
 pub(super) struct DriverCounters {
-    /// Received datagrams that were dropped over the limit.
+    /// Received datagrams that were dropped because they exceeded the rate limit.
     pub(super) dropped_datagrams: u64,
-    /// Datagrams that the system did not take at once.
+    /// Datagrams that the socket did not accept at once and that were therefore not sent.
     pub(super) unsent_datagrams: u64,
-    /// Events that are neither in the log nor reported there as a number.
+    /// Events that are neither written to the log nor included in a reported number of omitted events.
     pub(super) unwritten_events: u64,
 }
 
-/// The counters of the membership and of the driver.
+/// Returns the counters of the membership and of the driver.
 pub(super) fn of_membership(membership: &Membership, driver: &DriverCounters) -> String {
     let counters = membership.counters();
     let mut lines = Lines::of("members");
@@ -45,7 +45,7 @@
     lines.text
 }
 
-/// The counters of the quotas and of the replicated counters.
+/// Returns the counters of the quotas and of the replicated counters.
 pub(super) fn of_quotas(quotas: &FleetQuotas, now: Timestamp) -> String {
     let mut lines = Lines::of("shared");
     add_budgets(&mut lines, quotas, now);
@@ -69,7 +69,7 @@
     lines.text
 }
 
-/// Sizes and use of each budget.
+/// Adds the sizes and the use of each budget.
 fn add_budgets(lines: &mut Lines, quotas: &FleetQuotas, now: Timestamp) {
     for budget in quotas.budget_views(now) {
         for (name, value) in [
--- a/crates/server/src/fleet/gossip/datagram_limit.rs
+++ b/crates/server/src/fleet/gossip/datagram_limit.rs
@@ -1,20 +1,20 @@
-//! Limits the received datagrams that are looked at, so that a flood takes no more than a bounded part of the core.
+//! Limits the rate at which received datagrams are processed, so that a flood takes a bounded fraction of the CPU core.
 
 use crate::support::rate_limiter::{RateLimiter, Refill};
 use madderbay::time::Timestamp;
 
-/// Datagrams a second. A fleet of a thousand servers that forms anew sends a tenth of it to each.
+/// Datagrams processed per second. When a fleet of a thousand servers forms, each server receives a tenth of this.
 const DATAGRAMS_PER_SECOND: f64 = 5_000.0;
-/// Datagrams at once.
+/// Maximum number of datagrams processed in a burst.
 const MAX_BURST: u32 = 1_000;
 
-/// The limit on the datagrams of one socket.
+/// The rate limit on the datagrams of one socket.
 pub(super) struct DatagramLimit {
     limiter: RateLimiter,
 }
 
 impl DatagramLimit {
-    /// A limit that a burst has not touched yet.
+    /// Creates a limit with its full burst available.
     pub(super) fn new(now: Timestamp) -> DatagramLimit {
         let refill = Refill::PerSecond(DATAGRAMS_PER_SECOND);
         DatagramLimit {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Takes a permit for one datagram; returns whether the datagram may be looked at.
+    /// Takes a permit for one datagram; returns whether the datagram may be processed.
     pub(super) fn try_take(&mut self, now: Timestamp) -> bool {
         self.limiter.try_take(now)
     }
--- a/crates/server/src/fleet/gossip/datagram_limit/tests.rs
+++ b/crates/server/src/fleet/gossip/datagram_limit/tests.rs
@@ -1,12 +1,12 @@
-//! How many datagrams of a flood are looked at.
+//! Checks how many datagrams of a flood are processed.
 
 use super::*;
 use madderbay::time::Duration;
 
-/// Seconds that a flood lasts.
+/// Length of a flood in seconds.
 const FLOOD_SECONDS: u64 = 10;
 
-/// Datagrams that are looked at of a flood with so many a second, evenly spread.
+/// Returns how many datagrams are processed of a flood with evenly spaced arrivals.
 fn count_admitted(datagrams_per_second: u64) -> u64 {
     let start = Timestamp::from_micros(1_000_000);
     let mut limit = DatagramLimit::new(start);
@@ -18,7 +18,8 @@
     admitted.count() as u64
 }
 
-/// A flood silenced the view of the fleet: of 6,000 a second one in ten admitted, of 10,000 one in fifty.
+/// Guards against a limiter that a flood starves: of 6,000 datagrams per second it once admitted one in ten, of 10,000
+/// one in fifty, and the view of the fleet received no more updates.
 #[test]
 fn admits_the_permitted_rate_during_any_flood() {
     let permitted = DATAGRAMS_PER_SECOND as u64 * FLOOD_SECONDS;
--- a/crates/server/src/fleet/membership_settings.rs
+++ b/crates/server/src/fleet/membership_settings.rs
@@ -1,13 +1,14 @@
-//! Settings of the membership's state machine, from the operator file. It owns no state.
+//! Converts the section `[members]` of the operator file to the settings of the membership's state machine.
 
 use madderbay::time::Duration;
 use madderbay_membership::{AllowedNetworks, Settings};
 use madderbay_operator_config::membership::MembershipConfig;
 
-/// The part of the probe interval after which other members are asked to probe: they need the rest.
+/// Fraction of the probe interval after which other members are asked to probe as well. They need the rest of the
+/// interval for their probes.
 const PROBE_TIMEOUT_FRACTION: f64 = 0.4;
 
-/// The settings of the server that the configuration calls `name`.
+/// Returns the membership settings of the server that has the name `name` in the configuration.
 pub fn membership_settings(section: &MembershipConfig, name: &str) -> Settings {
     let probe_interval = Duration::from_millis(section.probe_ms);
     Settings {
--- a/crates/server/src/fleet/quota_leases.rs
+++ b/crates/server/src/fleet/quota_leases.rs
@@ -1,7 +1,7 @@
-//! The fleet's quotas and counters as the core's `QuotaSource`.
+//! The core's `QuotaSource` over the fleet's quotas and counters.
 //!
 //! `FleetQuotaSource` shares the fleet's state machines with their driver and borrows them for one call at a time.
-//! It does no I/O and takes any clock, so that a simulation runs the same code.
+//! It does no I/O and works with any clock, so that a simulation can run the same code.
 
 use super::counter_names::{CountedSubject, CounterKey, CounterNames};
 use crate::core::quota_gate::{QuotaSource, TenantRate};
@@ -13,10 +13,10 @@
 use std::cell::{Ref, RefCell, RefMut};
 use std::rc::Rc;
 
-/// Upper bound on the tenants whose rates are reported at a time: those with the most requests.
+/// Maximum number of tenants whose rates are reported at a time: those with the most requests.
 const MAX_REPORTED_TENANTS: usize = 256;
 
-/// Answers the core from the fleet's quotas. Where the fleet shares none, nothing is usable.
+/// Gives the core access to the fleet's quotas. If the fleet shares none, no call may be started.
 pub struct FleetQuotaSource {
     stack: Rc<RefCell<FleetStack>>,
     counter_names: CounterNames,
@@ -25,8 +25,8 @@
 }
 
 impl FleetQuotaSource {
-    /// Creates a source over the fleet's state machines. `notify_urgent` is called where something has to be sent
-    /// before the driver's next timer; it must not borrow `stack`.
+    /// Creates a source over the fleet's state machines. `notify_urgent` is called when datagrams have to be sent
+    /// before the driver's next timer is due; it must not borrow `stack`.
     pub fn new(
         stack: Rc<RefCell<FleetStack>>,
         counter_names: CounterNames,
@@ -41,22 +41,22 @@
         }
     }
 
-    /// The names of what is counted.
+    /// Returns the names of the handlers and tenants that the counters count.
     pub fn counter_names(&self) -> &CounterNames {
         &self.counter_names
     }
 
-    /// The quotas, where the fleet shares any.
+    /// Borrows the quotas, if the fleet shares any.
     fn quotas(&self) -> Option<Ref<'_, FleetQuotas>> {
         Ref::filter_map(self.stack.borrow(), FleetStack::quotas).ok()
     }
 
-    /// The same, to change them.
+    /// Borrows the quotas mutably, if the fleet shares any.
     fn quotas_mut(&self) -> Option<RefMut<'_, FleetQuotas>> {
         RefMut::filter_map(self.stack.borrow_mut(), FleetStack::quotas_mut).ok()
     }
 
-    /// Wakes the driver where something has to be sent at once.
+    /// Wakes the driver if datagrams have to be sent at once.
     fn notify_if_urgent(&self, quotas: &FleetQuotas) {
         if quotas.is_urgent() {
             (self.notify_urgent)();
--- a/crates/server/src/fleet/quota_plan.rs
+++ b/crates/server/src/fleet/quota_plan.rs
@@ -1,7 +1,6 @@
-//! Quotas and counters of the fleet, planned from the operator file over the platform's handlers and tenants.
+//! Derives the fleet's quotas and counters from the operator file and from the platform's handlers and tenants.
 //!
-//! It owns no state. It is given the file's section and the configuration, and reads the clock once, for the
-//! incarnation's number.
+//! The module keeps no state. It reads the clock once, for the number of this incarnation.
 
 use crate::core::handler_names::{HandlerResolver, UnknownHandlers};
 use crate::core::quota_gate::QuotaGroup;
@@ -14,24 +13,24 @@
 use madderbay_settings::Settings;
 use std::hash::{BuildHasher, RandomState};
 
-/// No call is started on a lease that ends within this time. Ceilings are handed over now and then, and a start
-/// takes its time.
+/// Calls are not started on a lease that ends within this time, because ceilings are handed over only periodically
+/// and starting a call takes time.
 const LEASE_GUARD: Duration = Duration::from_millis(50);
 
-/// What follows from the section.
+/// Quotas and counters of the fleet, ready to be given to the state machines and to the core.
 pub struct QuotaPlan {
-    /// For the state machine of quotas and counters.
+    /// Settings of the state machine for quotas and counters.
     pub settings: madderbay_quota::Settings,
-    /// For the core: one group for each budget, in the same order.
+    /// Groups of handlers for the core: one for each budget, in the same order.
     pub groups: Vec<QuotaGroup>,
-    /// The names of what is counted.
+    /// Names of the handlers and tenants that the counters count.
     pub counter_names: CounterNames,
 }
 
-/// Plans the section.
+/// Creates the plan from the section `[shared]` of the operator file.
 ///
 /// # Errors
-/// Where a budget names an unknown handler.
+/// Returns the unknown names if a budget names a handler that the platform does not have.
 pub fn plan(
     section: &operator::QuotaConfig,
     config: &Config,
@@ -56,7 +55,7 @@
     handlers.finish(plan)
 }
 
-/// Terms and sizes of all budgets.
+/// Returns the sizes and lease terms of all budgets.
 fn budgets(section: &operator::QuotaConfig, settings: &Settings) -> Vec<BudgetSettings> {
     let abandoned_call_lifetime = settings.upstream.abandoned_call_lifetime;
     let plan = |budget: &operator::Budget| BudgetSettings {
@@ -67,7 +66,7 @@
         weight: section.weight,
         terms: LeaseTerms {
             lease: Duration::from_millis(budget.lease_ms),
-            // A call that is given up may go on upstream.
+            // An abandoned call may still run upstream.
             max_call: Duration::from_millis(budget.max_call_ms) + abandoned_call_lifetime,
             guard: LEASE_GUARD,
         },
@@ -75,7 +74,7 @@
     section.budgets.iter().map(plan).collect()
 }
 
-/// Windows and rates of all counters.
+/// Returns the windows and maximum rates of all counters.
 fn counters(section: &operator::QuotaConfig) -> Vec<CounterSettings> {
     let plan = |count: &operator::Counter| CounterSettings {
         name: count.name.as_str().into(),
@@ -85,7 +84,7 @@
     section.counters.iter().map(plan).collect()
 }
 
-/// The names that the counters' keys are made from.
+/// Returns the names from which the counters' keys are derived.
 fn counter_names(section: &operator::QuotaConfig, settings: &Settings) -> CounterNames {
     let is_by_tenant = |count: &operator::Counter| count.by == operator::CounterKind::Tenant;
     let tenants = settings.tenants.iter();
@@ -98,7 +97,8 @@
     )
 }
 
-/// A number that no other incarnation has: it is drawn from the system's randomness, the time and the process.
+/// Returns a number that identifies this incarnation, derived from the system's random source, the time and the
+/// process id so that no other incarnation has the same one.
 fn random_incarnation() -> u64 {
     RandomState::new().hash_one((unix_micros(), std::process::id()))
 }
--- a/crates/server/src/fleet/routing_plan.rs
+++ b/crates/server/src/fleet/routing_plan.rs
@@ -1,4 +1,4 @@
-//! Upstream backends, planned from the operator file over the platform's handlers. It owns no state.
+//! Derives the upstream backends from the operator file and from the platform's handlers. The module keeps no state.
 
 use crate::core::handler_names::{HandlerResolver, UnknownHandlers};
 use madderbay::interface::HandlerId;
@@ -7,10 +7,10 @@
 use madderbay_settings::Settings as PlatformSettings;
 use madderbay_upstream::{BackendSettings, Settings};
 
-/// Keeps a division by the total weight defined where all weights are 0.
+/// Lower bound on the total weight, so that dividing by it is defined if all weights are 0.
 const MIN_TOTAL_WEIGHT: f64 = 1e-9;
 
-/// What follows from the section.
+/// The backends and the settings by which calls are distributed among them.
 #[derive(Clone)]
 pub struct RoutingPlan {
     /// Settings of selection, ejection, retries and hedging.
@@ -19,10 +19,10 @@
     pub backends: Vec<BackendSettings>,
 }
 
-/// Plans the section.
+/// Creates the plan from the section `[routes]` of the operator file.
 ///
 /// # Errors
-/// Where a backend names an unknown handler.
+/// Returns the unknown names if a backend names a handler that the platform does not have.
 pub fn plan(
     section: &operator::RoutingConfig,
     platform: &PlatformSettings,
@@ -49,14 +49,14 @@
     handlers.finish(plan)
 }
 
-/// Groups of the same handlers compare equal in any order of the file.
+/// Sorts the handlers, so that two lists of the same handlers compare equal whatever their order in the file.
 fn sorted(mut handlers: Vec<HandlerId>) -> Vec<HandlerId> {
     handlers.sort_unstable();
     handlers
 }
 
 impl RoutingPlan {
-    /// The groups of handlers with the same backends, each with its fraction of all backends' weight.
+    /// Returns the groups of handlers that have the same backends, each with its fraction of all backends' weight.
     pub fn groups(&self) -> Vec<UpstreamGroup> {
         let mut groups: Vec<UpstreamGroup> = vec![];
         for backend in &self.backends {
--- a/crates/server/src/fleet_endpoint.rs
+++ b/crates/server/src/fleet_endpoint.rs
@@ -1,6 +1,7 @@
-//! This server's place in its fleet: the socket of `[members]`, and the fleet's state that the gossip task drives.
+//! This server's endpoint in its fleet: the UDP socket set in `[members]`, and the fleet's state machines, which the
+//! gossip task drives.
 //!
-//! It owns the socket together with that task. Without `[members]` there is no endpoint.
+//! The endpoint shares the socket with that task. Without `[members]` there is no endpoint.
 
 use crate::start_error::StartError;
 use crate::tasks;
@@ -17,25 +18,25 @@
 use std::rc::Rc;
 use tokio::net::UdpSocket;
 
-/// The fleet's state, and the socket on which its datagrams travel.
+/// The fleet's state machines, and the socket for their datagrams.
 pub(crate) struct FleetEndpoint {
     fleet: Rc<Fleet>,
     socket: Rc<UdpSocket>,
 }
 
-/// What a server joins its fleet with.
+/// The values with which a server joins its fleet.
 pub(crate) struct FleetSetup<'a> {
     /// The server's configuration.
     pub(crate) config: &'a Config,
     /// The section `[members]`.
     pub(crate) members: &'a MembershipConfig,
-    /// Quotas and counters, where `[shared]` is on.
+    /// Quotas and counters, if `[shared]` is enabled.
     pub(crate) quota: Option<QuotaPlan>,
-    /// The backends whose state the fleet exchanges, where `[routes]` is on.
+    /// The backends whose state the fleet exchanges, if `[routes]` is enabled.
     pub(crate) backends: Option<Rc<Backends>>,
     /// The clock of the fleet's state machines.
     pub(crate) clock: MonotonicClock,
-    /// Added to the clock that distinguishes incarnations, in milliseconds.
+    /// Milliseconds added to the Unix time from which the incarnation number is taken.
     pub(crate) incarnation_offset_ms: i64,
 }
 
@@ -53,18 +54,18 @@
         Ok(FleetEndpoint { fleet, socket })
     }
 
-    /// The fleet's state.
+    /// Returns the fleet's state machines.
     pub(crate) fn fleet(&self) -> &Rc<Fleet> {
         &self.fleet
     }
 
-    /// Notifies the fleet that this server leaves; the last datagrams are sent at once.
+    /// Notifies the fleet that this server is leaving, and sends the last datagrams at once.
     pub(crate) fn leave(&self) {
         self.fleet.leave(&self.socket);
     }
 }
 
-/// The fleet's state, from the server's name and the sections that are on.
+/// Creates the fleet's state machines from the server's name and the enabled sections of the operator file.
 fn build_fleet(setup: FleetSetup<'_>) -> Result<Fleet, StartError> {
     let config = setup.config;
     if !is_valid_name(&config.name) {
@@ -86,7 +87,8 @@
     Ok(Fleet::new(fleet_config, setup.clock))
 }
 
-/// The Unix time of this start, in milliseconds: a later start of the same server has a greater one.
+/// Returns the incarnation number: the Unix time of this start in milliseconds, so that a later start of the same
+/// server has a greater number.
 fn incarnation(incarnation_offset_ms: i64) -> u64 {
     (clock::unix_micros() / 1_000).saturating_add_signed(incarnation_offset_ms)
 }
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -1,16 +1,17 @@
-//! The program `madderbay`: one server, and the commands around it.
+//! The program `madderbay`: runs one server, or a command that inspects a server or its files.
 //!
-//! - [`cli`] parses the command line, [`commands`] runs what it names and says with which status the program exits;
-//!   [`store_inspection`] forms what `kept` prints.
-//! - [`operator_plan`] reads the operator file and plans its parts over the platform's settings.
-//! - [`startup`] is the server's life, one step after the other. [`setup`] reads and checks all input; [`server`] opens
-//!   the sockets in a fixed order, [`fleet_endpoint`] the one between servers, and [`tasks`] lists and starts the tasks
-//!   that it consists of. What can go wrong up to here is in [`start_error`].
-//! - [`signals`] reacts to signals: counters on SIGUSR1, [`reload`] of the [`reloadable_values`] on SIGHUP, and
-//!   [`shutdown`] on SIGTERM and SIGINT.
+//! - [`cli`] parses the command line, and [`commands`] runs the command and determines the exit status;
+//!   [`store_inspection`] formats the output of `kept`.
+//! - [`operator_plan`] reads the operator file and resolves it against the platform's settings.
+//! - [`startup`] runs the server from start to shutdown. [`setup`] reads and checks all input; [`server`] opens the
+//!   sockets in a fixed order, [`fleet_endpoint`] opens the socket between servers, and [`tasks`] starts the server's
+//!   tasks. The errors of all these steps are in [`start_error`].
+//! - [`signals`] handles signals: it logs the counters on SIGUSR1, calls [`reload`] for the [`reloadable_values`] on
+//!   SIGHUP, and [`shutdown`] runs on SIGTERM and SIGINT.
 //!
-//! Each of these files uses those below it only: `commands`, `startup`, `shutdown`, `signals`, `reload`, `server`, then
-//! `fleet_endpoint`, `setup` and `tasks`, then `operator_plan`, `reloadable_values` and `start_error`.
+//! Each of these modules depends only on those after it in this order: `commands`, `startup`, `shutdown`, `signals`,
+//! `reload`, `server`, then `fleet_endpoint`, `setup` and `tasks`, then `operator_plan`, `reloadable_values` and
+//! `start_error`.
 
 mod cli;
 mod commands;
@@ -36,8 +37,8 @@
         Err(status) => return status,
     };
     logging::start(std::env::var("MADDERBAY_LOG").ok().as_deref());
-    // A panic ends one connection or one turn of the decisions. The logger reports it, so that it never waits for
-    // standard error.
+    // A panic ends only one connection or one turn of the decision module. It is reported through the logger, so that
+    // the thread never blocks on standard error.
     std::panic::set_hook(Box::new(|panic| {
         log::error!("server: panic, error={panic}");
     }));
--- a/crates/server/src/operator_plan.rs
+++ b/crates/server/src/operator_plan.rs
@@ -1,6 +1,6 @@
-//! The operator file, read and planned over the platform's settings: names of handlers become indices here.
+//! Reads the operator file and resolves it against the platform's settings: names of handlers become indices.
 //!
-//! It reads one file and starts nothing; a start, a reload and `check` share it.
+//! It reads one file and has no other effect. Startup, reload and `check` all use it.
 
 use madderbay_concurrency::ConcurrencyConfig;
 use madderbay_operator_config::{OperatorConfig, OperatorFileErrors};
@@ -20,16 +20,16 @@
         file: String,
         source: std::io::Error,
     },
-    /// The file's form is wrong: everything found, one line each with file, line and key.
+    /// The file has errors: all that were found, one line each with file, line and key.
     #[error(transparent)]
     Malformed(#[from] OperatorFileErrors),
-    /// Sections name handlers that the platform's settings don't have.
+    /// Some sections name handlers that are not in the platform's settings.
     #[error("{}", handler_lines(.0).join("\n"))]
     UnknownHandlers(Vec<UnknownHandlers>),
 }
 
 impl OperatorError {
-    /// One line for each thing that is wrong.
+    /// Returns one line for each error.
     pub(crate) fn lines(&self) -> Vec<String> {
         match self {
             OperatorError::Unreadable { .. } => vec![self.to_string()],
@@ -39,12 +39,12 @@
     }
 }
 
-/// The lines of all sections, in their order.
+/// Returns the lines of all sections, in their order.
 fn handler_lines(sections: &[UnknownHandlers]) -> Vec<String> {
     sections.iter().flat_map(UnknownHandlers::lines).collect()
 }
 
-/// Reads the operator file; without one, everything is off.
+/// Reads the operator file. Without a file, every section is off.
 pub(crate) fn read(file: Option<&Path>) -> Result<OperatorConfig, OperatorError> {
     let Some(path) = file else {
         return Ok(OperatorConfig::default());
@@ -57,7 +57,7 @@
     Ok(madderbay_operator_config::read(&file, &text)?)
 }
 
-/// The sections that differ between two operator files and that only a restart applies.
+/// Returns the sections that differ between two operator files and whose changes require a restart.
 pub(crate) fn restart_only_differences(
     at_start: &OperatorConfig,
     reloaded: &OperatorConfig,
@@ -73,7 +73,7 @@
             "[control]",
             at_start.control_socket != reloaded.control_socket,
         ),
-        // Of these a reload applies what is in them, and not whether they are on.
+        // A reload applies the contents of these sections, but can't enable or disable them.
         (
             "[shared]",
             at_start.quota.is_some() != reloaded.quota.is_some(),
@@ -87,7 +87,7 @@
     differing.map(|(section, _)| section).collect()
 }
 
-/// The parts of the operator file that depend on the platform's settings; what is off is `None`.
+/// The parts of the operator file that depend on the platform's settings. A part that is off is `None`.
 pub(crate) struct OperatorPlan {
     /// `[pools]` and `[reserve]`: concurrency limits by pool.
     pub(crate) concurrency: Option<ConcurrencyConfig>,
@@ -98,7 +98,7 @@
 }
 
 impl OperatorPlan {
-    /// Plans all parts; what is wrong in any of them is reported together.
+    /// Resolves all parts. The errors of all parts are reported together.
     pub(crate) fn new(
         operator: &OperatorConfig,
         config: &Config,
@@ -135,7 +135,7 @@
     }
 }
 
-/// With both, the concurrency limits know which handlers share backends.
+/// Adds the groups of handlers that share backends to the concurrency limits, if there are both.
 fn with_upstream_groups(
     concurrency: Option<ConcurrencyConfig>,
     routing: Option<&RoutingPlan>,
--- a/crates/server/src/reload.rs
+++ b/crates/server/src/reload.rs
@@ -1,5 +1,5 @@
-//! Reload on SIGHUP: reads the configuration and the operator file again, and applies what can change in a running
-//! server. A file that is wrong changes nothing, and what only a restart can apply is logged.
+//! Reload on SIGHUP: reads the configuration and the operator file again, and applies the changes that a running
+//! server can apply. An invalid file changes nothing. Changes that require a restart are logged.
 
 use crate::operator_plan::{self, OperatorPlan};
 use crate::server::Server;
@@ -13,7 +13,7 @@
     }
 }
 
-/// Moves to the addresses of the configuration, and takes its time for a shutdown.
+/// Applies the addresses and the shutdown timeout of the configuration.
 fn reload_config(server: &Server) {
     let reloaded = match config::load() {
         Ok(reloaded) => reloaded,
@@ -32,7 +32,7 @@
     );
 }
 
-/// Applies the sizes and weights of quotas, and the backends, of the operator file.
+/// Applies the sizes and weights of the quotas, and the backends, from the operator file.
 fn reload_operator_file(server: &Server) {
     let read = operator_plan::read(server.operator_file()).and_then(|operator| {
         let plan = OperatorPlan::new(&operator, server.config())?;
--- a/crates/server/src/reloadable_values.rs
+++ b/crates/server/src/reloadable_values.rs
@@ -1,6 +1,5 @@
-//! The values of the configuration that a reload can change in a running server.
-//!
-//! It owns them, with the channels on which the drivers watch them. It reads no file: [`reload`](crate::reload) does.
+//! The values of the configuration that a reload can change in a running server, with the channels on which the drivers
+//! watch them. The files are read by [`reload`](crate::reload).
 
 use madderbay_server::support::config::Config;
 use std::cell::Cell;
@@ -17,7 +16,7 @@
 }
 
 impl ReloadableValues {
-    /// The values as they are at the start.
+    /// Creates the values from the configuration at the start.
     pub(crate) fn new(config: &Config) -> ReloadableValues {
         ReloadableValues {
             stop_ms: Cell::new(config.stop_ms),
@@ -27,27 +26,27 @@
         }
     }
 
-    /// Time between the signal to stop and the kill.
+    /// Returns the time between the signal to stop and the kill.
     pub(crate) fn stop_timeout(&self) -> StdDuration {
         StdDuration::from_millis(self.stop_ms.get())
     }
 
-    /// Where the engine is.
+    /// Returns a receiver of the engine's address.
     pub(crate) fn engine(&self) -> watch::Receiver<SocketAddr> {
         self.engine.subscribe()
     }
 
-    /// Where the registry is.
+    /// Returns a receiver of the registry's address.
     pub(crate) fn registry(&self) -> watch::Receiver<SocketAddr> {
         self.registry.subscribe()
     }
 
-    /// Where the upstream catalogue is, if there is one.
+    /// Returns a receiver of the catalogue's address, which is `None` if there is no catalogue.
     pub(crate) fn catalogue(&self) -> watch::Receiver<Option<SocketAddr>> {
         self.catalogue.subscribe()
     }
 
-    /// Takes over the values; the drivers are notified of those that changed.
+    /// Replaces the values and notifies the drivers of those that changed.
     pub(crate) fn update(&self, config: &Config) {
         self.stop_ms.set(config.stop_ms);
         send_if_changed(&self.engine, config.engine);
@@ -56,7 +55,7 @@
     }
 }
 
-/// Notifies the receivers only where the value is another one.
+/// Replaces a value and notifies the receivers if it is different.
 fn send_if_changed<T: PartialEq>(sender: &watch::Sender<T>, value: T) {
     sender.send_if_modified(|current| std::mem::replace(current, value) != *current);
 }
--- a/crates/server/src/server.rs
+++ b/crates/server/src/server.rs
@@ -1,7 +1,7 @@
-//! One running server. [`Server::start`] opens the sockets and starts the tasks, in the order of its lines; what it
-//! returns is what signals act on.
+//! A running server. [`Server::start`] opens the sockets and starts the tasks, in the order of its statements; signals
+//! act on the [`Server`] that it returns.
 //!
-//! It owns the control socket's file, the values that a reload can change and the order to stop listening. The core,
+//! The server owns the control socket's file, the reloadable values and the notification to stop listening. The core,
 //! the backends and the fleet are shared with the tasks on this thread; they are never borrowed across an await.
 
 use crate::fleet_endpoint::{FleetEndpoint, FleetSetup};
@@ -29,10 +29,10 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-/// The cached results of requests with an idempotency key may take this part of the memory: one in four.
+/// Cached results of requests with an idempotency key may take up to a quarter of the configured memory.
 const RESULTS_MEMORY_DIVISOR: usize = 4;
 
-/// A running server. The tasks hold their own references to what they work with.
+/// A running server. The tasks hold their own references to the state that they use.
 ///
 /// The fields are dropped in this order: the control socket's file is removed before the state that queries read.
 pub(crate) struct Server {
@@ -45,12 +45,12 @@
     clock: Rc<Clock>,
     config: Config,
     operator_file: Option<PathBuf>,
-    /// The operator file as it was at the start.
+    /// The operator file as read at the start.
     operator: OperatorConfig,
 }
 
 impl Server {
-    /// Opens all sockets and starts all tasks. The first failure ends the start.
+    /// Opens all sockets and starts all tasks; returns the first error.
     pub(crate) async fn start(setup: Setup) -> Result<Server, StartError> {
         let config = setup.config;
         let operator = setup.operator;
@@ -102,52 +102,52 @@
         })
     }
 
-    /// The clock of requests.
+    /// Returns the clock that requests are timed with.
     pub(crate) fn clock(&self) -> &Clock {
         &self.clock
     }
 
-    /// The core, which owns the decisions.
+    /// Returns the core, which owns the decision module.
     pub(crate) fn core(&self) -> &SharedEventLoop {
         &self.core
     }
 
-    /// The configuration as it was at the start.
+    /// Returns the configuration as read at the start.
     pub(crate) fn config(&self) -> &Config {
         &self.config
     }
 
-    /// Where the operator file is, if there is one.
+    /// Returns the path of the operator file, if there is one.
     pub(crate) fn operator_file(&self) -> Option<&Path> {
         self.operator_file.as_deref()
     }
 
-    /// The operator file as it was at the start.
+    /// The operator file as read at the start.
     pub(crate) fn operator(&self) -> &OperatorConfig {
         &self.operator
     }
 
-    /// The values that a reload can change.
+    /// Returns the values that a reload can change.
     pub(crate) fn reloadable(&self) -> &ReloadableValues {
         &self.reloadable
     }
 
-    /// The fleet, where `[members]` is on.
+    /// Returns the fleet, if `[members]` is enabled.
     pub(crate) fn fleet(&self) -> Option<&Fleet> {
         self.fleet.as_ref().map(|endpoint| &**endpoint.fleet())
     }
 
-    /// The backends, where `[routes]` is on.
+    /// Returns the backends, if `[routes]` is enabled.
     pub(crate) fn backends(&self) -> Option<&Backends> {
         self.backends.as_deref()
     }
 
-    /// Ends the listener once it has taken what the system has accepted.
+    /// Stops the listener. Connections that are already in the backlog are still accepted.
     pub(crate) fn stop_listening(&self) {
         self.stop_listening.notify_one();
     }
 
-    /// Notifies the fleet that this server leaves; the last datagrams are sent at once.
+    /// Notifies the fleet that this server is leaving, and sends the last datagrams at once.
     pub(crate) fn leave_fleet(&self) {
         if let Some(endpoint) = &self.fleet {
             endpoint.leave();
@@ -161,16 +161,16 @@
     }
 }
 
-/// How many file descriptors there are, and for what.
+/// The limits on file descriptors.
 struct DescriptorLimits {
-    /// All that the configuration and the system allow.
+    /// Number of descriptors that both the configuration and the system allow.
     total: usize,
-    /// Connections from downstream at a time.
+    /// Maximum number of simultaneous downstream connections.
     max_connections: usize,
 }
 
 impl DescriptorLimits {
-    /// Divides what the configuration and the system allow; an error where that is too few to serve.
+    /// Derives the limits from the configuration and the system; fails if they are too low to serve.
     fn new(config: &Config) -> Result<DescriptorLimits, StartError> {
         let configured = config.max_descriptors;
         let total = configured.min(system_descriptor_limit());
@@ -187,7 +187,7 @@
     }
 }
 
-/// The process's own limit, where the system reports one.
+/// Returns the process's limit on open files, or `usize::MAX` if the system does not report one.
 fn system_descriptor_limit() -> usize {
     let limits = std::fs::read_to_string("/proc/self/limits").unwrap_or_default();
     let line = limits
@@ -197,7 +197,7 @@
         .unwrap_or(usize::MAX)
 }
 
-/// Binds the socket for load balancers; returns its address, too, since the configured port may be 0.
+/// Binds the socket for load balancers. Also returns its address, since the configured port may be 0.
 async fn listen(address: SocketAddr) -> Result<(TcpListener, SocketAddr), StartError> {
     let failed = |source| StartError::Listen { address, source };
     let listener = TcpListener::bind(address).await.map_err(failed)?;
@@ -205,7 +205,7 @@
     Ok((listener, bound))
 }
 
-/// The core, without connections and before any of its optional parts.
+/// Creates the core without connections and without any of its optional parts.
 fn build_core(config: &Config, clock: &Clock, limits: &DescriptorLimits) -> SharedEventLoop {
     let results_bytes = (config.memory_mb << 20) / RESULTS_MEMORY_DIVISOR;
     let settings = config.settings.clone();
@@ -214,8 +214,8 @@
     Rc::new(RefCell::new(core))
 }
 
-/// Starts the thread that writes durable results, and the task that brings its reports to the core, where
-/// `[kept-results]` is on.
+/// Starts the thread that writes durable results, and the task that passes its events to the core, if
+/// `[kept-results]` is enabled.
 fn start_store(
     store: Option<durability::OpenedStore>,
     operator: &OperatorConfig,
@@ -231,7 +231,7 @@
     Ok(())
 }
 
-/// The backends, from which the core takes the address of each call.
+/// Creates the backends, among which the core selects the one for each call.
 fn build_backends(
     routing: Option<RoutingPlan>,
     config: &Config,
@@ -243,8 +243,8 @@
     Some(backends)
 }
 
-/// Joins the fleet, and has the core ask for its shared quotas there. Without a fleet, the backends have a task of
-/// their own in place of the gossip task.
+/// Joins the fleet and connects the core to its shared quotas. Without a fleet, the backends are driven by a task of
+/// their own instead of the gossip task.
 async fn join_fleet(
     setup: Option<FleetSetup<'_>>,
     backends: &Option<Rc<Backends>>,
@@ -263,7 +263,7 @@
     Ok(Some(endpoint))
 }
 
-/// The control socket, where `[control]` is on; its file is removed with what is returned.
+/// Opens the control socket, if `[control]` is set. Dropping the returned value removes the socket's file.
 fn open_control_socket(
     control: Option<ControlSocket>,
     fleet: Option<&FleetEndpoint>,
--- a/crates/server/src/setup.rs
+++ b/crates/server/src/setup.rs
@@ -1,5 +1,5 @@
-//! What a start is given: configuration, operator file and store, read and checked in this order. It opens no socket
-//! and starts no task, so that a start that fails here has changed nothing.
+//! The input of a start: the configuration, the operator file and the store, read and checked in this order. This
+//! module opens no socket and starts no task, so that a start that fails here has changed nothing.
 
 use crate::operator_plan::{self, OperatorPlan};
 use crate::start_error::StartError;
@@ -10,30 +10,30 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration as StdDuration, Instant};
 
-/// How long a configuration that is missing or incomplete is waited for.
+/// How long to wait for a configuration that is missing or incomplete.
 const CONFIG_WAIT: StdDuration = StdDuration::from_secs(5);
-/// How often it is read meanwhile.
+/// Pause between two attempts to read the configuration.
 const CONFIG_POLL_INTERVAL: StdDuration = StdDuration::from_millis(50);
 
-/// Everything that a start is given, read and checked.
+/// The input of a start, read and checked.
 pub(crate) struct Setup {
     /// The configuration.
     pub(crate) config: Config,
-    /// Where the operator file is, for a reload.
+    /// Path of the operator file, for reloads.
     pub(crate) operator_file: Option<PathBuf>,
-    /// The operator file as it was read.
+    /// The contents of the operator file.
     pub(crate) operator: OperatorConfig,
-    /// Its parts, planned over the settings.
+    /// The parts of the operator file that were resolved against the platform's settings.
     pub(crate) plan: OperatorPlan,
-    /// The store of durable results, where `[kept-results]` is on.
+    /// The store of durable results, if `[kept-results]` is enabled.
     pub(crate) store: Option<durability::OpenedStore>,
-    /// Added to the clock that distinguishes incarnations, in milliseconds.
+    /// Milliseconds added to the Unix time from which the incarnation number is taken.
     pub(crate) incarnation_offset_ms: i64,
 }
 
 impl Setup {
-    /// Reads and checks everything; the first fault ends it. A configuration that is still being written is waited
-    /// for. `incarnation_offset_ms` is added to the clock that distinguishes incarnations.
+    /// Reads and checks all input; returns the first error. Waits for a configuration that is still being written.
+    /// `incarnation_offset_ms` is added to the Unix time from which the incarnation number is taken.
     pub(crate) fn read(
         operator_file: Option<&Path>,
         incarnation_offset_ms: i64,
@@ -53,7 +53,8 @@
     }
 }
 
-/// Reads the configuration. One that is missing or incomplete may still be being written, and is waited for.
+/// Reads the configuration. If it is missing or incomplete, another process may still be writing it; the function then
+/// waits for up to [`CONFIG_WAIT`].
 fn wait_for_config() -> Result<Config, ConfigError> {
     let start = Instant::now();
     loop {
@@ -67,7 +68,7 @@
     }
 }
 
-/// Opens the store of durable results and reads what earlier incarnations left in it.
+/// Opens the store of durable results and reads the results of earlier incarnations.
 fn open_store(
     settings: Option<&IdempotencyStoreConfig>,
     config: &Config,
--- a/crates/server/src/shutdown.rs
+++ b/crates/server/src/shutdown.rs
@@ -1,8 +1,7 @@
-//! Graceful shutdown, in the order of [`run`]: the fleet and the load balancers are notified, new connections are
-//! accepted for a grace period, what is in flight is answered, all connections end, and the process ends before it
-//! would be killed.
+//! Graceful shutdown: [`run`] notifies the fleet and the load balancers, accepts new connections for a grace period,
+//! waits until all requests are answered, closes all connections, and ends the process before it would be killed.
 //!
-//! It owns the progress of the drain. What a draining server decides about requests is the core's.
+//! This module tracks the progress of the drain. The core decides about requests that arrive while draining.
 
 use crate::server::Server;
 use crate::signals::OperatorSignals;
@@ -11,17 +10,17 @@
 
 /// The process ends this long before it would be killed.
 const KILL_MARGIN: StdDuration = StdDuration::from_millis(100);
-/// How often the progress of a drain is looked at.
+/// Interval between two checks of the drain's progress.
 const POLL_INTERVAL: StdDuration = StdDuration::from_millis(10);
-/// The server must have been at rest for this long, after the grace period, before the connections are ended.
+/// Time for which the server has to be quiescent, after the grace period, before the connections are closed.
 const QUIESCENCE_BEFORE_CLOSE: StdDuration = StdDuration::from_millis(60);
-/// Listening ends this long before the stop at the latest. Connections that are still open then have that long for
-/// their last answers.
+/// Minimum time between the end of listening and the kill, in which connections that are still open receive their last
+/// answers.
 const LAST_ANSWERS_TIME: StdDuration = StdDuration::from_millis(500);
-/// Ended connections that are at rest are waited for this long, for their peers to see the end.
+/// Time that peers have to close their connections after this server has closed its side and is quiescent.
 const PEER_CLOSE_TIMEOUT: StdDuration = StdDuration::from_millis(250);
 
-/// Drains the server and takes it out of the fleet; operators' signals are served meanwhile.
+/// Drains the server and leaves the fleet. Operators' signals are handled meanwhile.
 pub(crate) async fn run(server: &Server, signals: &mut OperatorSignals) {
     let mut drain = DrainProgress::start(server);
     tokio::select! {
@@ -38,16 +37,16 @@
     started_at: Timestamp,
     /// Time between the signal and the kill.
     stop_timeout: StdDuration,
-    /// New connections are accepted for this long.
+    /// Time for which new connections are accepted.
     accept_for: StdDuration,
-    /// For how long the server has been at rest, in steps of [`POLL_INTERVAL`].
+    /// Time for which the server has been quiescent, in steps of [`POLL_INTERVAL`].
     quiescent_for: StdDuration,
-    /// Connections that owe nothing have been ended.
+    /// Whether closing the connections has begun.
     is_closing: bool,
 }
 
 impl DrainProgress {
-    /// Notifies the fleet, and the load balancers through the core.
+    /// Starts the drain: notifies the fleet, and through the core the load balancers.
     fn start(server: &Server) -> DrainProgress {
         let started_at = server.clock().now();
         let stop_timeout = server.reloadable().stop_timeout();
@@ -58,7 +57,7 @@
         if let Some(fleet) = server.fleet() {
             fleet.drain();
         }
-        // The decision module's last answers leave before the stop that it is given; the process outlasts them.
+        // The decision module is given a shorter time, so that its last answers are sent before the process ends.
         let last_answer = stop_timeout.saturating_sub(KILL_MARGIN);
         let last_answer = Duration::from_micros(last_answer.as_micros() as u64);
         server.core().borrow_mut().drain(started_at, last_answer);
@@ -73,9 +72,9 @@
         }
     }
 
-    /// Waits until nothing is owed, or there is no time left. New connections are accepted for the grace period, in
-    /// which requests may still arrive. Then all connections end, each once what came on it is read and answered. A
-    /// request that crosses the end of its connection is sent again by its load balancer.
+    /// Waits until every request is answered or no time is left. New connections are accepted during the grace period,
+    /// in which requests may still arrive. Then all connections are closed, each once its requests are read and
+    /// answered. A request that is sent while its connection is being closed is retried by its load balancer.
     async fn finish(&mut self, server: &Server) {
         loop {
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -85,7 +84,7 @@
         }
     }
 
-    /// Looks at the server once; says whether the drain is over.
+    /// Checks the server's state once; returns whether the drain is complete or no time is left.
     fn step(&mut self, server: &Server) -> bool {
         let elapsed = server.clock().now() - self.started_at;
         let elapsed = StdDuration::from_micros(elapsed.as_micros());
@@ -103,7 +102,7 @@
         self.is_complete(server) || elapsed + KILL_MARGIN > self.stop_timeout
     }
 
-    /// Ends the connections once, and counts the rest anew from there.
+    /// Closes the connections once the server has been quiescent for long enough, and restarts the measurement.
     fn close_connections_once_quiescent(&mut self, server: &Server) {
         if self.quiescent_for >= QUIESCENCE_BEFORE_CLOSE && !self.is_closing {
             self.is_closing = true;
@@ -112,7 +111,8 @@
         }
     }
 
-    /// At rest, and either without connections or with peers that do not close theirs.
+    /// Reports whether the server is quiescent and either has no connections left, or has waited long enough for its
+    /// peers to close theirs.
     fn is_complete(&self, server: &Server) -> bool {
         let is_quiescent = self.quiescent_for > StdDuration::ZERO;
         let has_no_connection = server.core().borrow().has_no_connections();
--- a/crates/server/src/signals.rs
+++ b/crates/server/src/signals.rs
@@ -1,16 +1,16 @@
-//! The signals that the process reacts to. SIGTERM and SIGINT stop it, once; SIGUSR1 and SIGHUP are served while it
-//! runs and also while it drains.
+//! The signals that the process handles. The first SIGTERM or SIGINT stops it; SIGUSR1 and SIGHUP are handled while it
+//! runs and while it drains.
 
 use crate::reload;
 use crate::server::Server;
 use crate::start_error::StartError;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Every signal's stream, installed before anything else is started.
+/// The streams of all signals, installed before anything else is started.
 pub(crate) struct Signals {
-    /// Served while the process runs.
+    /// Signals that are handled while the process runs.
     pub(crate) operator: OperatorSignals,
-    /// Waited for once.
+    /// Signals that stop the process.
     pub(crate) stop: StopSignals,
 }
 
@@ -27,7 +27,7 @@
 }
 
 impl Signals {
-    /// Takes the signals over from the system's defaults.
+    /// Installs the handlers that replace the system's default actions.
     pub(crate) fn install() -> Result<Signals, StartError> {
         let install = |kind| signal(kind).map_err(StartError::Signals);
         let hangup = install(SignalKind::hangup())?;
@@ -48,7 +48,8 @@
 }
 
 impl OperatorSignals {
-    /// Logs the counters on SIGUSR1 and reloads on SIGHUP. It never returns: whoever awaits it also awaits the end.
+    /// Logs the counters on SIGUSR1 and reloads on SIGHUP. It never returns; callers await it together with a future
+    /// that completes.
     pub(crate) async fn serve(&mut self, server: &Server) {
         loop {
             tokio::select! {
@@ -60,7 +61,7 @@
 }
 
 impl StopSignals {
-    /// Waits for the first signal to stop, and serves the operator's signals meanwhile.
+    /// Waits for the first signal to stop and handles the operator's signals meanwhile.
     pub(crate) async fn wait(&mut self, operator: &mut OperatorSignals, server: &Server) {
         tokio::select! {
             _ = self.terminate.recv() => {}
--- a/crates/server/src/start_error.rs
+++ b/crates/server/src/start_error.rs
@@ -1,4 +1,4 @@
-//! Why a server can't start. Every step of a start returns this error; it is given the causes and starts nothing.
+//! The error that every step of a server's start returns.
 
 use crate::operator_plan::OperatorError;
 use madderbay_idempotency_store::StoreError;
@@ -10,10 +10,10 @@
 /// Why a server can't start.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum StartError {
-    /// The operator file is wrong.
+    /// The operator file is invalid.
     #[error(transparent)]
     Operator(#[from] OperatorError),
-    /// The configuration is missing or wrong.
+    /// The configuration is missing or invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// The directory of durable results can't be opened or read.
@@ -25,7 +25,7 @@
     /// The runtime can't be created.
     #[error("runtime: {0}")]
     Runtime(#[source] std::io::Error),
-    /// The signals can't be taken over from the system's defaults.
+    /// The signal handlers can't be installed.
     #[error("signals: {0}")]
     Signals(#[source] std::io::Error),
     /// The configuration or the system allows too few file descriptors.
@@ -43,7 +43,7 @@
         address: SocketAddr,
         source: std::io::Error,
     },
-    /// The server's name doesn't fit the datagrams between servers.
+    /// The server's name is too long for the datagrams between servers.
     #[error("members: name '{name}' is longer than {MAX_NAME_BYTES} bytes")]
     MemberName { name: String },
     /// The control socket can't be opened.
@@ -52,7 +52,7 @@
 }
 
 impl StartError {
-    /// The lines for standard error: one, or as many as there are faults in the operator file.
+    /// Returns the lines for standard error: one for each error in the operator file, otherwise a single line.
     pub(crate) fn lines(&self) -> Vec<String> {
         match self {
             StartError::Operator(error) => error.lines(),
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Whether the cause is the operator's input and not a resource that the system refused.
+    /// Reports whether the operator's input is invalid, as opposed to a resource that the system denied.
     pub(crate) fn is_invalid_input(&self) -> bool {
         matches!(
             self,
--- a/crates/server/src/startup.rs
+++ b/crates/server/src/startup.rs
@@ -1,9 +1,9 @@
-//! The life of a server: [`run`] has everything read and checked, starts the server, and serves until a signal stops
-//! it. Nothing is listened on before the configuration, the operator file and the directory of durable results are
-//! valid.
+//! Runs a server: [`run`] reads and checks all input, starts the server, and serves until a signal stops it. No socket
+//! is opened before the configuration, the operator file and the directory of durable results are known to be valid.
 //!
-//! Each step is in a file of its own, and none of them knows this one: [`Setup`] reads and checks, [`Server::start`]
-//! opens the sockets and starts the tasks, [`signals`](crate::signals) serves, [`shutdown`] ends it.
+//! Each step has its own module, which does not depend on this one: [`Setup`] reads and checks the input,
+//! [`Server::start`] opens the sockets and starts the tasks, [`signals`](crate::signals) handles signals, and
+//! [`shutdown`] drains the server.
 
 use crate::server::Server;
 use crate::setup::Setup;
@@ -13,8 +13,8 @@
 use std::path::Path;
 use tokio::task::LocalSet;
 
-/// Starts a server and serves until a signal stops it. `incarnation_offset_ms` is added to the clock that distinguishes
-/// incarnations.
+/// Starts a server and serves until a signal stops it. `incarnation_offset_ms` is added to the Unix time from which the
+/// incarnation number is taken.
 pub(crate) fn run(
     operator_file: Option<&Path>,
     incarnation_offset_ms: i64,
@@ -24,12 +24,12 @@
         .enable_all()
         .build()
         .map_err(StartError::Runtime)?;
-    // All tasks are on this set. It is dropped, and they with it, after `serve` has returned.
+    // All tasks run on this set and are dropped with it after `serve` has returned.
     let task_set = LocalSet::new();
     task_set.block_on(&runtime, serve(setup))
 }
 
-/// The life of a server, from its first socket to its last line in the log.
+/// Installs the signal handlers, starts the server, waits for a signal to stop, and shuts down.
 async fn serve(setup: Setup) -> Result<(), StartError> {
     let mut signals = Signals::install()?;
     let server = Server::start(setup).await?;
--- a/crates/server/src/store_inspection.rs
+++ b/crates/server/src/store_inspection.rs
@@ -1,6 +1,6 @@
-//! What a directory of durable results holds, as lines for the command line.
+//! Formats the contents of a directory of durable results as lines for the command line.
 //!
-//! It is given a directory, reads it and never changes or locks it: a server may be using it.
+//! The directory is neither changed nor locked, because a server may be using it.
 
 use madderbay_idempotency_store::StoreError;
 use madderbay_idempotency_store::recovery::{RecoveredRun, Recovery, RunState, recover};
@@ -8,7 +8,7 @@
 use madderbay_idempotency_store::verify;
 use std::path::{Path, PathBuf};
 
-/// A directory that can't be read.
+/// A directory of durable results can't be read.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {source}", directory.display())]
 pub(crate) struct InspectionError {
@@ -16,7 +16,7 @@
     source: StoreError,
 }
 
-/// One line for each request with an idempotency key, in the order of keys, and one for all of them.
+/// Returns one line for each request with an idempotency key, in the order of keys, and a last line with the totals.
 pub(crate) fn list(directory: &Path) -> Result<Vec<String>, InspectionError> {
     let recovery = read(directory)?;
     let mut lines: Vec<_> = sorted_runs(&recovery)
@@ -32,21 +32,21 @@
     Ok(lines)
 }
 
-/// One line of JSON for each request with an idempotency key, in the order of keys.
+/// Returns one line of JSON for each request with an idempotency key, in the order of keys.
 pub(crate) fn export(directory: &Path) -> Result<Vec<String>, InspectionError> {
     let recovery = read(directory)?;
     let runs = sorted_runs(&recovery);
     Ok(runs.map(|(key, run)| export_line(key, run)).collect())
 }
 
-/// One line for each defect.
+/// Returns one line for each defect.
 pub(crate) fn verify(directory: &Path) -> Result<Vec<String>, InspectionError> {
     let storage = DirectoryStorage::open_read_only(directory);
     let defects = verify::verify(&storage).map_err(|source| failed(directory, source))?;
     Ok(defects.iter().map(ToString::to_string).collect())
 }
 
-/// Replays all segments of a directory.
+/// Replays all log segments of a directory.
 fn read(directory: &Path) -> Result<Recovery, InspectionError> {
     let storage = DirectoryStorage::open_read_only(directory);
     recover(&storage).map_err(|source| failed(directory, source))
@@ -57,14 +57,14 @@
     InspectionError { directory, source }
 }
 
-/// All runs in the order of their keys.
+/// Returns all runs in the order of their keys.
 fn sorted_runs(recovery: &Recovery) -> impl Iterator<Item = (u128, &RecoveredRun)> {
     let mut runs: Vec<_> = recovery.runs.iter().map(|(key, run)| (*key, run)).collect();
     runs.sort_by_key(|(key, _)| *key);
     runs.into_iter()
 }
 
-/// Key, state, expiry and size of the result.
+/// Formats key, state, expiry and size of the result.
 fn list_line(key: u128, run: &RecoveredRun) -> String {
     let size = result(run).map_or(0, <[u8]>::len);
     let expires_at_ms = run.expires_at_micros / 1000;
@@ -74,7 +74,7 @@
     )
 }
 
-/// The members' names are fixed, since operators' scripts read them.
+/// Formats a run as JSON. The keys are fixed because operators' scripts read them.
 fn export_line(key: u128, run: &RecoveredRun) -> String {
     serde_json::json!({
         "key": format!("{key:032x}"),
@@ -87,7 +87,7 @@
     .to_string()
 }
 
-/// The word for a state in lines and JSON.
+/// Returns the word for a state, as used in lines and in JSON.
 fn state_word(state: &RunState) -> &'static str {
     match state {
         RunState::MayHaveRun => "may-have-run",
@@ -96,7 +96,7 @@
     }
 }
 
-/// The result of a run that completed.
+/// Returns the result of a completed run.
 fn result(run: &RecoveredRun) -> Option<&[u8]> {
     match &run.state {
         RunState::Completed(result) => Some(result),
--- a/crates/server/src/tasks.rs
+++ b/crates/server/src/tasks.rs
@@ -1,27 +1,27 @@
-//! The tasks of a running server, each started by one function here, and what ends it.
+//! The tasks of a running server. The table lists what each task does and when it ends.
 //!
-//! All tasks run on the one thread of the server's `LocalSet`, and none is awaited. What is left of them when the
-//! shutdown is over is dropped with the set, after [`Server`](crate::server::Server) and before the process ends.
+//! All tasks run on the single thread of the server's `LocalSet`, and none is awaited. Tasks that still exist after the
+//! shutdown are dropped with the set, after [`Server`](crate::server::Server) and before the process ends.
 //!
 //! | task | runs | ends |
 //! | --- | --- | --- |
-//! | store events | with `[kept-results]`: brings reports of the writing thread to the core | with that thread, or the set |
-//! | gossip | with `[members]`: datagrams of the fleet, and the backends' timers and gossip | with the set |
-//! | backends | with `[routes]`, without `[members]`: the backends' timers | with the set |
+//! | store events | with `[kept-results]`: passes events of the writer thread to the core | with that thread or the set |
+//! | gossip | with `[members]`: exchanges datagrams with the fleet, and runs the backends' timers | with the set |
+//! | backends | with `[routes]` and without `[members]`: runs the backends' timers | with the set |
 //! | control socket | with `[control]`: accepts clients, four at a time | with the set |
-//! | control client, one each | answers its queries | when the client closes, stalls or errs, or with the set |
-//! | engine | keeps the link to the engine | with the set |
-//! | catalogue | opens connections for calls upstream | with the set |
-//! | call connection, one each | sends calls and reads their answers | when either side closes it, or with the set |
+//! | control client, one each | answers its queries | when the client closes, stalls or fails, or with the set |
+//! | engine | maintains the link to the engine | with the set |
+//! | catalogue | opens connections for upstream calls | with the set |
+//! | call connection, one each | sends calls and reads their replies | when either side closes it, or with the set |
 //! | registration | reports to the registry | with the set |
-//! | tick loop | the one timer; settles the decisions | with the set |
-//! | listener | accepts connections from downstream | by the shutdown, once the backlog is taken, or with the set |
-//! | connection, one each | reads requests, writes answers | when its peer or the core ends it, or with the set |
-//! | late close | where a connection ended while the core was borrowed: reports that | when it is reported, or with the set |
+//! | tick loop | the decision module's only timer: runs its turns | with the set |
+//! | listener | accepts downstream connections | on shutdown, once the backlog is accepted, or with the set |
+//! | connection, one each | reads requests, writes answers | when its peer or the core closes it, or with the set |
+//! | late close | reports a connection that ended while the core was borrowed | once it is reported, or with the set |
 //!
-//! Two threads are beside them. The logger's is started by `main` and ends with the process. The thread that writes
-//! durable results is started with the store and ends when the core drops its side of the channel, or with the
-//! process; nobody joins it, since a result counts as durable only once the thread has reported it.
+//! There are two more threads. The logger's thread is started by `main` and ends with the process. The thread that
+//! writes durable results is started with the store and ends when the core drops its end of the channel, or with the
+//! process. It is not joined, since a result counts as durable only once the thread has reported it.
 
 use crate::reloadable_values::ReloadableValues;
 use madderbay_server::core::durability::StorageEvent;
@@ -40,10 +40,10 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::task::spawn_local;
 
-/// Longest sleep of the tick loop where no timer is set.
+/// Maximum sleep of the tick loop while no timer is set.
 const MAX_IDLE: StdDuration = StdDuration::from_secs(1);
 
-/// Starts the task that brings the writing thread's reports to the core.
+/// Starts the task that passes the writer thread's events to the core.
 pub(crate) fn spawn_store_events(
     mut events: UnboundedReceiver<StorageEvent>,
     clock: &Rc<Clock>,
@@ -100,7 +100,7 @@
     spawn_local(tick_loop(clock.clone(), core.clone()));
 }
 
-/// Starts the task that accepts connections from downstream, until `stop` is notified.
+/// Starts the task that accepts downstream connections until `stop` is notified.
 pub(crate) fn spawn_listener(
     listener: TcpListener,
     max_connections: usize,
@@ -117,8 +117,8 @@
     ));
 }
 
-/// The one timer of the decisions. A turn is taken at the next deadline, and whenever something has changed; by then
-/// all input that was ready has been taken in, since the other tasks run first.
+/// The only timer of the decision module: runs a turn at its next timer deadline, and whenever the core reports pending
+/// work. It yields to the other tasks first, so that all input that is ready is read before the turn.
 async fn tick_loop(clock: Rc<Clock>, core: SharedEventLoop) {
     let changed = core.borrow().work_pending();
     loop {
@@ -136,7 +136,7 @@
     }
 }
 
-/// The time to the next deadline, or [`MAX_IDLE`] without one.
+/// Returns the time to the next timer deadline, or [`MAX_IDLE`] if there is none.
 fn time_to_next_turn(clock: &Clock, core: &SharedEventLoop) -> StdDuration {
     let deadline = core.borrow().next_deadline();
     let now = clock.now();
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -8,7 +8,7 @@
     /// The text is not JSON, or a key is missing or has a value of another type.
     #[error("settings: {0}")]
     Json(#[source] serde_json::Error),
-    /// The value of a key can't be.
+    /// The value of a key is invalid.
     #[error("settings: {key} {reason}")]
     Invalid {
         /// Path of the key in the JSON, as in `classes[0].aim_us`.
@@ -21,16 +21,16 @@
 /// What is wrong with the value of a key.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum InvalidValue {
-    /// A list that needs an entry has none.
+    /// A list that requires an entry is empty.
     #[error("is empty")]
     Empty,
-    /// A whole number has to be positive.
+    /// A whole number that must be positive is 0.
     #[error("is 0")]
     Zero,
     /// A number is outside of its range.
     #[error("is {0}")]
     OutOfRange(NumberRange),
-    /// A list by class is neither absent nor as long as the list of classes.
+    /// A list with one entry per class is neither absent nor as long as the list of classes.
     #[error("has {found} places for {classes} classes")]
     ListLength {
         /// Entries in the list.
@@ -41,21 +41,21 @@
     /// An earlier entry of the list has the same name.
     #[error("'{0}' is that of another")]
     DuplicateName(String),
-    /// A text is none of the words that the key may have.
+    /// The value is not one of the key's words.
     #[error("is '{0}', which is none of those known")]
     UnknownWord(String),
     /// A class makes calls, but there is no upstream.
     #[error("is true, but family_info.below is none")]
     CallsWithoutUpstream,
-    /// Requests of a class have idempotency keys, but no time for which these are stored.
+    /// Requests of a class have idempotency keys, but the time for which these are stored is 0.
     #[error("is 0, but its effect is idempotency_key")]
     NoIdempotencyWindow,
-    /// Retry-After may be advertised, but not for any time.
+    /// Retry-After may be advertised, but its maximum is 0.
     #[error("is 0, but retry_after is true")]
     NoMaxRetryAfter,
 }
 
-/// The numbers that a key may have. Displays as what a number outside of it is.
+/// The valid numbers of a key. Displays as a description of a number outside of the range.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NumberRange {
     /// Greater than the bound.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,7 @@
-//! The platform's settings: JSON in, the decision module's records out.
+//! Reads the platform's settings from JSON into the records of the decision module.
 //!
-//! [`read`] is given the JSON text and returns [`Settings`], or a [`SettingsError`] that names the
-//! first key that is wrong. It does no I/O and never changes what it is given; keys that it does
-//! not know are ignored.
+//! [`read`] parses the JSON text and returns [`Settings`], or a [`SettingsError`] that names the
+//! first invalid key. It does no I/O and never adjusts values. Unknown keys are ignored.
 //!
 //! ```
 //! let text = r#"{"classes": [], "family_info": {"n_cores": 1, "memory_kb": 1, "blowup": 1},
@@ -23,8 +22,8 @@
 /// Reads the settings from their JSON text.
 ///
 /// # Errors
-/// The text is not JSON, or a key is missing or has a value of another type; otherwise the first
-/// key whose value can't be.
+/// Fails if the text is not JSON, or a key is missing or has a value of another type; otherwise
+/// returns the first key whose value is invalid.
 pub fn read(json: &[u8]) -> Result<Settings, SettingsError> {
     let raw: raw::Raw = serde_json::from_slice(json).map_err(SettingsError::Json)?;
     records::settings(&raw)
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -1,7 +1,7 @@
-//! The settings as they stand in the JSON: one struct for each object, one field for each key.
+//! The settings as written in the JSON: one struct for each object, one field for each key.
 //!
-//! The names of the structs are quoted in the errors of the JSON parser. Its errors also depend on
-//! the order of the fields, because it takes an array of values for an object.
+//! Renaming a struct or reordering its fields changes error messages: the JSON parser's errors contain
+//! the names of the structs, and the parser accepts an array of the fields' values in place of an object.
 
 use serde::Deserialize;
 
@@ -10,7 +10,7 @@
 pub(crate) struct Raw {
     /// The handlers.
     pub(crate) classes: Vec<RawClass>,
-    /// The tenants; absent where there are none.
+    /// The tenants; may be absent.
     #[serde(default)]
     pub(crate) tenants: Vec<RawTenant>,
     /// The machine, its upstream and its clients.
@@ -19,18 +19,18 @@
     pub(crate) permissions: RawPermissions,
     /// Rules of the platform.
     pub(crate) rules: RawRules,
-    /// What clients do.
+    /// Behaviour of the clients.
     #[serde(default)]
     pub(crate) callers: RawCallers,
-    /// Servers in the fleet.
+    /// Number of servers in the fleet.
     pub(crate) servers: u32,
     /// Tier of this server; 0 is the one that clients reach.
     #[serde(default)]
     pub(crate) tier: u32,
-    /// `work` where weights count per unit of work.
+    /// `work` if weights count per unit of work.
     #[serde(default)]
     pub(crate) value_by: String,
-    /// Factor on the weight of requests over their tenant's quota.
+    /// Factor applied to the weight of requests that exceed their tenant's quota.
     #[serde(default)]
     pub(crate) over_share_worth: f64,
 }
@@ -43,7 +43,7 @@
     pub(crate) name: String,
     /// Latency objective, in microseconds.
     pub(crate) aim_us: u64,
-    /// Multiple of the request's own work that the latency objective grows by.
+    /// The latency objective grows by this multiple of the request's own work.
     #[serde(default)]
     pub(crate) aim_stretch: f64,
     /// Timeout of the clients, in microseconds.
@@ -53,7 +53,7 @@
     /// Priority weight of a later answer.
     #[serde(default)]
     pub(crate) late_worth: f64,
-    /// What may be done with a retry, as a word.
+    /// The word for the retry safety of the handler.
     pub(crate) effect: String,
     /// Time for which an idempotency key is stored, in microseconds.
     #[serde(default)]
@@ -70,10 +70,10 @@
     pub(crate) allowance_per_s: f64,
 }
 
-/// `callers`: what clients do.
+/// `callers`: behaviour of the clients.
 #[derive(Deserialize, Default)]
 pub(crate) struct RawCallers {
-    /// Whether they mark retries.
+    /// Whether clients mark retries.
     #[serde(default)]
     pub(crate) marks_retry: bool,
 }
@@ -94,14 +94,14 @@
 pub(crate) struct RawRules {
     /// Runs per core beyond which the machine collapses.
     pub(crate) tip_multiple: f64,
-    /// Time in which arrivals are still served after the begin of a graceful shutdown, in
+    /// Time for which arrivals are still served after the start of a graceful shutdown, in
     /// microseconds.
     #[serde(default)]
     pub(crate) drain_grace_us: u64,
     /// Speed of a cold machine as a fraction of its full speed.
     #[serde(default)]
     pub(crate) cold_from: f64,
-    /// Time until a cold machine has its full speed, in microseconds.
+    /// Time until a cold machine reaches its full speed, in microseconds.
     #[serde(default)]
     pub(crate) cold_us: u64,
 }
@@ -109,7 +109,7 @@
 /// `family_info`: the machine, its upstream and its clients.
 #[derive(Deserialize)]
 pub(crate) struct RawInfo {
-    /// Cores of the machine.
+    /// Number of cores of the machine.
     pub(crate) n_cores: u32,
     /// Memory for requests, runs and idempotency keys, in kB.
     pub(crate) memory_kb: f64,
@@ -118,16 +118,16 @@
     /// Memory of one stored idempotency key, in kB.
     #[serde(default)]
     pub(crate) key_kb: f64,
-    /// What a cancellation does to a run, as a word.
+    /// The word for what a cancellation does to a run.
     #[serde(default)]
     pub(crate) preemption: String,
     /// Whether the machine starts with cold caches.
     #[serde(default)]
     pub(crate) cold: bool,
-    /// The kind of the upstream, as a word.
+    /// The word for the kind of the upstream.
     #[serde(default, rename = "below")]
     pub(crate) upstream_kind: String,
-    /// Mean calls in flight that this server may have.
+    /// Mean number of calls that this server may have in flight.
     #[serde(default)]
     pub(crate) dep_share: f64,
     /// Time for which an abandoned call may still run upstream, in microseconds.
@@ -139,22 +139,22 @@
     /// Idle time after which clients close a connection, in microseconds.
     #[serde(default)]
     pub(crate) keepalive_max_us: u64,
-    /// Whether runs call the upstream, by class; absent where none do.
+    /// Whether runs call the upstream, by class; absent if none do.
     #[serde(default)]
     pub(crate) class_calls: Vec<bool>,
-    /// Fraction of the weight that a partial answer has, by class; absent where there are none.
+    /// Fraction of the weight that a partial answer is worth, by class; absent if there are no partial answers.
     #[serde(default)]
     pub(crate) class_skip_worth: Vec<f64>,
-    /// What the load report means to clients, as a word.
+    /// The word for what the load report means to clients.
     #[serde(default)]
     pub(crate) say: String,
-    /// Clients that connect to this server.
+    /// Number of clients that connect to this server.
     #[serde(default)]
     pub(crate) upstreams: u32,
-    /// Whether requests carry the time that their clients will wait.
+    /// Whether requests carry the timeouts of their clients.
     #[serde(default)]
     pub(crate) passes_deadline: bool,
-    /// Names of the gauges that the engine sends, in their order.
+    /// Names of the gauges that the engine sends, in the order in which it sends them.
     #[serde(default)]
     pub(crate) meters: Vec<String>,
     /// Whether the clients' endpoint lists leave out a server that reports itself unhealthy.
--- a/crates/settings/src/records.rs
+++ b/crates/settings/src/records.rs
@@ -1,4 +1,4 @@
-//! The records of the decision module, made from the JSON section by section.
+//! Converts the JSON to the records of the decision module, section by section.
 //!
 //! Checks run in a fixed order, and the first that fails is reported: the ranges of `family_info`
 //! and `rules`, lists and names, then each class, `permissions`, each tenant, and the remaining words.
@@ -17,17 +17,17 @@
 const CLASSES: &str = "classes";
 /// Key of the list of tenants.
 const TENANTS: &str = "tenants";
-/// Key of the object on the machine, its upstream and its clients.
+/// Key of the object that describes the machine, its upstream and its clients.
 const FAMILY_INFO: &str = "family_info";
 
-/// `effect` of a class.
+/// Words for `effect` of a class.
 const EFFECTS: &Words<RetrySafety> = &[
     ("read_like", RetrySafety::Idempotent),
     ("idempotency_key", RetrySafety::Keyed),
     ("non_idempotent", RetrySafety::NonIdempotent),
 ];
 
-/// `family_info.preemption`.
+/// Words for `family_info.preemption`.
 const CANCELLATIONS: &Words<Cancellation> = &[
     ("none", Cancellation::Unsupported),
     ("", Cancellation::Unsupported),
@@ -35,7 +35,7 @@
     ("freeze", Cancellation::Pauses),
 ];
 
-/// `family_info.below`.
+/// Words for `family_info.below`.
 const UPSTREAM_KINDS: &Words<UpstreamKind> = &[
     ("none", UpstreamKind::None),
     ("", UpstreamKind::None),
@@ -43,7 +43,7 @@
     ("tier", UpstreamKind::Tier),
 ];
 
-/// `family_info.say`.
+/// Words for `family_info.say`.
 const LOAD_REPORTS: &Words<LoadReport> = &[
     ("none", LoadReport::Unused),
     ("", LoadReport::Unused),
@@ -52,7 +52,7 @@
     ("weight", LoadReport::Weight),
 ];
 
-/// Checks the settings and makes the records. The order of the steps is the order of the errors.
+/// Checks the settings and creates the records. The order of the steps determines which error is reported.
 pub(crate) fn settings(raw: &Raw) -> Result<Settings, SettingsError> {
     check_classes_exist(raw)?;
     check_ranges(&raw.family_info, &raw.rules)?;
@@ -119,7 +119,7 @@
     section.list_by_class("class_skip_worth", &info.class_skip_worth, classes)
 }
 
-/// Without an upstream no class makes calls.
+/// Checks that no class makes calls if there is no upstream.
 fn check_calls_have_upstream(info: &RawInfo) -> Result<(), SettingsError> {
     if !matches!(info.upstream_kind.as_str(), "" | "none") {
         return Ok(());
@@ -134,7 +134,7 @@
     }
 }
 
-/// The handler that one class describes.
+/// Creates the handler that one class describes.
 fn handler(raw: &Raw, index: usize) -> Result<Handler, SettingsError> {
     let class = &raw.classes[index];
     let section = Section::entry(CLASSES, index);
@@ -161,14 +161,14 @@
     })
 }
 
-/// Fraction of a handler's weight that a partial answer has; 0 where the list is absent.
+/// Returns the fraction of a handler's weight that a partial answer is worth; 0 if the list is absent.
 fn partial_weight(info: &RawInfo, index: usize) -> Result<f64, SettingsError> {
     let weight = info.class_skip_worth.get(index).copied().unwrap_or(0.0);
     let key = format!("class_skip_worth[{index}]");
     Section::of(FAMILY_INFO).number(&key, weight, NumberRange::Fraction)
 }
 
-/// Longest Retry-After that may be advertised; zero where none may.
+/// Returns the longest Retry-After that may be advertised; zero if none may be.
 fn max_retry_after(permissions: &RawPermissions) -> Result<Duration, SettingsError> {
     if !permissions.retry_after {
         return Ok(Duration::ZERO);
--- a/crates/settings/src/section.rs
+++ b/crates/settings/src/section.rs
@@ -1,24 +1,24 @@
-//! The one way in which a value is checked: by the object it stands in, its key and its range.
+//! Checks values of the settings. Each check names the object and key of the value in its error.
 
 use crate::error::{InvalidValue, NumberRange, SettingsError};
 use std::collections::HashSet;
 
-/// The words that a key may have, each with its meaning.
+/// The valid words of a key, each with its meaning.
 pub(crate) type Words<T> = [(&'static str, T)];
 
-/// One object of the settings, known by its path. It names the key in each error.
+/// One object of the settings, identified by its path, which each error contains together with the key.
 pub(crate) struct Section {
     /// Path of the object, as in `classes[0]`.
     path: String,
 }
 
 impl Section {
-    /// The object under a key of the outermost one.
+    /// Returns the object under a top-level key.
     pub(crate) fn of(key: &str) -> Section {
         Section { path: key.into() }
     }
 
-    /// An object in a list.
+    /// Returns an object in a top-level list.
     pub(crate) fn entry(list: &str, index: usize) -> Section {
         Section {
             path: format!("{list}[{index}]"),
@@ -50,7 +50,7 @@
         Ok(number)
     }
 
-    /// The meaning of a word.
+    /// Returns the meaning of a word, or an error if the word is unknown.
     pub(crate) fn word<T: Copy>(
         &self,
         key: &str,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Checks that a list by class is absent or has an entry for each class.
+    /// Checks that a list with one entry per class is absent or has as many entries as there are classes.
     pub(crate) fn list_by_class<T>(
         &self,
         key: &str,
@@ -78,15 +78,15 @@
         }
     }
 
-    /// The error on a key of this object.
+    /// Returns the error about a key of this object.
     pub(crate) fn invalid(&self, key: &str, reason: InvalidValue) -> SettingsError {
         let key = format!("{}.{key}", self.path);
         SettingsError::Invalid { key, reason }
     }
 }
 
-/// Checks that no two entries of a list have the same name, so that a name tells which is meant.
-/// Empty names are not compared.
+/// Checks that no two entries of a list have the same name, so that a name identifies one entry. Empty
+/// names are not compared.
 pub(crate) fn check_distinct_names<'a>(
     list: &str,
     names: impl Iterator<Item = &'a str>,
