--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -70,10 +70,10 @@
     #[error("{0}")]
     Syntax(String),
     /// A key precedes the first section.
-    #[error("stands in no section")]
+    #[error("key outside of any section")]
     OutsideOfSections,
     /// A section or a key is repeated.
-    #[error("stands twice")]
+    #[error("is defined twice")]
     Repeated,
     /// The section does not exist.
     #[error("no such section")]
@@ -85,20 +85,20 @@
         known: &'static [&'static str],
     },
     /// The section's title has a name, but there can be only one section of its kind.
-    #[error("has no name of its own")]
+    #[error("takes no name")]
     UnexpectedSectionName,
     /// The name of a section is empty, is too long or has invalid characters.
-    #[error("has a name of letters, digits, '-', '_' and '.', 63 at most")]
+    #[error("must have a name of 1 to 63 letters, digits, '-', '_' or '.'")]
     InvalidSectionName,
     /// The section requires another one with this title, which is absent.
-    #[error("goes with a section [{0}]")]
+    #[error("requires a section [{0}]")]
     MissingSection(&'static str),
 
     /// A required key is absent.
-    #[error("has to be set")]
+    #[error("must be set")]
     NotSet,
     /// The value is not a number or is out of range.
-    #[error("'{text}' is no number from {min} to {max}")]
+    #[error("'{text}' is not a number from {min} to {max}")]
     NumberOutOfRange {
         /// The value as written in the file.
         text: String,
@@ -108,7 +108,7 @@
         max: String,
     },
     /// The value is not one of the key's words.
-    #[error("'{text}' is none of {}", words.join(", "))]
+    #[error("'{text}' is not one of {}", words.join(", "))]
     UnknownWord {
         /// The value as written in the file.
         text: String,
@@ -116,16 +116,16 @@
         words: Vec<&'static str>,
     },
     /// The value is not an IP address with a port.
-    #[error("'{0}' is no address and port")]
+    #[error("'{0}' is not an IP address with a port")]
     InvalidAddress(String),
     /// The value is neither a network nor an IP address.
-    #[error("'{0}' is no network, as in 10.0.0.0/8")]
+    #[error("'{0}' is not a network such as 10.0.0.0/8")]
     InvalidNetwork(String),
     /// The value has characters that are invalid in a name, or too many characters.
-    #[error("'{0}' is no name of letters, digits, '-', '_' and '.', 63 at most")]
+    #[error("'{0}' is not a name of at most 63 letters, digits, '-', '_' or '.'")]
     InvalidName(String),
     /// A list has the same name twice.
-    #[error("'{0}' stands twice")]
+    #[error("'{0}' is listed twice")]
     RepeatedName(String),
     /// A list has an unknown name.
     #[error("'{name}' is no {kind}; known are {}", known.join(", "))]
@@ -139,10 +139,10 @@
     },
 
     /// A section that groups handlers does not list any.
-    #[error("a {0} has at least one handler")]
+    #[error("a {0} must have at least one handler")]
     NoHandlers(&'static str),
     /// A handler belongs to an earlier section of the same kind.
-    #[error("'{handler}' is in {kind} {name} already")]
+    #[error("'{handler}' already belongs to {kind} {name}")]
     HandlerInTwoGroups {
         /// The handler.
         handler: String,
@@ -152,41 +152,41 @@
         name: String,
     },
     /// A pool has no name.
-    #[error("a pool has a name: [pool NAME]")]
+    #[error("a pool must have a name: [pool NAME]")]
     UnnamedPool,
     /// A pool has the name that is reserved for the pool of all other handlers.
-    #[error("'rest' is the pool of what is in no other")]
+    #[error("'rest' is reserved for the pool of all handlers that are in no other pool")]
     ReservedPoolName,
 
     /// The idempotency store is enabled and has no directory.
-    #[error("has to name a folder")]
+    #[error("must name a directory")]
     NoDirectory,
     /// The path of the control socket is empty or too long.
-    #[error("has to name a path of 1 to {max_bytes} bytes")]
+    #[error("must be a path of 1 to {max_bytes} bytes")]
     InvalidSocketPath {
         /// Maximum length of the path in bytes.
         max_bytes: usize,
     },
 
     /// The membership is enabled and has no address to listen on.
-    #[error("has to name an address and port")]
+    #[error("must be set to an IP address with a port")]
     NoListenAddress,
     /// Other servers can't send datagrams to the address.
-    #[error("'{0}' is nowhere that others can send to")]
+    #[error("'{0}' is not an address that other servers can send to")]
     UnusableAdvertisedAddress(SocketAddr),
     /// An address belongs to none of the fleet's networks.
     #[error("'{0}' lies in none of the networks")]
     OutsideOfNetworks(SocketAddr),
     /// The suspicion timeout is shorter than two probe intervals.
-    #[error("a suspicion outlasts two probes, or one lost datagram takes a server down")]
+    #[error("must be at least twice probe_ms, otherwise one lost datagram takes a server down")]
     SuspicionTooShort,
 
     /// Quotas are enabled, but the membership is not.
-    #[error("goes with [members], by which servers hear each other")]
+    #[error("requires [members], through which the servers communicate")]
     QuotasWithoutMembership,
     /// A budget's base quotas are all 0, and this server has no slot.
     #[error(
-        "{calls} calls give none of {servers} servers any of its own: set each server's seat in \
+        "{calls} calls leave {servers} servers without a base quota: set each server's seat in \
          [shared]"
     )]
     NoBaseQuota {
@@ -196,23 +196,23 @@
         servers: u32,
     },
     /// The kind of a counter's keys is not set.
-    #[error("has to be tenant or handler")]
+    #[error("must be tenant or handler")]
     NoCounterKind,
     /// More than one counter has tenants as its keys.
-    #[error("one count by tenant is enough: it is what allowances go by")]
+    #[error("two or more counts are by tenant, but tenant quotas can depend on only one")]
     SeveralTenantCounters,
 
     /// Calls can't be sent to the address of a backend.
-    #[error("'{0}' is nowhere that calls can go to")]
+    #[error("'{0}' is not an address that calls can be sent to")]
     UnusableBackendAddress(SocketAddr),
     /// Another backend has the same address.
-    #[error("is backend {0}'s already")]
+    #[error("shares its address with backend {0}")]
     BackendAddressTaken(String),
     /// Two backends have some, but not all, handlers in common.
-    #[error("shares some handlers with backend {0}, and not all")]
+    #[error("shares some, but not all, handlers with backend {0}")]
     PartlySharedHandlers(String),
     /// Routing is enabled and has no backends.
-    #[error("goes with sections [backend NAME]")]
+    #[error("requires at least one section [backend NAME]")]
     NoBackends,
     /// There are too many backends.
     #[error("has more than {max} backends")]
--- a/crates/operator-config/tests/operator_file/concurrency.rs
+++ b/crates/operator-config/tests/operator_file/concurrency.rs
@@ -52,7 +52,7 @@
 fn a_reserve_needs_pools() {
     assert_eq!(
         error_lines("[reserve]\npart = 0.1\n"),
-        ["o.ini:1: [reserve]: goes with a section [pools]"]
+        ["o.ini:1: [reserve]: requires a section [pools]"]
     );
 }
 
@@ -60,6 +60,8 @@
 fn rejects_the_name_of_the_pool_of_all_other_handlers() {
     assert_eq!(
         error_lines("[pools]\n[pool rest]\nhandlers = x\n"),
-        ["o.ini:2: [pool rest]: 'rest' is the pool of what is in no other"]
+        [
+            "o.ini:2: [pool rest]: 'rest' is reserved for the pool of all handlers that are in no other pool"
+        ]
     );
 }
--- a/crates/operator-config/tests/operator_file/form.rs
+++ b/crates/operator-config/tests/operator_file/form.rs
@@ -18,16 +18,16 @@
     let text = "stray = 1\n[pools]\nenabled = yes\nlimit = fixed\n[pool a]\nhandlers = x, x\nweight = -1\n\
                 [pool b]\nhandlers = x\nruns = 0\n[pool]\nhandlers =\n[reserve]\npart = 0.9\n[poools]\n";
     let expected = [
-        "o.ini:1: stray: stands in no section",
-        "o.ini:3: [pools] enabled: 'yes' is none of on, off",
+        "o.ini:1: stray: key outside of any section",
+        "o.ini:3: [pools] enabled: 'yes' is not one of on, off",
         "o.ini:4: [pools] limit: no such key; known are enabled, limits",
-        "o.ini:6: [pool a] handlers: 'x' stands twice",
-        "o.ini:7: [pool a] weight: '-1' is no number from 0 to 1000000",
-        "o.ini:9: [pool b] handlers: 'x' is in pool a already",
-        "o.ini:10: [pool b] runs: '0' is no number from 1 to 100000",
-        "o.ini:11: [pool]: a pool has a name: [pool NAME]",
-        "o.ini:12: [pool] handlers: a pool has at least one handler",
-        "o.ini:14: [reserve] part: '0.9' is no number from 0 to 0.5",
+        "o.ini:6: [pool a] handlers: 'x' is listed twice",
+        "o.ini:7: [pool a] weight: '-1' is not a number from 0 to 1000000",
+        "o.ini:9: [pool b] handlers: 'x' already belongs to pool a",
+        "o.ini:10: [pool b] runs: '0' is not a number from 1 to 100000",
+        "o.ini:11: [pool]: a pool must have a name: [pool NAME]",
+        "o.ini:12: [pool] handlers: a pool must have at least one handler",
+        "o.ini:14: [reserve] part: '0.9' is not a number from 0 to 0.5",
         "o.ini:15: [poools]: no such section",
     ];
     assert_eq!(error_lines(text), expected);
@@ -55,17 +55,17 @@
 fn rejects_repeated_keys_and_sections() {
     assert_eq!(
         error_lines("[pools]\nenabled = on\nenabled = off\n"),
-        ["o.ini:3: [pools] enabled: stands twice"]
+        ["o.ini:3: [pools] enabled: is defined twice"]
     );
     let twice = "[pools]\n[pool a]\nhandlers = x\n[pool a]\nhandlers = y\n";
-    assert_eq!(error_lines(twice), ["o.ini:4: [pool a]: stands twice"]);
+    assert_eq!(error_lines(twice), ["o.ini:4: [pool a]: is defined twice"]);
 }
 
 #[test]
 fn rejects_a_name_on_a_section_that_takes_none() {
     assert_eq!(
         error_lines("[pools x]\n"),
-        ["o.ini:1: [pools x]: has no name of its own"]
+        ["o.ini:1: [pools x]: takes no name"]
     );
 }
 
--- a/crates/operator-config/tests/operator_file/idempotency_store.rs
+++ b/crates/operator-config/tests/operator_file/idempotency_store.rs
@@ -24,8 +24,8 @@
     assert_eq!(
         error_lines("[kept-results]\nenabled = on\ndisk_mb = 0\n"),
         [
-            "o.ini:1: [kept-results] directory: has to name a folder",
-            "o.ini:3: [kept-results] disk_mb: '0' is no number from 1 to 1048576",
+            "o.ini:1: [kept-results] directory: must name a directory",
+            "o.ini:3: [kept-results] disk_mb: '0' is not a number from 1 to 1048576",
         ]
     );
 }
--- a/crates/operator-config/tests/operator_file/membership.rs
+++ b/crates/operator-config/tests/operator_file/membership.rs
@@ -49,14 +49,14 @@
     let text = "[members]\nenabled = on\nlisten = 0.0.0.0:7946\njoin = 192.0.2.1:1, here\nfleet = a b\n\
                 networks = 10.0.0.0/8, ten\nprobe_ms = 500\nsuspicion_ms = 900\n[control]\n";
     let expected = [
-        "o.ini:3: [members] listen: '0.0.0.0:7946' is nowhere that others can send to",
+        "o.ini:3: [members] listen: '0.0.0.0:7946' is not an address that other servers can send to",
         "o.ini:3: [members] listen: '0.0.0.0:7946' lies in none of the networks",
         "o.ini:4: [members] join: '192.0.2.1:1' lies in none of the networks",
-        "o.ini:4: [members] join: 'here' is no address and port",
-        "o.ini:5: [members] fleet: 'a b' is no name of letters, digits, '-', '_' and '.', 63 at most",
-        "o.ini:6: [members] networks: 'ten' is no network, as in 10.0.0.0/8",
-        "o.ini:8: [members] suspicion_ms: a suspicion outlasts two probes, or one lost datagram takes a server down",
-        "o.ini:9: [control] socket: has to name a path of 1 to 100 bytes",
+        "o.ini:4: [members] join: 'here' is not an IP address with a port",
+        "o.ini:5: [members] fleet: 'a b' is not a name of at most 63 letters, digits, '-', '_' or '.'",
+        "o.ini:6: [members] networks: 'ten' is not a network such as 10.0.0.0/8",
+        "o.ini:8: [members] suspicion_ms: must be at least twice probe_ms, otherwise one lost datagram takes a server down",
+        "o.ini:9: [control] socket: must be a path of 1 to 100 bytes",
     ];
     assert_eq!(error_lines(text), expected);
 }
@@ -65,6 +65,6 @@
 fn members_that_are_on_need_an_address_to_listen_on() {
     assert_eq!(
         error_lines("[members]\nenabled = on\n"),
-        ["o.ini:1: [members] listen: has to name an address and port"]
+        ["o.ini:1: [members] listen: must be set to an IP address with a port"]
     );
 }
--- a/crates/operator-config/tests/operator_file/quota.rs
+++ b/crates/operator-config/tests/operator_file/quota.rs
@@ -42,7 +42,7 @@
 fn quotas_need_members() {
     assert_eq!(
         error_lines("[shared]\nenabled = on\n"),
-        ["o.ini:2: [shared] enabled: goes with [members], by which servers hear each other"]
+        ["o.ini:2: [shared] enabled: requires [members], through which the servers communicate"]
     );
 }
 
@@ -51,13 +51,13 @@
     assert_eq!(
         error_lines(&format!("{MEMBERS}{INVALID}")),
         [
-            "o.ini:8: [budget a] calls: 3 calls give none of 5 servers any of its own: set each server's seat in \
+            "o.ini:8: [budget a] calls: 3 calls leave 5 servers without a base quota: set each server's seat in \
              [shared]",
-            "o.ini:10: [budget b c] calls: has to be set",
-            "o.ini:10: [budget b c]: has a name of letters, digits, '-', '_' and '.', 63 at most",
-            "o.ini:11: [budget b c] handlers: 'x' is in budget a already",
-            "o.ini:12: [budget b c] servers: '0' is no number from 1 to 10000",
-            "o.ini:14: [count d] by: 'hour' is none of tenant, handler",
+            "o.ini:10: [budget b c] calls: must be set",
+            "o.ini:10: [budget b c]: must have a name of 1 to 63 letters, digits, '-', '_' or '.'",
+            "o.ini:11: [budget b c] handlers: 'x' already belongs to budget a",
+            "o.ini:12: [budget b c] servers: '0' is not a number from 1 to 10000",
+            "o.ini:14: [count d] by: 'hour' is not one of tenant, handler",
         ]
     );
 }
@@ -66,13 +66,13 @@
 fn a_budget_may_have_fewer_calls_than_servers_where_slots_are_set() {
     let with_slot = INVALID.replace("enabled = on", "enabled = on\nseat = 2");
     let lines = error_lines(&format!("{MEMBERS}{with_slot}"));
-    assert!(!lines.iter().any(|l| l.contains("calls give none")));
+    assert!(!lines.iter().any(|l| l.contains("without a base quota")));
 }
 
 #[test]
 fn a_budget_requires_the_shared_section() {
     assert_eq!(
         error_lines("[budget a]\ncalls = 1\n"),
-        ["o.ini:1: [budget a]: goes with a section [shared]"]
+        ["o.ini:1: [budget a]: requires a section [shared]"]
     );
 }
--- a/crates/operator-config/tests/operator_file/upstream.rs
+++ b/crates/operator-config/tests/operator_file/upstream.rs
@@ -44,11 +44,11 @@
 fn routes_and_backends_need_each_other() {
     assert_eq!(
         error_lines("[routes]\nenabled = on\n"),
-        ["o.ini:2: [routes] enabled: goes with sections [backend NAME]"]
+        ["o.ini:2: [routes] enabled: requires at least one section [backend NAME]"]
     );
     assert_eq!(
         error_lines("[backend a]\naddress = 127.0.0.1:1\nhandlers = x\n"),
-        ["o.ini:1: [backend a]: goes with a section [routes]"]
+        ["o.ini:1: [backend a]: requires a section [routes]"]
     );
 }
 
@@ -59,12 +59,12 @@
     assert_eq!(
         error_lines(text),
         [
-            "o.ini:3: [routes] out_most: '1' is no number from 0 to 0.9",
-            "o.ini:4: [backend a] address: has to be set",
-            "o.ini:6: [backend b c]: has a name of letters, digits, '-', '_' and '.', 63 at most",
-            "o.ini:7: [backend b c] address: '0.0.0.0:1' is nowhere that calls can go to",
-            "o.ini:8: [backend b c] weight: '0' is no number from 0.01 to 100",
-            "o.ini:9: [backend b c] handlers: shares some handlers with backend a, and not all",
+            "o.ini:3: [routes] out_most: '1' is not a number from 0 to 0.9",
+            "o.ini:4: [backend a] address: must be set",
+            "o.ini:6: [backend b c]: must have a name of 1 to 63 letters, digits, '-', '_' or '.'",
+            "o.ini:7: [backend b c] address: '0.0.0.0:1' is not an address that calls can be sent to",
+            "o.ini:8: [backend b c] weight: '0' is not a number from 0.01 to 100",
+            "o.ini:9: [backend b c] handlers: shares some, but not all, handlers with backend a",
         ]
     );
 }
--- a/crates/server/src/fleet/control_client.rs
+++ b/crates/server/src/fleet/control_client.rs
@@ -46,7 +46,7 @@
         reason: String,
     },
     /// A line of the answer does not conform to the protocol.
-    #[error("{}: an answer that can't be read: {source}", path.display())]
+    #[error("{}: malformed answer: {source}", path.display())]
     Malformed {
         /// The socket's path.
         path: PathBuf,
--- a/crates/server/src/tasks.rs
+++ b/crates/server/src/tasks.rs
@@ -131,7 +131,7 @@
         tokio::task::yield_now().await;
         let run_turn = || core.borrow_mut().run_turn(clock.now());
         if catch_unwind(AssertUnwindSafe(run_turn)).is_err() {
-            log::error!("server: turn failed");
+            log::error!("server: decision turn panicked");
         }
     }
 }
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -31,7 +31,7 @@
     #[error("is {0}")]
     OutOfRange(NumberRange),
     /// A list with one entry per class is neither absent nor as long as the list of classes.
-    #[error("has {found} places for {classes} classes")]
+    #[error("has {found} entries for {classes} classes")]
     ListLength {
         /// Entries in the list.
         found: usize,
@@ -39,10 +39,10 @@
         classes: usize,
     },
     /// An earlier entry of the list has the same name.
-    #[error("'{0}' is that of another")]
+    #[error("'{0}' is already the name of another entry")]
     DuplicateName(String),
     /// The value is not one of the key's words.
-    #[error("is '{0}', which is none of those known")]
+    #[error("is '{0}', which is not a known word")]
     UnknownWord(String),
     /// A class makes calls, but there is no upstream.
     #[error("is true, but family_info.below is none")]
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -99,22 +99,22 @@
         (
             "\"freeze\"",
             "\"melt\"",
-            "settings: family_info.preemption is 'melt', which is none of those known",
+            "settings: family_info.preemption is 'melt', which is not a known word",
         ),
         (
             "\"allowance\"",
             "\"sing\"",
-            "settings: family_info.say is 'sing', which is none of those known",
+            "settings: family_info.say is 'sing', which is not a known word",
         ),
         (
             "one_for_all",
             "two",
-            "settings: family_info.below is 'two', which is none of those known",
+            "settings: family_info.below is 'two', which is not a known word",
         ),
         (
             "read_like",
             "odd",
-            "settings: classes[0].effect is 'odd', which is none of those known",
+            "settings: classes[0].effect is 'odd', which is not a known word",
         ),
     ]);
 }
@@ -125,12 +125,12 @@
         (
             "[true, true]",
             "[true]",
-            "settings: family_info.class_calls has 1 places for 2 classes",
+            "settings: family_info.class_calls has 1 entries for 2 classes",
         ),
         (
             "[0.3, 0.0]",
             "[0.3, 0, 0]",
-            "settings: family_info.class_skip_worth has 3 places for 2 classes",
+            "settings: family_info.class_skip_worth has 3 entries for 2 classes",
         ),
         (
             "[0.3, 0.0]",
@@ -146,12 +146,12 @@
         (
             "\"sell\"",
             "\"look\"",
-            "settings: classes[1].name 'look' is that of another",
+            "settings: classes[1].name 'look' is already the name of another entry",
         ),
         (
             "\"b\"",
             "\"a\"",
-            "settings: tenants[1].name 'a' is that of another",
+            "settings: tenants[1].name 'a' is already the name of another entry",
         ),
     ]);
 }
