--- a/crates/server/src/fleet/counter_names.rs
+++ b/crates/server/src/fleet/counter_names.rs
@@ -10,7 +10,7 @@
     handlers: Vec<KeyName>,
     tenants: Vec<KeyName>,
     /// Tenant quota of each tenant over the whole fleet, in requests per second.
-    tenant_allowances: Vec<f64>,
+    tenant_quotas: Vec<f64>,
     /// Number of servers in the fleet.
     servers: u32,
     /// For each counter, whether its keys are tenants.
@@ -48,20 +48,20 @@
 }
 
 impl CounterNames {
-    /// Creates the names for a fleet of `servers` servers. `tenant_allowances` has one entry for each of `tenants`, in
+    /// Creates the names for a fleet of `servers` servers. `tenant_quotas` has one entry for each of `tenants`, in
     /// requests per second over the whole fleet. `by_tenant` has one entry for each counter: whether its keys are
     /// tenants.
     pub fn new(
         handlers: &[String],
         tenants: &[String],
-        tenant_allowances: Vec<f64>,
+        tenant_quotas: Vec<f64>,
         servers: u32,
         by_tenant: Vec<bool>,
     ) -> CounterNames {
         CounterNames {
             handlers: handlers.iter().map(|n| KeyName::new(n)).collect(),
             tenants: tenants.iter().map(|n| KeyName::new(n)).collect(),
-            tenant_allowances,
+            tenant_quotas,
             servers,
             by_tenant,
         }
@@ -119,20 +119,20 @@
         index.map(CounterId::new)
     }
 
-    /// The allowance of a tenant over the fleet, in requests a second.
-    pub(super) fn tenant_allowance(&self, tenant: TenantId) -> f64 {
-        self.tenant_allowances[tenant.index()]
+    /// Returns the quota of a tenant over the whole fleet, in requests per second.
+    pub(super) fn tenant_quota(&self, tenant: TenantId) -> f64 {
+        self.tenant_quotas[tenant.index()]
     }
 
-    /// Number of servers in the fleet.
+    /// Returns the number of servers in the fleet.
     pub(super) fn servers(&self) -> u32 {
         self.servers
     }
 
     /// Returns a tenant's quota divided equally over the servers.
     fn fair_rate(&self, tenant: TenantId) -> f64 {
-        let allowance = self.tenant_allowances.get(tenant.index()).copied();
-        allowance.unwrap_or(0.0) / f64::from(self.servers.max(1))
+        let quota = self.tenant_quotas.get(tenant.index()).copied();
+        quota.unwrap_or(0.0) / f64::from(self.servers.max(1))
     }
 }
 
--- a/crates/server/src/fleet/quota_leases.rs
+++ b/crates/server/src/fleet/quota_leases.rs
@@ -132,10 +132,10 @@
             let CountedSubject::Tenant(tenant) = key.subject else {
                 return None;
             };
-            let allowance = names.tenant_allowance(tenant);
+            let quota = names.tenant_quota(tenant);
             Some(TenantRate {
                 tenant,
-                per_second: quotas.allowance(now, counter, key.hash, allowance, names.servers()),
+                per_second: quotas.allowance(now, counter, key.hash, quota, names.servers()),
             })
         };
         keys.filter_map(rate).collect()
