--- a/crates/operator-config/src/idempotency_store.rs
+++ b/crates/operator-config/src/idempotency_store.rs
@@ -1,5 +1,5 @@
-//! Settings of the idempotency store, which keeps the results of requests with an idempotency key across
-//! restarts (`[kept-results]`).
+//! Settings of the idempotency store, which keeps the results of requests with an idempotency key
+//! across restarts (`[kept-results]`).
 
 use crate::error::Problem;
 use crate::file::OperatorFile;
@@ -42,7 +42,8 @@
     pub memory_mb: usize,
     /// Maximum size of all files together, in MiB.
     pub disk_mb: usize,
-    /// Whether all waiting records share one sync to disk; otherwise each record is synced on its own.
+    /// Whether all waiting records share one sync to disk; otherwise each record is synced on its
+    /// own.
     pub grouped: bool,
 }
 
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,8 +1,9 @@
-//! The operator file: an INI file that enables and configures a server's features beyond its platform's.
+//! The operator file: an INI file that enables and configures a server's features beyond its
+//! platform's.
 //!
-//! [`read`] parses and checks the text, and returns the settings or every error with its line. It does no I/O. It does
-//! not know which handlers exist; [`Names::indices`] resolves their names later. A feature whose section is absent or
-//! has `enabled = off` is `None`.
+//! [`read`] parses and checks the text, and returns the settings or every error with its line. It
+//! does no I/O. It does not know which handlers exist; [`Names::indices`] resolves their names
+//! later. A feature whose section is absent or has `enabled = off` is `None`.
 //!
 //! ```
 //! let text = "[pools]\nenabled = on\n[pool seats]\nhandlers = book\nweigth = 2\n";
--- a/crates/operator-config/src/membership.rs
+++ b/crates/operator-config/src/membership.rs
@@ -170,7 +170,8 @@
     }
 }
 
-/// Reports addresses that belong to none of the networks, including the address that this server advertises.
+/// Reports addresses that belong to none of the networks, including the address that this server
+/// advertises.
 fn check_networks(file: &mut OperatorFile, section: &Section, members: &MembershipConfig) {
     let advertised = Some(&members.advertise).filter(|address| address.port() != 0);
     let advertised = advertised.map(|address| (advertising_key(section), address));
--- a/crates/operator-config/src/names.rs
+++ b/crates/operator-config/src/names.rs
@@ -2,7 +2,8 @@
 
 use crate::error::{OperatorFileError, Place, Problem};
 
-/// Maximum length of a name in bytes. Longer names would not fit into every datagram about a server.
+/// Maximum length of a name in bytes. Longer names would not fit into every datagram about a
+/// server.
 const MAX_NAME_BYTES: usize = 63;
 
 /// Reports whether a text is a valid name, which may be empty.
@@ -11,8 +12,8 @@
     text.len() <= MAX_NAME_BYTES && text.bytes().all(is_allowed)
 }
 
-/// The names that a key lists, together with the key's place. Unknown names can only be detected later, and
-/// the error then refers to this place.
+/// The names that a key lists, together with the key's place. Unknown names can only be detected
+/// later, and the error then refers to this place.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
     /// The names in the order of the file.
@@ -25,8 +26,8 @@
         Names { names, place }
     }
 
-    /// Returns the index of each name among the known ones. `kind` is the kind of thing that they name, as in
-    /// `handler`.
+    /// Returns the index of each name among the known ones. `kind` is the kind of thing that they
+    /// name, as in `handler`.
     ///
     /// # Errors
     /// Returns the first unknown name with its place.
--- a/crates/operator-config/src/quota.rs
+++ b/crates/operator-config/src/quota.rs
@@ -81,7 +81,8 @@
 pub struct QuotaConfig {
     /// Slot of this server, from 1, unique in the fleet; `None` if it has no fixed slot.
     pub slot: Option<u32>,
-    /// Weight of this server when capacity is divided among servers that demand more than there is, 0.01 to 100.
+    /// Weight of this server when capacity is divided among servers that demand more than there is,
+    /// 0.01 to 100.
     pub weight: f64,
     /// The budgets in the order of the file.
     pub budgets: Vec<Budget>,
@@ -184,8 +185,8 @@
     }
 }
 
-/// Reports a missing slot if a budget has fewer calls than servers: then the slots determine which servers
-/// have a base quota.
+/// Reports a missing slot if a budget has fewer calls than servers: then the slots determine which
+/// servers have a base quota.
 fn check_base_quota(
     file: &mut OperatorFile,
     section: &Section,
--- a/crates/server/src/fleet/backends.rs
+++ b/crates/server/src/fleet/backends.rs
@@ -1,5 +1,5 @@
-//! The core's `BackendSelector` over the upstream backends, with or without the results that other servers of the
-//! fleet report by gossip.
+//! Implements the core's `BackendSelector` with the upstream backends. If the server is in a fleet, results that other
+//! servers report by gossip are taken into account.
 //!
 //! `Backends` shares the `UpstreamManager` and its clock with the gossip driver. It borrows the manager for one call
 //! at a time, never across an await.
--- a/crates/server/src/fleet/control_socket.rs
+++ b/crates/server/src/fleet/control_socket.rs
@@ -93,8 +93,8 @@
 /// Fails if another process listens on `path`, if the file there is not a socket, or if the system reports an error.
 pub fn listen(path: &Path) -> Result<UnixListener, ControlSocketError> {
     check_replaceable(path)?;
-    // The socket is created under another name and moved to `path` once its mode is set, so that other users can
-    // never connect to it.
+    // The socket is created under another name and moved to `path` once its mode is set, so that it is never open to
+    // other users at `path`.
     let temporary = path.with_extension(format!("{}", std::process::id()));
     let _ = std::fs::remove_file(&temporary);
     bind_private(&temporary, path).map_err(|source| {
--- a/crates/server/src/fleet/quota_leases.rs
+++ b/crates/server/src/fleet/quota_leases.rs
@@ -1,4 +1,4 @@
-//! The core's `QuotaSource` over the fleet's quotas and counters.
+//! Implements the core's `QuotaSource` with the fleet's quotas and counters.
 //!
 //! `FleetQuotaSource` shares the fleet's state machines with their driver and borrows them for one call at a time.
 //! It does no I/O and works with any clock, so that a simulation can run the same code.
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -6,8 +6,8 @@
 //! - [`startup`] runs the server from start to shutdown. [`setup`] reads and checks all input; [`server`] opens the
 //!   sockets in a fixed order, [`fleet_endpoint`] opens the socket between servers, and [`tasks`] starts the server's
 //!   tasks. The errors of all these steps are in [`start_error`].
-//! - [`signals`] handles signals: it logs the counters on SIGUSR1, calls [`reload`] for the [`reloadable_values`] on
-//!   SIGHUP, and [`shutdown`] runs on SIGTERM and SIGINT.
+//! - [`signals`] handles signals: SIGUSR1 logs the counters, SIGHUP runs the [`reload`] of the [`reloadable_values`],
+//!   and SIGTERM and SIGINT start the [`shutdown`].
 //!
 //! Each of these modules depends only on those after it in this order: `commands`, `startup`, `shutdown`, `signals`,
 //! `reload`, `server`, then `fleet_endpoint`, `setup` and `tasks`, then `operator_plan`, `reloadable_values` and
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -1,7 +1,8 @@
 //! The settings as written in the JSON: one struct for each object, one field for each key.
 //!
-//! Renaming a struct or reordering its fields changes error messages: the JSON parser's errors contain
-//! the names of the structs, and the parser accepts an array of the fields' values in place of an object.
+//! Renaming a struct or reordering its fields changes error messages: the JSON parser's errors
+//! contain the names of the structs, and the parser accepts an array of the fields' values in place
+//! of an object.
 
 use serde::Deserialize;
 
@@ -142,7 +143,8 @@
     /// Whether runs call the upstream, by class; absent if none do.
     #[serde(default)]
     pub(crate) class_calls: Vec<bool>,
-    /// Fraction of the weight that a partial answer is worth, by class; absent if there are no partial answers.
+    /// Fraction of the weight that a partial answer is worth, by class; absent if there are no
+    /// partial answers.
     #[serde(default)]
     pub(crate) class_skip_worth: Vec<f64>,
     /// The word for what the load report means to clients.
--- a/crates/settings/src/section.rs
+++ b/crates/settings/src/section.rs
@@ -6,7 +6,8 @@
 /// The valid words of a key, each with its meaning.
 pub(crate) type Words<T> = [(&'static str, T)];
 
-/// One object of the settings, identified by its path, which each error contains together with the key.
+/// One object of the settings, identified by its path, which each error contains together with the
+/// key.
 pub(crate) struct Section {
     /// Path of the object, as in `classes[0]`.
     path: String,
@@ -63,7 +64,8 @@
         }
     }
 
-    /// Checks that a list with one entry per class is absent or has as many entries as there are classes.
+    /// Checks that a list with one entry per class is absent or has as many entries as there are
+    /// classes.
     pub(crate) fn list_by_class<T>(
         &self,
         key: &str,
@@ -85,8 +87,8 @@
     }
 }
 
-/// Checks that no two entries of a list have the same name, so that a name identifies one entry. Empty
-/// names are not compared.
+/// Checks that no two entries of a list have the same name, so that a name identifies one entry.
+/// Empty names are not compared.
 pub(crate) fn check_distinct_names<'a>(
     list: &str,
     names: impl Iterator<Item = &'a str>,
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -48,7 +48,8 @@
         .build()
     }
 
-    /// Returns the index of a gauge among those that the engine sends; `None` if the engine does not send it.
+    /// Returns the index of a gauge among those that the engine sends; `None` if the engine does
+    /// not send it.
     pub fn gauge_index(&self, name: &str) -> Option<usize> {
         self.gauges.iter().position(|gauge| gauge == name)
     }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -3,7 +3,8 @@
 use madderbay::interface::{Cancellation, LoadReport, RetrySafety, UpstreamKind};
 use madderbay_settings::{InvalidValue, Settings, SettingsError, read};
 
-/// Settings with two handlers, one of them with idempotency keys, and an upstream that all servers share.
+/// Settings with two handlers, one of them with idempotency keys, and an upstream that all servers
+/// share.
 const VALID: &str = r#"{"classes": [
  {"name": "look", "aim_us": 900000, "hard_limit_us": 2500000, "importance": 1.0, "effect": "read_like"},
  {"name": "sell", "aim_us": 1500000, "hard_limit_us": 3500000, "importance": 2.0, "effect": "idempotency_key",
@@ -27,7 +28,8 @@
     read_modified(changes).unwrap_or_else(|error| panic!("{error}"))
 }
 
-/// Each case consists of a part of the valid settings, its replacement and the expected error message.
+/// Each case consists of a part of the valid settings, its replacement and the expected error
+/// message.
 fn assert_errors(cases: &[(&str, &str, &str)]) {
     for (from, to, expected) in cases {
         let error = read_modified(&[(from, to)]).err().map(|e| e.to_string());
