--- a/crates/server/src/fleet/control_socket.rs
+++ b/crates/server/src/fleet/control_socket.rs
@@ -41,7 +41,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ControlSocketError {
     /// The file at the path is not a socket.
-    #[error("control socket {}: the file exists and is not a socket", path.display())]
+    #[error("control socket {}: the file exists and is no socket", path.display())]
     NotASocket {
         /// The socket's path.
         path: PathBuf,
