--- a/crates/operator-config/src/idempotency_store.rs
+++ b/crates/operator-config/src/idempotency_store.rs
@@ -1,8 +1,8 @@
-//! The idempotency store: results of requests with an idempotency key that survive a restart
-//! (`[kept-results]`).
+//! Settings of the idempotency store, which keeps the results of requests with an idempotency key
+//! across restarts (`[kept-results]`).
 
 use crate::error::Problem;
-use crate::file::File;
+use crate::file::OperatorFile;
 use crate::keys::{ENABLED, NumberKey, WordKey};
 use std::path::PathBuf;
 
@@ -30,24 +30,25 @@
     SYNC.name,
 ];
 
-/// 1 TiB in MiB: more than any server gives the store.
+/// Upper bound on sizes: 1 TiB in MiB, more than any server gives the store.
 const MAX_MB: usize = 1 << 20;
 
-/// The idempotency store on disk.
+/// Settings of the idempotency store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IdempotencyStoreConfig {
-    /// A directory that exists and that no other process uses.
+    /// Directory of the store, which must exist and must not be used by another process.
     pub directory: PathBuf,
-    /// Memory for results of earlier incarnations, in MiB.
+    /// Maximum memory for results of earlier incarnations, in MiB.
     pub memory_mb: usize,
-    /// Size of all files together, in MiB.
+    /// Maximum size of all files together, in MiB.
     pub disk_mb: usize,
-    /// Whether all records that wait share one sync of the disk; otherwise each has its own.
+    /// Whether all waiting records share one sync to disk; otherwise each record is synced on its
+    /// own.
     pub grouped: bool,
 }
 
 /// Reads `[kept-results]`.
-pub(crate) fn read(file: &mut File) -> Option<IdempotencyStoreConfig> {
+pub(crate) fn read(file: &mut OperatorFile) -> Option<IdempotencyStoreConfig> {
     let section = file.take_one("kept-results", KEYS)?;
     let enabled = file.word(&section, &ENABLED);
     let directory = section.get(DIRECTORY).unwrap_or("");
--- a/crates/server/src/fleet/control_socket.rs
+++ b/crates/server/src/fleet/control_socket.rs
@@ -1,12 +1,12 @@
-//! The server's side of the control socket: answers queries about what this server knows, and changes nothing.
+//! The server side of the control socket: answers queries about the state of this server without changing it.
 //!
-//! It owns the listening socket, the socket's file and a bounded number of connections. It is given the fleet and the
-//! backends, and borrows them only while it forms one answer, never across an await.
+//! It owns the listening socket, the socket's file and a bounded number of connections. It borrows the fleet and the
+//! backends only while it composes an answer, never across an await.
 
 use super::backends::Backends;
 use super::control_protocol::{
-    BackendRecord, BackendsHead, CountRecord, END, ErrorLine, MAX_QUERY_BYTES, MemberRecord,
-    MembershipHead, Query, QuotaRecord, SharedHead, SharedRecord, Subject,
+    BackendRecord, BackendsHead, CountRecord, END_LINE, ErrorLine, MAX_QUERY_BYTES, MemberRecord,
+    MembershipHead, Query, QuotaRecord, QuotasHead, QuotasRecord, Subject,
 };
 use super::counter_names::{CounterKey, CounterNames};
 use super::gossip::Fleet;
@@ -28,44 +28,44 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// A client has this long to send a query, and again to read the answer.
+/// Time that a client has to send a query, and again to read the answer.
 const CLIENT_TIMEOUT: StdDuration = StdDuration::from_secs(5);
-/// Pause after an accept that failed.
+/// Pause after a failed accept.
 const ACCEPT_BACKOFF: StdDuration = StdDuration::from_secs(5);
-/// Connections served at a time; further ones wait in the listener's backlog.
+/// Maximum number of connections served at a time; further ones wait in the listener's backlog.
 const MAX_CLIENTS: usize = 4;
-/// Keys reported of one counter: those most counted on this server.
+/// Maximum number of keys reported for a counter: those with the largest counts on this server.
 const MAX_REPORTED_KEYS: usize = 50;
 
 /// Why the control socket can't be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlSocketError {
-    /// The path is taken by something that is not a socket.
-    #[error("control socket {}: is there, and is no socket", path.display())]
+    /// The file at the path is not a socket.
+    #[error("control socket {}: the file exists and is no socket", path.display())]
     NotASocket {
         /// The socket's path.
         path: PathBuf,
     },
-    /// A running process listens on the path.
+    /// Another process listens on the path.
     #[error("control socket {}: another process listens there", path.display())]
     InUse {
         /// The socket's path.
         path: PathBuf,
     },
-    /// The system refused to look at, make or move the socket's file.
+    /// The socket's file can't be inspected, created or moved.
     #[error("control socket {}: {source}", path.display())]
     Io {
         /// The socket's path.
         path: PathBuf,
-        /// What the system reported.
+        /// The error that the system reported.
         source: std::io::Error,
     },
 }
 
-/// What queries are answered from; an absent part is off in the operator file.
+/// The state from which queries are answered. A part that the operator file does not enable is `None`.
 #[derive(Clone, Default)]
 pub struct Sources {
-    /// The view of the fleet, and the quotas on top of it.
+    /// The view of the fleet, with its quotas and counters.
     pub fleet: Option<Rc<Fleet>>,
     /// The backends.
     pub backends: Option<Rc<Backends>>,
@@ -75,7 +75,7 @@
 pub struct SocketFile(PathBuf);
 
 impl SocketFile {
-    /// Takes over the file that [`listen`] made at `path`.
+    /// Takes ownership of the file that [`listen`] created at `path`.
     pub fn new(path: PathBuf) -> SocketFile {
         SocketFile(path)
     }
@@ -87,17 +87,18 @@
     }
 }
 
-/// Listens on `path`, for the file's owner alone. The file of a former incarnation is replaced.
+/// Listens on `path` with a socket that only the file's owner can use. The file of an earlier incarnation is replaced.
 ///
 /// # Errors
-/// Where another process listens on `path`, where its file is not a socket, and where the system refuses.
+/// Fails if another process listens on `path`, if the file there is not a socket, or if the system reports an error.
 pub fn listen(path: &Path) -> Result<UnixListener, ControlSocketError> {
     check_replaceable(path)?;
-    // Made beside the path and moved there, so that the socket is never open to others.
-    let fresh = path.with_extension(format!("{}", std::process::id()));
-    let _ = std::fs::remove_file(&fresh);
-    bind_private(&fresh, path).map_err(|source| {
-        let _ = std::fs::remove_file(&fresh);
+    // The socket is created under another name and moved to `path` once its mode is set, so that it is never open to
+    // other users at `path`.
+    let temporary = path.with_extension(format!("{}", std::process::id()));
+    let _ = std::fs::remove_file(&temporary);
+    bind_private(&temporary, path).map_err(|source| {
+        let _ = std::fs::remove_file(&temporary);
         io_error(path, source)
     })
 }
@@ -116,10 +117,10 @@
     }
 }
 
-fn bind_private(fresh: &Path, path: &Path) -> std::io::Result<UnixListener> {
-    let listener = UnixListener::bind(fresh)?;
-    std::fs::set_permissions(fresh, std::fs::Permissions::from_mode(0o600))?;
-    std::fs::rename(fresh, path)?;
+fn bind_private(temporary: &Path, path: &Path) -> std::io::Result<UnixListener> {
+    let listener = UnixListener::bind(temporary)?;
+    std::fs::set_permissions(temporary, std::fs::Permissions::from_mode(0o600))?;
+    std::fs::rename(temporary, path)?;
     Ok(listener)
 }
 
@@ -128,7 +129,7 @@
     ControlSocketError::Io { path, source }
 }
 
-/// Accepts connections until the process ends, and serves each in a task of its own.
+/// Accepts connections until the process ends and serves each in a task of its own.
 pub async fn run(listener: UnixListener, sources: Sources) {
     let clients = Arc::new(Semaphore::new(MAX_CLIENTS));
     loop {
@@ -153,7 +154,7 @@
     }
 }
 
-/// Answers the queries of one client until it closes, waits too long or sends a line that is too long.
+/// Answers the queries of one client until it closes the connection, times out or sends a line that is too long.
 async fn serve(stream: UnixStream, sources: &Sources) -> std::io::Result<()> {
     let (reader, mut writer) = stream.into_split();
     let mut reader = BufReader::new(reader);
@@ -179,7 +180,7 @@
     }
 }
 
-/// All lines of the answer to one query.
+/// Returns all lines of the answer to one query.
 fn answer(line: &[u8], sources: &Sources) -> String {
     let Ok(query) = serde_json::from_slice::<Query>(line) else {
         return error_answer("a question is a line as {\"ask\":\"members\"}");
@@ -197,29 +198,32 @@
     found.unwrap_or_else(|| error_answer(&format!("no {section} in the operator file")))
 }
 
-/// An answer without records, whose head says why the query is rejected.
+/// Returns an answer without records whose head says why the query is rejected.
 fn error_answer(reason: &str) -> String {
     let reason = reason.to_string();
-    compose(&ErrorLine { reason }, std::iter::empty::<ErrorLine>())
+    format_answer(&ErrorLine { reason }, std::iter::empty::<ErrorLine>())
 }
 
-/// An answer of a head, records and the end line.
-fn compose(head: &impl Serialize, records: impl IntoIterator<Item = impl Serialize>) -> String {
+/// Returns an answer that consists of a head, records and the end line.
+fn format_answer(
+    head: &impl Serialize,
+    records: impl IntoIterator<Item = impl Serialize>,
+) -> String {
     let mut text = String::new();
     push_line(&mut text, head);
     for record in records {
         push_line(&mut text, &record);
     }
-    text + END + "\n"
+    text + END_LINE + "\n"
 }
 
-/// Adds one line of JSON.
+/// Appends one line of JSON.
 fn push_line(text: &mut String, record: &impl Serialize) {
     *text += &serde_json::to_string(record).unwrap_or_default();
     text.push('\n');
 }
 
-/// The view of the membership.
+/// Returns the answer about the members of the fleet.
 fn members_answer(fleet: &Fleet) -> String {
     let view = fleet.stack().borrow().membership().view();
     let connectivity = &view.connectivity;
@@ -232,7 +236,7 @@
         last_received_ms: view.last_received_ms,
         digest: format!("{:016x}", view.digest),
     };
-    compose(&head, view.members.iter().map(member_record))
+    format_answer(&head, view.members.iter().map(member_record))
 }
 
 fn member_record(member: &MemberView) -> MemberRecord {
@@ -248,11 +252,11 @@
     }
 }
 
-/// The backends, with what outlier detection knows of them.
+/// Returns the answer about the backends, with the figures of outlier detection.
 fn backends_answer(backends: &Backends) -> String {
     let manager = backends.manager().borrow();
     let statuses = manager.backend_statuses(backends.now());
-    compose(
+    format_answer(
         &BackendsHead { backends: true },
         statuses.into_iter().map(backend_record),
     )
@@ -276,12 +280,12 @@
     }
 }
 
-/// Quotas and counters; nothing where the fleet shares none.
+/// Returns the answer about quotas and counters, or `None` if the fleet shares none.
 fn quotas_answer(fleet: &Fleet) -> Option<String> {
     let now = fleet.now();
     let stack = fleet.stack().borrow();
     let quotas = stack.quotas()?;
-    let head = SharedHead {
+    let head = QuotasHead {
         name: stack.membership().local_identity().name.to_string(),
     };
     let budgets = quotas.budget_views(now).into_iter().map(quota_record);
@@ -290,12 +294,12 @@
     let counts = CounterId::first(counters.len())
         .zip(counters)
         .flat_map(|(id, counter)| count_records(now, id, counter, names));
-    Some(compose(&head, budgets.chain(counts)))
+    Some(format_answer(&head, budgets.chain(counts)))
 }
 
-fn quota_record(budget: BudgetView) -> SharedRecord {
+fn quota_record(budget: BudgetView) -> QuotasRecord {
     let in_ms = |duration: Duration| duration.as_micros() / 1_000;
-    SharedRecord::Quota(QuotaRecord {
+    QuotasRecord::Quota(QuotaRecord {
         name: budget.name.to_string(),
         capacity: budget.capacity,
         base_quota: budget.base_quota,
@@ -309,18 +313,18 @@
     })
 }
 
-/// The keys of one counter that are most counted on this server.
+/// Returns the records of the keys of one counter that have the largest counts on this server.
 fn count_records(
     now: Timestamp,
     id: CounterId,
     counter: &ReplicatedCounter,
     names: &CounterNames,
-) -> Vec<SharedRecord> {
+) -> Vec<QuotasRecord> {
     let heaviest = counter.heaviest_keys(MAX_REPORTED_KEYS);
     let keys = names.keys(id).filter(|k| heaviest.contains(&k.hash));
     let record = |key: CounterKey<'_>| {
         let estimate = counter.estimate(now, key.hash, key.fair_rate);
-        SharedRecord::Count(CountRecord {
+        QuotasRecord::Count(CountRecord {
             name: counter.settings().name.to_string(),
             key: key.name.to_string(),
             estimate: estimate.value,
--- a/crates/server/src/reload.rs
+++ b/crates/server/src/reload.rs
@@ -1,5 +1,5 @@
-//! Reload on SIGHUP: reads the configuration and the operator file again, and applies what can change in a running
-//! server. A file that is wrong changes nothing, and what only a restart can apply is logged.
+//! Reload on SIGHUP: reads the configuration and the operator file again, and applies the changes that a running
+//! server can apply. An invalid file changes nothing. Changes that require a restart are logged.
 
 use crate::operator_plan::{self, OperatorPlan};
 use crate::server::Server;
@@ -13,26 +13,26 @@
     }
 }
 
-/// Moves to the addresses of the configuration, and takes its time for a shutdown.
+/// Applies the addresses and the shutdown timeout of the configuration.
 fn reload_config(server: &Server) {
-    let fresh = match config::load() {
-        Ok(fresh) => fresh,
+    let reloaded = match config::load() {
+        Ok(reloaded) => reloaded,
         Err(error) => return log::warn!("reload: refused, error={error}"),
     };
-    for member in server.config().restart_only_differences(&fresh) {
+    for member in server.config().restart_only_differences(&reloaded) {
         log::warn!("reload: restart required, changed={member}");
     }
-    server.reloadable().update(&fresh);
-    let catalogue = fresh.catalogue.map(|address| address.to_string());
+    server.reloadable().update(&reloaded);
+    let catalogue = reloaded.catalogue.map(|address| address.to_string());
     log::info!(
         "reload: applied, engine={}, registry={}, catalogue={}",
-        fresh.engine,
-        fresh.registry,
+        reloaded.engine,
+        reloaded.registry,
         catalogue.as_deref().unwrap_or("none")
     );
 }
 
-/// Applies the sizes and weights of quotas, and the backends, of the operator file.
+/// Applies the sizes and weights of the quotas, and the backends, from the operator file.
 fn reload_operator_file(server: &Server) {
     let read = operator_plan::read(server.operator_file()).and_then(|operator| {
         let plan = OperatorPlan::new(&operator, server.config())?;
@@ -47,8 +47,8 @@
                 .for_each(|l| log::warn!("reload: operator file refused, error={l}"));
         }
     };
-    if let (Some(fleet), Some(sharing)) = (server.fleet(), plan.sharing) {
-        fleet.reload(&sharing.settings.budgets);
+    if let (Some(fleet), Some(quota)) = (server.fleet(), plan.quota) {
+        fleet.reload(&quota.settings.budgets);
     }
     if let (Some(backends), Some(routing)) = (server.backends(), plan.routing) {
         backends.reload(routing);
