--- a/crates/upstream/src/backend.rs
+++ b/crates/upstream/src/backend.rs
@@ -27,22 +27,22 @@
 /// Bound on the ejections that count, so that doubling cannot overflow.
 const MAX_COUNTED_EJECTIONS: u32 = 16;
 /// One ejection is forgotten for each such time without another.
-const EJECTION_FORGIVENESS: Duration = Duration::from_millis(30_000);
+const EJECTION_COUNT_DECAY_INTERVAL: Duration = Duration::from_millis(30_000);
 /// Successful probes in a row that end the ejection.
 const PROBES_TO_RETURN: u32 = 2;
 /// Time from the end of a probe until the next one may be sent.
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 /// Attempts in flight that are followed at one backend; a server runs fewer calls.
-const MAX_FOLLOWED_ATTEMPTS: usize = 100_000;
+const MAX_TRACKED_ATTEMPTS: usize = 100_000;
 
 /// What the end of an attempt changed.
-pub(crate) enum Recorded {
+pub(crate) enum RecordEffect {
     /// The attempt shows nothing of the present state.
     Ignored,
     /// The outcome was counted.
     Counted,
     /// A probe ended, perhaps with a change of state.
-    Probed(Option<BackendEvent>),
+    ProbeEnded(Option<BackendEvent>),
 }
 
 /// A backend.
@@ -57,7 +57,7 @@
     /// Ejections that are not forgotten.
     ejections: u32,
     /// Random number drawn at the last ejection: the backend's place in a staggered return.
-    return_position: f64,
+    return_jitter: f64,
     successful_probes: u32,
     history: CallHistory,
     /// When each attempt in flight was made, by its id.
@@ -79,7 +79,7 @@
             state_since: now,
             next_transition: now,
             ejections: 0,
-            return_position: 0.0,
+            return_jitter: 0.0,
             successful_probes: 0,
             history: CallHistory::default(),
             in_flight: BTreeMap::new(),
@@ -129,7 +129,7 @@
 
     /// Follows an attempt that is made now.
     pub(crate) fn begin_attempt(&mut self, now: Timestamp, id: u64) {
-        if self.in_flight.len() < MAX_FOLLOWED_ATTEMPTS {
+        if self.in_flight.len() < MAX_TRACKED_ATTEMPTS {
             self.in_flight.insert(id, now);
         }
     }
@@ -148,18 +148,18 @@
         outcome: AttemptOutcome,
         slow: bool,
         random: impl FnOnce() -> f64,
-    ) -> Recorded {
+    ) -> RecordEffect {
         // What began before the ejection shows nothing of the present.
         let is_outdated = self.state == BackendState::Probing && started_at < self.state_since;
         if self.state == BackendState::Ejected || is_outdated {
-            return Recorded::Ignored;
+            return RecordEffect::Ignored;
         }
         self.history.record(now, outcome, now - started_at, slow);
         if self.state != BackendState::Probing {
-            return Recorded::Counted;
+            return RecordEffect::Counted;
         }
         self.record_probe(now, outcome, slow, random());
-        Recorded::Probed(self.state_change_from(BackendState::Probing))
+        RecordEffect::ProbeEnded(self.state_change_from(BackendState::Probing))
     }
 
     fn record_probe(&mut self, now: Timestamp, outcome: AttemptOutcome, slow: bool, random: f64) {
@@ -210,7 +210,9 @@
             BackendState::SlowStart if elapsed >= slow_start::SLOW_START_WINDOW => {
                 self.enter(BackendState::Active, now);
             }
-            BackendState::Active if self.ejections > 0 && elapsed >= EJECTION_FORGIVENESS => {
+            BackendState::Active
+                if self.ejections > 0 && elapsed >= EJECTION_COUNT_DECAY_INTERVAL =>
+            {
                 self.ejections -= 1;
                 self.state_since = now;
             }
@@ -225,7 +227,7 @@
         let factor = f64::from(1u32 << (self.ejections - 1));
         let time = BASE_EJECTION_TIME.mul_f64(factor).min(MAX_EJECTION_TIME);
         self.enter(BackendState::Ejected, now);
-        self.return_position = random;
+        self.return_jitter = random;
         self.next_transition = now + jitter::spread(time, random);
         self.successful_probes = 0;
     }
@@ -253,7 +255,7 @@
             .seen_healthy_at
             .filter(|at| *at > self.state_since);
         if let (BackendState::Ejected, Some(at)) = (self.state, seen_healthy) {
-            let probe_at = at + return_spread.mul_f64(self.return_position);
+            let probe_at = at + return_spread.mul_f64(self.return_jitter);
             self.next_transition = self.next_transition.min(probe_at);
         }
     }
@@ -270,7 +272,7 @@
         let overdue = self
             .in_flight
             .values()
-            .take_while(|began| now - **began > limit)
+            .take_while(|started_at| now - **started_at > limit)
             .count();
         let slowdown =
             outlier::slowdown(self.history.latency_seconds(now), typical_latency_seconds);
--- a/crates/upstream/src/backend_group.rs
+++ b/crates/upstream/src/backend_group.rs
@@ -25,7 +25,7 @@
 /// The fraction of its weight that a fully suspected backend keeps while it cannot be ejected.
 const SUSPECTED_WEIGHT_FRACTION: f64 = 0.1;
 /// Failures under which all backends of a group count as faultless.
-const FAULTLESS_FAILURES: f64 = 0.05;
+const MIN_FAILURES_TO_REDUCE_WEIGHT: f64 = 0.05;
 /// Latency assumed where no call of the group succeeded.
 const DEFAULT_LATENCY_SECONDS: f64 = 0.02;
 /// A backend that others saw healthy is probed within a time that grows by this with each peer, so that servers that
@@ -223,13 +223,13 @@
         settings: &Settings,
         assessed: &[Assessment],
     ) {
-        let trust = trust_by_backend(table.slots(), assessed);
+        let weight_fractions = weight_fraction_by_backend(table.slots(), assessed);
         let candidate = |id: &BackendId| {
             let backend = &table[*id];
             let weight = if self.panic {
                 backend.settings().weight
             } else {
-                backend.weight(now) * trust[id.index()]
+                backend.weight(now) * weight_fractions[id.index()]
             };
             Candidate {
                 backend: *id,
@@ -312,18 +312,18 @@
 }
 
 /// The fraction of its weight that each backend keeps, by index: less where this server's own results speak against it.
-fn trust_by_backend(backends: usize, assessed: &[Assessment]) -> Vec<f64> {
-    let mut trust = vec![1.0; backends];
+fn weight_fraction_by_backend(backends: usize, assessed: &[Assessment]) -> Vec<f64> {
+    let mut weight_fractions = vec![1.0; backends];
     if assessed
         .iter()
-        .any(|assessment| assessment.evidence.failures >= FAULTLESS_FAILURES)
+        .any(|assessment| assessment.evidence.failures >= MIN_FAILURES_TO_REDUCE_WEIGHT)
     {
         for Assessment { backend, evidence } in assessed {
             let suspicion = evidence.own_suspicion();
-            trust[backend.index()] = 1.0 - (1.0 - SUSPECTED_WEIGHT_FRACTION) * suspicion;
+            weight_fractions[backend.index()] = 1.0 - (1.0 - SUSPECTED_WEIGHT_FRACTION) * suspicion;
         }
     }
-    trust
+    weight_fractions
 }
 
 /// Whether a backend stands in this server's zone; all do where the server has none.
--- a/crates/upstream/src/gossip.rs
+++ b/crates/upstream/src/gossip.rs
@@ -22,7 +22,7 @@
 /// Mean time between two rounds; each is spread at random.
 const ROUND_INTERVAL: Duration = Duration::from_millis(250);
 /// Peers that get a payload in a round.
-const MAX_RECIPIENTS: usize = 8;
+const GOSSIP_FANOUT: usize = 8;
 /// The next round follows a failed call within this time, as far as the minimum interval allows.
 const DELAY_AFTER_FAILURE: Duration = Duration::from_millis(20);
 /// Least time between two rounds.
@@ -40,7 +40,7 @@
 /// A peer that finds more than this fraction of its backends faulty is not credible.
 const MAX_CREDIBLE_FRACTION: f64 = 0.5;
 /// Backends that a peer must have seen before it can be found not credible.
-const MIN_BACKENDS_TO_DOUBT_PEER: u16 = 3;
+const MIN_BACKENDS_FOR_CREDIBILITY_CHECK: u16 = 3;
 
 /// Why a payload was rejected.
 #[derive(Debug, thiserror::Error)]
@@ -284,15 +284,15 @@
 
     /// Addresses a payload to a few active peers, drawn anew each time. Returns how many these are.
     pub(crate) fn send(&mut self, payload: &[u8], rng: &mut Rand64) -> usize {
-        let recipients = MAX_RECIPIENTS.min(self.active_peers.len());
-        for next in 0..recipients {
+        let fanout = GOSSIP_FANOUT.min(self.active_peers.len());
+        for next in 0..fanout {
             let remaining = (self.active_peers.len() - next) as u64;
             let drawn = next + rng.rand_range(0..remaining) as usize;
             self.active_peers.swap(next, drawn);
             self.outgoing
                 .push((self.active_peers[next].clone(), payload.to_vec()));
         }
-        recipients
+        fanout
     }
 
     /// Takes the payloads to send, each with the name of its recipient.
@@ -316,9 +316,9 @@
 fn is_credible(message: &GossipMessage) -> bool {
     let failing = f64::from(message.backends_failing);
     let seen = f64::from(message.backends_seen);
-    let blames_majority = message.backends_seen >= MIN_BACKENDS_TO_DOUBT_PEER
+    let finds_majority_failing = message.backends_seen >= MIN_BACKENDS_FOR_CREDIBILITY_CHECK
         && failing > MAX_CREDIBLE_FRACTION * seen;
-    !blames_majority && !message.stalled
+    !finds_majority_failing && !message.stalled
 }
 
 fn reported_attempts(message: &GossipMessage) -> AttemptCounts {
--- a/crates/upstream/src/gossip/reports/tests.rs
+++ b/crates/upstream/src/gossip/reports/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 
 /// One report of a witness on the backend with the hash 1.
-struct Sent {
+struct SentReport {
     from: String,
     zone: &'static str,
     successes: f64,
     failures: f64,
 }
 
-fn sent(from: &str, zone: &'static str, successes: f64, failures: f64) -> Sent {
-    Sent {
+fn report_from(from: &str, zone: &'static str, successes: f64, failures: f64) -> SentReport {
+    SentReport {
         from: from.to_owned(),
         zone,
         successes,
@@ -21,7 +21,7 @@
     Timestamp::from_micros(10_000_000 + ms * 1_000)
 }
 
-fn record(reports: &mut ReceivedReports, now: Timestamp, sent: &Sent) {
+fn record(reports: &mut ReceivedReports, now: Timestamp, sent: &SentReport) {
     let (name, zone) = (sent.from.as_str().into(), sent.zone.into());
     let witness = Witness {
         name: &name,
@@ -38,7 +38,7 @@
     reports.record(now, witness, seen);
 }
 
-fn received(sent: &[Sent]) -> ReceivedReports {
+fn received(sent: &[SentReport]) -> ReceivedReports {
     let mut reports = ReceivedReports::default();
     for sent in sent {
         record(&mut reports, at(0), sent);
@@ -48,26 +48,26 @@
 
 #[test]
 fn many_witnesses_of_one_zone_weigh_little_more_than_one() {
-    let one = received(&[sent("a", "north", 0.0, 5.0)]).summary(at(0), 1);
-    let crowd: Vec<Sent> = (0..30)
-        .map(|n| sent(&format!("n{n}"), "north", 0.0, 5.0))
+    let one = received(&[report_from("a", "north", 0.0, 5.0)]).summary(at(0), 1);
+    let many: Vec<SentReport> = (0..30)
+        .map(|n| report_from(&format!("n{n}"), "north", 0.0, 5.0))
         .collect();
-    let crowd = received(&crowd).summary(at(0), 1);
+    let many = received(&many).summary(at(0), 1);
     assert!(one.failures < 1.0, "{one:?}");
     assert!(
-        crowd.failures <= MAX_ZONE_FAILURES && crowd.zones_against == 1,
-        "{crowd:?}"
+        many.failures <= MAX_ZONE_FAILURES && many.zones_against == 1,
+        "{many:?}"
     );
 }
 
 #[test]
 fn a_second_zone_adds_weight() {
-    let one = received(&[sent("a", "north", 0.0, 5.0)]).summary(at(0), 1);
+    let one = received(&[report_from("a", "north", 0.0, 5.0)]).summary(at(0), 1);
     let two = received(&[
-        sent("a", "north", 0.0, 5.0),
-        sent("b", "north", 0.0, 5.0),
-        sent("c", "south", 0.0, 5.0),
-        sent("d", "south", 0.0, 5.0),
+        report_from("a", "north", 0.0, 5.0),
+        report_from("b", "north", 0.0, 5.0),
+        report_from("c", "south", 0.0, 5.0),
+        report_from("d", "south", 0.0, 5.0),
     ]);
     let two = two.summary(at(0), 1);
     assert!(
@@ -79,9 +79,9 @@
 #[test]
 fn successes_in_a_zone_outweigh_its_failures() {
     let split = received(&[
-        sent("a", "north", 0.0, 5.0),
-        sent("b", "north", 5.0, 0.0),
-        sent("c", "north", 9.0, 0.0),
+        report_from("a", "north", 0.0, 5.0),
+        report_from("b", "north", 5.0, 0.0),
+        report_from("c", "north", 9.0, 0.0),
     ]);
     let split = split.summary(at(0), 1);
     assert!(
@@ -93,14 +93,14 @@
 
 #[test]
 fn reports_lose_their_weight_with_age() {
-    let reports = received(&[sent("a", "north", 0.0, 5.0)]);
+    let reports = received(&[report_from("a", "north", 0.0, 5.0)]);
     assert!(reports.summary(at(2_500), 1).failures < reports.summary(at(0), 1).failures);
     assert_eq!(reports.summary(at(5_000), 1), ReportSummary::default());
 }
 
 #[test]
-fn reports_of_former_incarnations_are_dropped() {
-    let mut reports = received(&[sent("a", "north", 0.0, 5.0)]);
+fn reports_of_previous_incarnations_are_dropped() {
+    let mut reports = received(&[report_from("a", "north", 0.0, 5.0)]);
     reports.retain_incarnation(&"a".into(), Some(1));
     assert_eq!(reports.len(), 1, "the incarnation goes on");
     reports.retain_incarnation(&"a".into(), Some(2));
@@ -111,7 +111,11 @@
 fn stored_reports_are_bounded_and_expire() {
     let mut reports = ReceivedReports::default();
     for n in 0..500 {
-        record(&mut reports, at(n), &sent(&format!("n{n}"), "z", 0.0, 1.0));
+        record(
+            &mut reports,
+            at(n),
+            &report_from(&format!("n{n}"), "z", 0.0, 1.0),
+        );
     }
     assert_eq!(reports.len(), MAX_WITNESSES);
     reports.prune(at(10_000), |_| true);
--- a/crates/upstream/src/hedge/delay_estimator.rs
+++ b/crates/upstream/src/hedge/delay_estimator.rs
@@ -27,7 +27,7 @@
 pub(crate) struct HedgeDelayEstimator {
     current: Histogram<u64>,
     previous: Histogram<u64>,
-    window_began: Timestamp,
+    window_started_at: Timestamp,
     evaluated_at: Timestamp,
     delay: Option<Duration>,
 }
@@ -42,7 +42,7 @@
         HedgeDelayEstimator {
             current: histogram(),
             previous: histogram(),
-            window_began: now,
+            window_started_at: now,
             evaluated_at: now,
             delay: None,
         }
@@ -57,8 +57,8 @@
 
     /// How long after its start a call in flight is worth a hedge; nothing where too few latencies are known.
     pub(crate) fn delay(&mut self, now: Timestamp) -> Option<Duration> {
-        if now - self.window_began >= LATENCY_WINDOW {
-            self.window_began = now;
+        if now - self.window_started_at >= LATENCY_WINDOW {
+            self.window_started_at = now;
             std::mem::swap(&mut self.current, &mut self.previous);
             self.current.reset();
         }
--- a/crates/upstream/src/hedge/delay_estimator/tests.rs
+++ b/crates/upstream/src/hedge/delay_estimator/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn hedge_waits_for_a_high_percentile_of_enough_latencies() {
+fn hedge_delay_is_a_high_percentile_of_enough_latencies() {
     let mut estimator = HedgeDelayEstimator::new(at(0));
     (0..29).for_each(|_| estimator.record(Duration::from_millis(20)));
     estimator.evaluate();
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -26,9 +26,9 @@
 //!     weight: 1.0,
 //!     handlers: vec![HandlerId::new(0)],
 //! };
-//! let set = Settings { zone: "north".into(), ..Settings::default() };
+//! let settings = Settings { zone: "north".into(), ..Settings::default() };
 //! let at = |ms: u64| Timestamp::from_micros(1_000_000 + ms * 1_000);
-//! let mut upstream = UpstreamManager::new(at(0), 7, set, (1..=4).map(backend).collect());
+//! let mut upstream = UpstreamManager::new(at(0), 7, settings, (1..=4).map(backend).collect());
 //! // One of four fails all its calls: it is ejected, and the others get them.
 //! for step in 0..200 {
 //!     let now = at(step * 10);
--- a/crates/upstream/src/manager.rs
+++ b/crates/upstream/src/manager.rs
@@ -79,7 +79,7 @@
 
     /// When [`handle_timeout`](Self::handle_timeout) is due next.
     pub fn next_timeout(&self) -> Timestamp {
-        if self.gossips() {
+        if self.has_gossip_peers() {
             self.next_evaluation.min(self.gossip.next_round())
         } else {
             self.next_evaluation
@@ -93,14 +93,14 @@
         }
         if now >= self.gossip.next_round() {
             self.gossip.begin_round(now, self.rng.rand_float());
-            if self.gossips() {
+            if self.has_gossip_peers() {
                 self.send_gossip(now);
             }
         }
     }
 
     /// Whether there is anybody to gossip with.
-    fn gossips(&self) -> bool {
+    fn has_gossip_peers(&self) -> bool {
         self.settings.gossip && self.gossip.active_peers() > 0
     }
 
@@ -141,9 +141,9 @@
         let observations = self.registry.observations(now);
         let attempts = self.registry.recent_attempts(now);
         if let Some(payload) = self.gossip.payload(&observations, attempts) {
-            let recipients = self.gossip.send(&payload, &mut self.rng);
-            self.totals.datagrams_sent += recipients as u64;
-            self.totals.bytes_sent += (recipients * payload.len()) as u64;
+            let sent = self.gossip.send(&payload, &mut self.rng);
+            self.totals.datagrams_sent += sent as u64;
+            self.totals.bytes_sent += (sent * payload.len()) as u64;
         }
     }
 
--- a/crates/upstream/src/manager/attempts.rs
+++ b/crates/upstream/src/manager/attempts.rs
@@ -9,7 +9,7 @@
 use crate::backend_id::BackendId;
 use crate::hedge;
 use crate::hedge::policy::{HedgeCandidate, HedgePolicy, HedgeRefusal};
-use crate::registry::Finished;
+use crate::registry::FinishEffect;
 use crate::retry::policy::{FailedCall, RetryPolicy, RetryRefusal, RetryTarget};
 use madderbay::interface::HandlerId;
 use madderbay::time::{Duration, Timestamp};
@@ -31,18 +31,18 @@
         Some(self.begin_attempt(now, handler, backend))
     }
 
-    /// Retries a call at once, at another backend than its former attempt. The retry budget is spent last.
+    /// Retries a call at once, at another backend than its previous attempt. The retry budget is spent last.
     ///
     /// # Errors
     /// Why there is no retry; then no attempt begins and nothing is spent.
     pub fn retry(
         &mut self,
         now: Timestamp,
-        former: &UpstreamAttempt,
+        previous: &UpstreamAttempt,
         call: FailedCall,
     ) -> Result<UpstreamAttempt, RetryRefusal> {
-        self.retry_policy(former).check(call)?;
-        self.begin_further_attempt(now, former, RetryTarget::OtherBackend)
+        self.retry_policy(previous).check(call)?;
+        self.begin_further_attempt(now, previous, RetryTarget::OtherBackend)
     }
 
     /// Retries a call after a backoff, at another backend if there is one in selection. Whoever waited for the backoff
@@ -53,9 +53,9 @@
     pub fn retry_after_backoff(
         &mut self,
         now: Timestamp,
-        former: &UpstreamAttempt,
+        previous: &UpstreamAttempt,
     ) -> Result<UpstreamAttempt, RetryRefusal> {
-        self.begin_further_attempt(now, former, RetryTarget::AnyBackend)
+        self.begin_further_attempt(now, previous, RetryTarget::AnyBackend)
     }
 
     /// The time from the first attempt of a call until its hedge is due.
@@ -100,12 +100,12 @@
             .registry
             .finish_attempt(now, attempt, outcome, &mut self.rng)
         {
-            Finished::Nothing => {}
-            Finished::Probe(event) => {
+            FinishEffect::None => {}
+            FinishEffect::ProbeEnded(event) => {
                 self.record_events(event);
                 self.bring_evaluation_forward(now);
             }
-            Finished::Failure => {
+            FinishEffect::AttemptFailed => {
                 self.bring_evaluation_forward(now);
                 self.gossip.bring_round_forward(now);
             }
@@ -116,17 +116,17 @@
     fn begin_further_attempt(
         &mut self,
         now: Timestamp,
-        former: &UpstreamAttempt,
+        previous: &UpstreamAttempt,
         target: RetryTarget,
     ) -> Result<UpstreamAttempt, RetryRefusal> {
-        let handler = former.handler;
+        let handler = previous.handler;
         let group = self.registry.group(handler);
         let group = group.ok_or(RetryRefusal::NoBackends)?;
         target.check_group(group.has_alternatives())?;
-        let avoid = Some(former.backend);
+        let avoid = Some(previous.backend);
         let picked = self.registry.pick(now, handler, avoid, &mut self.rng);
         let picked = picked.ok_or(RetryRefusal::NoBackends)?;
-        target.check_picked(former.backend, picked)?;
+        target.check_picked(previous.backend, picked)?;
         self.spend_retry(now, handler)?;
         Ok(self.begin_attempt(now, handler, picked))
     }
--- a/crates/upstream/src/registry.rs
+++ b/crates/upstream/src/registry.rs
@@ -4,7 +4,7 @@
 //! knows neither the fleet nor the schedule.
 
 use crate::attempt::{AttemptOutcome, UpstreamAttempt};
-use crate::backend::{Backend, Recorded};
+use crate::backend::{Backend, RecordEffect};
 use crate::backend_group::{BackendGroup, EvaluationContext};
 use crate::backend_id::BackendId;
 use crate::backend_state::BackendState;
@@ -27,13 +27,13 @@
 }
 
 /// What follows from the end of an attempt.
-pub(crate) enum Finished {
+pub(crate) enum FinishEffect {
     /// Nothing.
-    Nothing,
+    None,
     /// A probe ended, perhaps with a change of state: an evaluation should follow soon.
-    Probe(Option<BackendEvent>),
+    ProbeEnded(Option<BackendEvent>),
     /// The attempt failed: an evaluation and a round of gossip should follow soon.
-    Failure,
+    AttemptFailed,
 }
 
 /// All backends of one server.
@@ -116,11 +116,13 @@
 
     /// Sets the groups in the order of the list. A group with the same handlers as before is that group.
     fn regroup(&mut self, now: Timestamp, groups: Vec<GroupMembers>, retry_ratio: f64) {
-        let mut former = std::mem::take(&mut self.groups);
+        let mut previous = std::mem::take(&mut self.groups);
         for GroupMembers { handlers, backends } in groups {
-            let same = former.iter().position(|group| group.handlers() == handlers);
+            let same = previous
+                .iter()
+                .position(|group| group.handlers() == handlers);
             let mut group = match same {
-                Some(index) => former.swap_remove(index),
+                Some(index) => previous.swap_remove(index),
                 None => BackendGroup::new(now, handlers, retry_ratio),
             };
             group.set_backends(backends);
@@ -244,15 +246,15 @@
         attempt: &UpstreamAttempt,
         outcome: AttemptOutcome,
         rng: &mut Rand64,
-    ) -> Finished {
+    ) -> FinishEffect {
         let Some(backend) = self.backends.get_mut(attempt.backend) else {
-            return Finished::Nothing;
+            return FinishEffect::None;
         };
         if !backend.end_attempt(attempt.id) {
-            return Finished::Nothing;
+            return FinishEffect::None;
         }
         let Some(index) = self.group_by_handler.get(&attempt.handler) else {
-            return Finished::Nothing;
+            return FinishEffect::None;
         };
         let group = &mut self.groups[*index];
         let typical_latency_seconds = group.typical_latency_seconds();
@@ -263,9 +265,9 @@
         }
         let slow = outlier::is_slow_call(latency, typical_latency_seconds);
         match backend.record(now, attempt.started_at, outcome, slow, || rng.rand_float()) {
-            Recorded::Probed(event) => Finished::Probe(event),
-            Recorded::Counted if outcome.is_failure() => Finished::Failure,
-            Recorded::Counted | Recorded::Ignored => Finished::Nothing,
+            RecordEffect::ProbeEnded(event) => FinishEffect::ProbeEnded(event),
+            RecordEffect::Counted if outcome.is_failure() => FinishEffect::AttemptFailed,
+            RecordEffect::Counted | RecordEffect::Ignored => FinishEffect::None,
         }
     }
 
--- a/crates/upstream/src/retry/budget.rs
+++ b/crates/upstream/src/retry/budget.rs
@@ -7,13 +7,13 @@
 use madderbay::time::{Duration, Timestamp};
 
 /// Retries that can be saved up: when one backend of many crashes, a few calls in flight there want one each.
-const MAX_SAVED_RETRIES: f64 = 10.0;
+const MAX_TOKENS: f64 = 10.0;
 /// Attempts count as recent for about this long: the time constant of their decay.
 const RECENT_ATTEMPTS_DECAY: Duration = Duration::from_millis(10_000);
 /// Fraction of its allowed retries at which the fleet is crowded. Each server then earns half as many.
-const CROWDED_FLEET_FRACTION: f64 = 0.7;
+const FLEET_RETRY_LIMIT_FRACTION: f64 = 0.7;
 /// What a first attempt earns in a crowded fleet, as a fraction of what it earns otherwise.
-const CROWDED_FLEET_FACTOR: f64 = 0.5;
+const NEAR_LIMIT_EARNING_FACTOR: f64 = 0.5;
 
 /// Recent first attempts and retries; older ones count less.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -37,7 +37,7 @@
     /// Retries allowed for each first attempt.
     ratio: f64,
     /// Retries that may be made now.
-    saved: f64,
+    tokens: f64,
     recent: AttemptCounts,
     recent_at: Timestamp,
     /// Recent attempts of the fleet, this server's included; nothing where no peer reports any.
@@ -49,7 +49,7 @@
     pub(crate) fn new(now: Timestamp, ratio: f64) -> RetryBudget {
         RetryBudget {
             ratio,
-            saved: 0.0,
+            tokens: 0.0,
             recent: AttemptCounts::default(),
             recent_at: now,
             fleet: None,
@@ -70,21 +70,21 @@
     pub(crate) fn record_first_attempt(&mut self, now: Timestamp) {
         self.decay(now);
         self.recent.first_attempts += 1.0;
-        let earned = if self.fleet_is_crowded() {
-            self.ratio * CROWDED_FLEET_FACTOR
+        let earned = if self.fleet_is_near_retry_limit() {
+            self.ratio * NEAR_LIMIT_EARNING_FACTOR
         } else {
             self.ratio
         };
-        self.saved = (self.saved + earned).min(MAX_SAVED_RETRIES);
+        self.tokens = (self.tokens + earned).min(MAX_TOKENS);
     }
 
     /// Spends one retry. False where the budget does not allow it.
     pub(crate) fn try_spend(&mut self, now: Timestamp) -> bool {
-        if self.saved < 1.0 {
+        if self.tokens < 1.0 {
             return false;
         }
         self.decay(now);
-        self.saved -= 1.0;
+        self.tokens -= 1.0;
         self.recent.retries += 1.0;
         true
     }
@@ -95,17 +95,17 @@
         self.recent
     }
 
-    fn fleet_is_crowded(&self) -> bool {
+    fn fleet_is_near_retry_limit(&self) -> bool {
         self.fleet.is_some_and(|fleet| {
-            fleet.retries > CROWDED_FLEET_FRACTION * self.ratio * fleet.first_attempts
+            fleet.retries > FLEET_RETRY_LIMIT_FRACTION * self.ratio * fleet.first_attempts
         })
     }
 
     fn decay(&mut self, now: Timestamp) {
         let elapsed = now - self.recent_at;
-        let keeps = (-elapsed.as_secs_f64() / RECENT_ATTEMPTS_DECAY.as_secs_f64()).exp();
-        self.recent.first_attempts *= keeps;
-        self.recent.retries *= keeps;
+        let decay_factor = (-elapsed.as_secs_f64() / RECENT_ATTEMPTS_DECAY.as_secs_f64()).exp();
+        self.recent.first_attempts *= decay_factor;
+        self.recent.retries *= decay_factor;
         self.recent_at = self.recent_at.max(now);
     }
 }
--- a/crates/upstream/src/retry/budget/tests.rs
+++ b/crates/upstream/src/retry/budget/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn crowded_fleet_halves_the_ratio() {
+fn ratio_is_halved_while_the_fleet_is_near_its_retry_limit() {
     let mut budget = RetryBudget::new(at(0), 0.1);
     budget.set_fleet(Some(AttemptCounts {
         first_attempts: 1_000.0,
--- a/crates/upstream/src/retry/policy.rs
+++ b/crates/upstream/src/retry/policy.rs
@@ -21,16 +21,16 @@
 /// Why a call gets no further attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RetryRefusal {
-    /// The former attempt may have run, and the call may not run twice.
+    /// The previous attempt may have run, and the call may not run twice.
     #[error("the call may have run, and is not idempotent")]
     MayHaveRun,
     /// A call typically takes all the time that is left, or longer.
     #[error("not enough time is left")]
     NoTimeLeft,
-    /// The handler of the call has no backends; they may have been removed since the former attempt.
+    /// The handler of the call has no backends; they may have been removed since the previous attempt.
     #[error("the handler has no backends")]
     NoBackends,
-    /// The attempt has to go to another backend than the former one, and there is none in selection.
+    /// The attempt has to go to another backend than the previous one, and there is none in selection.
     #[error("there is no other backend")]
     NoOtherBackend,
     /// The retry budget of the group of backends is spent.
@@ -92,16 +92,16 @@
         Ok(())
     }
 
-    /// Whether the attempt may go to the picked backend. That is the former one where all others are out of selection.
+    /// Whether the attempt may go to the picked backend. That is the previous one where all others are out of selection.
     ///
     /// # Errors
     /// [`RetryRefusal::NoOtherBackend`].
     pub(crate) fn check_picked(
         self,
-        former: BackendId,
+        previous: BackendId,
         picked: BackendId,
     ) -> Result<(), RetryRefusal> {
-        if self == RetryTarget::OtherBackend && picked == former {
+        if self == RetryTarget::OtherBackend && picked == previous {
             return Err(RetryRefusal::NoOtherBackend);
         }
         Ok(())
--- a/crates/upstream/src/retry/policy/tests.rs
+++ b/crates/upstream/src/retry/policy/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn retries_any_call_that_surely_never_ran() {
+fn retries_any_call_that_certainly_never_ran() {
     for outcome in [
         AttemptOutcome::Rejected,
         AttemptOutcome::NotConnected,
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn needs_some_time_where_the_typical_latency_is_unknown() {
+fn requires_time_left_when_the_typical_latency_is_unknown() {
     let policy = RetryPolicy {
         typical_latency: Duration::ZERO,
     };
@@ -73,23 +73,23 @@
 }
 
 #[test]
-fn names_the_possible_execution_before_the_missing_time() {
+fn possible_execution_takes_precedence_over_missing_time() {
     let call = failed_call(AttemptOutcome::Failed, false, Duration::ZERO);
     assert_eq!(POLICY.check(call), Err(RetryRefusal::MayHaveRun));
 }
 
 #[test]
 fn only_a_retry_after_a_backoff_may_go_to_the_same_backend() {
-    let (former, other) = (BackendId::new(3), BackendId::new(4));
+    let (previous, other) = (BackendId::new(3), BackendId::new(4));
     let refused = Err(RetryRefusal::NoOtherBackend);
 
     let at_once = RetryTarget::OtherBackend;
     assert_eq!(at_once.check_group(true), Ok(()));
     assert_eq!(at_once.check_group(false), refused);
-    assert_eq!(at_once.check_picked(former, other), Ok(()));
-    assert_eq!(at_once.check_picked(former, former), refused);
+    assert_eq!(at_once.check_picked(previous, other), Ok(()));
+    assert_eq!(at_once.check_picked(previous, previous), refused);
 
     let after_backoff = RetryTarget::AnyBackend;
     assert_eq!(after_backoff.check_group(false), Ok(()));
-    assert_eq!(after_backoff.check_picked(former, former), Ok(()));
+    assert_eq!(after_backoff.check_picked(previous, previous), Ok(()));
 }
--- a/crates/upstream/tests/arbitrary_events.rs
+++ b/crates/upstream/tests/arbitrary_events.rs
@@ -132,11 +132,11 @@
     }
 
     fn retry(&mut self, n: usize) -> Result<(), TestCaseError> {
-        let former = self.in_flight[n % self.in_flight.len()].clone();
-        let further = FURTHER_ATTEMPTS[n % FURTHER_ATTEMPTS.len()];
-        if let Some(attempt) = self.begin_further_attempt(&former, further) {
-            let goes_elsewhere = attempt.backend != former.backend;
-            prop_assert!(goes_elsewhere || further == FurtherAttempt::RetryAfterBackoff);
+        let previous = self.in_flight[n % self.in_flight.len()].clone();
+        let kind = FURTHER_ATTEMPTS[n % FURTHER_ATTEMPTS.len()];
+        if let Some(attempt) = self.begin_further_attempt(&previous, kind) {
+            let goes_elsewhere = attempt.backend != previous.backend;
+            prop_assert!(goes_elsewhere || kind == FurtherAttempt::RetryAfterBackoff);
             self.in_flight.push(attempt);
         }
         Ok(())
@@ -144,22 +144,22 @@
 
     fn begin_further_attempt(
         &mut self,
-        former: &UpstreamAttempt,
-        further: FurtherAttempt,
+        previous: &UpstreamAttempt,
+        kind: FurtherAttempt,
     ) -> Option<UpstreamAttempt> {
         let upstream = &mut self.upstream;
-        match further {
+        match kind {
             FurtherAttempt::RetryAtOnce => {
                 let call = FailedCall {
                     outcome: AttemptOutcome::Rejected,
                     is_idempotent: true,
                     time_left: TIME_LEFT,
                 };
-                upstream.retry(self.now, former, call).ok()
+                upstream.retry(self.now, previous, call).ok()
             }
-            FurtherAttempt::Hedge => upstream.hedge(self.now, former, TIME_LEFT).ok(),
+            FurtherAttempt::Hedge => upstream.hedge(self.now, previous, TIME_LEFT).ok(),
             FurtherAttempt::RetryAfterBackoff => {
-                upstream.retry_after_backoff(self.now, former).ok()
+                upstream.retry_after_backoff(self.now, previous).ok()
             }
         }
     }
@@ -201,8 +201,9 @@
         let statuses = self.upstream.backend_statuses(self.now);
         for (handlers, backends) in self.upstream.groups() {
             let out_of_selection = statuses.iter().filter(|status| {
-                let is_out = matches!(status.state, BackendState::Ejected | BackendState::Probing);
-                is_out && handlers.contains(&handler_of(status))
+                let is_out_of_selection =
+                    matches!(status.state, BackendState::Ejected | BackendState::Probing);
+                is_out_of_selection && handlers.contains(&handler_of(status))
             });
             let some_are_left = out_of_selection.count() < backends;
             prop_assert!(backends < 2 || some_are_left, "all ejected: {statuses:?}");
@@ -215,7 +216,7 @@
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn keeps_its_bounds_whatever_the_order_of_events(
+    fn bounds_hold_for_any_order_of_events(
         steps in proptest::collection::vec(any_step(), 1..400)
     ) {
         let mut scenario = Scenario::new();
--- a/crates/upstream/tests/further_attempts.rs
+++ b/crates/upstream/tests/further_attempts.rs
@@ -88,18 +88,18 @@
 
     fn retry(
         &mut self,
-        former: &UpstreamAttempt,
+        previous: &UpstreamAttempt,
         call: FailedCall,
     ) -> Result<UpstreamAttempt, RetryRefusal> {
-        self.upstream.retry(self.now, former, call)
+        self.upstream.retry(self.now, previous, call)
     }
 
     fn hedge(
         &mut self,
         first: &UpstreamAttempt,
-        left: Duration,
+        time_left: Duration,
     ) -> Result<UpstreamAttempt, HedgeRefusal> {
-        self.upstream.hedge(self.now, first, left)
+        self.upstream.hedge(self.now, first, time_left)
     }
 
     fn hedge_delay(&mut self, call: HedgeCandidate) -> Result<Duration, HedgeRefusal> {
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn only_backend_is_called_again_after_a_backoff_alone() {
+fn single_backend_is_retried_only_after_a_backoff() {
     let mut scenario = Scenario::warmed_up(1, Settings::default());
     let first = scenario.pick();
     assert_eq!(
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn retries_end_with_the_budget() {
+fn retries_stop_when_the_budget_is_spent() {
     let (mut scenario, first) = Scenario::with_first_attempt();
     let mut allowed = 0;
     while scenario.retry(&first, REJECTED).is_ok() {
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn call_gets_no_hedge_for_reasons_of_its_own() {
+fn hedge_is_refused_for_each_disqualifying_property_of_the_call() {
     let mut scenario = Scenario::warmed_up(4, Settings::default());
     let under_quota = HedgeCandidate {
         is_under_quota: true,
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn operator_switches_hedges_off() {
+fn hedging_can_be_disabled_by_the_operator() {
     let settings = Settings {
         hedging: false,
         ..Settings::default()
--- a/crates/upstream/tests/gossip_compatibility.rs
+++ b/crates/upstream/tests/gossip_compatibility.rs
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn judges_by_old_payloads_unless_their_sender_is_stalled() {
+fn counts_reports_of_old_payloads_unless_their_sender_is_stalled() {
     let failures_after = |payload: &[u8]| {
         let mut upstream = manager(4);
         upstream.handle_datagram(at(1), &"n2".into(), payload);
--- a/crates/upstream/tests/simulated_fleet/main.rs
+++ b/crates/upstream/tests/simulated_fleet/main.rs
@@ -35,23 +35,23 @@
                 BackendFault::Silent => 1_500,
                 BackendFault::Failing | BackendFault::Down => 1_000,
             };
-            let left = fleet
+            let shifted_after = fleet
                 .simulation
                 .millis_until_traffic_below(FAULTY, 5_000, 0.04);
             assert!(
-                left.is_some_and(|millis| millis <= limit),
-                "{fault:?} seed {seed}: left after {left:?}"
+                shifted_after.is_some_and(|millis| millis <= limit),
+                "{fault:?} seed {seed}: traffic left after {shifted_after:?}"
             );
             let success = fleet.success_rate(5_000..15_000);
             assert!(success > 0.985, "{fault:?} seed {seed}: {success:.3}");
             fleet.set_fault(BackendFault::HEALTHY);
             fleet.run(30_000);
-            let returned = fleet
+            let returned_after = fleet
                 .simulation
                 .millis_until_traffic_reaches(FAULTY, 15_000, 0.06);
             assert!(
-                returned.is_some_and(|millis| millis < 20_000),
-                "{fault:?} seed {seed}: returned after {returned:?}"
+                returned_after.is_some_and(|millis| millis < 20_000),
+                "{fault:?} seed {seed}: returned after {returned_after:?}"
             );
         }
     }
@@ -59,7 +59,7 @@
 
 /// With less than one call a second at each backend, gossip finds a fault in time; each server alone takes far longer.
 #[test]
-fn gossip_finds_a_fault_with_few_calls() {
+fn gossip_detects_a_fault_at_low_call_rates() {
     for seed in SEEDS {
         let result = |routing| {
             let setup = BackendFleetSetup {
@@ -70,21 +70,23 @@
             let mut fleet = Fleet::stable(setup, seed);
             fleet.set_fault(BackendFault::Failing);
             fleet.run(5_000);
-            let left = fleet
+            let shifted_after = fleet
                 .simulation
                 .millis_until_traffic_below(FAULTY, 5_000, 0.03);
-            (left, fleet.traffic(FAULTY, 6_000..10_000))
+            (shifted_after, fleet.traffic(FAULTY, 6_000..10_000))
         };
-        let (left_with_gossip, traffic_with_gossip) = result(RoutingPolicy::ManagerWithGossip);
-        let (left_alone, traffic_alone) = result(RoutingPolicy::ManagerWithoutGossip);
+        let (shifted_with_gossip, traffic_with_gossip) = result(RoutingPolicy::ManagerWithGossip);
+        let (shifted_without_gossip, traffic_without_gossip) =
+            result(RoutingPolicy::ManagerWithoutGossip);
         assert!(
-            left_with_gossip.is_some_and(|millis| millis <= 2_000),
-            "seed {seed}: {left_with_gossip:?}"
+            shifted_with_gossip.is_some_and(|millis| millis <= 2_000),
+            "seed {seed}: {shifted_with_gossip:?}"
         );
         // Only probes are left.
         assert!(
-            traffic_with_gossip < traffic_alone && left_alone.is_none_or(|millis| millis > 2_000),
-            "seed {seed}: {traffic_with_gossip:.4}, {traffic_alone:.4}, {left_alone:?}"
+            traffic_with_gossip < traffic_without_gossip
+                && shifted_without_gossip.is_none_or(|millis| millis > 2_000),
+            "seed {seed}: {traffic_with_gossip:.4}, {traffic_without_gossip:.4}, {shifted_without_gossip:?}"
         );
     }
 }
@@ -125,7 +127,7 @@
 /// A server whose own link is broken finds all backends faulty, and another one sends false reports. Neither has any
 /// effect on the others.
 #[test]
-fn reports_of_isolated_or_lying_servers_eject_nothing() {
+fn isolated_servers_and_false_reports_cause_no_ejections() {
     for seed in SEEDS {
         let mut fleet = Fleet::standard(seed);
         let simulation = &mut fleet.simulation;
@@ -256,7 +258,7 @@
 
 /// A backend is repaired while the fleet is split into halves, or while no server receives any gossip.
 #[test]
-fn repaired_backend_is_found_without_gossip() {
+fn repaired_backend_returns_without_gossip() {
     for partition in [GossipPartition::Halves, GossipPartition::Isolated] {
         for seed in SEEDS {
             let mut fleet = Fleet::standard(seed);
