--- a/crates/upstream/benches/selection.rs
+++ b/crates/upstream/benches/selection.rs
@@ -1,4 +1,4 @@
-//! The cost of one selection, together with the end of its attempt, by the number of backends.
+//! Measures the cost of one selection, including the end of its attempt, by the number of backends.
 //!
 //!     cargo bench -p madderbay-upstream
 
--- a/crates/upstream/src/attempt.rs
+++ b/crates/upstream/src/attempt.rs
@@ -1,48 +1,49 @@
-//! One attempt of a call: where it went, and how it ended.
+//! An attempt of a call: which backend it was sent to, and how it ended.
 
 use crate::backend_id::BackendId;
 use madderbay::interface::HandlerId;
 use madderbay::time::Timestamp;
 use std::net::SocketAddr;
 
-/// One attempt that is in flight at a backend.
+/// An attempt of a call that is in flight at a backend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamAttempt {
-    /// The backend, in the table of the manager that began the attempt.
+    /// Index of the backend in the table of the [`UpstreamManager`](crate::UpstreamManager) that began the attempt.
     pub backend: BackendId,
-    /// Where the backend listens.
+    /// Address that the backend listens on.
     pub address: SocketAddr,
-    /// When the attempt was made.
+    /// When the attempt began.
     pub started_at: Timestamp,
     pub(crate) handler: HandlerId,
     pub(crate) id: u64,
 }
 
-/// How an attempt ended, by how far it came.
+/// How an attempt ended. The outcomes differ in how far the attempt got: whether it never ran, may have run, or ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It was answered in time.
+    /// The backend answered in time.
     Success,
-    /// The backend rejected it for lack of capacity. It never ran; this shows load and no fault.
+    /// The backend rejected the attempt for lack of capacity. The attempt never ran. This indicates load, not a fault.
     Rejected,
-    /// There was no connection, or nothing was sent. It never ran.
+    /// No connection was established, or nothing was sent. The attempt never ran.
     NotConnected,
-    /// The backend says that it did not run it, since no run waits for it there. It shows nothing about the backend.
+    /// The backend replied that it did not run the attempt, because it has no run that waits for it. This says nothing
+    /// about the health of the backend.
     NotRun,
-    /// It ran, or may have run, and failed.
+    /// The attempt ran, or may have run, and failed.
     Failed,
-    /// The connection ended before the reply. It may have run.
+    /// The connection was closed before the reply. The attempt may have run.
     Disconnected,
-    /// There was no reply within the time allowed. It may have run.
+    /// No reply arrived within the timeout. The attempt may have run.
     TimedOut,
     /// A hedge that was sent later was answered first.
     LostToHedge,
-    /// This server gave it up for reasons of its own. It shows nothing about the backend.
+    /// This server gave up on the attempt for reasons of its own. This says nothing about the health of the backend.
     Cancelled,
 }
 
 impl AttemptOutcome {
-    /// Whether it is certain that the backend did not run the call, so that a retry cannot run it twice.
+    /// Reports whether the backend certainly did not run the call, so that a retry cannot run it twice.
     pub fn never_executed(self) -> bool {
         matches!(
             self,
@@ -50,7 +51,7 @@
         )
     }
 
-    /// Whether the attempt failed in a way that shows a fault of the backend.
+    /// Reports whether the outcome indicates a fault of the backend.
     pub(crate) fn is_failure(self) -> bool {
         match self {
             AttemptOutcome::NotConnected
--- a/crates/upstream/src/backend.rs
+++ b/crates/upstream/src/backend.rs
@@ -1,6 +1,6 @@
-//! One backend as this server sees it: its state, its results and its attempts in flight.
+//! One backend as this server sees it: its state, the results of its calls and its attempts in flight.
 //!
-//! [`Backend`] owns the transitions between the states; when to eject it is decided by its group.
+//! [`Backend`] implements the state transitions. Its group decides when to eject it.
 
 use crate::attempt::AttemptOutcome;
 use crate::backend_state::BackendState;
@@ -19,58 +19,59 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The first ejection takes this long, each further one twice as long as the one before. Each is spread at random, so
-/// that servers that ejected together do not return together.
+/// Duration of the first ejection. Each further one lasts twice as long as the one before. Random jitter is applied to
+/// each, so that servers that ejected a backend together do not return to it together.
 const BASE_EJECTION_TIME: Duration = Duration::from_millis(2_000);
-/// Upper bound on an ejection before it is spread.
+/// Upper bound on the duration of an ejection, before jitter.
 const MAX_EJECTION_TIME: Duration = Duration::from_millis(60_000);
-/// Bound on the ejections that count, so that doubling cannot overflow.
+/// Upper bound on the counted ejections, so that doubling the duration cannot overflow.
 const MAX_COUNTED_EJECTIONS: u32 = 16;
-/// One ejection is forgotten for each such time without another.
+/// The number of counted ejections falls by one for each such period without another ejection.
 const EJECTION_COUNT_DECAY_INTERVAL: Duration = Duration::from_millis(30_000);
-/// Successful probes in a row that end the ejection.
+/// Consecutive successful probes after which the backend returns to selection.
 const PROBES_TO_RETURN: u32 = 2;
 /// Time from the end of a probe until the next one may be sent.
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
-/// Attempts in flight that are followed at one backend; a server runs fewer calls.
+/// Upper bound on the attempts in flight that are tracked for one backend. A server runs fewer calls than that.
 const MAX_TRACKED_ATTEMPTS: usize = 100_000;
 
-/// What the end of an attempt changed.
+/// What the outcome of an attempt changed in the record of its backend.
 pub(crate) enum RecordEffect {
-    /// The attempt shows nothing of the present state.
+    /// Nothing: the attempt says nothing about the current state.
     Ignored,
     /// The outcome was counted.
     Counted,
-    /// A probe ended, perhaps with a change of state.
+    /// A probe ended. The event is set if it changed the state.
     ProbeEnded(Option<BackendEvent>),
 }
 
-/// A backend.
+/// A backend: its settings, its state and its recent results.
 pub(crate) struct Backend {
     settings: BackendSettings,
     name_hash: u32,
     state: BackendState,
-    /// When the state began, or when an ejection was last forgotten in it.
+    /// When the current state began, or when the number of counted ejections last fell in it.
     state_since: Timestamp,
-    /// When the ejection ends, or the next probe may be made.
+    /// While ejected: when the ejection ends. While probing: when the next probe may be sent.
     next_transition: Timestamp,
-    /// Ejections that are not forgotten.
+    /// Number of counted ejections. It determines the duration of the next one.
     ejections: u32,
-    /// Random number drawn at the last ejection: the backend's place in a staggered return.
+    /// Random number from 0 to 1, drawn at the last ejection. It staggers the first probe of a backend that other
+    /// servers have seen healthy again.
     return_jitter: f64,
     successful_probes: u32,
     history: CallHistory,
-    /// When each attempt in flight was made, by its id.
+    /// Start of each attempt in flight, by the attempt's id.
     in_flight: BTreeMap<u64, Timestamp>,
     reports: ReportSummary,
-    /// Results to report to others, as of the last evaluation.
+    /// Results that are reported to other servers, as of the last evaluation.
     reported_results: CallCounts,
-    /// No longer configured; its slot is free once nothing is in flight.
+    /// The backend is no longer configured. Its slot may be reused once no attempt is in flight.
     removed: bool,
 }
 
 impl Backend {
-    /// A backend without any results.
+    /// Creates a backend without any results.
     pub(crate) fn new(now: Timestamp, settings: BackendSettings, state: BackendState) -> Backend {
         Backend {
             name_hash: name_hash(&settings.name),
@@ -115,32 +116,32 @@
         self.removed
     }
 
-    /// Marks it as no longer configured. Its attempts in flight go on.
+    /// Marks the backend as no longer configured. Its attempts in flight continue.
     pub(crate) fn remove(&mut self) {
         self.removed = true;
     }
 
-    /// Whether another backend may take its slot.
+    /// Reports whether another backend may take its slot: it was removed, and no attempt is in flight.
     pub(crate) fn is_replaceable(&self) -> bool {
         self.removed && self.in_flight.is_empty()
     }
 
     // --- attempts
 
-    /// Follows an attempt that is made now.
+    /// Tracks an attempt that begins now.
     pub(crate) fn begin_attempt(&mut self, now: Timestamp, id: u64) {
         if self.in_flight.len() < MAX_TRACKED_ATTEMPTS {
             self.in_flight.insert(id, now);
         }
     }
 
-    /// Ends an attempt. False where it is not followed, or ended before.
+    /// Stops tracking an attempt. Returns `false` if the attempt was not tracked or has already ended.
     pub(crate) fn end_attempt(&mut self, id: u64) -> bool {
         self.in_flight.remove(&id).is_some()
     }
 
-    /// Counts the outcome of an attempt; `slow` where it took far longer than is typical. `random` draws a number from
-    /// 0 to 1; it is called for a probe only.
+    /// Counts the outcome of an attempt. `slow` says that it took far longer than is typical. `random` returns a random
+    /// number from 0 to 1; it is called only for a probe.
     pub(crate) fn record(
         &mut self,
         now: Timestamp,
@@ -149,7 +150,7 @@
         slow: bool,
         random: impl FnOnce() -> f64,
     ) -> RecordEffect {
-        // What began before the ejection shows nothing of the present.
+        // An attempt that began before the ejection says nothing about the current state.
         let is_outdated = self.state == BackendState::Probing && started_at < self.state_since;
         if self.state == BackendState::Ejected || is_outdated {
             return RecordEffect::Ignored;
@@ -187,7 +188,7 @@
         self.state_since = now;
     }
 
-    /// The event of a change from a former state, where it is another one now.
+    /// Returns the event of a change from the state `from`, or `None` if the state is the same.
     fn state_change_from(&self, from: BackendState) -> Option<BackendEvent> {
         (self.state != from).then(|| BackendEvent::StateChanged {
             name: self.name(),
@@ -196,7 +197,7 @@
         })
     }
 
-    /// Makes the transitions that time brings. Returns an event where the state is another one now.
+    /// Applies the transitions that are due by time. Returns an event if the state has changed.
     pub(crate) fn advance(&mut self, now: Timestamp) -> Option<BackendEvent> {
         let before = self.state;
         let elapsed = now - self.state_since;
@@ -221,7 +222,7 @@
         self.state_change_from(before)
     }
 
-    /// Ejects it, for longer each time; `random` is from 0 to 1.
+    /// Ejects the backend, for longer each time. `random` is a random number from 0 to 1.
     pub(crate) fn eject(&mut self, now: Timestamp, random: f64) {
         self.ejections = (self.ejections + 1).min(MAX_COUNTED_EJECTIONS);
         let factor = f64::from(1u32 << (self.ejections - 1));
@@ -232,22 +233,22 @@
         self.successful_probes = 0;
     }
 
-    /// How long the ejection still takes.
+    /// Returns the time that is left of the ejection.
     pub(crate) fn remaining_ejection(&self, now: Timestamp) -> Duration {
         self.next_transition - now
     }
 
-    /// Whether a probe may be sent now.
+    /// Reports whether a probe may be sent now.
     pub(crate) fn accepts_probe(&self, now: Timestamp) -> bool {
         self.state == BackendState::Probing
             && self.in_flight.is_empty()
             && now >= self.next_transition
     }
 
-    // --- judgement
+    // --- outlier detection
 
-    /// Sets what others report. Where they saw an ejected backend healthy since its ejection, it is probed sooner, at a
-    /// time within `return_spread` of their observation.
+    /// Sets what other servers report. If they have seen an ejected backend healthy since its ejection, it is probed
+    /// sooner: at a time within `return_spread` of their observation.
     pub(crate) fn set_reports(&mut self, reports: ReportSummary, return_spread: Duration) {
         self.reports = reports;
         let seen_healthy = self
@@ -260,7 +261,7 @@
         }
     }
 
-    /// The evidence for and against it now, beside the typical latency of its group.
+    /// Returns the current evidence for and against the backend, compared with the typical latency of its group.
     pub(crate) fn assess(
         &mut self,
         now: Timestamp,
@@ -268,7 +269,7 @@
     ) -> OutlierEvidence {
         self.history.decay(now);
         let limit = outlier::overdue_time(typical_latency_seconds);
-        // Ids rise with time, so that the oldest attempts come first.
+        // Ids increase with time, so the oldest attempts come first.
         let overdue = self
             .in_flight
             .values()
@@ -282,14 +283,15 @@
         evidence
     }
 
-    /// Recent mean latency, where enough calls succeeded.
+    /// Returns the recent mean latency, or `None` if too few calls succeeded.
     pub(crate) fn latency_seconds(&self, now: Timestamp) -> Option<f64> {
         self.history.latency_seconds(now)
     }
 
     // --- selection
 
-    /// Its present weight: what the operator set, reduced in slow start and by reports against it.
+    /// Returns its current weight: the configured weight, reduced during slow start and by reports against the backend,
+    /// and 0 while it is out of selection.
     pub(crate) fn weight(&self, now: Timestamp) -> f64 {
         let fraction = match self.state {
             BackendState::Active => 1.0,
@@ -299,8 +301,8 @@
         self.settings.weight * fraction * self.reports.weight_fraction()
     }
 
-    /// What one more call would wait for, in seconds for each unit of weight. `default_latency_seconds` is taken where
-    /// no call succeeded recently.
+    /// Returns the expected wait of one more call, in seconds per unit of weight. `default_latency_seconds` is taken
+    /// where no call succeeded recently.
     pub(crate) fn cost(&self, default_latency_seconds: f64) -> f64 {
         let latency = self
             .history
@@ -309,9 +311,10 @@
         (self.in_flight.len() + 1) as f64 * latency / self.settings.weight
     }
 
-    // --- what others see
+    // --- reports and status
 
-    /// What this server reports of it. An ejected backend is reported by its last failures, while these are recent.
+    /// Returns what this server reports about the backend. An ejected backend is reported by its last failures, as long
+    /// as these are recent.
     pub(crate) fn observation(&mut self, now: Timestamp) -> LocalObservation {
         let calls = if self.state == BackendState::Ejected {
             self.history.decay(now);
@@ -330,7 +333,7 @@
         }
     }
 
-    /// It as it stands.
+    /// Returns its current status.
     pub(crate) fn status(&self, now: Timestamp) -> BackendStatus {
         let mut history = self.history.clone();
         history.decay(now);
--- a/crates/upstream/src/backend_group.rs
+++ b/crates/upstream/src/backend_group.rs
@@ -1,8 +1,8 @@
-//! Backends that serve the same handlers. They are judged together, since a slow or failing backend is one that is so
-//! beside the others.
+//! Backends that serve the same handlers. They are judged together, because a backend is slow or failing only in
+//! comparison with the others.
 //!
-//! [`BackendGroup`] owns the selector, the retry budget and the hedge timer of its backends, and decides which of them
-//! are ejected. The backends themselves are in the registry's table, which each method is given.
+//! [`BackendGroup`] owns the selector, the retry budget and the hedge delay estimator of its backends, and decides
+//! which of them are ejected. The backends themselves are in the table of the registry, which is passed to each method.
 
 use crate::backend::Backend;
 use crate::backend_id::BackendId;
@@ -19,22 +19,22 @@
 use madderbay::time::{Duration, Timestamp};
 use oorandom::Rand64;
 
-/// A group panics where more than this fraction of it looks faulty: the cause lies elsewhere, or there is no better
-/// backend, so that nobody is ejected.
+/// Fraction of a group above which the group enters panic mode if so many of its backends look faulty. In panic mode no
+/// backend is ejected: the cause lies elsewhere, or there is no better backend.
 const PANIC_FRACTION: f64 = 0.5;
-/// The fraction of its weight that a fully suspected backend keeps while it cannot be ejected.
+/// Fraction of its weight that a backend with suspicion 1 keeps while it cannot be ejected.
 const SUSPECTED_WEIGHT_FRACTION: f64 = 0.1;
-/// Failures under which all backends of a group count as faultless.
+/// If every backend of a group has fewer failures than this, no weight is reduced for suspicion.
 const MIN_FAILURES_TO_REDUCE_WEIGHT: f64 = 0.05;
-/// Latency assumed where no call of the group succeeded.
+/// Latency that is assumed if no call of the group has succeeded.
 const DEFAULT_LATENCY_SECONDS: f64 = 0.02;
-/// A backend that others saw healthy is probed within a time that grows by this with each peer, so that servers that
-/// ejected together do not return together.
+/// Time, per active peer, over which the servers spread their first probes of a backend that others saw healthy, so
+/// that servers that ejected it together do not return together.
 const RETURN_SPREAD_PER_PEER: Duration = Duration::from_millis(10);
-/// Upper bound on that time.
+/// Upper bound on the total of [`RETURN_SPREAD_PER_PEER`] over all peers.
 const MAX_RETURN_SPREAD: Duration = Duration::from_millis(5_000);
 
-/// What an evaluation is given beside the backends.
+/// Inputs of an evaluation other than the backends.
 pub(crate) struct EvaluationContext<'a> {
     pub(crate) settings: &'a Settings,
     pub(crate) reports: &'a ReceivedReports,
@@ -47,32 +47,32 @@
     evidence: OutlierEvidence,
 }
 
-/// The evidence on a group.
+/// The evidence on the backends of a group.
 struct GroupAssessment {
     /// The backends that are in selection.
     selectable: Vec<Assessment>,
     /// How many backends are out of selection.
     out_of_selection: usize,
-    /// How many backends look faulty; those out of selection count.
+    /// How many backends look faulty, including those out of selection.
     outliers: usize,
 }
 
-/// A group of backends.
+/// A group of backends that serve the same handlers.
 pub(crate) struct BackendGroup {
     handlers: Vec<HandlerId>,
     backends: Vec<BackendId>,
     selector: ZoneAwareSelector,
-    /// Backends that get single calls until they have proved healthy.
+    /// Backends that get single calls until enough of these have succeeded.
     probing: Vec<BackendId>,
     panic: bool,
-    /// Latency of a typical backend.
+    /// Median latency of the group's backends, in seconds.
     typical_latency_seconds: Option<f64>,
     retry_budget: RetryBudget,
     hedge_delay_estimator: HedgeDelayEstimator,
 }
 
 impl BackendGroup {
-    /// A group without backends; `retry_ratio` is the number of retries for each first attempt.
+    /// Creates a group without backends. `retry_ratio` is the number of retries allowed per first attempt.
     pub(crate) fn new(now: Timestamp, handlers: Vec<HandlerId>, retry_ratio: f64) -> BackendGroup {
         BackendGroup {
             handlers,
@@ -94,17 +94,17 @@
         &self.backends
     }
 
-    /// Sets its backends; they are selected from the next evaluation on.
+    /// Sets its backends. They take part in selection from the next evaluation on.
     pub(crate) fn set_backends(&mut self, backends: Vec<BackendId>) {
         self.backends = backends;
     }
 
-    /// Whether there is a second backend for a retry.
+    /// Reports whether there is a second backend for a retry.
     pub(crate) fn has_alternatives(&self) -> bool {
         self.backends.len() > 1
     }
 
-    /// Latency of a typical backend.
+    /// Median latency of the group's backends, in seconds.
     pub(crate) fn typical_latency_seconds(&self) -> Option<f64> {
         self.typical_latency_seconds
     }
@@ -117,7 +117,7 @@
         &mut self.hedge_delay_estimator
     }
 
-    /// Judges all backends anew: ejects outliers and rebuilds the selector. `table` has the backends.
+    /// Evaluates all backends: ejects outliers and rebuilds the selector. `table` holds the backends.
     pub(crate) fn evaluate(
         &mut self,
         now: Timestamp,
@@ -137,7 +137,8 @@
         self.rebuild_selector(now, table, context.settings, &assessed.selectable);
     }
 
-    /// The most backends that may be out of selection: a fraction, one of two in any case, and never all.
+    /// Returns how many backends may be out of selection at most: a fraction of the group, but at least one of two or
+    /// more, and never all.
     fn max_out_of_selection(&self, fraction: f64) -> usize {
         let backends = self.backends.len();
         ((backends as f64 * fraction) as usize)
@@ -145,8 +146,8 @@
             .min(backends.saturating_sub(1))
     }
 
-    /// Takes the median latency of the backends as the typical one. Returns it where it rests on more than
-    /// one backend and so can be a baseline for them.
+    /// Takes the median latency of the backends as the typical one. Returns it if it is derived from more than one
+    /// backend and can therefore serve as a baseline for them.
     fn measure_latency(&mut self, now: Timestamp, table: &BackendTable) -> Option<f64> {
         let known = self
             .backends
@@ -154,7 +155,8 @@
             .filter_map(|id| table[*id].latency_seconds(now));
         let mut latencies: Vec<f64> = known.collect();
         latencies.sort_by(f64::total_cmp);
-        // Of an even number the quicker one in the middle, so that one slow of two is not the baseline.
+        // For an even number of backends, the lower of the two middle values is taken: otherwise the slow one of two
+        // backends would be the baseline.
         let median = latencies.len().saturating_sub(1) / 2;
         self.typical_latency_seconds = latencies.get(median).copied();
         self.typical_latency_seconds.filter(|_| latencies.len() > 1)
@@ -249,7 +251,7 @@
         self.probing = self.backends.iter().copied().filter(is_probing).collect();
     }
 
-    /// The backend that the next attempt goes to. The one to `avoid`, if any, is chosen only where there is no other.
+    /// Returns the backend for the next attempt. The backend to `avoid`, if any, is chosen only if there is no other.
     pub(crate) fn pick(
         &mut self,
         now: Timestamp,
@@ -270,7 +272,7 @@
         picked.or_else(|| self.backends.first().copied())
     }
 
-    /// A backend that is due for a probe, wherever it stands. It gets a single call.
+    /// Returns a backend that is due for a probe, in whichever zone it is. It gets a single call.
     fn take_probe(&mut self, now: Timestamp, table: &BackendTable) -> Option<BackendId> {
         let due = self
             .probing
@@ -280,7 +282,7 @@
     }
 }
 
-/// Ejects outliers, the most suspected first, up to the limit of backends out of selection.
+/// Ejects outliers in order of decreasing suspicion, until the limit of backends out of selection is reached.
 fn eject_outliers(
     now: Timestamp,
     table: &mut BackendTable,
@@ -311,7 +313,8 @@
     }
 }
 
-/// The fraction of its weight that each backend keeps, by index: less where this server's own results speak against it.
+/// Returns the fraction of its weight that each backend keeps, by index. It is below 1 if this server's own results
+/// indicate a fault.
 fn weight_fraction_by_backend(backends: usize, assessed: &[Assessment]) -> Vec<f64> {
     let mut weight_fractions = vec![1.0; backends];
     if assessed
@@ -326,7 +329,7 @@
     weight_fractions
 }
 
-/// Whether a backend stands in this server's zone; all do where the server has none.
+/// Reports whether a backend is in this server's zone. If the server has no zone, all backends are.
 fn is_local(backend: &Backend, settings: &Settings) -> bool {
     settings.zone.is_empty() || backend.settings().zone == settings.zone
 }
--- a/crates/upstream/src/backend_state.rs
+++ b/crates/upstream/src/backend_state.rs
@@ -1,9 +1,9 @@
-//! The states of a backend, as one server sees it.
+//! The states of a backend, as seen by one server.
 
 use std::fmt;
 
-/// The state of a backend. `Display` gives the words of `routes --json`, [`log_name`](BackendState::log_name) those of
-/// the log.
+/// The state of a backend. `Display` writes the state as `routes --json` shows it, [`log_name`](BackendState::log_name)
+/// as the log does.
 ///
 /// ```text
 /// Active --ejection--> Ejected --ejection time is over--> Probing --probes succeed--> SlowStart --window--> Active
@@ -11,18 +11,18 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendState {
-    /// Selected by its weight.
+    /// Selected in proportion to its weight.
     Active,
-    /// Taken out of selection for a time.
+    /// Out of selection for a limited time.
     Ejected,
-    /// Gets single calls, one at a time, until it has proved healthy.
+    /// Gets single calls, one at a time, until enough of these have succeeded in a row.
     Probing,
-    /// Selected by a growing fraction of its weight.
+    /// Selected in proportion to a growing fraction of its weight.
     SlowStart,
 }
 
 impl BackendState {
-    /// The state in the words of the log.
+    /// Returns the name of the state in the log.
     pub fn log_name(self) -> &'static str {
         match self {
             BackendState::Active => "active",
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Whether the backend is out of regular selection.
+    /// Reports whether the backend is out of regular selection.
     pub(crate) fn is_out_of_selection(self) -> bool {
         matches!(self, BackendState::Ejected | BackendState::Probing)
     }
--- a/crates/upstream/src/backend_table.rs
+++ b/crates/upstream/src/backend_table.rs
@@ -1,21 +1,21 @@
-//! The table of backends: a slot for each, by [`BackendId`].
+//! The table of backends, with a slot for each [`BackendId`].
 //!
-//! [`BackendTable`] owns the backends, those among them that were removed and still have attempts in flight. It knows
-//! neither groups nor handlers, and never judges a backend.
+//! [`BackendTable`] owns the backends, including removed ones that still have attempts in flight. It knows neither
+//! groups nor handlers and does not judge backends.
 
 use crate::backend::Backend;
 use crate::backend_id::BackendId;
 use crate::settings::BackendSettings;
 use std::ops::{Index, IndexMut};
 
-/// All backends of one server.
+/// All backends that one server calls.
 #[derive(Default)]
 pub(crate) struct BackendTable {
     slots: Vec<Backend>,
 }
 
 impl BackendTable {
-    /// Puts a backend into the first free slot, or into a new one.
+    /// Puts a backend into the first free slot, or into a new one. Returns its id.
     pub(crate) fn insert(&mut self, backend: Backend) -> BackendId {
         let free = self.slots.iter().position(Backend::is_replaceable);
         let index = free.unwrap_or(self.slots.len());
@@ -26,7 +26,7 @@
         BackendId::new(index)
     }
 
-    /// The configured backend that these settings describe, if there is one.
+    /// Returns the configured backend that these settings describe, if there is one.
     pub(crate) fn find(&self, settings: &BackendSettings) -> Option<BackendId> {
         let is_same = |backend: &Backend| {
             !backend.is_removed() && backend.settings().is_same_backend(settings)
@@ -34,22 +34,22 @@
         self.slots.iter().position(is_same).map(BackendId::new)
     }
 
-    /// How many slots there are; all ids are below.
+    /// Returns the number of slots. The index of every id is below it.
     pub(crate) fn slots(&self) -> usize {
         self.slots.len()
     }
 
-    /// The backend of an id, to be changed; nothing where the id is that of no slot.
+    /// Returns the backend with an id, or `None` if the table has no such slot.
     pub(crate) fn get_mut(&mut self, id: BackendId) -> Option<&mut Backend> {
         self.slots.get_mut(id.index())
     }
 
-    /// The configured backends, in the order of their slots.
+    /// Iterates over the configured backends in the order of their slots.
     pub(crate) fn configured(&self) -> impl Iterator<Item = &Backend> {
         self.slots.iter().filter(|backend| !backend.is_removed())
     }
 
-    /// The configured backends, to be changed, in the order of their slots.
+    /// Iterates mutably over the configured backends in the order of their slots.
     pub(crate) fn configured_mut(&mut self) -> impl Iterator<Item = &mut Backend> {
         let slots = self.slots.iter_mut();
         slots.filter(|backend| !backend.is_removed())
--- a/crates/upstream/src/call_counts.rs
+++ b/crates/upstream/src/call_counts.rs
@@ -1,6 +1,6 @@
-//! Numbers of calls at one backend, as they are judged and reported.
+//! Counts of calls at one backend, used for outlier detection and in reports to other servers.
 
-/// Recent successes and failures at one backend; older ones count less.
+/// Recent successes and failures at one backend. The counts decay with age.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct CallCounts {
     pub(crate) successes: f64,
--- a/crates/upstream/src/events.rs
+++ b/crates/upstream/src/events.rs
@@ -1,4 +1,4 @@
-//! Changes of backends that are worth a line in the log, and the bounded list that holds them until they are taken.
+//! Changes of backends that are logged, and the bounded queue that holds them until they are taken.
 
 use crate::backend_state::BackendState;
 use crate::outlier::OutlierEvidence;
@@ -6,10 +6,10 @@
 use madderbay::time::Duration;
 use std::fmt;
 
-/// Events that wait to be taken; more than these are counted and dropped.
+/// Upper bound on the events waiting to be taken. Further events are counted and dropped.
 const MAX_PENDING_EVENTS: usize = 64;
 
-/// A change that is worth a line in the log. `Display` gives the event of that line with its values.
+/// A change of a backend or of its group that is logged. `Display` writes the event of the log line with its values.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BackendEvent {
     /// A backend was ejected.
@@ -18,30 +18,30 @@
         name: CompactString,
         /// Why it was ejected.
         evidence: OutlierEvidence,
-        /// How long it stays ejected, unless others see it recover sooner.
+        /// How long it stays ejected, unless other servers see it recover sooner.
         ejection_time: Duration,
     },
-    /// A backend is in another state.
+    /// The state of a backend changed.
     StateChanged {
         /// Name of the backend.
         name: CompactString,
-        /// The state before.
+        /// The state before the change.
         from: BackendState,
-        /// The state now.
+        /// The state after the change.
         to: BackendState,
     },
-    /// More than half of a group looks faulty, or no longer does. Nobody is ejected in panic mode.
+    /// More than half of a group's backends look faulty, or no longer do. No backend is ejected in panic mode.
     PanicModeChanged {
         /// Name of the first backend of the group.
         name: CompactString,
-        /// Whether panic mode begins.
+        /// Whether panic mode begins (`true`) or ends.
         active: bool,
         /// How many backends of the group look faulty.
         outliers: usize,
         /// How many backends the group has.
         backends: usize,
     },
-    /// The operator added or removed a backend.
+    /// The operator added a backend to the configuration or removed it.
     ConfigurationChanged {
         /// Name of the backend.
         name: CompactString,
@@ -88,14 +88,14 @@
     }
 }
 
-/// Events that nobody has taken yet.
+/// Events that have not been taken yet.
 #[derive(Default)]
 pub(crate) struct EventQueue {
     pending: Vec<BackendEvent>,
 }
 
 impl EventQueue {
-    /// Adds an event. False where it was dropped, because too many wait already.
+    /// Adds an event. Returns `false` if it was dropped because the queue is full.
     pub(crate) fn push(&mut self, event: BackendEvent) -> bool {
         let fits = self.pending.len() < MAX_PENDING_EVENTS;
         if fits {
@@ -104,12 +104,13 @@
         fits
     }
 
-    /// Adds the events of a configuration, however many these are: the operator waits for each of them.
+    /// Adds the events of a configuration change, without a bound on their number: the operator expects to see each of
+    /// them.
     pub(crate) fn push_all(&mut self, events: Vec<BackendEvent>) {
         self.pending.extend(events);
     }
 
-    /// Takes all events, in their order.
+    /// Takes all events, oldest first.
     pub(crate) fn take(&mut self) -> Vec<BackendEvent> {
         std::mem::take(&mut self.pending)
     }
--- a/crates/upstream/src/events/tests.rs
+++ b/crates/upstream/src/events/tests.rs
@@ -1,4 +1,4 @@
-//! Operators' pages and tests quote these lines.
+//! Operators' pages and tests quote these log lines.
 
 use super::*;
 
@@ -96,5 +96,5 @@
         (accepted, queue.take().len()),
         (MAX_PENDING_EVENTS, MAX_PENDING_EVENTS)
     );
-    assert!(queue.push(event()), "taken events leave their place");
+    assert!(queue.push(event()), "taking events makes room for new ones");
 }
--- a/crates/upstream/src/fleet_stack.rs
+++ b/crates/upstream/src/fleet_stack.rs
@@ -1,8 +1,8 @@
-//! The protocols between the servers of a fleet, driven as one: membership, and over it quotas and upstream backends.
-//! The server and the simulations drive the very same stack.
+//! The protocols between the servers of a fleet: membership, and on top of it quotas and upstream backends. The server
+//! and the simulations run the same code.
 //!
-//! [`FleetStack`] owns the order in which the parts act. It is given datagrams and time; it gives datagrams and the
-//! time of its next timeout. It never does I/O.
+//! [`FleetStack`] determines the order in which the parts run. It is given datagrams and the time, and returns
+//! datagrams to send and the time of its next timeout. It does no I/O.
 
 use crate::manager::UpstreamManager;
 use compact_str::CompactString;
@@ -13,17 +13,17 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Membership and the parts that rest on it.
+/// Membership and the subsystems that build on it.
 pub struct FleetStack {
     membership: Membership,
-    /// Where the operator set any.
+    /// Quotas and replicated counters, if the operator configured any.
     quotas: Option<FleetQuotas>,
-    /// Where the operator set any. The server's calls use it too, at any moment.
+    /// The upstream backends, if the operator configured any. Shared with the server, whose calls use it at any time.
     upstream: Option<Rc<RefCell<UpstreamManager>>>,
 }
 
 impl FleetStack {
-    /// A stack without upstream backends.
+    /// Creates a stack without upstream backends.
     pub fn new(membership: Membership, quotas: Option<FleetQuotas>) -> FleetStack {
         FleetStack {
             membership,
@@ -32,44 +32,44 @@
         }
     }
 
-    /// Exchanges what is observed of these upstream backends with the fleet; `None` exchanges nothing.
+    /// Sets the upstream backends whose observations are exchanged with the fleet. With `None` nothing is exchanged.
     pub fn set_upstream(&mut self, upstream: Option<Rc<RefCell<UpstreamManager>>>) {
         self.upstream = upstream;
     }
 
-    /// The view of the fleet.
+    /// Returns the view of the fleet.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// The view of the fleet, to leave it or to take its events.
+    /// Returns the view of the fleet, to leave the fleet or to take its events.
     pub fn membership_mut(&mut self) -> &mut Membership {
         &mut self.membership
     }
 
-    /// Quotas and counters of the fleet, where the operator set any.
+    /// Returns the quotas and counters of the fleet, if the operator configured any.
     pub fn quotas(&self) -> Option<&FleetQuotas> {
         self.quotas.as_ref()
     }
 
-    /// The same, to change them.
+    /// Returns the quotas and counters of the fleet for changes, if the operator configured any.
     pub fn quotas_mut(&mut self) -> Option<&mut FleetQuotas> {
         self.quotas.as_mut()
     }
 
-    /// A datagram arrived.
+    /// Processes a received datagram.
     pub fn handle_datagram(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]) {
         self.membership.handle_datagram(now, from, bytes);
         self.drive_subsystems(now);
     }
 
-    /// Does what is due in any part.
+    /// Does all work that is due at `now`.
     pub fn handle_timeout(&mut self, now: Timestamp) {
         self.membership.handle_timeout(now);
         self.drive_subsystems(now);
     }
 
-    /// When [`handle_timeout`](Self::handle_timeout) is due next.
+    /// Returns when [`handle_timeout`](Self::handle_timeout) is due next.
     pub fn next_timeout(&self) -> Timestamp {
         let quota = self.quotas.as_ref().map(FleetQuotas::next_timeout);
         let upstream = self
@@ -88,7 +88,8 @@
         self.membership.take_outgoing()
     }
 
-    /// Hands the news of the membership to the parts above it, and their payloads to the membership.
+    /// Passes membership changes and received payloads to the subsystems, and the payloads that they send to the
+    /// membership.
     fn drive_subsystems(&mut self, now: Timestamp) {
         if let Some(quota) = &mut self.quotas {
             quota.set_incarnation(now, self.membership.local_identity().incarnation);
@@ -143,7 +144,7 @@
                 (Subsystem::Upstream, _, Some(upstream)) => {
                     upstream.borrow_mut().handle_datagram(now, from, payload);
                 }
-                // The operator of this server switched the part off.
+                // The subsystem is disabled on this server.
                 _ => {}
             }
         }
--- a/crates/upstream/src/gossip.rs
+++ b/crates/upstream/src/gossip.rs
@@ -1,8 +1,9 @@
-//! Gossip of judgements: what this server reports to a few others of the backends it uses, and what they report to it.
+//! Gossip about backends: what this server reports to a few others about the backends it uses, and what they report to
+//! it.
 //!
-//! [`Gossip`] owns the peers, their reports and the schedule. It is given payloads, time and random numbers, and what
-//! the registry observed; it gives payloads to send. It never passes on what others reported, and never judges a
-//! backend.
+//! [`Gossip`] owns the peers, their reports and the schedule of rounds. It is given payloads, the time, random numbers
+//! and the observations of the registry, and returns payloads to send. It never forwards the reports of others, and it
+//! does not judge backends.
 
 pub(crate) mod codec;
 pub(crate) mod reports;
@@ -19,49 +20,49 @@
 use reports::{Observation, ReceivedReports, Witness};
 use std::collections::{BTreeMap, HashSet};
 
-/// Mean time between two rounds; each is spread at random.
+/// Mean time between two rounds of gossip. Each interval gets random jitter.
 const ROUND_INTERVAL: Duration = Duration::from_millis(250);
-/// Peers that get a payload in a round.
+/// Upper bound on the peers that are sent a payload in one round.
 const GOSSIP_FANOUT: usize = 8;
-/// The next round follows a failed call within this time, as far as the minimum interval allows.
+/// The next round follows a failed call within this time, unless [`MIN_ROUND_INTERVAL`] requires a later one.
 const DELAY_AFTER_FAILURE: Duration = Duration::from_millis(20);
-/// Least time between two rounds.
+/// Minimum time between two rounds, also after a failed call.
 const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(100);
-/// Fewer successes or failures than this are not reported.
+/// Counts of successes or failures up to this are not worth a report.
 const MIN_REPORTED_CALLS: f64 = 0.3;
-/// Reported failures from which this server's successes are worth a report.
+/// Weight of the reported failures, in failures, above which this server's own successes are worth a report.
 const MIN_DISPUTED_FAILURES: f64 = 0.1;
-/// Retries from which a payload without any report is sent.
+/// Number of recent retries from which a payload is sent even without any report.
 const MIN_REPORTED_RETRIES: f64 = 1.0;
-/// Reports in one payload, so that it fits into a datagram.
+/// Upper bound on the reports in one payload, so that it fits into a datagram.
 const MAX_REPORTS: usize = 80;
-/// For how long a peer's numbers of attempts count.
+/// Time for which the attempt counts of a peer are used.
 const MAX_ATTEMPTS_AGE: Duration = Duration::from_millis(5_000);
-/// A peer that finds more than this fraction of its backends faulty is not credible.
+/// Fraction of its backends above which a peer that finds so many of them faulty is not credible.
 const MAX_CREDIBLE_FRACTION: f64 = 0.5;
-/// Backends that a peer must have seen before it can be found not credible.
+/// Number of backends that a peer must have seen before the check by [`MAX_CREDIBLE_FRACTION`] applies to it.
 const MIN_BACKENDS_FOR_CREDIBILITY_CHECK: u16 = 3;
 
-/// Why a payload was rejected.
+/// Why a gossip payload was rejected.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum RejectedPayload {
     #[error(transparent)]
     Malformed(#[from] GossipDecodeError),
-    #[error("gossip of a server that is not in the view")]
+    #[error("gossip payload from a server that is not in the membership view")]
     UnknownPeer,
 }
 
-/// What this server saw of one backend.
+/// What this server observed of one backend.
 pub(crate) struct LocalObservation {
     pub(crate) name_hash: u32,
     pub(crate) state: BackendState,
     pub(crate) calls: CallCounts,
-    /// What the reports of others on it weigh, in failures.
+    /// Weight of the reports of other servers against the backend, in failures.
     pub(crate) reported_failures: f64,
 }
 
 impl LocalObservation {
-    /// Whether any recent call was seen.
+    /// Reports whether this server has recent results of the backend, or has ejected it.
     fn is_seen(&self) -> bool {
         self.state == BackendState::Ejected
             || self.calls.successes + self.calls.failures > MIN_REPORTED_CALLS
@@ -75,7 +76,8 @@
         self.state == BackendState::Ejected || failures > successes && failures > MIN_REPORTED_CALLS
     }
 
-    /// Whether others should know: it failed here, or it succeeded here after failing here or elsewhere.
+    /// Reports whether other servers should know: the backend failed here, or it succeeded here after it had failed
+    /// here or was reported as failing by others.
     fn is_worth_reporting(&self) -> bool {
         let succeeded = self.calls.successes > MIN_REPORTED_CALLS;
         let is_disputed = self.reported_failures > MIN_DISPUTED_FAILURES;
@@ -93,7 +95,7 @@
     }
 }
 
-/// Another server of the fleet.
+/// Another server of the fleet, as gossip needs to know it.
 struct Peer {
     incarnation: u64,
     zone: CompactString,
@@ -101,17 +103,17 @@
     attempts: Option<PeerAttempts>,
 }
 
-/// Attempts that a peer reported.
+/// Attempt counts that a peer reported.
 #[derive(Clone, Copy)]
 struct PeerAttempts {
     counts: AttemptCounts,
     received_at: Timestamp,
 }
 
-/// The gossip of one server.
+/// The gossip state of one server.
 pub(crate) struct Gossip {
     peers: BTreeMap<CompactString, Peer>,
-    /// Names of the peers that are active, in the order of the last draws.
+    /// Names of the active peers, in the order left by the random draws of [`Gossip::send`].
     active_peers: Vec<CompactString>,
     reports: ReceivedReports,
     next_round: Timestamp,
@@ -122,7 +124,7 @@
 }
 
 impl Gossip {
-    /// Gossip without peers; the first round is due at once.
+    /// Creates the state without peers. The first round is due immediately.
     pub(crate) fn new(now: Timestamp) -> Gossip {
         Gossip {
             peers: BTreeMap::new(),
@@ -135,28 +137,28 @@
         }
     }
 
-    /// Whether this process was stalled recently, so that a missing reply may be its own fault.
+    /// Sets whether this process was stalled recently, so that a missing reply may be its own fault.
     pub(crate) fn set_stalled(&mut self, stalled: bool) {
         self.stalled = stalled;
     }
 
-    /// The reports of other servers.
+    /// Returns the reports of other servers.
     pub(crate) fn reports(&self) -> &ReceivedReports {
         &self.reports
     }
 
-    /// How many peers are active.
+    /// Returns the number of active peers.
     pub(crate) fn active_peers(&self) -> usize {
         self.active_peers.len()
     }
 
-    /// Drops reports that are too old or on backends that are not known.
+    /// Drops the reports that are too old, and those on backends that are not known.
     pub(crate) fn prune(&mut self, now: Timestamp, known_backends: &HashSet<u32>) {
         self.reports
             .prune(now, |name_hash| known_backends.contains(&name_hash));
     }
 
-    /// A server is in the view, or is there with another incarnation, zone or activity.
+    /// Adds a peer of the membership view, or updates its incarnation, zone and activity.
     pub(crate) fn update_peer(
         &mut self,
         name: &CompactString,
@@ -185,14 +187,15 @@
         }
     }
 
-    /// A server is no longer in the view; its reports are dropped.
+    /// Removes a peer that is no longer in the membership view, with its reports.
     pub(crate) fn remove_peer(&mut self, name: &CompactString) {
         self.reports.retain_incarnation(name, None);
         self.peers.remove(name);
         self.active_peers.retain(|peer| peer != name);
     }
 
-    /// A payload of a peer. It is checked in any case, and considered only where gossip is `enabled`.
+    /// Processes a payload of a peer. The payload is always checked, but its content is used only if gossip is
+    /// `enabled`.
     pub(crate) fn handle_payload(
         &mut self,
         now: Timestamp,
@@ -227,7 +230,7 @@
         Ok(())
     }
 
-    /// Recent attempts of the peers together; nothing where no peer reports any.
+    /// Returns the sum of the peers' recent attempts, or `None` if no peer has reported any.
     pub(crate) fn peer_attempts(&self, now: Timestamp) -> Option<AttemptCounts> {
         let current = self
             .peers
@@ -241,12 +244,12 @@
             })
     }
 
-    /// When the next round is due.
+    /// Returns when the next round is due.
     pub(crate) fn next_round(&self) -> Timestamp {
         self.next_round
     }
 
-    /// Begins a round and schedules the next one, by a random number from 0 to 1.
+    /// Begins a round and schedules the next one. `random` is a random number from 0 to 1.
     pub(crate) fn begin_round(&mut self, now: Timestamp, random: f64) {
         self.next_round = now + jitter::spread(ROUND_INTERVAL, random);
         self.last_round = now;
@@ -258,7 +261,8 @@
         self.next_round = self.next_round.min(soon);
     }
 
-    /// The payload of a round; nothing where there is nothing to report, or it would not fit.
+    /// Returns the payload of a round, or `None` if there is nothing to report or the payload would not fit into a
+    /// datagram.
     pub(crate) fn payload(
         &self,
         observations: &[LocalObservation],
@@ -282,7 +286,7 @@
         Some(message.encode()).filter(|payload| payload.len() <= MAX_SUBSYSTEM_PAYLOAD_BYTES)
     }
 
-    /// Addresses a payload to a few active peers, drawn anew each time. Returns how many these are.
+    /// Queues a payload for a few active peers that are drawn at random each time. Returns the number of these peers.
     pub(crate) fn send(&mut self, payload: &[u8], rng: &mut Rand64) -> usize {
         let fanout = GOSSIP_FANOUT.min(self.active_peers.len());
         for next in 0..fanout {
@@ -295,13 +299,13 @@
         fanout
     }
 
-    /// Takes the payloads to send, each with the name of its recipient.
+    /// Takes the payloads to send, each with the name of the peer it is for.
     pub(crate) fn take_outgoing(&mut self) -> Vec<(CompactString, Vec<u8>)> {
         std::mem::take(&mut self.outgoing)
     }
 }
 
-/// The reports of a payload: where there are too many, those with the most failures.
+/// Returns the reports of a payload. If there are too many, those with the most failures are selected.
 fn select_reports(observations: &[LocalObservation]) -> Vec<BackendReport> {
     let worth_reporting = observations.iter().filter(|seen| seen.is_worth_reporting());
     let mut reports: Vec<BackendReport> = worth_reporting.map(LocalObservation::report).collect();
@@ -312,7 +316,8 @@
     reports
 }
 
-/// A peer that was stalled, or that finds most backends faulty, sees its own fault.
+/// Reports whether the sender of a message is credible. A peer that was stalled, or that finds most backends faulty,
+/// probably observes a fault of its own.
 fn is_credible(message: &GossipMessage) -> bool {
     let failing = f64::from(message.backends_failing);
     let seen = f64::from(message.backends_seen);
--- a/crates/upstream/src/gossip/reports.rs
+++ b/crates/upstream/src/gossip/reports.rs
@@ -1,51 +1,52 @@
-//! The reports of other servers on backends, and what they weigh together.
+//! The reports of other servers on backends, and their combined weight.
 //!
-//! A witness reports only what it saw itself, so that no report comes back as a confirmation of itself. A witness that
-//! finds most backends faulty is not credible. The witnesses of one zone weigh little more than one of them, since they
-//! may share a broken link. Reports lose their weight with age. [`ReceivedReports`] owns the reports; it never judges a
-//! backend.
+//! A witness is a server that reports on a backend. It reports only its own observations, so that no report comes back
+//! as a confirmation of itself. A witness that finds most backends faulty is not credible. Several witnesses of one
+//! zone have little more weight than one of them, because they may share a broken link. Reports lose weight with age.
+//! [`ReceivedReports`] stores the reports; it does not judge backends.
 
 use compact_str::CompactString;
 use madderbay::time::{Duration, Timestamp};
 use std::collections::{BTreeMap, HashMap};
 
-/// Age at which a report has lost all its weight; it falls linearly until then.
+/// Age at which a report has no weight left. The weight falls linearly until then.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(5_000);
-/// Witnesses stored for one backend: the latest.
+/// Upper bound on the witnesses whose reports on one backend are stored. The latest reports are kept.
 const MAX_WITNESSES: usize = 64;
-/// Upper bound on the weight of a zone's reports, in failures.
+/// Upper bound on the weight of one zone's reports, in failures.
 const MAX_ZONE_FAILURES: f64 = 2.0;
-/// Fraction of what is missing to that bound which is still missing after one more witness: a single one weighs half
-/// of it, each further one half of the rest.
+/// Each witness of a zone reduces the distance between the zone's weight and [`MAX_ZONE_FAILURES`] to this fraction:
+/// one witness gives half of the bound, and each further one adds half of the rest.
 const REMAINDER_PER_WITNESS: f64 = 0.5;
-/// Upper bound on the weight of all zones, in failures.
+/// Upper bound on the weight of the reports of all zones, in failures.
 const MAX_REPORTED_FAILURES: f64 = 4.0;
-/// A zone reports against a backend from this fraction of its reports on.
+/// Minimum fraction of a zone's reports that are against a backend for the zone to count as reporting against it.
 const MIN_ZONE_FRACTION: f64 = 0.5;
-/// A zone reports against a backend from this weight of its reports on, in failures.
+/// Minimum weight of a zone's reports, in failures, for the zone to count as reporting against a backend.
 const MIN_ZONE_FAILURES: f64 = 0.9 * 0.5;
-/// How strongly reports reduce the weight of a backend, by the square of what they weigh in failures.
+/// How strongly reports reduce the weight of a backend in selection: the factor of the square of their weight in
+/// failures.
 const WEIGHT_REDUCTION: f64 = 2.0;
-/// Calls of unknown result that are assumed beside those that a witness reports.
+/// Number of calls with unknown results that is added to the calls a witness reports.
 const ASSUMED_CALLS: f64 = 0.5;
-/// Successes from which a witness saw a backend healthy, where it reports hardly any failures.
+/// Minimum number of successes for a report to show the backend as healthy.
 const MIN_HEALTHY_SUCCESSES: f64 = 0.9;
-/// Failures from which a witness did not see a backend healthy.
+/// Number of failures from which a report no longer shows the backend as healthy.
 const MAX_HEALTHY_FAILURES: f64 = 0.3;
-/// A backend counts as seen healthy only while reports against it weigh less than this, in failures.
+/// A backend counts as seen healthy only while the weight of the reports against it is below this, in failures.
 const MAX_FAILURES_IF_HEALTHY: f64 = 0.4;
 
-/// Who reports.
+/// The server that sent a report.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Witness<'a> {
     pub(crate) name: &'a CompactString,
     pub(crate) zone: &'a CompactString,
     pub(crate) incarnation: u64,
-    /// Whether its reports count; others are stored, so that they replace older ones.
+    /// Whether its reports count. Reports that do not count are stored too, so that they replace older ones.
     pub(crate) credible: bool,
 }
 
-/// What a witness saw of one backend, in calls, and how long ago.
+/// What a witness observed of one backend, in calls, and how long ago.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Observation {
     pub(crate) name_hash: u32,
@@ -54,7 +55,7 @@
     pub(crate) age: Duration,
 }
 
-/// A stored report.
+/// A stored report of one witness on one backend.
 #[derive(Clone, Debug)]
 struct Report {
     zone: CompactString,
@@ -66,7 +67,7 @@
 }
 
 impl Report {
-    /// The weight that is left at its age, 0 to 1.
+    /// Returns the weight that the report has at its age, 0 to 1.
     fn weight(&self, now: Timestamp) -> f64 {
         let age = (now - self.observed_at).as_secs_f64();
         1.0 - (age / MAX_REPORT_AGE.as_secs_f64()).min(1.0)
@@ -87,27 +88,28 @@
     }
 }
 
-/// What the reports on one backend weigh together.
+/// The combined weight of the reports on one backend.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct ReportSummary {
-    /// The weight of the reports against it, in failures of this server's own.
+    /// Weight of the reports against the backend, expressed as a number of failures seen by this server itself.
     pub(crate) failures: f64,
-    /// Zones that report against it.
+    /// Number of zones that report against the backend.
     pub(crate) zones_against: usize,
-    /// Witnesses whose reports count.
+    /// Number of witnesses whose reports count.
     pub(crate) witnesses: usize,
-    /// When a witness last saw it healthy, where hardly any report speaks against it.
+    /// When a witness last saw the backend healthy. `None` if none did, or if the reports against it have too much
+    /// weight.
     pub(crate) seen_healthy_at: Option<Timestamp>,
 }
 
 impl ReportSummary {
-    /// The fraction of a backend's weight that the reports leave, 0 to 1.
+    /// Returns the fraction of its weight in selection that the reports leave a backend, 0 to 1.
     pub(crate) fn weight_fraction(&self) -> f64 {
         1.0 / (1.0 + WEIGHT_REDUCTION * self.failures * self.failures)
     }
 }
 
-/// The weights of one zone's reports.
+/// The combined weight of one zone's reports.
 #[derive(Default)]
 struct ZoneTally {
     against: f64,
@@ -121,12 +123,12 @@
         self.in_favour += weight * (report.successes / calls);
     }
 
-    /// The fraction of the reports that is against the backend.
+    /// Returns the fraction of the reports that are against the backend, by weight.
     fn fraction_against(&self) -> f64 {
         self.against / (self.against + self.in_favour).max(1e-9)
     }
 
-    /// What the zone's reports weigh, in failures.
+    /// Returns the weight of the zone's reports against the backend, in failures.
     fn failures(&self) -> f64 {
         MAX_ZONE_FAILURES
             * (1.0 - REMAINDER_PER_WITNESS.powf(self.against))
@@ -138,14 +140,14 @@
     }
 }
 
-/// The reports of other servers, by the hash of the backend's name and the witness.
+/// The reports of other servers, by the hash of the backend's name and the name of the witness.
 #[derive(Default)]
 pub(crate) struct ReceivedReports {
     reports: HashMap<u32, BTreeMap<CompactString, Report>>,
 }
 
 impl ReceivedReports {
-    /// Stores a report in place of the older one of the same witness.
+    /// Stores a report in place of an older one of the same witness.
     pub(crate) fn record(&mut self, now: Timestamp, witness: Witness, seen: Observation) {
         let reports = self.reports.entry(seen.name_hash).or_default();
         let observed_at = now.saturating_sub(seen.age);
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Drops the reports of a server, but for those of its present incarnation, if it has one.
+    /// Drops the reports of a server, except those of its current incarnation, if it has one.
     pub(crate) fn retain_incarnation(&mut self, name: &CompactString, incarnation: Option<u64>) {
         for reports in self.reports.values_mut() {
             if reports
@@ -188,7 +190,7 @@
         });
     }
 
-    /// What the reports on one backend weigh now.
+    /// Returns the combined weight of the reports on one backend at `now`.
     pub(crate) fn summary(&self, now: Timestamp, name_hash: u32) -> ReportSummary {
         let Some(reports) = self.reports.get(&name_hash) else {
             return ReportSummary::default();
@@ -213,20 +215,20 @@
             summary.zones_against += usize::from(zone.is_against());
         }
         summary.failures = summary.failures.min(MAX_REPORTED_FAILURES);
-        // While others still report against it, a witness that saw it healthy may have been lucky.
+        // While other servers still report against the backend, a witness that saw it healthy may have been lucky.
         let is_undisputed = summary.failures < MAX_FAILURES_IF_HEALTHY;
         summary.seen_healthy_at = summary.seen_healthy_at.filter(|_| is_undisputed);
         summary
     }
 
-    /// Reports stored, on all backends.
+    /// Returns the number of reports stored, over all backends.
     pub(crate) fn len(&self) -> usize {
         self.reports.values().map(BTreeMap::len).sum()
     }
 }
 
-/// Drops the oldest report where there are too many for one of a further witness. False where the new report itself is
-/// no later than that one.
+/// Drops the oldest report if there is no room for the report of another witness. Returns `false` if the new report is
+/// no later than the oldest one and is to be discarded instead.
 fn evict_oldest_if_full(
     name: &CompactString,
     observed_at: Timestamp,
--- a/crates/upstream/src/gossip/reports/tests.rs
+++ b/crates/upstream/src/gossip/reports/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// One report of a witness on the backend with the hash 1.
+/// A report of a witness on the backend whose name has the hash 1.
 struct SentReport {
     from: String,
     zone: &'static str,
--- a/crates/upstream/src/hedge/policy.rs
+++ b/crates/upstream/src/hedge/policy.rs
@@ -1,7 +1,7 @@
 //! The hedge policy: which calls get a hedge, and when.
 //!
-//! [`HedgePolicy`] is given what is known of a call, [`hedge_delay`] what is known of the latencies of its group of
-//! backends; each refusal has its reason. Nothing here measures a latency, picks a backend or sends anything.
+//! [`HedgePolicy`] decides by the properties of a call, [`hedge_delay`] by the latencies of its group of backends. Each
+//! refusal states its reason. Nothing here measures a latency, selects a backend or sends anything.
 
 use crate::retry::policy::RetryRefusal;
 use madderbay::time::Duration;
@@ -11,9 +11,9 @@
 pub struct HedgeCandidate {
     /// Whether the call may run twice.
     pub is_idempotent: bool,
-    /// Whether a quota of the fleet counts the calls in flight, each of them once.
+    /// Whether a quota of the fleet limits the calls in flight. Such a quota counts each call once.
     pub is_under_quota: bool,
-    /// Time from the first attempt until the call is given up.
+    /// Time from the start of the first attempt until the call is given up.
     pub timeout: Duration,
 }
 
@@ -21,37 +21,37 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HedgeRefusal {
     /// A quota of the fleet counts the calls in flight.
-    #[error("a quota of the fleet counts the calls")]
+    #[error("a fleet quota counts the calls in flight")]
     UnderQuota,
     /// The call may not run twice.
     #[error("the call is not idempotent")]
     NotIdempotent,
-    /// The operator switched hedges off.
-    #[error("hedges are switched off")]
+    /// The operator disabled hedging.
+    #[error("hedging is disabled")]
     Disabled,
-    /// Too few latencies of the group are known to tell when a call takes long.
-    #[error("too few latencies are known")]
+    /// Too few latencies of the group are known to tell when a call takes unusually long.
+    #[error("too few latencies are known to derive a hedge delay")]
     LatencyUnknown,
-    /// The call is given up before the hedge is due.
+    /// The call is given up before a hedge would be due.
     #[error("the call times out before the hedge is due")]
     DueAfterTimeout,
-    /// The call gets no further attempt of any kind.
+    /// The call gets no further attempt of any kind, retry or hedge.
     #[error(transparent)]
     NoAttempt(#[from] RetryRefusal),
 }
 
-/// Decides on the hedges of one group of backends.
+/// Decides which calls of a group of backends may be hedged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct HedgePolicy {
-    /// Whether the operator allows hedges.
+    /// Whether the operator enabled hedging.
     pub(crate) is_enabled: bool,
 }
 
 impl HedgePolicy {
-    /// Whether a call may be hedged at all, whatever its latency.
+    /// Checks whether a call may be hedged at all, regardless of its latency.
     ///
     /// # Errors
-    /// The first reason against it, in the order of [`HedgeRefusal`].
+    /// Returns the first reason against a hedge, in the order of [`HedgeRefusal`].
     pub(crate) fn check_call(self, call: HedgeCandidate) -> Result<(), HedgeRefusal> {
         if call.is_under_quota {
             return Err(HedgeRefusal::UnderQuota);
@@ -62,10 +62,7 @@
         self.check_enabled()
     }
 
-    /// Whether the operator allows hedges.
-    ///
-    /// # Errors
-    /// [`HedgeRefusal::Disabled`].
+    /// Whether the operator enabled hedging.
     pub(crate) fn check_enabled(self) -> Result<(), HedgeRefusal> {
         if self.is_enabled {
             Ok(())
@@ -75,12 +72,12 @@
     }
 }
 
-/// The time from the first attempt of a call until its hedge is due. `estimate` is the latency that calls of the group
-/// rarely exceed, `timeout` the time until the call is given up.
+/// Returns the time from the start of the first attempt of a call until its hedge is due. `estimate` is the latency
+/// that calls of the group rarely exceed, `timeout` the time until the call is given up.
 ///
 /// # Errors
-/// [`HedgeRefusal::LatencyUnknown`] without an estimate, [`HedgeRefusal::DueAfterTimeout`] where it is no shorter than
-/// the timeout.
+/// Returns [`HedgeRefusal::LatencyUnknown`] without an estimate, and [`HedgeRefusal::DueAfterTimeout`] if the estimate
+/// is not shorter than the timeout.
 pub(crate) fn hedge_delay(
     estimate: Option<Duration>,
     timeout: Duration,
--- a/crates/upstream/src/jitter.rs
+++ b/crates/upstream/src/jitter.rs
@@ -1,13 +1,13 @@
-//! Jitter: times that all servers would otherwise share are spread by a random number.
+//! Random jitter for times that would otherwise be the same on all servers.
 
 use madderbay::time::Duration;
 
-/// The fraction of a time that is left at least.
+/// Lower bound of the result, as a fraction of the time.
 const MIN_FRACTION: f64 = 0.75;
-/// The width of the spread, as a fraction of the time.
+/// Width of the range of results, as a fraction of the time.
 const SPREAD: f64 = 0.5;
 
-/// Three to five quarters of a time; `random` is from 0 to 1.
+/// Returns 0.75 to 1.25 times `time`. `random` is a random number from 0 to 1.
 pub(crate) fn spread(time: Duration, random: f64) -> Duration {
     time.mul_f64(MIN_FRACTION + SPREAD * random)
 }
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,17 +1,18 @@
-//! Upstream backends: which backend a call goes to, which backends are ejected for a time, and which calls get a retry
-//! or a hedge.
+//! Upstream backends: selects a backend for each call, ejects faulty backends for a limited time, and decides which
+//! calls get a retry or a hedge.
 //!
-//! Each server judges backends by the outcomes of its own calls. What other servers report can bring a judgement
-//! forward; only where two zones agree does it decide alone. [`UpstreamManager`] owns all of this and is given time,
-//! random numbers and datagrams: there is no I/O here. [`FleetStack`] drives it together with membership and quotas.
+//! Each server judges backends by the outcomes of its own calls. Reports of other servers can lead to an ejection
+//! sooner; they are sufficient without failed calls of the server's own only if two zones agree. [`UpstreamManager`]
+//! implements this. It is given the time, a random seed and datagrams, and does no I/O. [`FleetStack`] runs it together
+//! with membership and quotas.
 //!
 //! | part | files |
 //! | --- | --- |
-//! | the table of backends and their groups | `registry`, `backend_table`, `backend_group` |
+//! | table of backends and their groups | `registry`, `backend_table`, `backend_group` |
 //! | selection | `selection` |
 //! | outlier detection, ejection, slow start | `outlier`, `backend`, `slow_start` |
 //! | retries and hedges | `retry`, `hedge` |
-//! | gossip of judgements | `gossip` |
+//! | gossip about backends | `gossip` |
 //!
 //! ```
 //! use madderbay::interface::HandlerId;
@@ -29,7 +30,7 @@
 //! let settings = Settings { zone: "north".into(), ..Settings::default() };
 //! let at = |ms: u64| Timestamp::from_micros(1_000_000 + ms * 1_000);
 //! let mut upstream = UpstreamManager::new(at(0), 7, settings, (1..=4).map(backend).collect());
-//! // One of four fails all its calls: it is ejected, and the others get them.
+//! // One of the four backends fails all its calls: it is ejected, and the other three get the calls.
 //! for step in 0..200 {
 //!     let now = at(step * 10);
 //!     upstream.handle_timeout(now);
@@ -59,7 +60,7 @@
 mod outlier;
 mod registry;
 mod retry;
-/// Selection of one of several backends.
+/// Selection of one of several backends for a call.
 pub mod selection;
 mod settings;
 mod slow_start;
--- a/crates/upstream/src/manager.rs
+++ b/crates/upstream/src/manager.rs
@@ -1,9 +1,9 @@
-//! The manager of all upstream backends: which backend an attempt goes to, whether there is a retry or a hedge, and
-//! what follows from the outcomes.
+//! The manager of all upstream backends. It selects the backend of each attempt, decides on retries and hedges, and
+//! processes the outcomes of attempts.
 //!
-//! [`UpstreamManager`] owns the parts and the schedule. It is given calls and their outcomes, the view of the fleet,
-//! datagrams, time and a seed; it gives attempts, datagrams, events and the time of its next timeout. It never does
-//! I/O, and never reads a clock. Its attempts are in [`attempts`].
+//! [`UpstreamManager`] owns the registry, the gossip and the schedule. It is given calls and their outcomes, the view
+//! of the fleet, datagrams, the time and a random seed. It returns attempts, datagrams, events and the time of its next
+//! timeout. It does no I/O and reads no clock. The methods for attempts are in [`attempts`].
 
 mod attempts;
 
@@ -21,10 +21,10 @@
 
 /// Time between two evaluations of all backends.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(100);
-/// The next evaluation follows a failure or a probe within this time.
+/// Upper bound on the time from a failed attempt or the end of a probe to the next evaluation.
 const EVALUATION_DELAY_AFTER_FAILURE: Duration = Duration::from_millis(10);
 
-/// Selects backends, judges them, and allows retries and hedges.
+/// Selects backends for calls, detects and ejects faulty ones, and decides on retries and hedges.
 pub struct UpstreamManager {
     settings: Settings,
     rng: Rand64,
@@ -37,7 +37,7 @@
 }
 
 impl UpstreamManager {
-    /// A manager of these backends, all of them active. All its random draws follow from the seed.
+    /// Creates a manager of the given backends, all of them active. All its random draws follow from the seed.
     pub fn new(
         now: Timestamp,
         seed: u64,
@@ -59,7 +59,7 @@
         manager
     }
 
-    /// Takes other settings and another list of backends. Attempts in flight go on; backends that there were before
+    /// Replaces the settings and the list of backends. Attempts in flight continue. Backends that were listed before
     /// keep their state, and new ones begin in slow start.
     pub fn reload(&mut self, now: Timestamp, settings: Settings, backends: Vec<BackendSettings>) {
         self.settings = settings;
@@ -77,7 +77,7 @@
 
     // --- timeouts
 
-    /// When [`handle_timeout`](Self::handle_timeout) is due next.
+    /// Returns when [`handle_timeout`](Self::handle_timeout) is due next.
     pub fn next_timeout(&self) -> Timestamp {
         if self.has_gossip_peers() {
             self.next_evaluation.min(self.gossip.next_round())
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Does what is due: an evaluation, a round of gossip, or both.
+    /// Does the work that is due: an evaluation, a round of gossip, or both.
     pub fn handle_timeout(&mut self, now: Timestamp) {
         if now >= self.next_evaluation {
             self.evaluate(now);
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Whether there is anybody to gossip with.
+    /// Reports whether gossip is enabled and has an active peer.
     fn has_gossip_peers(&self) -> bool {
         self.settings.gossip && self.gossip.active_peers() > 0
     }
@@ -147,15 +147,15 @@
         }
     }
 
-    // --- the fleet
+    // --- fleet
 
-    /// Whether this process was stalled recently, so that missing replies may be its own fault.
+    /// Sets whether this process was stalled recently, so that missing replies may be its own fault.
     pub fn set_stalled(&mut self, stalled: bool) {
         self.gossip.set_stalled(stalled);
     }
 
-    /// A server is in the view of the fleet, or is there with another incarnation, zone or activity. Reports of its
-    /// former incarnations are dropped.
+    /// Adds a server of the fleet's view, or updates its incarnation, zone and activity. Reports of its previous
+    /// incarnations are dropped.
     pub fn update_peer(
         &mut self,
         name: &CompactString,
@@ -166,12 +166,13 @@
         self.gossip.update_peer(name, incarnation, zone, active);
     }
 
-    /// A server is no longer in the view of the fleet. Its reports are dropped.
+    /// Removes a server that is no longer in the view of the fleet. Its reports are dropped.
     pub fn remove_peer(&mut self, name: &CompactString) {
         self.gossip.remove_peer(name);
     }
 
-    /// A payload of another server. One that is malformed or of an unknown server is counted and rejected.
+    /// Processes a gossip payload of another server. A payload that is malformed or from an unknown server is rejected
+    /// and counted.
     pub fn handle_datagram(&mut self, now: Timestamp, from: &CompactString, payload: &[u8]) {
         self.totals.datagrams_received += 1;
         let known_backends = self.registry.name_hashes();
@@ -184,29 +185,29 @@
         }
     }
 
-    /// Takes the payloads to send, each with the name of the server that it is for.
+    /// Takes the gossip payloads to send, each with the name of the server it is for.
     pub fn take_datagrams(&mut self) -> Vec<(CompactString, Vec<u8>)> {
         self.gossip.take_outgoing()
     }
 
-    // --- what others see
+    // --- events and status
 
-    /// Takes the events since the last call, in their order.
+    /// Takes the events since the last call, oldest first.
     pub fn take_events(&mut self) -> Vec<BackendEvent> {
         self.events.take()
     }
 
-    /// How many reports of other servers are stored.
+    /// Returns the number of stored reports of other servers.
     pub fn gossip_entries(&self) -> usize {
         self.gossip.reports().len()
     }
 
-    /// Whether any backend serves a handler.
+    /// Reports whether any backend serves a handler.
     pub fn has_backends(&self, handler: HandlerId) -> bool {
         self.registry.group(handler).is_some()
     }
 
-    /// The handlers of each group, and how many backends it has.
+    /// Iterates over the groups: the handlers of each, and its number of backends.
     pub fn groups(&self) -> impl Iterator<Item = (&[HandlerId], usize)> {
         self.registry
             .groups()
@@ -214,17 +215,17 @@
             .map(|group| (group.handlers(), group.backends().len()))
     }
 
-    /// The state of each backend, in the order of [`backend_statuses`](Self::backend_statuses).
+    /// Iterates over the states of the backends, in the order of [`backend_statuses`](Self::backend_statuses).
     pub fn backend_states(&self) -> impl Iterator<Item = BackendState> {
         self.registry.states()
     }
 
-    /// Counters since the start.
+    /// Returns the counters since the start.
     pub fn totals(&self) -> &Totals {
         &self.totals
     }
 
-    /// Each backend as it stands, group by group.
+    /// Returns the current status of each backend, group by group.
     pub fn backend_statuses(&self, now: Timestamp) -> Vec<BackendStatus> {
         self.registry.statuses(now)
     }
--- a/crates/upstream/src/manager/attempts.rs
+++ b/crates/upstream/src/manager/attempts.rs
@@ -1,7 +1,9 @@
-//! The attempts of calls: which backend each goes to, whether a call gets a further one, and what follows from its end.
+//! The attempts of calls: selects the backend of each attempt, decides whether a call gets a further one, and processes
+//! the end of each.
 //!
-//! The policies decide ([`crate::retry`], [`crate::hedge`]); the registry picks; this carries out and counts. The order
-//! is: policy, backend, budget. A refusal before the pick draws no random number, one before the budget spends nothing.
+//! The policies decide ([`crate::retry`], [`crate::hedge`]) and the registry selects the backend; this module carries
+//! out and counts. The order of a further attempt is: policy, backend, budget. A refusal before the backend is selected
+//! draws no random number, and one before the budget is checked spends nothing.
 
 use super::UpstreamManager;
 use crate::attempt::{AttemptOutcome, UpstreamAttempt};
@@ -15,10 +17,11 @@
 use madderbay::time::{Duration, Timestamp};
 
 impl UpstreamManager {
-    /// The first attempt of a call of a handler; nothing where the handler has no backends.
+    /// Begins the first attempt of a call of a handler. Returns `None` if the handler has no backends.
     pub fn pick(&mut self, now: Timestamp, handler: HandlerId) -> Option<UpstreamAttempt> {
         self.registry.group(handler)?;
-        // An evaluation that is due comes before the choice, whoever drives this manager.
+        // An evaluation that is due is done before a backend is selected, even if the caller has not run the timeout
+        // yet.
         if now >= self.next_evaluation {
             self.evaluate(now);
         }
@@ -31,10 +34,10 @@
         Some(self.begin_attempt(now, handler, backend))
     }
 
-    /// Retries a call at once, at another backend than its previous attempt. The retry budget is spent last.
+    /// Retries a call at once, at another backend than that of its previous attempt. The retry budget is spent last.
     ///
     /// # Errors
-    /// Why there is no retry; then no attempt begins and nothing is spent.
+    /// Returns the reason why there is no retry. In that case no attempt begins and nothing is spent.
     pub fn retry(
         &mut self,
         now: Timestamp,
@@ -45,11 +48,11 @@
         self.begin_further_attempt(now, previous, RetryTarget::OtherBackend)
     }
 
-    /// Retries a call after a backoff, at another backend if there is one in selection. Whoever waited for the backoff
-    /// has decided that the call may run again and that there is time for it.
+    /// Retries a call after a backoff, at another backend if one is in selection. The caller, which waited for the
+    /// backoff, has already decided that the call may run again and that there is time for it.
     ///
     /// # Errors
-    /// [`RetryRefusal::NoBackends`] or [`RetryRefusal::BudgetSpent`].
+    /// Returns [`RetryRefusal::NoBackends`] or [`RetryRefusal::BudgetSpent`].
     pub fn retry_after_backoff(
         &mut self,
         now: Timestamp,
@@ -58,10 +61,10 @@
         self.begin_further_attempt(now, previous, RetryTarget::AnyBackend)
     }
 
-    /// The time from the first attempt of a call until its hedge is due.
+    /// Returns the time from the start of the first attempt of a call until its hedge is due.
     ///
     /// # Errors
-    /// Why the call gets no hedge.
+    /// Returns the reason why the call gets no hedge.
     pub fn hedge_delay(
         &mut self,
         now: Timestamp,
@@ -76,11 +79,11 @@
         hedge::policy::hedge_delay(estimate, call.timeout)
     }
 
-    /// Hedges a call whose hedge is due, `time_left` before its deadline, at another backend than its attempt in
-    /// flight. The retry budget is spent last.
+    /// Begins the hedge of a call when it is due, at another backend than that of the attempt in flight. `time_left` is
+    /// the time until the deadline of the call. The retry budget is spent last.
     ///
     /// # Errors
-    /// Why there is no hedge; then no attempt begins and nothing is spent.
+    /// Returns the reason why there is no hedge. In that case no attempt begins and nothing is spent.
     pub fn hedge(
         &mut self,
         now: Timestamp,
@@ -94,7 +97,7 @@
         Ok(hedge)
     }
 
-    /// An attempt ended. Its outcome counts for or against the backend.
+    /// Ends an attempt. Its outcome counts for or against the backend.
     pub fn finish(&mut self, now: Timestamp, attempt: &UpstreamAttempt, outcome: AttemptOutcome) {
         match self
             .registry
@@ -112,7 +115,7 @@
         }
     }
 
-    /// Picks a backend for a further attempt of a call, spends one retry and begins the attempt.
+    /// Selects a backend for a further attempt of a call, spends one retry from the budget and begins the attempt.
     fn begin_further_attempt(
         &mut self,
         now: Timestamp,
@@ -131,7 +134,7 @@
         Ok(self.begin_attempt(now, handler, picked))
     }
 
-    /// Takes one retry from the budget of the group that serves a handler.
+    /// Spends one retry from the budget of the group that serves a handler.
     fn spend_retry(&mut self, now: Timestamp, handler: HandlerId) -> Result<(), RetryRefusal> {
         let group = self.registry.group_mut(handler);
         let group = group.ok_or(RetryRefusal::NoBackends)?;
@@ -155,7 +158,7 @@
         }
     }
 
-    /// How long a call of a handler typically takes; zero where that is not known.
+    /// Returns the typical latency of the calls of a handler, or zero if it is not known.
     fn typical_latency(&self, handler: HandlerId) -> Duration {
         let group = self.registry.group(handler);
         let seconds = group.and_then(BackendGroup::typical_latency_seconds);
--- a/crates/upstream/src/outlier.rs
+++ b/crates/upstream/src/outlier.rs
@@ -1,8 +1,9 @@
-//! Outlier detection: when a backend is so much worse than expected that it is ejected.
+//! Outlier detection: decides when a backend is so much worse than expected that it is ejected.
 //!
-//! The rule is one of evidence: the recent results that this server saw itself, and what other servers report. The
-//! fewer servers report on a backend, the more failures of its own a server needs. This module holds the rule; results
-//! are collected by [`CallHistory`], reports by [`crate::gossip`], and ejections are made by the backend's group.
+//! The decision is based on evidence: the recent results that this server saw itself, and the reports of other servers.
+//! The fewer servers report on a backend, the more failures of its own a server needs. This module holds the rule.
+//! [`CallHistory`] collects the results, [`crate::gossip`] the reports, and the backend's group carries out the
+//! ejections.
 
 pub(crate) mod call_history;
 
@@ -14,61 +15,65 @@
 use madderbay::time::Duration;
 use std::fmt;
 
-/// An attempt is overdue after so many times the typical latency of the group.
+/// An attempt is overdue after this multiple of the typical latency of the group.
 const OVERDUE_LATENCY_FACTOR: f64 = 8.0;
-/// An attempt is never overdue before this time.
+/// Lower bound on the time after which an attempt is overdue.
 const MIN_OVERDUE_TIME: Duration = Duration::from_millis(250);
-/// An attempt that was given up before this fraction of the overdue time shows nothing.
+/// An attempt that was given up before this fraction of the overdue time says nothing about the backend.
 const MIN_WAIT_FRACTION: f64 = 0.3;
-/// A call, or the mean of a backend's calls, is slow from so many times the typical latency of the group.
+/// A call, or the mean of a backend's calls, is slow if its latency exceeds this multiple of the typical latency of the
+/// group.
 const SLOW_LATENCY_FACTOR: f64 = 4.0;
-/// Lower bound on the failures of a slow backend.
+/// Lower bound on the failures that a slow backend is assessed with.
 const SLOW_BACKEND_FAILURES: f64 = 3.0;
 /// Suspicion from which a backend may be ejected, 0 to 1.
 const SUSPICION_THRESHOLD: f64 = 0.6;
-/// Calls of unknown result that suspicion assumes, so that a single failure does not decide.
+/// Number of calls with unknown results that is added when suspicion is computed, so that a single failure is not
+/// decisive.
 const ASSUMED_CALLS: f64 = 0.5;
-/// The same where only this server's own results count.
+/// The same as [`ASSUMED_CALLS`], for suspicion by this server's own results alone.
 const ASSUMED_CALLS_OWN: f64 = 1.0;
-/// Own failures needed for an ejection without confirming reports.
+/// Failures seen by this server that are needed for an ejection without confirming reports.
 const MIN_FAILURES_UNCONFIRMED: f64 = 2.5;
-/// Own failures needed for an ejection with confirming reports.
+/// Failures seen by this server that are needed for an ejection with confirming reports.
 const MIN_FAILURES_CONFIRMED: f64 = 0.7;
-/// Reported failures that confirm a failure of one's own.
+/// Weight of the reported failures from which they confirm failures seen by this server.
 const CONFIRMING_REPORTED_FAILURES: f64 = 0.9;
-/// Reported failures that decide without any failure of one's own, where enough zones agree.
+/// Weight of the reported failures from which they are decisive without any failure seen by this server, if enough
+/// zones agree.
 const DECISIVE_REPORTED_FAILURES: f64 = 3.0;
-/// Zones that have to agree for that.
+/// Number of zones that have to agree for reports to be decisive.
 const DECISIVE_ZONES: usize = 2;
-/// Own recent successes that overrule all reports, where there are hardly any failures.
+/// Recent successes seen by this server from which they overrule all reports, if there are hardly any failures.
 const OVERRULING_SUCCESSES: f64 = 2.0;
-/// Own failures from which successes no longer overrule the reports.
+/// Failures seen by this server from which its successes no longer overrule the reports.
 const MAX_OVERRULING_FAILURES: f64 = 0.5;
-/// Fraction of the successes that is reported to others when the last call failed: they show little of the present.
+/// Fraction of the successes that is reported to other servers if the last call failed: earlier successes then say
+/// little about the current state.
 const OUTDATED_SUCCESS_FRACTION: f64 = 0.3;
 
-/// What a judgement of a backend rests on. `Display` gives it in the words of the log.
+/// The evidence for and against a backend. `Display` writes it as it appears in the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutlierEvidence {
-    /// Recent successes that this server saw.
+    /// Recent successes that this server saw; 0 for a slow backend.
     pub successes: f64,
-    /// Recent failures that this server saw, overdue attempts among them.
+    /// Recent failures that this server saw, including overdue attempts.
     pub failures: f64,
-    /// Attempts in flight that are overdue.
+    /// Number of attempts in flight that are overdue.
     pub overdue: usize,
-    /// Where the backend is slow: its latency in multiples of the typical latency of its group.
+    /// The latency of the backend in multiples of the typical latency of its group, if the backend is slow.
     pub slowdown: Option<f64>,
-    /// What the reports of other servers weigh, in failures of this server's own.
+    /// Weight of the reports of other servers, expressed as a number of failures seen by this server itself.
     pub reported_failures: f64,
-    /// Zones whose servers report against the backend.
+    /// Number of zones whose servers report against the backend.
     pub reporting_zones: usize,
-    /// Other servers whose reports count.
+    /// Number of other servers whose reports count.
     pub witnesses: usize,
 }
 
 impl OutlierEvidence {
-    /// Evidence from a backend's own results and the reports on it. `slowdown` is its latency in multiples of the
-    /// typical one, where it is slow.
+    /// Derives the evidence from a backend's results and the reports on it. `slowdown` is its latency in multiples of
+    /// the typical one, if it is slow.
     pub(crate) fn new(
         results: CallCounts,
         overdue: usize,
@@ -78,7 +83,7 @@
         let mut successes = results.successes;
         let mut failures = results.failures + overdue as f64;
         if slowdown.is_some() {
-            // The successes of a slow backend do not speak for it.
+            // The successes of a slow backend do not count in its favour.
             successes = 0.0;
             failures = failures.max(SLOW_BACKEND_FAILURES);
         }
@@ -100,23 +105,23 @@
         }
     }
 
-    /// How likely the backend is faulty, 0 to 1.
+    /// Returns the suspicion that the backend is faulty, 0 to 1.
     pub fn suspicion(&self) -> f64 {
         let failures = self.failures + self.reported_failures;
         failures / (self.successes + failures + ASSUMED_CALLS)
     }
 
-    /// Whether the evidence is enough to eject the backend.
+    /// Reports whether the evidence is sufficient to eject the backend.
     pub fn is_outlier(&self) -> bool {
         self.suspicion() >= SUSPICION_THRESHOLD && self.failures >= self.failures_needed()
     }
 
-    /// How likely the backend is faulty by this server's own results alone, 0 to 1.
+    /// Returns the suspicion that the backend is faulty by this server's own results alone, 0 to 1.
     pub(crate) fn own_suspicion(&self) -> f64 {
         self.failures / (self.successes + self.failures + ASSUMED_CALLS_OWN)
     }
 
-    /// What is reported to other servers of these results.
+    /// Returns what this server reports about these results to other servers.
     pub(crate) fn reported_results(&self, last_call_failed: bool) -> CallCounts {
         let successes = if last_call_failed {
             self.successes * OUTDATED_SUCCESS_FRACTION
@@ -142,8 +147,8 @@
     }
 }
 
-/// Values of a log line. What shows nothing is left out: overdue attempts and slowdown where there are none, and the
-/// reports of others without a witness.
+/// Writes the values of a log line. Values without information are omitted: overdue attempts and slowdown if there are
+/// none, and the reports of others if there is no witness.
 impl fmt::Display for OutlierEvidence {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let (failures, successes) = (self.failures, self.successes);
@@ -163,20 +168,21 @@
     }
 }
 
-/// How long an attempt may be in flight until it counts as a failure, by the typical latency of the group.
+/// Returns the time in flight after which an attempt counts as a failure, derived from the typical latency of the
+/// group.
 pub(crate) fn overdue_time(typical_latency_seconds: Option<f64>) -> Duration {
     typical_latency_seconds.map_or(MIN_OVERDUE_TIME, |seconds| {
         Duration::from_secs_f64(seconds * OVERDUE_LATENCY_FACTOR).max(MIN_OVERDUE_TIME)
     })
 }
 
-/// Whether one call was slow beside the typical latency of the group.
+/// Reports whether a call was slow compared with the typical latency of the group.
 pub(crate) fn is_slow_call(latency: Duration, typical_latency_seconds: Option<f64>) -> bool {
     typical_latency_seconds
         .is_some_and(|typical| latency.as_secs_f64() > SLOW_LATENCY_FACTOR * typical)
 }
 
-/// By what factor a backend is slower than its group, where it is slow.
+/// Returns the factor by which a backend is slower than its group, or `None` if it is not slow.
 pub(crate) fn slowdown(
     own_latency_seconds: Option<f64>,
     typical_latency_seconds: Option<f64>,
@@ -187,8 +193,8 @@
     }
 }
 
-/// What an outcome shows, given the wait for it: a timeout after a short wait shows nothing, and a cancellation after a
-/// long one shows that no reply came.
+/// Adjusts an outcome by the time waited for it: a timeout after a short wait says nothing about the backend and
+/// becomes a cancellation, and a cancellation after a long wait shows that no reply came and becomes a timeout.
 pub(crate) fn outcome_after_wait(
     outcome: AttemptOutcome,
     waited: Duration,
--- a/crates/upstream/src/outlier/call_history.rs
+++ b/crates/upstream/src/outlier/call_history.rs
@@ -1,27 +1,28 @@
-//! Recent results of one backend's calls, as this server saw them. Old results count less and less.
+//! The recent results of one backend's calls, as seen by this server. The weight of a result decays with its age.
 
 use crate::attempt::AttemptOutcome;
 use crate::call_counts::CallCounts;
 use madderbay::time::{Duration, Timestamp};
 
-/// Time constant of the decay of failures: long enough that one a second adds up, and short enough that a repaired
-/// backend is trusted again.
+/// Time constant of the decay of failures: long enough that failures at a rate of one a second add up, and short enough
+/// that a repaired backend is trusted again.
 const FAILURE_DECAY: Duration = Duration::from_millis(5_000);
-/// Time constant of the decay of successes; they count shorter, since they show little of the present.
+/// Time constant of the decay of successes. It is shorter than that of failures, because old successes say little about
+/// the current state.
 const SUCCESS_DECAY: Duration = Duration::from_millis(2_000);
-/// Fraction of the successes that still counts after each consecutive failure.
+/// Factor that the successes are multiplied by for each consecutive failure.
 const SUCCESSES_AFTER_FAILURE: f64 = 0.6;
-/// Consecutive failures beyond which successes count no less.
+/// Number of consecutive failures beyond which successes are not reduced further.
 const MAX_CONSECUTIVE_FAILURES: i32 = 6;
-/// What a failed attempt counts.
+/// Number of failures that a failed attempt counts as.
 const FAILURE_WEIGHT: f64 = 1.0;
-/// What an attempt counts as a failure that was slow, or that a later hedge overtook.
+/// Number of failures that an attempt counts as if it was slow or was overtaken by a later hedge.
 const SLOW_CALL_WEIGHT: f64 = 0.5;
-/// Weight of the newest call in the mean latency, which so covers the last five or so.
+/// Weight of the latest call in the mean latency, which therefore covers about the last five calls.
 const LATENCY_SMOOTHING: f64 = 0.3;
-/// The mean latency needs more successful calls than this.
+/// The mean latency is reliable only after more successful calls than this.
 const MIN_LATENCY_SAMPLES: f64 = 2.5;
-/// Time after the last successful call from which the mean latency says nothing.
+/// Time after the last successful call beyond which the mean latency is outdated.
 const MAX_LATENCY_AGE: Duration = Duration::from_millis(10_000);
 
 /// The recent results of one backend.
@@ -35,7 +36,7 @@
 }
 
 impl CallHistory {
-    /// Lets the results age until `now`.
+    /// Applies the decay of the results up to `now`.
     pub(crate) fn decay(&mut self, now: Timestamp) {
         let elapsed = (now - self.decayed_at).as_secs_f64();
         self.successes *= (-elapsed / SUCCESS_DECAY.as_secs_f64()).exp();
@@ -43,7 +44,7 @@
         self.decayed_at = self.decayed_at.max(now);
     }
 
-    /// Counts the outcome of an attempt; `slow` where it took far longer than is typical.
+    /// Counts the outcome of an attempt. `slow` says that it took far longer than is typical.
     pub(crate) fn record(
         &mut self,
         now: Timestamp,
@@ -67,7 +68,7 @@
         self.latency.record(now, latency);
     }
 
-    /// Successes and failures that still count.
+    /// Returns the successes and failures that still count.
     pub(crate) fn counts(&self) -> CallCounts {
         let failures_in_row = self.consecutive_failures.clamp(0, MAX_CONSECUTIVE_FAILURES);
         let successes = self.successes * SUCCESSES_AFTER_FAILURE.powi(failures_in_row);
@@ -77,22 +78,22 @@
         }
     }
 
-    /// Whether the last call that shows anything failed.
+    /// Reports whether the last call that says anything about the backend failed.
     pub(crate) fn last_call_failed(&self) -> bool {
         self.consecutive_failures > 0
     }
 
-    /// Recent mean latency of successful calls, where there were enough of them.
+    /// Returns the recent mean latency of successful calls, or `None` if there were not enough of them.
     pub(crate) fn latency_seconds(&self, now: Timestamp) -> Option<f64> {
         self.latency.reliable(now)
     }
 
-    /// The same, however few calls it rests on.
+    /// Returns the mean latency of successful calls, however few calls it is based on.
     pub(crate) fn latency_estimate_seconds(&self) -> Option<f64> {
         self.latency.estimate()
     }
 
-    /// Forgets the results: the backend begins anew.
+    /// Clears the results, so that the backend starts without a history.
     pub(crate) fn clear(&mut self) {
         (self.successes, self.failures, self.consecutive_failures) = (0.0, 0.0, 0);
         self.latency.samples = 0.0;
@@ -103,7 +104,7 @@
 #[derive(Clone, Debug, Default)]
 struct MeanLatency {
     seconds: f64,
-    /// How many calls the mean rests on.
+    /// How many calls the mean is based on.
     samples: f64,
     updated_at: Timestamp,
 }
@@ -133,8 +134,8 @@
     }
 }
 
-/// What an outcome counts as a failure of the backend. A failed connection may be the network's fault as well, and a
-/// cancelled attempt proves nothing.
+/// Returns the number of failures that an outcome counts as. A failed connection may be the network's fault as well,
+/// and a cancelled attempt proves nothing.
 fn failure_weight(outcome: AttemptOutcome) -> f64 {
     if outcome.is_failure() {
         FAILURE_WEIGHT
--- a/crates/upstream/src/registry.rs
+++ b/crates/upstream/src/registry.rs
@@ -1,7 +1,7 @@
-//! The table of backends, their groups, and which handlers these serve.
+//! The table of backends, their groups, and the handlers that each group serves.
 //!
-//! [`BackendRegistry`] owns all backends and groups. It is given the operator's list, attempts and their outcomes; it
-//! knows neither the fleet nor the schedule.
+//! [`BackendRegistry`] owns all backends and groups. It is given the operator's list of backends, attempts and their
+//! outcomes. It knows neither the fleet nor the schedule.
 
 use crate::attempt::{AttemptOutcome, UpstreamAttempt};
 use crate::backend::{Backend, RecordEffect};
@@ -20,23 +20,23 @@
 use oorandom::Rand64;
 use std::collections::{HashMap, HashSet};
 
-/// The backends with one list of handlers, while a configuration is read.
+/// The backends that serve the same list of handlers, collected while a configuration is read.
 struct GroupMembers {
     handlers: Vec<HandlerId>,
     backends: Vec<BackendId>,
 }
 
-/// What follows from the end of an attempt.
+/// What the caller has to do after the end of an attempt.
 pub(crate) enum FinishEffect {
-    /// Nothing.
+    /// Nothing is left to do.
     None,
-    /// A probe ended, perhaps with a change of state: an evaluation should follow soon.
+    /// A probe ended: an evaluation should follow soon. The event is set if the probe changed the state of the backend.
     ProbeEnded(Option<BackendEvent>),
     /// The attempt failed: an evaluation and a round of gossip should follow soon.
     AttemptFailed,
 }
 
-/// All backends of one server.
+/// All backends that one server calls.
 #[derive(Default)]
 pub(crate) struct BackendRegistry {
     backends: BackendTable,
@@ -50,8 +50,8 @@
 impl BackendRegistry {
     // --- configuration
 
-    /// Takes the operator's list. Backends and groups that there were before go on as they stand, also their attempts
-    /// in flight. Returns what has changed.
+    /// Applies the operator's list of backends. Backends and groups that existed before keep their state and their
+    /// attempts in flight. Returns an event for each backend that was added or removed.
     pub(crate) fn configure(
         &mut self,
         now: Timestamp,
@@ -105,7 +105,7 @@
             name: settings.name.clone(),
             present: true,
         });
-        // Beside others its caches may be cold, and all servers begin to use it at the same time.
+        // A backend that is added to others may have cold caches, and all servers begin to use it at the same time.
         let state = if self.groups.is_empty() {
             BackendState::Active
         } else {
@@ -114,7 +114,7 @@
         self.backends.insert(Backend::new(now, settings, state))
     }
 
-    /// Sets the groups in the order of the list. A group with the same handlers as before is that group.
+    /// Sets the groups in the order of the list. A group that existed before with the same handlers is kept.
     fn regroup(&mut self, now: Timestamp, groups: Vec<GroupMembers>, retry_ratio: f64) {
         let mut previous = std::mem::take(&mut self.groups);
         for GroupMembers { handlers, backends } in groups {
@@ -148,34 +148,34 @@
 
     // --- queries
 
-    /// Hashes of the names of the configured backends.
+    /// Returns the hashes of the names of the configured backends.
     pub(crate) fn name_hashes(&self) -> &HashSet<u32> {
         &self.name_hashes
     }
 
-    /// The group that serves a handler.
+    /// Returns the group that serves a handler.
     pub(crate) fn group(&self, handler: HandlerId) -> Option<&BackendGroup> {
         let index = self.group_by_handler.get(&handler)?;
         Some(&self.groups[*index])
     }
 
-    /// The group that serves a handler, to be changed.
+    /// Returns the group that serves a handler, for changes.
     pub(crate) fn group_mut(&mut self, handler: HandlerId) -> Option<&mut BackendGroup> {
         let index = self.group_by_handler.get(&handler)?;
         Some(&mut self.groups[*index])
     }
 
-    /// All groups.
+    /// Returns all groups.
     pub(crate) fn groups(&self) -> &[BackendGroup] {
         &self.groups
     }
 
-    /// The state of each configured backend, group by group.
+    /// Iterates over the states of the configured backends, group by group.
     pub(crate) fn states(&self) -> impl Iterator<Item = BackendState> {
         self.by_group().map(Backend::state)
     }
 
-    /// Each configured backend as it stands, group by group.
+    /// Returns the current status of each configured backend, group by group.
     pub(crate) fn statuses(&self, now: Timestamp) -> Vec<BackendStatus> {
         self.by_group().map(|backend| backend.status(now)).collect()
     }
@@ -187,7 +187,7 @@
             .map(|id| &self.backends[*id])
     }
 
-    /// What this server sees of each configured backend, in the order of the table.
+    /// Returns what this server observes of each configured backend, in the order of the table.
     pub(crate) fn observations(&mut self, now: Timestamp) -> Vec<LocalObservation> {
         self.backends
             .configured_mut()
@@ -195,7 +195,7 @@
             .collect()
     }
 
-    /// Recent attempts of all groups.
+    /// Returns the sum of the recent attempts of all groups.
     pub(crate) fn recent_attempts(&mut self, now: Timestamp) -> AttemptCounts {
         self.groups
             .iter_mut()
@@ -203,9 +203,10 @@
             .fold(AttemptCounts::default(), AttemptCounts::plus)
     }
 
-    // --- attempts and judgement
+    // --- attempts and evaluation
 
-    /// The backend for an attempt at a handler. The one to `avoid`, if any, is chosen only where there is no other.
+    /// Selects the backend for an attempt of a call of a handler. The backend to `avoid`, if any, is chosen only if
+    /// there is no other.
     pub(crate) fn pick(
         &mut self,
         now: Timestamp,
@@ -220,7 +221,7 @@
         group.pick(now, &self.backends, avoid, rng)
     }
 
-    /// Makes an attempt at a backend.
+    /// Begins an attempt at a backend.
     pub(crate) fn begin_attempt(
         &mut self,
         now: Timestamp,
@@ -239,7 +240,7 @@
         }
     }
 
-    /// Ends an attempt. One that is not in flight, or whose handler is no longer served, changes nothing else.
+    /// Ends an attempt. An attempt that is not in flight, or whose handler is no longer served, has no further effect.
     pub(crate) fn finish_attempt(
         &mut self,
         now: Timestamp,
@@ -271,7 +272,7 @@
         }
     }
 
-    /// Judges all backends anew, with the recent attempts of the fleet. Returns what has changed.
+    /// Evaluates all backends, given the recent attempts of the fleet. Returns the events that result.
     pub(crate) fn evaluate(
         &mut self,
         now: Timestamp,
--- a/crates/upstream/src/retry/budget.rs
+++ b/crates/upstream/src/retry/budget.rs
@@ -1,21 +1,23 @@
-//! The retry budget of a group of backends: retries are a fraction of first attempts, with a few saved up, so that an
-//! overloaded upstream is not buried under retries.
+//! The retry budget of a group of backends: a token bucket that limits retries to a fraction of first attempts, so that
+//! an overloaded upstream does not collapse under retries.
 //!
-//! [`RetryBudget`] owns the credit and the recent numbers of attempts. It is given the attempts of this server and the
-//! sums of the fleet; it never decides which backend is called.
+//! [`RetryBudget`] holds the tokens and the recent numbers of attempts. It is given the attempts of this server and the
+//! sums of the fleet. It does not decide which backend is called.
 
 use madderbay::time::{Duration, Timestamp};
 
-/// Retries that can be saved up: when one backend of many crashes, a few calls in flight there want one each.
+/// Upper bound on the tokens. It allows for the crash of one backend of many: each of the few calls in flight there
+/// needs a retry.
 const MAX_TOKENS: f64 = 10.0;
-/// Attempts count as recent for about this long: the time constant of their decay.
+/// Time constant of the decay of the recent attempts: they count for about this long.
 const RECENT_ATTEMPTS_DECAY: Duration = Duration::from_millis(10_000);
-/// Fraction of its allowed retries at which the fleet is crowded. Each server then earns half as many.
+/// Fraction of the retries allowed to the whole fleet above which the fleet is near its limit. Each server then earns
+/// tokens at a reduced rate.
 const FLEET_RETRY_LIMIT_FRACTION: f64 = 0.7;
-/// What a first attempt earns in a crowded fleet, as a fraction of what it earns otherwise.
+/// Tokens that a first attempt earns while the fleet is near its limit, as a fraction of what it earns otherwise: half.
 const NEAR_LIMIT_EARNING_FACTOR: f64 = 0.5;
 
-/// Recent first attempts and retries; older ones count less.
+/// Recent first attempts and retries. The counts decay with age.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct AttemptCounts {
     pub(crate) first_attempts: f64,
@@ -23,7 +25,7 @@
 }
 
 impl AttemptCounts {
-    /// The sums of both.
+    /// Returns the sums of both counts.
     pub(crate) fn plus(self, other: AttemptCounts) -> AttemptCounts {
         AttemptCounts {
             first_attempts: self.first_attempts + other.first_attempts,
@@ -34,18 +36,18 @@
 
 /// The retry budget of one group.
 pub(crate) struct RetryBudget {
-    /// Retries allowed for each first attempt.
+    /// Retries allowed per first attempt: the tokens that one earns.
     ratio: f64,
-    /// Retries that may be made now.
+    /// Number of retries that may be made now. Each retry takes one token.
     tokens: f64,
     recent: AttemptCounts,
     recent_at: Timestamp,
-    /// Recent attempts of the fleet, this server's included; nothing where no peer reports any.
+    /// Recent attempts of the fleet, including this server's own. `None` if no peer has reported any.
     fleet: Option<AttemptCounts>,
 }
 
 impl RetryBudget {
-    /// A budget without savings; `ratio` is the number of retries for each first attempt.
+    /// Creates a budget without tokens. `ratio` is the number of retries allowed per first attempt.
     pub(crate) fn new(now: Timestamp, ratio: f64) -> RetryBudget {
         RetryBudget {
             ratio,
@@ -56,17 +58,17 @@
         }
     }
 
-    /// Sets another ratio; savings stay.
+    /// Sets another ratio. The tokens earned so far are kept.
     pub(crate) fn set_ratio(&mut self, ratio: f64) {
         self.ratio = ratio;
     }
 
-    /// Sets the recent attempts of the fleet, where any peer reports them.
+    /// Sets the recent attempts of the fleet, or `None` if no peer has reported any.
     pub(crate) fn set_fleet(&mut self, fleet: Option<AttemptCounts>) {
         self.fleet = fleet;
     }
 
-    /// Counts a first attempt, which earns a fraction of a retry.
+    /// Counts a first attempt, which earns a fraction of a token.
     pub(crate) fn record_first_attempt(&mut self, now: Timestamp) {
         self.decay(now);
         self.recent.first_attempts += 1.0;
@@ -78,7 +80,7 @@
         self.tokens = (self.tokens + earned).min(MAX_TOKENS);
     }
 
-    /// Spends one retry. False where the budget does not allow it.
+    /// Spends one token for a retry. Returns `false` if the budget does not allow a retry.
     pub(crate) fn try_spend(&mut self, now: Timestamp) -> bool {
         if self.tokens < 1.0 {
             return false;
@@ -89,7 +91,7 @@
         true
     }
 
-    /// This server's recent attempts.
+    /// Returns this server's recent attempts.
     pub(crate) fn recent_attempts(&mut self, now: Timestamp) -> AttemptCounts {
         self.decay(now);
         self.recent
--- a/crates/upstream/src/retry/budget/tests.rs
+++ b/crates/upstream/src/retry/budget/tests.rs
@@ -4,7 +4,7 @@
     Timestamp::from_micros(1_000_000 + ms * 1_000)
 }
 
-/// All calls fail for a minute: no more than a tenth get a retry, from the first moment on.
+/// All calls fail for a minute: with a ratio of 0.1, at most a tenth of them are retried, from the first moment on.
 #[test]
 fn retries_stay_within_the_ratio_during_an_outage() {
     let mut budget = RetryBudget::new(at(0), 0.1);
--- a/crates/upstream/src/retry/policy.rs
+++ b/crates/upstream/src/retry/policy.rs
@@ -1,20 +1,21 @@
-//! The retry policy: whether a call whose attempt failed is worth and safe to attempt once more.
+//! The retry policy: whether a call whose attempt failed may be attempted once more, safely and usefully.
 //!
-//! [`RetryPolicy`] is given what is known of the call, [`RetryTarget`] what is known of the backends; each refusal has
-//! its reason. Nothing here picks a backend, spends from the retry budget, draws a random number or sends anything.
+//! [`RetryPolicy`] decides by the properties of the call, [`RetryTarget`] by the available backends. Each refusal
+//! states its reason. Nothing here selects a backend, spends from the retry budget, draws a random number or sends
+//! anything.
 
 use crate::attempt::AttemptOutcome;
 use crate::backend_id::BackendId;
 use madderbay::time::Duration;
 
-/// A call that has no attempt in flight since its last one failed.
+/// A call whose last attempt failed and that has no other attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailedCall {
-    /// How its last attempt ended.
+    /// How the last attempt ended.
     pub outcome: AttemptOutcome,
     /// Whether the call may run twice.
     pub is_idempotent: bool,
-    /// Time until the deadline of the call; zero where it has passed, or was never set.
+    /// Time until the deadline of the call. Zero if the deadline has passed or was never set.
     pub time_left: Duration,
 }
 
@@ -22,35 +23,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RetryRefusal {
     /// The previous attempt may have run, and the call may not run twice.
-    #[error("the call may have run, and is not idempotent")]
+    #[error("the call may have run and is not idempotent")]
     MayHaveRun,
-    /// A call typically takes all the time that is left, or longer.
-    #[error("not enough time is left")]
+    /// A call typically takes at least as long as the time that is left.
+    #[error("not enough time is left before the deadline")]
     NoTimeLeft,
-    /// The handler of the call has no backends; they may have been removed since the previous attempt.
+    /// The handler of the call has no backends. They may have been removed since the previous attempt.
     #[error("the handler has no backends")]
     NoBackends,
-    /// The attempt has to go to another backend than the previous one, and there is none in selection.
-    #[error("there is no other backend")]
+    /// The attempt has to go to another backend than the previous one, and no other backend is in selection.
+    #[error("no other backend is in selection")]
     NoOtherBackend,
     /// The retry budget of the group of backends is spent.
     #[error("the retry budget is spent")]
     BudgetSpent,
 }
 
-/// Decides whether a call is attempted once more, by the call alone.
+/// Decides whether a call may be attempted once more, by the properties of the call alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryPolicy {
-    /// How long a call typically takes; zero where that is not known.
+    /// Typical latency of a call, or zero if it is not known.
     pub typical_latency: Duration,
 }
 
 impl RetryPolicy {
-    /// Whether a failed call may be retried at once.
+    /// Checks whether a failed call may be retried at once.
     ///
     /// # Errors
-    /// [`RetryRefusal::MayHaveRun`] where the call could run twice although it may not, else
-    /// [`RetryRefusal::NoTimeLeft`] where a further attempt would typically end after the deadline.
+    /// Returns [`RetryRefusal::MayHaveRun`] if the call is not idempotent and may have run, otherwise
+    /// [`RetryRefusal::NoTimeLeft`] if a further attempt would typically not end before the deadline.
     pub fn check(&self, call: FailedCall) -> Result<(), RetryRefusal> {
         if !call.outcome.never_executed() && !call.is_idempotent {
             return Err(RetryRefusal::MayHaveRun);
@@ -58,10 +59,10 @@
         self.check_time_left(call.time_left)
     }
 
-    /// Whether there is time for a further attempt.
+    /// Checks whether there is time for a further attempt.
     ///
     /// # Errors
-    /// [`RetryRefusal::NoTimeLeft`] unless more time is left than a call typically takes.
+    /// Returns [`RetryRefusal::NoTimeLeft`] unless more time is left than a call typically takes.
     pub(crate) fn check_time_left(&self, time_left: Duration) -> Result<(), RetryRefusal> {
         if time_left > self.typical_latency {
             Ok(())
@@ -71,20 +72,20 @@
     }
 }
 
-/// Where a further attempt of a call may go.
+/// Which backends a further attempt of a call may go to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RetryTarget {
-    /// Only to another backend: a retry at once, or a hedge.
+    /// Only another backend: a retry at once, or a hedge.
     OtherBackend,
-    /// To another backend if there is one in selection, else to the same one: a retry after a backoff.
+    /// Another backend if one is in selection, otherwise the same one: a retry after a backoff.
     AnyBackend,
 }
 
 impl RetryTarget {
-    /// Whether the group of the call has a backend for the attempt, before one is picked.
+    /// Checks, before a backend is selected, whether the group of the call has a backend for the attempt.
     ///
     /// # Errors
-    /// [`RetryRefusal::NoOtherBackend`].
+    /// Returns [`RetryRefusal::NoOtherBackend`] if the attempt has to go to another backend and the group has only one.
     pub(crate) fn check_group(self, has_alternatives: bool) -> Result<(), RetryRefusal> {
         if self == RetryTarget::OtherBackend && !has_alternatives {
             return Err(RetryRefusal::NoOtherBackend);
@@ -92,10 +93,12 @@
         Ok(())
     }
 
-    /// Whether the attempt may go to the picked backend. That is the previous one where all others are out of selection.
+    /// Checks whether the attempt may go to the selected backend. This is the previous one if all others are out of
+    /// selection.
     ///
     /// # Errors
-    /// [`RetryRefusal::NoOtherBackend`].
+    /// Returns [`RetryRefusal::NoOtherBackend`] if the attempt has to go to another backend and the previous one was
+    /// selected.
     pub(crate) fn check_picked(
         self,
         previous: BackendId,
--- a/crates/upstream/src/retry/policy/tests.rs
+++ b/crates/upstream/src/retry/policy/tests.rs
@@ -2,7 +2,7 @@
 
 const SECOND: Duration = Duration::from_millis(1_000);
 
-/// Of a group whose calls typically take 20 ms.
+/// The policy of a group whose calls typically take 20 ms.
 const POLICY: RetryPolicy = RetryPolicy {
     typical_latency: Duration::from_millis(20),
 };
--- a/crates/upstream/src/selection.rs
+++ b/crates/upstream/src/selection.rs
@@ -1,5 +1,6 @@
 //! Selection of a backend: two are drawn by weight, and the call goes to the one with less work (power of two choices).
-//! Samplers are built anew now and then, so that a choice costs about the same among ten backends and a thousand.
+//! The samplers are rebuilt at each evaluation, so that one selection costs about the same with ten backends as with a
+//! thousand.
 
 mod bounded_load;
 mod weighted;
--- a/crates/upstream/src/selection/bounded_load.rs
+++ b/crates/upstream/src/selection/bounded_load.rs
@@ -1,10 +1,11 @@
-//! Rendezvous hashing with bounded load. Nothing uses it yet: `docs/notes/backends.md` weighs it.
+//! Rendezvous hashing with bounded load. It is not used yet; `docs/notes/backends.md` discusses it.
 
-/// Load from which a backend is passed over, in multiples of the mean load.
+/// Load from which a backend is skipped, in multiples of the mean load.
 const MAX_RELATIVE_LOAD: f64 = 1.25;
 
-/// The index of the backend, among `backends`, that a key belongs to: the first in the key's own order of preference
-/// whose load is no more than a quarter over the mean. `load` gives the attempts in flight at an index.
+/// Returns the index, below `backends`, of the backend that a key belongs to: the first in the key's own order of
+/// preference whose load is no more than a quarter over the mean. `load` returns the attempts in flight at the backend
+/// with an index.
 pub fn backend_for_key(key: u64, backends: usize, load: impl Fn(usize) -> usize) -> Option<usize> {
     let total: usize = (0..backends).map(&load).sum();
     let mean = total as f64 / backends.max(1) as f64;
--- a/crates/upstream/src/selection/weighted.rs
+++ b/crates/upstream/src/selection/weighted.rs
@@ -1,8 +1,8 @@
-//! Drawing backends by weight.
+//! Weighted random selection of backends.
 
 use crate::backend_id::BackendId;
 
-/// Draws backends with a probability in proportion to their weights.
+/// Draws backends with probabilities in proportion to their weights.
 #[derive(Clone, Debug, Default)]
 pub struct WeightedSampler {
     entries: Vec<Entry>,
@@ -16,7 +16,7 @@
 }
 
 impl WeightedSampler {
-    /// A sampler of these backends. Those without a weight are never drawn.
+    /// Creates a sampler of the given backends. Those without a positive weight are never drawn.
     pub fn new(weights: impl IntoIterator<Item = (BackendId, f64)>) -> WeightedSampler {
         let mut cumulative_weight = 0.0;
         let with_weight = weights.into_iter().filter(|(_, weight)| *weight > 0.0);
@@ -32,24 +32,24 @@
         }
     }
 
-    /// The sum of all weights.
+    /// Returns the sum of all weights.
     pub fn total_weight(&self) -> f64 {
         self.entries
             .last()
             .map_or(0.0, |entry| entry.cumulative_weight)
     }
 
-    /// How many backends can be drawn.
+    /// Returns the number of backends that can be drawn.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none can be drawn.
+    /// Reports whether no backend can be drawn.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// The backend at a fraction of the total weight, 0 to 1.
+    /// Returns the backend at a fraction of the total weight, 0 to 1, or `None` if the sampler is empty.
     pub fn at(&self, fraction: f64) -> Option<BackendId> {
         let wanted = fraction * self.total_weight();
         let last = self.entries.len().checked_sub(1)?;
@@ -59,8 +59,8 @@
         Some(self.entries[found.min(last)].backend)
     }
 
-    /// Draws two backends and returns the one with the lower cost. The backend to `avoid` is drawn only where there is
-    /// no other. `random` gives numbers from 0 to 1; `cost` is what a call would wait for at a backend.
+    /// Draws two backends and returns the one with the lower cost. The backend to `avoid` is drawn only if there is no
+    /// other. `random` returns numbers from 0 to 1; `cost` returns the expected wait of a call at a backend.
     pub fn cheaper_of_two(
         &self,
         avoid: Option<BackendId>,
@@ -85,7 +85,7 @@
         if Some(drawn) != avoid || self.len() < 2 {
             return Some(drawn);
         }
-        // One of the others instead, all with the same probability.
+        // The avoided backend was drawn: draws one of the others instead, all with the same probability.
         let position = self
             .entries
             .iter()
--- a/crates/upstream/src/selection/zone_aware.rs
+++ b/crates/upstream/src/selection/zone_aware.rs
@@ -1,4 +1,4 @@
-//! Selection that prefers the local zone while enough of its weight is available.
+//! Selection that prefers the local zone as long as enough of its weight is available.
 
 use super::WeightedSampler;
 use crate::backend_id::BackendId;
@@ -8,21 +8,21 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidate {
     pub(crate) backend: BackendId,
-    /// Its present weight; 0 while it is out of selection.
+    /// Its current weight; 0 while it is out of selection.
     pub(crate) weight: f64,
     pub(crate) is_local: bool,
 }
 
-/// Draws from the local zone or from the others.
+/// Draws backends from the local zone or from the other zones.
 pub(crate) struct ZoneAwareSelector {
     local: WeightedSampler,
     remote: WeightedSampler,
-    /// The fraction of the calls that stays local, 0 to 1.
+    /// The fraction of the calls that stay in the local zone, 0 to 1.
     local_fraction: f64,
 }
 
 impl ZoneAwareSelector {
-    /// A selector without backends.
+    /// Creates a selector without backends.
     pub(crate) fn empty() -> ZoneAwareSelector {
         ZoneAwareSelector {
             local: WeightedSampler::default(),
@@ -31,8 +31,8 @@
         }
     }
 
-    /// A selector of these candidates. All calls stay local while the local zone has `min_local_fraction` of the
-    /// weight that is configured there, and proportionally fewer when it has less.
+    /// Creates a selector of these candidates. All calls stay in the local zone while it has at least
+    /// `min_local_fraction` of the weight that is configured there, and proportionally fewer if it has less.
     pub(crate) fn new(
         candidates: &[Candidate],
         configured_local_weight: f64,
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Draws two backends of a zone and returns the one with the lower cost. The backend to `avoid` is drawn only
-    /// where there is no other. Nothing where no backend can be drawn.
+    /// Draws two backends of one zone and returns the one with the lower cost. The backend to `avoid` is drawn only if
+    /// there is no other. Returns `None` if no backend can be drawn.
     pub(crate) fn pick(
         &self,
         avoid: Option<BackendId>,
--- a/crates/upstream/tests/arbitrary_events.rs
+++ b/crates/upstream/tests/arbitrary_events.rs
@@ -1,5 +1,5 @@
-//! Attempts, outcomes, gossip, peers and configurations in any order: no panic, tables within their bounds, and a
-//! backend for each call whose handler has any.
+//! Property test with attempts, outcomes, gossip, peers and configurations in any order. There is no panic, tables stay
+//! within their bounds, and each call gets a backend if its handler has any.
 
 mod common;
 
@@ -12,9 +12,9 @@
 };
 use proptest::prelude::*;
 
-/// Events that may wait to be taken.
+/// Upper bound on the events that wait to be taken.
 const MAX_PENDING_EVENTS: usize = 64;
-/// Handlers that calls are made for; the last of them has no backends.
+/// Number of handlers that calls are made for. The last of them has no backends.
 const HANDLERS: usize = 3;
 
 const OUTCOMES: [AttemptOutcome; 8] = [
@@ -28,7 +28,7 @@
     AttemptOutcome::Cancelled,
 ];
 
-/// A further attempt of a call.
+/// The kind of a further attempt of a call.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum FurtherAttempt {
     RetryAtOnce,
@@ -41,14 +41,14 @@
     FurtherAttempt::Hedge,
     FurtherAttempt::RetryAfterBackoff,
 ];
-/// Time that a call has left for a further attempt: longer than any call can take here.
+/// Time that a call has left for a further attempt. It is longer than any call can take in this test.
 const TIME_LEFT: Duration = Duration::from_millis(3_600_000);
 
 fn zone(n: usize) -> &'static str {
     ["north", "south"][n % 2]
 }
 
-/// Backends with even numbers serve handler 0, the others handler 1.
+/// Returns a backend. Those with even numbers serve handler 0, the others handler 1.
 fn backend(n: usize) -> BackendSettings {
     BackendSettings {
         zone: zone(n).into(),
@@ -63,7 +63,7 @@
     HandlerId::new(number % 2)
 }
 
-/// One step: what is done, with which number, and the payload where it is one of gossip.
+/// One step of a scenario: an action, a number that selects its parameters, and a payload that only gossip uses.
 #[derive(Clone, Debug)]
 struct Step {
     action: u8,
@@ -80,7 +80,7 @@
     })
 }
 
-/// A manager, and its attempts in flight.
+/// A manager and its attempts in flight.
 struct Scenario {
     now: Timestamp,
     settings: Settings,
@@ -183,7 +183,7 @@
             .update_peer(&name, incarnation, &zone(n).into(), active);
     }
 
-    /// Another list of backends, by the bits of the number.
+    /// Reloads with the backends whose bit is set in the number.
     fn reload(&mut self, n: usize) {
         let listed = (0..10)
             .filter(|bit| n >> bit & 1 == 1)
--- a/crates/upstream/tests/common/mod.rs
+++ b/crates/upstream/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of this package share.
+//! Helpers shared by the tests of this package.
 
 use madderbay::interface::HandlerId;
 use madderbay_upstream::BackendSettings;
@@ -6,7 +6,7 @@
 /// The handler that [`backend`] serves.
 pub(crate) const HANDLER: HandlerId = HandlerId::new(0);
 
-/// A backend of weight 1 in the zone "north"; its name and its address follow from a number.
+/// Returns a backend of weight 1 in the zone "north". Its name and its address are derived from a number.
 pub(crate) fn backend(n: usize) -> BackendSettings {
     BackendSettings {
         name: format!("b{n}").as_str().into(),
--- a/crates/upstream/tests/further_attempts.rs
+++ b/crates/upstream/tests/further_attempts.rs
@@ -1,5 +1,5 @@
-//! Retries and hedges of the manager of the backends: each reason of a refusal, and each further attempt that is
-//! allowed. What a refusal leaves untouched is checked with it.
+//! Retries and hedges of `UpstreamManager`: each further attempt that is allowed, and each reason for a refusal. The
+//! tests also check that a refusal does not change what it should leave untouched.
 
 mod common;
 
@@ -12,16 +12,16 @@
 
 const CALL_LATENCY: Duration = Duration::from_millis(20);
 const SECOND: Duration = Duration::from_millis(1_000);
-/// Calls after which latencies are known and retries are saved up.
+/// Number of calls after which latencies are known and the retry budget has tokens.
 const WARM_UP_CALLS: u64 = 200;
 
-/// What the manager has counted.
+/// The manager's counters of further attempts.
 #[derive(Debug, PartialEq)]
 struct FurtherAttempts {
-    /// Retries and hedges.
+    /// Retries and hedges together.
     retries: u64,
     hedges: u64,
-    /// Those that the budget did not allow.
+    /// Further attempts that the budget did not allow.
     over_budget: u64,
 }
 
@@ -32,7 +32,7 @@
         over_budget: 0,
     };
 
-    /// So many retries, none of them a hedge.
+    /// Returns the counters for a number of retries, none of which is a hedge.
     fn retries(retries: u64) -> FurtherAttempts {
         FurtherAttempts {
             retries,
@@ -41,7 +41,7 @@
     }
 }
 
-/// A manager of some backends, and the time.
+/// A manager of some backends, and the current time.
 struct Scenario {
     now: Timestamp,
     settings: Settings,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The same after calls that have all succeeded.
+    /// Creates a scenario in which [`WARM_UP_CALLS`] calls have succeeded.
     fn warmed_up(backends: usize, settings: Settings) -> Scenario {
         let mut scenario = Scenario::new(backends, settings);
         for _ in 0..WARM_UP_CALLS {
@@ -71,7 +71,7 @@
         scenario
     }
 
-    /// The same with four backends, and the first attempt of one more call.
+    /// Creates a scenario with four backends after the warm-up, and begins the first attempt of one more call.
     fn with_first_attempt() -> (Scenario, UpstreamAttempt) {
         let mut scenario = Scenario::warmed_up(4, Settings::default());
         let first = scenario.pick();
--- a/crates/upstream/tests/gossip_compatibility.rs
+++ b/crates/upstream/tests/gossip_compatibility.rs
@@ -1,5 +1,5 @@
-//! Gossip payloads written by the version before the public names changed (`tests/data/*.bin`): they are read,
-//! written again to the same bytes, and sent again by a manager that is driven through the same events.
+//! Compatibility with gossip payloads written by the version before the public names changed (`tests/data/*.bin`). They
+//! are decoded, encoded again to the same bytes, and sent again by a manager that goes through the same events.
 
 mod common;
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// A manager of so many backends, with two active peers.
+/// Returns a manager of a number of backends, with two active peers.
 fn manager(backends: u16) -> UpstreamManager {
     let settings = Settings {
         zone: "north".into(),
@@ -46,7 +46,7 @@
     upstream
 }
 
-/// Makes a call each 10 ms that takes 5 ms and ends as `outcome` says of its backend and time in milliseconds.
+/// Makes a call every 10 ms. Each takes 5 ms and ends with the `outcome` for its backend and its time in milliseconds.
 /// Returns the last payload that was sent within `millis`.
 fn last_payload(
     upstream: &mut UpstreamManager,
@@ -78,7 +78,8 @@
     last
 }
 
-/// The outcomes of a fleet in which one backend gives `wrong` until a time in milliseconds.
+/// Returns outcomes by backend and time: one backend ends its calls with `wrong` until a time in milliseconds, and all
+/// other calls succeed.
 fn one_backend_until(
     wrong: AttemptOutcome,
     until: u64,
--- a/crates/upstream/tests/simulated_fleet/fleet.rs
+++ b/crates/upstream/tests/simulated_fleet/fleet.rs
@@ -1,4 +1,4 @@
-//! A simulated fleet, and what the cases do to it and read from it.
+//! A simulated fleet, with the operations and measurements that the test cases use.
 
 use madderbay::time::Duration;
 use madderbay_testkit::backend_simulation::{
@@ -6,7 +6,7 @@
 };
 use std::ops::Range;
 
-/// The backend with a fault, where one of them has it.
+/// The backend that gets the fault in cases with one faulty backend.
 pub(crate) const FAULTY: SimulatedBackendId = SimulatedBackendId::new(3);
 
 /// A simulated fleet. Times are in milliseconds since the start.
@@ -15,7 +15,7 @@
 }
 
 impl Fleet {
-    /// A fleet that has run for five seconds without failures and ejections.
+    /// Creates a fleet that has run for five seconds with hardly any failed call and without ejections.
     pub(crate) fn stable(setup: BackendFleetSetup, seed: u64) -> Fleet {
         let simulation = BackendSimulation::new(setup, seed);
         let mut fleet = Fleet { simulation };
@@ -27,7 +27,7 @@
         fleet
     }
 
-    /// Twelve servers and ten backends.
+    /// Creates a stable fleet of twelve servers and ten backends.
     pub(crate) fn standard(seed: u64) -> Fleet {
         Fleet::stable(BackendFleetSetup::new(12, 10), seed)
     }
@@ -36,45 +36,45 @@
         self.simulation.run(Duration::from_millis(millis));
     }
 
-    /// Sets what the first backends do.
+    /// Sets the fault of the first backends.
     pub(crate) fn set_faults(&mut self, backends: usize, fault: BackendFault) {
         for backend in SimulatedBackendId::first(backends) {
             self.simulation.set_backend_fault(backend, fault);
         }
     }
 
-    /// Sets what the one faulty backend does.
+    /// Sets the fault of the backend [`FAULTY`].
     pub(crate) fn set_fault(&mut self, fault: BackendFault) {
         self.simulation.set_backend_fault(FAULTY, fault);
     }
 
-    /// All servers reload with these backends.
+    /// Reloads all servers with these backends.
     pub(crate) fn reload(&mut self, backends: Range<usize>) {
         let backends: Vec<_> = backends.map(SimulatedBackendId::new).collect();
         self.simulation.reload(&backends);
     }
 
-    /// The fraction of the calls that succeeded.
+    /// Returns the fraction of the calls that succeeded.
     pub(crate) fn success_rate(&self, time: Range<u64>) -> f64 {
         self.simulation.success_rate(time)
     }
 
-    /// Attempts for each first attempt.
+    /// Returns the number of attempts per first attempt.
     pub(crate) fn attempts_per_call(&self, time: Range<u64>) -> f64 {
         self.simulation.attempts_per_call(time)
     }
 
-    /// The fraction of all attempts that reached a backend.
+    /// Returns the fraction of the attempts at any backend that reached this one.
     pub(crate) fn traffic(&self, backend: SimulatedBackendId, time: Range<u64>) -> f64 {
         self.simulation.traffic_fraction(backend, time)
     }
 
-    /// For how long a backend was out of selection, in seconds, summed over the servers.
+    /// Returns for how long a backend was out of selection, in seconds, summed over the servers.
     pub(crate) fn ejected_seconds(&self, backend: SimulatedBackendId, time: Range<u64>) -> f64 {
         self.simulation.ejected_seconds(backend, time)
     }
 
-    /// The most attempts that reached a backend in a tenth of a second.
+    /// Returns the highest number of attempts that reached a backend in a tenth of a second.
     pub(crate) fn peak_attempts(&self, backend: SimulatedBackendId, time: Range<u64>) -> u32 {
         let rows = self.simulation.rows(time).iter();
         rows.map(|row| row.attempts_by_backend[backend.index()])
--- a/crates/upstream/tests/simulated_fleet/main.rs
+++ b/crates/upstream/tests/simulated_fleet/main.rs
@@ -1,5 +1,5 @@
-//! Simulated fleets of servers before their backends, each case with several seeds: which backends are ejected, how
-//! soon, and which are not. `crates/server/tests/routes` has cases with real processes.
+//! Simulated fleets of servers and their backends, each case with several seeds: which backends are ejected, how soon,
+//! and which are not. `crates/server/tests/routes` has cases with real processes.
 
 mod fleet;
 
@@ -13,10 +13,11 @@
 
 const SEEDS: Range<u64> = 0..4;
 const TEN_TIMES_SLOWER: BackendFault = BackendFault::Slow { factor: 10.0 };
-/// The server that reaches no backend, where one of them does not.
+/// The server that reaches no backend in cases with such a server.
 const CUT_OFF_SERVER: SimulatedServerId = SimulatedServerId::new(0);
 
-/// One of ten backends is faulty: traffic leaves it within seconds, few calls fail, and it returns once repaired.
+/// One of ten backends is faulty: traffic shifts away from it within seconds, few calls fail, and traffic returns once
+/// the backend is repaired.
 #[test]
 fn traffic_leaves_a_faulty_backend_and_returns_after_repair() {
     for fault in [
@@ -29,7 +30,8 @@
             let mut fleet = Fleet::standard(seed);
             fleet.set_fault(fault);
             fleet.run(10_000);
-            // Only probes are left. Slowness shows only in a comparison of several calls.
+            // Only probes remain. The limit is higher for a slow backend, because slowness shows only in a comparison
+            // of several calls.
             let limit = match fault {
                 BackendFault::Slow { .. } => 3_000,
                 BackendFault::Silent => 1_500,
@@ -57,7 +59,8 @@
     }
 }
 
-/// With less than one call a second at each backend, gossip finds a fault in time; each server alone takes far longer.
+/// With less than one call a second from each server to each backend, gossip detects a fault in time. Each server alone
+/// takes far longer.
 #[test]
 fn gossip_detects_a_fault_at_low_call_rates() {
     for seed in SEEDS {
@@ -82,7 +85,7 @@
             shifted_with_gossip.is_some_and(|millis| millis <= 2_000),
             "seed {seed}: {shifted_with_gossip:?}"
         );
-        // Only probes are left.
+        // Only probes remain.
         assert!(
             traffic_with_gossip < traffic_without_gossip
                 && shifted_without_gossip.is_none_or(|millis| millis > 2_000),
@@ -91,7 +94,7 @@
     }
 }
 
-/// One zone cannot reach a backend; the other zones go on using it.
+/// One zone cannot reach a backend; the other zones continue to use it.
 #[test]
 fn backend_unreachable_from_one_zone_is_ejected_there_alone() {
     for seed in SEEDS {
@@ -106,7 +109,7 @@
             ..BackendFleetSetup::new(18, 6)
         };
         let mut fleet = Fleet::stable(setup, seed);
-        // The zone reaches none of its own backends, so that its calls go to the other zones.
+        // The zone reaches none of its own backends, so its calls go to the other zones.
         let cuts = [0, 3].map(|index| ZoneCut {
             zone: 0,
             backend: SimulatedBackendId::new(index),
@@ -124,8 +127,8 @@
     }
 }
 
-/// A server whose own link is broken finds all backends faulty, and another one sends false reports. Neither has any
-/// effect on the others.
+/// A server whose own link is broken finds all backends faulty, and another server sends false reports. Neither affects
+/// the other servers.
 #[test]
 fn isolated_servers_and_false_reports_cause_no_ejections() {
     for seed in SEEDS {
@@ -171,7 +174,7 @@
     }
 }
 
-/// In a complete outage retries add a tenth of the load at most, and all backends return after it.
+/// In a complete outage, retries add at most a tenth to the load, and all backends return after it.
 #[test]
 fn retries_stay_within_budget_in_an_outage() {
     for fault in [
@@ -196,11 +199,11 @@
     }
 }
 
-/// Three times the load that the backends can serve, for five seconds: no retry storm outlives it.
+/// Three times the load that the backends can serve, for five seconds: no retry storm persists after the overload.
 #[test]
 fn retry_storm_ends_with_the_overload() {
     for seed in SEEDS {
-        // Ten backends with four slots and 20 ms a call serve 2,000 calls a second.
+        // Ten backends with four slots each and 20 ms per call serve 2,000 calls a second.
         let setup = BackendFleetSetup {
             backend_concurrency: 4,
             calls_per_second: 75.0,
@@ -218,7 +221,7 @@
     }
 }
 
-/// A backend that fails and recovers each second is ejected for longer each time.
+/// A backend that fails and recovers every second is ejected for longer each time.
 #[test]
 fn flapping_backend_is_ejected_for_longer() {
     for seed in SEEDS {
@@ -236,7 +239,7 @@
     }
 }
 
-/// All backends are restarted one after the other, while servers restart too: few calls fail.
+/// All backends are restarted one after the other while servers restart too: few calls fail.
 #[test]
 fn rolling_restart_of_backends_and_servers_loses_few_calls() {
     for seed in SEEDS {
@@ -319,7 +322,7 @@
     }
 }
 
-/// Calls that may not run twice get a retry only where it is certain that they did not run.
+/// Calls that may not run twice are retried only if they certainly did not run.
 #[test]
 fn calls_that_are_not_idempotent_are_retried_only_if_never_executed() {
     for (fault, is_retried) in [
--- a/crates/upstream/tests/slow_start.rs
+++ b/crates/upstream/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! A backend that is added may have cold caches: what all servers together send to it has to be little at first.
+//! Slow start of an added backend. Its caches may be cold, so all servers together must send it few calls at first.
 
 mod common;
 
@@ -8,12 +8,12 @@
     AttemptOutcome, BackendSettings, BackendState, Settings, UpstreamManager,
 };
 
-/// Calls that each server makes in one burst.
+/// Number of calls that each server makes in one burst.
 const CALLS_PER_BURST: usize = 50;
-/// How long a burst takes.
+/// Duration of a burst.
 const BURST: Duration = Duration::from_millis(100);
 
-/// Servers that have used four backends, and now get a fifth.
+/// Returns servers with four backends to which a fifth has just been added.
 fn servers_with_added_backend(count: u64, now: Timestamp) -> Vec<UpstreamManager> {
     let settings = Settings {
         zone: "north".into(),
@@ -28,7 +28,7 @@
     (0..count).map(server).collect()
 }
 
-/// How many calls of a burst of all servers go to the backend at a port.
+/// Runs one burst on all servers and returns how many of its calls go to the backend with a port.
 fn calls_of_burst(port: u16, servers: &mut [UpstreamManager], now: Timestamp) -> usize {
     let mut calls = 0;
     for n in 0..CALLS_PER_BURST {
@@ -36,7 +36,7 @@
         for upstream in servers.iter_mut() {
             let attempt = upstream.pick(now, HANDLER).expect("a backend");
             calls += usize::from(attempt.address.port() == port);
-            // Latencies differ, as real ones do: of two equal ones the same backend would always be cheaper.
+            // Latencies differ, as real ones do. With equal ones, the same of two backends would always be cheaper.
             let latency = Duration::from_millis(3 + (n as u64 * 7 + calls as u64) % 5);
             upstream.finish(now + latency, &attempt, AttemptOutcome::Success);
         }
@@ -44,8 +44,8 @@
     calls
 }
 
-/// Twenty and thirty servers, four backends and a fifth: at first no more than a quarter of an equal share, beyond what
-/// chance adds; after ten seconds an equal share.
+/// With 20 and with 30 servers, a fifth backend is added to four. At first it gets no more than a quarter of an equal
+/// share, plus a margin for chance. After ten seconds it gets an equal share.
 #[test]
 fn added_backend_gets_few_calls_at_first_and_its_share_later() {
     for count in [20, 30] {
