--- a/crates/upstream/src/backend_group.rs
+++ b/crates/upstream/src/backend_group.rs
@@ -19,8 +19,8 @@
 use madderbay::time::{Duration, Timestamp};
 use oorandom::Rand64;
 
-/// Fraction of a group above which the group enters panic mode if so many of its backends look faulty. In panic mode no
-/// backend is ejected: the cause lies elsewhere, or there is no better backend.
+/// A group enters panic mode when more than this fraction of its backends look faulty. In panic mode no backend is
+/// ejected, because the cause lies elsewhere or there is no better backend.
 const PANIC_FRACTION: f64 = 0.5;
 /// Fraction of its weight that a backend with suspicion 1 keeps while it cannot be ejected.
 const SUSPECTED_WEIGHT_FRACTION: f64 = 0.1;
@@ -104,7 +104,7 @@
         self.backends.len() > 1
     }
 
-    /// Median latency of the group's backends, in seconds.
+    /// Returns the median latency of the group's backends, in seconds, or `None` if that of no backend is known.
     pub(crate) fn typical_latency_seconds(&self) -> Option<f64> {
         self.typical_latency_seconds
     }
@@ -137,8 +137,8 @@
         self.rebuild_selector(now, table, context.settings, &assessed.selectable);
     }
 
-    /// Returns how many backends may be out of selection at most: a fraction of the group, but at least one of two or
-    /// more, and never all.
+    /// Returns how many backends may be out of selection at most: a fraction of the group, but at least one if the
+    /// group has more than one, and never all.
     fn max_out_of_selection(&self, fraction: f64) -> usize {
         let backends = self.backends.len();
         ((backends as f64 * fraction) as usize)
--- a/crates/upstream/src/gossip.rs
+++ b/crates/upstream/src/gossip.rs
@@ -36,9 +36,9 @@
 const MIN_REPORTED_RETRIES: f64 = 1.0;
 /// Upper bound on the reports in one payload, so that it fits into a datagram.
 const MAX_REPORTS: usize = 80;
-/// Time for which the attempt counts of a peer are used.
+/// Time after their receipt for which the attempt counts of a peer are used.
 const MAX_ATTEMPTS_AGE: Duration = Duration::from_millis(5_000);
-/// Fraction of its backends above which a peer that finds so many of them faulty is not credible.
+/// A peer that finds more than this fraction of its backends faulty is not credible.
 const MAX_CREDIBLE_FRACTION: f64 = 0.5;
 /// Number of backends that a peer must have seen before the check by [`MAX_CREDIBLE_FRACTION`] applies to it.
 const MIN_BACKENDS_FOR_CREDIBILITY_CHECK: u16 = 3;
@@ -230,7 +230,7 @@
         Ok(())
     }
 
-    /// Returns the sum of the peers' recent attempts, or `None` if no peer has reported any.
+    /// Returns the sum of the peers' recent attempts, or `None` if no peer has reported any recently.
     pub(crate) fn peer_attempts(&self, now: Timestamp) -> Option<AttemptCounts> {
         let current = self
             .peers
--- a/crates/upstream/src/hedge/policy.rs
+++ b/crates/upstream/src/hedge/policy.rs
@@ -62,7 +62,10 @@
         self.check_enabled()
     }
 
-    /// Whether the operator enabled hedging.
+    /// Checks whether the operator enabled hedging.
+    ///
+    /// # Errors
+    /// Returns [`HedgeRefusal::Disabled`] if not.
     pub(crate) fn check_enabled(self) -> Result<(), HedgeRefusal> {
         if self.is_enabled {
             Ok(())
--- a/crates/upstream/src/hedge/policy/tests.rs
+++ b/crates/upstream/src/hedge/policy/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn refuses_a_hedge_for_each_disqualifying_property() {
+fn refuses_a_hedge_for_each_reason() {
     let under_quota = ENABLED.check_call(candidate(true, true));
     assert_eq!(under_quota, Err(HedgeRefusal::UnderQuota));
     let not_idempotent = ENABLED.check_call(candidate(false, false));
--- a/crates/upstream/src/manager/attempts.rs
+++ b/crates/upstream/src/manager/attempts.rs
@@ -79,8 +79,8 @@
         hedge::policy::hedge_delay(estimate, call.timeout)
     }
 
-    /// Begins the hedge of a call when it is due, at another backend than that of the attempt in flight. `time_left` is
-    /// the time until the deadline of the call. The retry budget is spent last.
+    /// Begins the hedge of a call whose hedge is due, at another backend than that of the attempt in flight.
+    /// `time_left` is the time until the deadline of the call. The retry budget is spent last.
     ///
     /// # Errors
     /// Returns the reason why there is no hedge. In that case no attempt begins and nothing is spent.
--- a/crates/upstream/src/outlier/call_history.rs
+++ b/crates/upstream/src/outlier/call_history.rs
@@ -14,9 +14,9 @@
 const SUCCESSES_AFTER_FAILURE: f64 = 0.6;
 /// Number of consecutive failures beyond which successes are not reduced further.
 const MAX_CONSECUTIVE_FAILURES: i32 = 6;
-/// Number of failures that a failed attempt counts as.
+/// Number of failures counted for a failed attempt.
 const FAILURE_WEIGHT: f64 = 1.0;
-/// Number of failures that an attempt counts as if it was slow or was overtaken by a later hedge.
+/// Number of failures counted for an attempt that was slow or was overtaken by a later hedge.
 const SLOW_CALL_WEIGHT: f64 = 0.5;
 /// Weight of the latest call in the mean latency, which therefore covers about the last five calls.
 const LATENCY_SMOOTHING: f64 = 0.3;
@@ -134,8 +134,8 @@
     }
 }
 
-/// Returns the number of failures that an outcome counts as. A failed connection may be the network's fault as well,
-/// and a cancelled attempt proves nothing.
+/// Returns the number of failures counted for an outcome. A failed connection may be the network's fault as well, and a
+/// cancelled attempt proves nothing.
 fn failure_weight(outcome: AttemptOutcome) -> f64 {
     if outcome.is_failure() {
         FAILURE_WEIGHT
--- a/crates/upstream/src/registry.rs
+++ b/crates/upstream/src/registry.rs
@@ -28,7 +28,7 @@
 
 /// What the caller has to do after the end of an attempt.
 pub(crate) enum FinishEffect {
-    /// Nothing is left to do.
+    /// No further action is needed.
     None,
     /// A probe ended: an evaluation should follow soon. The event is set if the probe changed the state of the backend.
     ProbeEnded(Option<BackendEvent>),
--- a/crates/upstream/src/retry/budget.rs
+++ b/crates/upstream/src/retry/budget.rs
@@ -36,7 +36,7 @@
 
 /// The retry budget of one group.
 pub(crate) struct RetryBudget {
-    /// Retries allowed per first attempt: the tokens that one earns.
+    /// Retries allowed per first attempt, that is, the tokens that each first attempt earns.
     ratio: f64,
     /// Number of retries that may be made now. Each retry takes one token.
     tokens: f64,
--- a/crates/upstream/src/retry/policy.rs
+++ b/crates/upstream/src/retry/policy.rs
@@ -1,4 +1,4 @@
-//! The retry policy: whether a call whose attempt failed may be attempted once more, safely and usefully.
+//! The retry policy: whether it is safe and worthwhile to attempt a call once more after a failed attempt.
 //!
 //! [`RetryPolicy`] decides by the properties of the call, [`RetryTarget`] by the available backends. Each refusal
 //! states its reason. Nothing here selects a backend, spends from the retry budget, draws a random number or sends
--- a/crates/upstream/tests/slow_start.rs
+++ b/crates/upstream/tests/slow_start.rs
@@ -28,7 +28,7 @@
     (0..count).map(server).collect()
 }
 
-/// Runs one burst on all servers and returns how many of its calls go to the backend with a port.
+/// Runs one burst on all servers and returns how many of its calls go to the backend that listens on `port`.
 fn calls_of_burst(port: u16, servers: &mut [UpstreamManager], now: Timestamp) -> usize {
     let mut calls = 0;
     for n in 0..CALLS_PER_BURST {
