--- a/crates/upstream/src/backend.rs
+++ b/crates/upstream/src/backend.rs
@@ -301,8 +301,8 @@
         self.settings.weight * fraction * self.reports.weight_fraction()
     }
 
-    /// Returns the expected wait of one more call, in seconds per unit of weight. `default_latency_seconds` is taken
-    /// where no call succeeded recently.
+    /// Returns the expected wait of one more call, in seconds per unit of weight. `default_latency_seconds` is used if no
+    /// call succeeded recently.
     pub(crate) fn cost(&self, default_latency_seconds: f64) -> f64 {
         let latency = self
             .history
--- a/crates/upstream/src/gossip/codec.rs
+++ b/crates/upstream/src/gossip/codec.rs
@@ -71,7 +71,7 @@
     f64::from(eighths) / UNITS_PER_CALL
 }
 
-/// Returns the hash that stands for a backend's name in gossip.
+/// Returns the hash that identifies a backend in gossip.
 pub fn name_hash(name: &str) -> u32 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes()) as u32
 }
--- a/crates/upstream/src/settings.rs
+++ b/crates/upstream/src/settings.rs
@@ -7,7 +7,7 @@
 /// One backend as the operator configured it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendSettings {
-    /// Unique name. Its hash stands for the backend in gossip.
+    /// Unique name. Its hash identifies the backend in gossip.
     pub name: CompactString,
     /// Address that the backend listens on.
     pub address: SocketAddr,
--- a/crates/upstream/tests/simulated_fleet/fleet.rs
+++ b/crates/upstream/tests/simulated_fleet/fleet.rs
@@ -36,7 +36,7 @@
         self.simulation.run(Duration::from_millis(millis));
     }
 
-    /// Sets the fault of the first backends.
+    /// Sets the fault of the first `backends` backends.
     pub(crate) fn set_faults(&mut self, backends: usize, fault: BackendFault) {
         for backend in SimulatedBackendId::first(backends) {
             self.simulation.set_backend_fault(backend, fault);
