--- a/crates/membership/src/membership/updates.rs
+++ b/crates/membership/src/membership/updates.rs
@@ -1,8 +1,8 @@
-//! Updates about members that others sent: which are believed, and what they change.
+//! Filtering and application of updates about members that other servers sent.
 //!
-//! No member is declared down because another server says so. Each server lets its own suspicion
-//! expire, so that one wrong report does not spread; only a departure is taken from the member's
-//! own announcement.
+//! No member is declared down merely because another server reports it. Each server waits for its
+//! own suspicion to expire, so that one wrong report does not spread. Only a departure is applied
+//! directly, because the member announced it itself.
 
 use super::Membership;
 use super::name_conflict::ClaimSource;
@@ -16,8 +16,9 @@
 use std::cmp::Ordering;
 
 impl Membership {
-    /// The part of an update that is believed, or nothing. `sender_degraded` says whether the
-    /// sender was paused recently: its suspicions are ignored.
+    /// Returns the update to apply, or `None` if it is ignored. An update that is only partly
+    /// trusted is returned with a weaker state. `sender_degraded` tells whether the sender was
+    /// paused recently; its suspicions are then ignored.
     pub(super) fn filter_update(
         &mut self,
         now: Timestamp,
@@ -39,7 +40,7 @@
         if identity.name == self.settings.name {
             return self.filter_own_update(now, update);
         }
-        if is_accusation(&update) && sender_degraded {
+        if reports_failure(&update) && sender_degraded {
             return None;
         }
         let Some(record) = self.members.get(&identity.name) else {
@@ -47,17 +48,17 @@
         };
         match identity.compare_precedence(record.identity()) {
             Ordering::Less => None,
-            Ordering::Greater => Some(newer_identity_update(record, update)),
-            Ordering::Equal if record.is_active() => active_member_update(record, update),
+            Ordering::Greater => Some(filter_newer_identity_update(record, update)),
+            Ordering::Equal if record.is_active() => filter_active_member_update(record, update),
             Ordering::Equal => {
-                self.contradict_update(now, &update);
+                self.notify_down_member(now, &update);
                 None
             }
         }
     }
 
-    /// An update under this server's name. Foca refutes a suspicion of the current identity; all
-    /// else is a claim to the name.
+    /// Filters an update about this server's name. Foca refutes a suspicion of the current
+    /// identity; all other updates are claims to the name.
     fn filter_own_update(
         &mut self,
         now: Timestamp,
@@ -71,7 +72,7 @@
         None
     }
 
-    /// An update about a server that the view does not contain.
+    /// Filters an update about a server that the view does not contain.
     fn filter_unknown_update(
         &mut self,
         update: Member<MemberIdentity>,
@@ -86,9 +87,9 @@
         Some(update)
     }
 
-    /// Another server considers a member active that is down here. If the member runs, a notice
-    /// lets it refute this.
-    fn contradict_update(&mut self, now: Timestamp, update: &Member<MemberIdentity>) {
+    /// Handles an update according to which a member that is down here is active. If the member is
+    /// running, a notice lets it refute that it is down.
+    fn notify_down_member(&mut self, now: Timestamp, update: &Member<MemberIdentity>) {
         let identity = update.id();
         let Some(record) = self.members.get(&identity.name) else {
             return;
@@ -97,11 +98,11 @@
             return;
         }
         let down = Member::new(identity.clone(), record.swim_incarnation(), SwimState::Down);
-        self.send_limited_notice(now, identity.address, down);
+        self.send_rate_limited_notice(now, identity.address, down);
     }
 
-    /// Applies a believed update where it starts or ends a suspicion. In foca only the server that
-    /// probed a member waits for its refutation; here each server that learns of a suspicion waits
+    /// Applies an accepted update if it starts or ends a suspicion. In foca, only the server that
+    /// probed a member waits for its refutation; here, each server that learns of a suspicion waits
     /// by its own clock.
     pub(super) fn apply_update(
         &mut self,
@@ -116,7 +117,7 @@
         let known = record.swim_incarnation();
         match (state, record.liveness()) {
             (SwimState::Suspect, Liveness::Alive) if swim_incarnation >= known => {
-                self.member_suspected(now, identity, swim_incarnation);
+                self.start_suspicion(now, identity, swim_incarnation);
                 let timer = Timer::ChangeSuspectToDown {
                     member_id: identity.clone(),
                     incarnation: swim_incarnation,
@@ -141,17 +142,18 @@
     }
 }
 
-/// Whether an update says that a member failed, not that it left.
-fn is_accusation(update: &Member<MemberIdentity>) -> bool {
+/// Reports whether an update says that a member failed, as opposed to left.
+fn reports_failure(update: &Member<MemberIdentity>) -> bool {
     update.state() != SwimState::Alive && update.id().phase != Phase::Left
 }
 
-/// An update about a newer identity than the known one.
-fn newer_identity_update(
+/// Filters an update about a newer identity than the known one. A report that the new identity of
+/// an active member is down is reduced to a suspicion.
+fn filter_newer_identity_update(
     record: &MemberRecord,
     update: Member<MemberIdentity>,
 ) -> Member<MemberIdentity> {
-    if record.is_active() && update.state() == SwimState::Down && is_accusation(&update) {
+    if record.is_active() && update.state() == SwimState::Down && reports_failure(&update) {
         return Member::new(
             update.id().clone(),
             update.incarnation(),
@@ -161,9 +163,9 @@
     update
 }
 
-/// An update about the known identity of an active member. Without news it is dropped, as most
-/// updates repeat what is known.
-fn active_member_update(
+/// Filters an update about the known identity of an active member. Most updates repeat what is
+/// known; these are dropped. A report that the member is down is reduced to a suspicion.
+fn filter_active_member_update(
     record: &MemberRecord,
     update: Member<MemberIdentity>,
 ) -> Option<Member<MemberIdentity>> {
@@ -173,7 +175,7 @@
         SwimState::Alive => (received > known).then_some(update),
         SwimState::Suspect if record.is_suspect() => (received > known).then_some(update),
         SwimState::Suspect => (received >= known).then_some(update),
-        SwimState::Down if !is_accusation(&update) => Some(update),
+        SwimState::Down if !reports_failure(&update) => Some(update),
         SwimState::Down if record.is_suspect() => None,
         SwimState::Down => Some(Member::new(update.id().clone(), known, SwimState::Suspect)),
     }
--- a/crates/membership/src/name_claim/tests.rs
+++ b/crates/membership/src/name_claim/tests.rs
@@ -34,7 +34,7 @@
         judge_claim(&own, &identity(2, 49, 9), false),
         ClaimVerdict::Stale
     );
-    // After the clock stepped back the former incarnation has the higher value.
+    // After the clock stepped back, the earlier incarnation has the higher value.
     assert_eq!(judge_claim(&own, &identity(1, 90, 0), false), former);
     assert_eq!(judge_claim(&own, &identity(2, 90, 0), true), former);
     assert_eq!(
@@ -52,10 +52,10 @@
     ];
     for (a, b) in pairs {
         let verdicts = [judge_claim(&a, &b, false), judge_claim(&b, &a, false)];
-        let yielding = verdicts
+        let conflicts = verdicts
             .iter()
             .filter(|v| **v == ClaimVerdict::NameConflict)
             .count();
-        assert_eq!(yielding, 1, "{verdicts:?}");
+        assert_eq!(conflicts, 1, "{verdicts:?}");
     }
 }
--- a/crates/membership/tests/recorded_datagrams.rs
+++ b/crates/membership/tests/recorded_datagrams.rs
@@ -1,5 +1,5 @@
-//! Datagrams that a former release recorded, given to a server: it accepts them and answers as that
-//! release did.
+//! Datagrams that an earlier release recorded are passed to a server, which must accept them and
+//! answer as that release did.
 
 mod support;
 
@@ -12,13 +12,13 @@
     std::fs::read(folder.join(name).with_extension("bin")).expect("a recorded datagram")
 }
 
-/// The n-th of four servers whose views are complete, as in the recording.
-fn settled_server(n: usize) -> Membership {
+/// Returns the n-th of four servers whose views are complete, as in the recording.
+fn converged_server(n: usize) -> Membership {
     let mut servers: Vec<Membership> = (1..=4).map(server).collect();
     run(&mut servers, 0, 5_000);
-    let mut settled = servers.remove(n - 1);
-    settled.take_outgoing();
-    settled
+    let mut server = servers.remove(n - 1);
+    server.take_outgoing();
+    server
 }
 
 fn kind(bytes: &[u8]) -> DatagramKind {
@@ -27,9 +27,9 @@
         .0
 }
 
-/// Kinds of a settled server's answers to a recorded datagram, which it has to accept.
-fn answers(name: &str, from: u16, to: u16) -> Vec<DatagramKind> {
-    let mut receiver = settled_server(usize::from(to));
+/// Returns the kinds of a converged server's answers to a recorded datagram, which it must accept.
+fn answer_kinds(name: &str, from: u16, to: u16) -> Vec<DatagramKind> {
+    let mut receiver = converged_server(usize::from(to));
     receiver.handle_datagram(at(5_000), address(from), &recorded(name));
     let rejected: u64 = receiver
         .counters()
@@ -49,13 +49,13 @@
 #[test]
 fn accepts_recorded_swim_messages() {
     let swim = [DatagramKind::Swim];
-    assert_eq!(answers("swim-ping", 1, 3), swim);
-    assert_eq!(answers("swim-ping-repeated", 1, 4), swim);
-    assert_eq!(answers("swim-ping-request", 1, 3), swim);
-    assert_eq!(answers("swim-indirect-ping", 2, 4), swim);
-    assert_eq!(answers("swim-indirect-ack", 4, 2), swim);
-    assert_eq!(answers("swim-gossip", 4, 3), []);
-    assert_eq!(answers("swim-ack", 3, 1), []);
+    assert_eq!(answer_kinds("swim-ping", 1, 3), swim);
+    assert_eq!(answer_kinds("swim-ping-repeated", 1, 4), swim);
+    assert_eq!(answer_kinds("swim-ping-request", 1, 3), swim);
+    assert_eq!(answer_kinds("swim-indirect-ping", 2, 4), swim);
+    assert_eq!(answer_kinds("swim-indirect-ack", 4, 2), swim);
+    assert_eq!(answer_kinds("swim-gossip", 4, 3), []);
+    assert_eq!(answer_kinds("swim-ack", 3, 1), []);
 }
 
 #[test]
@@ -82,26 +82,26 @@
 
 #[test]
 fn answers_recorded_roster_request_with_a_page() {
-    let sent = answers("roster-request", 3, 1);
+    let sent = answer_kinds("roster-request", 3, 1);
     assert_eq!(sent, [DatagramKind::RosterPage]);
 }
 
 #[test]
 fn ignores_recorded_page_that_it_did_not_request() {
-    assert_eq!(answers("roster-page", 1, 2), []);
+    assert_eq!(answer_kinds("roster-page", 1, 2), []);
 }
 
 #[test]
-fn answers_recorded_suspicion_that_it_is_alive() {
-    // It gossips the refutation to three members and answers the sender.
+fn refutes_recorded_suspicion() {
+    // The server gossips the refutation to three members and answers the sender.
     let gossip = DatagramKind::Swim;
     let expected = [gossip, gossip, gossip, DatagramKind::Notice];
-    assert_eq!(answers("notice-suspect", 1, 3), expected);
+    assert_eq!(answer_kinds("notice-suspect", 1, 3), expected);
 }
 
 #[test]
 fn renews_identity_after_recorded_notice_that_it_is_down() {
-    let mut third = settled_server(3);
+    let mut third = converged_server(3);
     let before = third.local_identity().revision;
     third.handle_datagram(at(5_000), address(2), &recorded("notice-down"));
     assert_eq!(third.local_identity().revision, before + 1);
@@ -109,8 +109,8 @@
 }
 
 #[test]
-fn hands_out_recorded_subsystem_message() {
-    let mut second = settled_server(2);
+fn delivers_recorded_subsystem_message() {
+    let mut second = converged_server(2);
     second.handle_datagram(at(5_000), address(1), &recorded("subsystem-message-quota"));
     let messages = second.take_subsystem_messages();
     assert_eq!(messages.len(), 1);
--- a/crates/membership/tests/robustness.rs
+++ b/crates/membership/tests/robustness.rs
@@ -1,17 +1,17 @@
 //! Invalid, hostile and excessive input: the view stays bounded and correct, and nothing is sent to
-//! strangers.
+//! servers outside the fleet.
 
 mod support;
 
 use madderbay_membership::{DatagramError, MAX_DATAGRAM_BYTES, MemberState, Membership};
 use proptest::prelude::*;
-use support::{MAX_MEMBERS, Sent, address, at, run, server, server_of};
+use support::{MAX_MEMBERS, SentDatagram, address, at, run, server, server_of};
 
-fn rejected(server: &Membership, reason: DatagramError) -> u64 {
+fn rejection_count(server: &Membership, reason: DatagramError) -> u64 {
     server.counters().rejected.get(reason)
 }
 
-/// Makes a changed datagram pass the check of its checksum.
+/// Recomputes the checksum of a modified datagram, so that it passes the check.
 fn fix_checksum(datagram: &mut [u8]) {
     if datagram.len() >= 25 {
         let sum = crc32c::crc32c_append(crc32c::crc32c(&datagram[..21]), &datagram[25..]);
@@ -19,7 +19,7 @@
     }
 }
 
-/// The first datagram of a server.
+/// Returns the first datagram that a server sends.
 fn first_datagram(server: &mut Membership) -> Vec<u8> {
     server.handle_timeout(at(0));
     server.take_outgoing().remove(0).1
@@ -30,23 +30,23 @@
     let mut own = server(1);
     let foreign = first_datagram(&mut server_of(2, "payments"));
     own.handle_datagram(at(1), address(2), &foreign);
-    assert_eq!(rejected(&own, DatagramError::ForeignFleet), 1);
+    assert_eq!(rejection_count(&own, DatagramError::ForeignFleet), 1);
     let valid = first_datagram(&mut server(3));
     own.handle_datagram(at(1), ([192, 0, 2, 1], 9).into(), &valid);
-    assert_eq!(rejected(&own, DatagramError::NetworkNotAllowed), 1);
+    assert_eq!(rejection_count(&own, DatagramError::NetworkNotAllowed), 1);
     let damaged = |index: usize| {
         let mut bytes = valid.clone();
         bytes[index] ^= 1;
         bytes
     };
     own.handle_datagram(at(1), address(3), &damaged(2));
-    assert_eq!(rejected(&own, DatagramError::UnsupportedVersion), 1);
+    assert_eq!(rejection_count(&own, DatagramError::UnsupportedVersion), 1);
     own.handle_datagram(at(1), address(3), &damaged(valid.len() - 1));
     own.handle_datagram(at(1), address(3), &damaged(20));
-    assert_eq!(rejected(&own, DatagramError::ChecksumMismatch), 2);
+    assert_eq!(rejection_count(&own, DatagramError::ChecksumMismatch), 2);
     own.handle_datagram(at(1), address(3), &valid[..10]);
     own.handle_datagram(at(1), address(3), &[0; 1_401]);
-    assert_eq!(rejected(&own, DatagramError::Malformed), 2);
+    assert_eq!(rejection_count(&own, DatagramError::Malformed), 2);
     assert_eq!(own.active_count(), 0);
     assert!(
         own.take_outgoing().is_empty(),
@@ -65,11 +65,14 @@
         assert!(entries <= MAX_MEMBERS + 1, "{name} holds {entries}");
     }
     let admitted = servers.iter().filter(|s| s.active_count() > 0).count();
-    assert!(admitted > MAX_MEMBERS, "members in a full table continue");
+    assert!(
+        admitted > MAX_MEMBERS,
+        "servers in a full table remain members"
+    );
     assert!(
         servers
             .iter()
-            .any(|s| rejected(s, DatagramError::TableFull) > 0)
+            .any(|s| rejection_count(s, DatagramError::TableFull) > 0)
     );
     servers.truncate(MAX_MEMBERS + 1);
     run(&mut servers, 8_000, 40_000);
@@ -79,10 +82,10 @@
 }
 
 #[test]
-fn paused_server_suspects_nobody() {
+fn paused_server_suspects_no_member() {
     let mut servers: Vec<Membership> = (1..=4).map(server).collect();
     run(&mut servers, 0, 5_000);
-    // The first is paused for 20 s and receives nothing for another second.
+    // The first server is paused for 20 s and receives nothing for almost another second.
     for ms in (5_000..25_000).step_by(10) {
         run(&mut servers[1..], ms, ms + 10);
     }
@@ -101,15 +104,15 @@
     }
 }
 
-/// A datagram with a valid checksum reports this server's name at another address. Nobody answers
-/// there, so the server retains its name, and its own claim prevails.
+/// A datagram with a valid checksum reports this server's name at another address. Nothing answers
+/// at that address, so the server keeps its name, and its own claim prevails.
 #[test]
 fn wrong_report_about_own_name_does_not_silence_a_server() {
     let mut servers: Vec<Membership> = (1..=3).map(server).collect();
     let sent = run(&mut servers, 0, 3_000);
     let own = [b"n1\0\x7f\0\0\x01".as_slice(), &[0xe9, 7]].concat();
     let mut changed = 0;
-    for Sent { bytes, .. } in sent.iter().filter(|s| s.to == address(1)) {
+    for SentDatagram { bytes, .. } in sent.iter().filter(|s| s.to == address(1)) {
         for index in 25..bytes.len() - own.len() {
             if bytes[index..].starts_with(&own) {
                 let mut wrong = bytes.clone();
@@ -130,19 +133,20 @@
     }
 }
 
-/// Input of the property test: which recorded datagram to take, how to change it, and bytes for the
-/// change.
-type Noise = (u16, u8, Vec<u8>);
+/// Input of the property test: which sent datagram to take, how to modify it, and bytes for the
+/// modification.
+type FuzzInput = (u16, u8, Vec<u8>);
 
-/// A datagram that is arbitrary, or derived from a valid one: cut, extended, changed or repeated.
-fn noisy_datagram(valid: &[u8], (pick, kind, noise): Noise) -> Vec<u8> {
+/// Returns a datagram that is arbitrary or derived from a valid one: truncated, extended, modified
+/// or unchanged.
+fn fuzzed_datagram(valid: &[u8], (pick, kind, random_bytes): FuzzInput) -> Vec<u8> {
     let mut datagram = match kind {
-        0 => noise,
+        0 => random_bytes,
         1 => valid[..usize::from(pick) % (valid.len() + 1)].to_vec(),
-        2 => [valid, &noise].concat(),
+        2 => [valid, &random_bytes].concat(),
         3 => {
             let mut changed = valid.to_vec();
-            for (i, byte) in noise.iter().enumerate() {
+            for (i, byte) in random_bytes.iter().enumerate() {
                 changed[(usize::from(pick) * 7 + i * 13) % valid.len()] ^= byte;
             }
             changed
@@ -153,7 +157,7 @@
     datagram
 }
 
-/// Number of the three servers that a view holds as alive.
+/// Returns how many of the three servers are alive in a server's view.
 fn alive_servers(server: &Membership) -> usize {
     let members = server.view().members;
     let alive = members.iter().filter(|m| m.state == MemberState::Alive);
@@ -169,18 +173,18 @@
         ..ProptestConfig::default()
     })]
 
-    /// No input causes a panic, an unbounded table or an oversized datagram, and the fleet settles
-    /// afterwards.
+    /// No input causes a panic, an unbounded table or an oversized datagram, and the fleet
+    /// converges afterwards.
     #[test]
-    fn fleet_survives_arbitrary_datagrams(noise in proptest::collection::vec(
+    fn fleet_survives_arbitrary_datagrams(inputs in proptest::collection::vec(
         (any::<u16>(), 0u8..5, proptest::collection::vec(any::<u8>(), 0..80)), 1..60)) {
         let mut servers: Vec<Membership> = (1..=3).map(server).collect();
         let sent = run(&mut servers, 0, 3_000);
         let mut ms = 3_000;
-        for input in noise {
+        for input in inputs {
             let valid = &sent[usize::from(input.0) % sent.len()].bytes;
             ms += 1;
-            servers[0].handle_datagram(at(ms), address(2), &noisy_datagram(valid, input));
+            servers[0].handle_datagram(at(ms), address(2), &fuzzed_datagram(valid, input));
             for (_, bytes) in servers[0].take_outgoing() {
                 prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
             }
--- a/crates/operator-config/src/control.rs
+++ b/crates/operator-config/src/control.rs
@@ -1,13 +1,13 @@
 //! The control socket, on which a running server answers queries (`[control]`).
 
 use crate::error::Problem;
-use crate::file::File;
+use crate::file::OperatorFile;
 use std::path::PathBuf;
 
 const SOCKET: &str = "socket";
 const KEYS: &[&str] = &[SOCKET];
 
-/// Bytes of the longest path that a Unix socket may have, with some to spare.
+/// Maximum length of the path in bytes, slightly below the system's limit for Unix sockets.
 const MAX_PATH_BYTES: usize = 100;
 
 /// The control socket.
@@ -17,8 +17,8 @@
     pub socket: PathBuf,
 }
 
-/// Reads `[control]`. The section has no switch: it is on where it stands.
-pub(crate) fn read(file: &mut File) -> Option<ControlSocket> {
+/// Reads `[control]`. The section has no key `enabled`; the socket is enabled if the section is present.
+pub(crate) fn read(file: &mut OperatorFile) -> Option<ControlSocket> {
     let section = file.take_one("control", KEYS)?;
     let socket = section.get(SOCKET).unwrap_or("");
     if socket.is_empty() || socket.len() > MAX_PATH_BYTES {
--- a/crates/quota/tests/recorded_histories.rs
+++ b/crates/quota/tests/recorded_histories.rs
@@ -1,5 +1,6 @@
-//! Histories of three servers with fixed seeds and times, against the record of an earlier
-//! version: the same decisions, estimates and datagrams, byte for byte. See `data/README.md`.
+//! Replays histories of three servers with fixed seeds and times, and compares them with the record
+//! of an earlier version: decisions, estimates and datagrams must be the same, byte for byte. See
+//! `data/README.md`.
 
 use madderbay::time::{Duration, Timestamp};
 use madderbay_quota::{
@@ -11,7 +12,7 @@
 const NAMES: [&str; SERVERS] = ["north-1", "north-2", "south-1"];
 const END_MS: u64 = 12_000;
 const PHASE_MS: u64 = 2_000;
-/// Calls that each server has work for, by phase and budget.
+/// Calls that each server has in flight or wants to start, by phase and budget.
 const DEMAND: [[[u32; SERVERS]; 2]; 6] = [
     [[0, 0, 0], [0, 0, 0]],
     [[30, 0, 2], [5, 5, 5]],
@@ -20,9 +21,10 @@
     [[12, 12, 12], [3, 3, 3]],
     [[0, 0, 40], [0, 7, 0]],
 ];
-/// Keys that each server counts, and counts a millisecond: few keys at the first, more than a
-/// snapshot lists at the second, more than a time slot lists at the third.
+/// Number of different keys that each server counts: few on the first server, more than a snapshot
+/// lists on the second, and more than a time slot lists on the third.
 const KEYS: [u64; SERVERS] = [6, 40, 2_000];
+/// Counts of each server per millisecond.
 const COUNTS_PER_MS: [usize; SERVERS] = [1, 2, 6];
 const KEY: &str = "tenant-3";
 
@@ -62,7 +64,7 @@
     ends_at: u64,
     server: usize,
     budget: BudgetId,
-    /// The caller's incarnation, as the view numbers it.
+    /// Incarnation number of the caller in the view.
     incarnation: u64,
 }
 
@@ -77,13 +79,13 @@
     with_slots: bool,
     now: u64,
     servers: Vec<FleetQuotas>,
-    /// Incarnations, as the view numbers them.
+    /// Incarnation numbers of the servers in the view.
     incarnations: [u64; SERVERS],
     random: oorandom::Rand64,
     calls: Vec<Call>,
     in_transit: Vec<InTransit>,
     lines: Vec<String>,
-    /// All datagrams, each after the positions of its sender and receiver.
+    /// All datagrams that were sent, each preceded by the indices of its sender and receiver.
     sent: Vec<Vec<u8>>,
 }
 
@@ -101,14 +103,14 @@
             sent: vec![],
         };
         for server in 0..SERVERS {
-            let quotas = history.started(server, server as u64);
+            let quotas = history.start_server(server, server as u64);
             history.servers.push(quotas);
         }
         history
     }
 
-    /// A server that starts now, with a view of all others.
-    fn started(&self, server: usize, incarnation: u64) -> FleetQuotas {
+    /// Returns a server that starts now, with a view of all other servers.
+    fn start_server(&self, server: usize, incarnation: u64) -> FleetQuotas {
         let settings = settings(server, incarnation, self.with_slots);
         let mut quotas = FleetQuotas::new(at(self.now), 7 + incarnation, settings);
         let others = (0..SERVERS).filter(|other| *other != server);
@@ -125,7 +127,7 @@
         }
     }
 
-    fn play(mut self) -> String {
+    fn replay(mut self) -> String {
         while self.now < END_MS {
             self.change_view();
             self.end_calls();
@@ -156,7 +158,7 @@
             5_000 => {
                 // A server restarts. The calls of its former incarnation stay in flight.
                 self.incarnations[1] = 50;
-                self.servers[1] = self.started(1, 10);
+                self.servers[1] = self.start_server(1, 10);
                 let peer = self.peer(1, true);
                 self.servers[0].update_peer(at(self.now + 40), peer.clone());
                 self.servers[2].update_peer(at(self.now + 60), peer);
@@ -232,14 +234,15 @@
         }
     }
 
-    /// Of twenty datagrams one is lost, one is doubled and late, one is cut short.
+    /// Sends the datagrams of a server. Of twenty datagrams, one on average is lost, one is
+    /// duplicated with a late second copy, and one is truncated.
     fn send(&mut self, from: usize) {
         for (to, mut bytes) in self.servers[from].take_datagrams() {
             let to = NAMES.iter().position(|name| *name == to).expect("a server");
             self.sent
                 .push([&[from as u8, to as u8], bytes.as_slice()].concat());
-            let fate = self.random.rand_range(0..20);
-            if fate == 1 {
+            let fault = self.random.rand_range(0..20);
+            if fault == 1 {
                 let (arrives_at, bytes) = (self.now + 300, bytes.clone());
                 self.in_transit.push(InTransit {
                     arrives_at,
@@ -248,10 +251,10 @@
                     bytes,
                 });
             }
-            if fate == 2 {
+            if fault == 2 {
                 bytes.truncate(9);
             }
-            if fate > 0 {
+            if fault > 0 {
                 let arrives_at = self.now + 1 + self.random.rand_range(0..4);
                 self.in_transit.push(InTransit {
                     arrives_at,
@@ -286,7 +289,7 @@
         self.record(server, &line);
         views
             .iter()
-            .for_each(|view| self.record(server, &describe(view)));
+            .for_each(|view| self.record(server, &describe_budget(view)));
     }
 
     fn record_totals(&mut self, server: usize) {
@@ -319,7 +322,7 @@
     }
 }
 
-fn describe(view: &BudgetView) -> String {
+fn describe_budget(view: &BudgetView) -> String {
     format!(
         "{} capacity {} base {} granted {} leased {} usable {} in use {} demand {} contact {} \
          wait {}",
@@ -337,7 +340,7 @@
     )
 }
 
-/// An event in the words of the log at the time of the record.
+/// Formats an event in the wording of the log at the time of the record.
 fn recorded_event(event: &BudgetEvent) -> String {
     let cause = match event.cause {
         ChangeCause::Leased => "borrowed",
@@ -353,26 +356,26 @@
     )
 }
 
-/// Compares line by line, so that a failure names the first difference.
-fn assert_same(played: &str, recorded: &str) {
-    for (number, (played, recorded)) in played.lines().zip(recorded.lines()).enumerate() {
-        assert_eq!(played, recorded, "line {}", number + 1);
+/// Compares line by line, so that a failure reports the first difference.
+fn assert_same_lines(replayed: &str, recorded: &str) {
+    for (number, (replayed, recorded)) in replayed.lines().zip(recorded.lines()).enumerate() {
+        assert_eq!(replayed, recorded, "line {}", number + 1);
     }
-    assert_eq!(played.lines().count(), recorded.lines().count());
+    assert_eq!(replayed.lines().count(), recorded.lines().count());
 }
 
 #[test]
-fn fleet_with_slots_decides_and_sends_as_recorded() {
-    assert_same(
-        &History::new(true).play(),
+fn fleet_with_slots_reproduces_the_recorded_history() {
+    assert_same_lines(
+        &History::new(true).replay(),
         include_str!("data/history-with-slots.txt"),
     );
 }
 
 #[test]
-fn fleet_without_slots_decides_and_sends_as_recorded() {
-    assert_same(
-        &History::new(false).play(),
+fn fleet_without_slots_reproduces_the_recorded_history() {
+    assert_same_lines(
+        &History::new(false).replay(),
         include_str!("data/history-without-slots.txt"),
     );
 }
--- a/crates/upstream/tests/further_attempts.rs
+++ b/crates/upstream/tests/further_attempts.rs
@@ -1,5 +1,5 @@
-//! Retries and hedges of the manager of the backends: each reason of a refusal, and each further attempt that is
-//! allowed. What a refusal leaves untouched is checked with it.
+//! Retries and hedges of `UpstreamManager`: each further attempt that is allowed, and each reason for a refusal. The
+//! tests also check that a refusal does not change what it should leave untouched.
 
 mod common;
 
@@ -12,16 +12,16 @@
 
 const CALL_LATENCY: Duration = Duration::from_millis(20);
 const SECOND: Duration = Duration::from_millis(1_000);
-/// Calls after which latencies are known and retries are saved up.
+/// Number of calls after which latencies are known and the retry budget has tokens.
 const WARM_UP_CALLS: u64 = 200;
 
-/// What the manager has counted.
+/// The manager's counters of further attempts.
 #[derive(Debug, PartialEq)]
 struct FurtherAttempts {
-    /// Retries and hedges.
+    /// Retries and hedges together.
     retries: u64,
     hedges: u64,
-    /// Those that the budget did not allow.
+    /// Further attempts that the budget did not allow.
     over_budget: u64,
 }
 
@@ -32,7 +32,7 @@
         over_budget: 0,
     };
 
-    /// So many retries, none of them a hedge.
+    /// Returns the counters for a number of retries, none of which is a hedge.
     fn retries(retries: u64) -> FurtherAttempts {
         FurtherAttempts {
             retries,
@@ -41,7 +41,7 @@
     }
 }
 
-/// A manager of some backends, and the time.
+/// A manager of some backends, and the current time.
 struct Scenario {
     now: Timestamp,
     settings: Settings,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The same after calls that have all succeeded.
+    /// Creates a scenario in which [`WARM_UP_CALLS`] calls have succeeded.
     fn warmed_up(backends: usize, settings: Settings) -> Scenario {
         let mut scenario = Scenario::new(backends, settings);
         for _ in 0..WARM_UP_CALLS {
@@ -71,7 +71,7 @@
         scenario
     }
 
-    /// The same with four backends, and the first attempt of one more call.
+    /// Creates a scenario with four backends after the warm-up, and begins the first attempt of one more call.
     fn with_first_attempt() -> (Scenario, UpstreamAttempt) {
         let mut scenario = Scenario::warmed_up(4, Settings::default());
         let first = scenario.pick();
@@ -88,18 +88,18 @@
 
     fn retry(
         &mut self,
-        former: &UpstreamAttempt,
+        previous: &UpstreamAttempt,
         call: FailedCall,
     ) -> Result<UpstreamAttempt, RetryRefusal> {
-        self.upstream.retry(self.now, former, call)
+        self.upstream.retry(self.now, previous, call)
     }
 
     fn hedge(
         &mut self,
         first: &UpstreamAttempt,
-        left: Duration,
+        time_left: Duration,
     ) -> Result<UpstreamAttempt, HedgeRefusal> {
-        self.upstream.hedge(self.now, first, left)
+        self.upstream.hedge(self.now, first, time_left)
     }
 
     fn hedge_delay(&mut self, call: HedgeCandidate) -> Result<Duration, HedgeRefusal> {
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn only_backend_is_called_again_after_a_backoff_alone() {
+fn single_backend_is_retried_only_after_a_backoff() {
     let mut scenario = Scenario::warmed_up(1, Settings::default());
     let first = scenario.pick();
     assert_eq!(
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn retries_end_with_the_budget() {
+fn retries_stop_when_the_budget_is_spent() {
     let (mut scenario, first) = Scenario::with_first_attempt();
     let mut allowed = 0;
     while scenario.retry(&first, REJECTED).is_ok() {
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn call_gets_no_hedge_for_reasons_of_its_own() {
+fn hedge_is_refused_for_each_disqualifying_property_of_the_call() {
     let mut scenario = Scenario::warmed_up(4, Settings::default());
     let under_quota = HedgeCandidate {
         is_under_quota: true,
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn operator_switches_hedges_off() {
+fn hedging_can_be_disabled_by_the_operator() {
     let settings = Settings {
         hedging: false,
         ..Settings::default()
