--- a/crates/simulation/src/cli/commands.rs
+++ b/crates/simulation/src/cli/commands.rs
@@ -10,9 +10,9 @@
 /// Zones of a drawn history, if it has as many backends.
 const MAX_ZONES: usize = 3;
 /// Upstream calls in flight for each server, of which the quota of a drawn history is made.
-const QUOTA_OF_SERVER: usize = 6;
+const QUOTA_PER_SERVER: usize = 6;
 /// Servers that the mixes of faults need.
-const MIN_SERVERS_OF_TABLE: usize = 4;
+const MIN_TABLE_SERVERS: usize = 4;
 
 /// Runs a command to its end.
 pub(crate) fn execute(command: Command) -> Result<CommandOutcome, CommandError> {
@@ -37,7 +37,9 @@
 fn run(file: &Path, seed: u64) -> Result<CommandOutcome, CommandError> {
     let report = simulate(&files::read_history(file)?, seed);
     println!("{}", figures::json_lines(&report)?);
-    Ok(CommandOutcome::of_violations(report.violations.len()))
+    Ok(CommandOutcome::from_violation_count(
+        report.violations.len(),
+    ))
 }
 
 fn shrink_history(file: &Path, seed: u64) -> Result<CommandOutcome, CommandError> {
@@ -59,7 +61,7 @@
     simulations_at_a_time: usize,
     mix_filter: &str,
 ) -> Result<CommandOutcome, CommandError> {
-    if servers < MIN_SERVERS_OF_TABLE {
+    if servers < MIN_TABLE_SERVERS {
         return Err(CommandError::FleetTooSmallForTable);
     }
     let table = fault_mix_table(servers, simulations_at_a_time, mix_filter);
@@ -89,12 +91,12 @@
             zones: self.backends.min(MAX_ZONES),
             seconds: self.seconds,
             requests_per_second: self.requests_per_second,
-            quota: (self.servers * QUOTA_OF_SERVER) as u32,
+            quota: (self.servers * QUOTA_PER_SERVER) as u32,
             features,
             defect: None,
             faults: vec![],
         };
-        Ok(history.with_drawn_faults(seed, self.faults))
+        Ok(history.with_random_faults(seed, self.faults))
     }
 
     /// Reads the parts as the line of a history.
--- a/crates/simulation/src/cli/compare.rs
+++ b/crates/simulation/src/cli/compare.rs
@@ -17,7 +17,7 @@
 
 impl Totals {
     /// Adds up the rows. Lines that are not rows add nothing.
-    fn of(json_lines: &str) -> Totals {
+    fn from_json_lines(json_lines: &str) -> Totals {
         let mut totals = Totals::default();
         for line in json_lines.lines() {
             totals.add(&serde_json::from_str(line).unwrap_or_default());
@@ -45,8 +45,8 @@
 pub(crate) fn compare(first: &Path, second: &Path) -> Result<CommandOutcome, CommandError> {
     let first_lines = files::read_text(first)?;
     let second_lines = files::read_text(second)?;
-    let one = Totals::of(&first_lines);
-    let other = Totals::of(&second_lines);
+    let one = Totals::from_json_lines(&first_lines);
+    let other = Totals::from_json_lines(&second_lines);
     println!(
         "{:<24} {:>12} {:>12}",
         "",
--- a/crates/simulation/src/cli/figures.rs
+++ b/crates/simulation/src/cli/figures.rs
@@ -14,7 +14,7 @@
 
 fn summary(report: &SimulationReport) -> serde_json::Value {
     json!({
-        "settles": report.settling_s,
+        "settles": report.convergence_s,
         "unison": report.simultaneous_transitions,
         "load_below": report.calls_per_first_attempt,
         "broken": report.violations.len(),
--- a/crates/simulation/src/cli/outcome.rs
+++ b/crates/simulation/src/cli/outcome.rs
@@ -11,7 +11,7 @@
 
 impl CommandOutcome {
     /// The outcome of a command that found so many violations.
-    pub(crate) fn of_violations(violations: usize) -> CommandOutcome {
+    pub(crate) fn from_violation_count(violations: usize) -> CommandOutcome {
         if violations == 0 {
             CommandOutcome::Passed
         } else {
--- a/crates/simulation/src/cli/plot.rs
+++ b/crates/simulation/src/cli/plot.rs
@@ -11,7 +11,7 @@
 const FONT_SIZE_PIXELS: i32 = 16;
 const LEGEND_LINE_PIXELS: i32 = 16;
 /// The value axis ends a little above the greatest value, and never below 1.
-const HEADROOM: f64 = 1.05;
+const AXIS_HEADROOM: f64 = 1.05;
 
 /// A figure at one time.
 pub(crate) type Point = (f64, f64);
@@ -41,7 +41,7 @@
 
     fn max_value(&self) -> f64 {
         let points = self.curves.iter().flat_map(|curve| &curve.points);
-        points.map(|point| point.1).fold(1.0, f64::max) * HEADROOM
+        points.map(|point| point.1).fold(1.0, f64::max) * AXIS_HEADROOM
     }
 
     fn draw(&self, path: &Path) -> Result<(), DrawingError> {
--- a/crates/simulation/src/cli/report_folder.rs
+++ b/crates/simulation/src/cli/report_folder.rs
@@ -18,12 +18,12 @@
 ) -> Result<(), CommandError> {
     let rows = figures::json_lines(report)?;
     create_folder(folder)?;
-    let page = Page {
+    let text_report = TextReport {
         history,
         seed,
         report,
     };
-    write_text(&folder.join("report.txt"), &page.to_string())?;
+    write_text(&folder.join("report.txt"), &text_report.to_string())?;
     write_text(&folder.join("history.txt"), &history.to_string())?;
     write_text(&folder.join("rows.jsonl"), &rows)?;
     let plots = Plots { history, report };
@@ -34,22 +34,22 @@
 }
 
 /// The page of text.
-struct Page<'a> {
+struct TextReport<'a> {
     history: &'a History,
     seed: u64,
     report: &'a SimulationReport,
 }
 
-impl Display for Page<'_> {
+impl Display for TextReport<'_> {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        self.write_setting(f)?;
+        self.write_header(f)?;
         self.write_figures(f)?;
         self.write_violations(f)
     }
 }
 
-impl Page<'_> {
-    fn write_setting(&self, f: &mut fmt::Formatter) -> fmt::Result {
+impl TextReport<'_> {
+    fn write_header(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let History {
             servers,
             backends,
@@ -75,7 +75,7 @@
         let quota = self.history.quota;
         writeln!(f, "\nmost calls in hand below: {peak} of {quota}")?;
         f.write_str("all that run hold one view, nobody is doubted: ")?;
-        match self.report.settling_s {
+        match self.report.convergence_s {
             Some(seconds) => writeln!(f, "{seconds:.1} s after the last deed")?,
             None => writeln!(f, "never")?,
         }
@@ -116,8 +116,8 @@
         }
     }
 
-    fn curve(&self, label: &'static str, figure: impl Fn(&SecondRow) -> f64) -> Curve {
-        let point = |row: &SecondRow| -> Point { (row.second as f64, figure(row)) };
+    fn curve(&self, label: &'static str, value: impl Fn(&SecondRow) -> f64) -> Curve {
+        let point = |row: &SecondRow| -> Point { (row.second as f64, value(row)) };
         Curve {
             label,
             points: self.report.rows.iter().map(point).collect(),
--- a/crates/simulation/src/cli/search.rs
+++ b/crates/simulation/src/cli/search.rs
@@ -15,7 +15,7 @@
 }
 
 /// The history in which the fewest requests were answered in time.
-struct Worst {
+struct WorstHistory {
     seed: u64,
     /// The fractions of all handlers, added up.
     answered_in_time: f64,
@@ -24,14 +24,14 @@
 /// Owns what the simulations found so far.
 struct SearchState {
     findings: Vec<Finding>,
-    worst: Worst,
+    worst: WorstHistory,
 }
 
 impl SearchState {
     fn new() -> SearchState {
         SearchState {
             findings: vec![],
-            worst: Worst {
+            worst: WorstHistory {
                 seed: 0,
                 answered_in_time: f64::INFINITY,
             },
@@ -41,7 +41,7 @@
     fn add(&mut self, seed: u64, report: &SimulationReport) {
         let answered_in_time = report.fractions_in_time().iter().sum();
         if answered_in_time < self.worst.answered_in_time {
-            self.worst = Worst {
+            self.worst = WorstHistory {
                 seed,
                 answered_in_time,
             };
@@ -65,7 +65,7 @@
 pub(crate) fn search(arguments: &SearchArguments) -> Result<CommandOutcome, CommandError> {
     // Wrong arguments are found here, before any simulation.
     arguments.draw.draw(arguments.first_seed)?;
-    let mut state = play_all(arguments);
+    let mut state = simulate_all(arguments);
     state.findings.sort_by_key(|finding| finding.seed);
     println!(
         "{} histories of {} servers, {} faults each: {} broken",
@@ -76,22 +76,26 @@
     );
     println!("least kept: seed {}", state.worst.seed);
     write_findings(arguments, &state.findings)?;
-    Ok(CommandOutcome::of_violations(state.findings.len()))
+    Ok(CommandOutcome::from_violation_count(state.findings.len()))
 }
 
-fn play_all(arguments: &SearchArguments) -> SearchState {
+fn simulate_all(arguments: &SearchArguments) -> SearchState {
     let next_seed = AtomicU64::new(arguments.first_seed);
     let state = Mutex::new(SearchState::new());
     std::thread::scope(|scope| {
         for _ in 0..arguments.simulations_at_a_time.max(1) {
-            scope.spawn(|| play_remaining(arguments, &next_seed, &state));
+            scope.spawn(|| simulate_remaining(arguments, &next_seed, &state));
         }
     });
     state.into_inner().expect("no simulation panics")
 }
 
 /// Plays histories until there are no more seeds.
-fn play_remaining(arguments: &SearchArguments, next_seed: &AtomicU64, state: &Mutex<SearchState>) {
+fn simulate_remaining(
+    arguments: &SearchArguments,
+    next_seed: &AtomicU64,
+    state: &Mutex<SearchState>,
+) {
     let end = arguments.first_seed + arguments.count;
     loop {
         let seed = next_seed.fetch_add(1, Ordering::Relaxed);
--- a/crates/simulation/src/event_queue.rs
+++ b/crates/simulation/src/event_queue.rs
@@ -27,12 +27,12 @@
         bytes: Vec<u8>,
     },
     /// A call arrives at a backend.
-    CallArrives {
+    CallArrival {
         backend: BackendId,
         call: UpstreamCall,
     },
     /// The time that a backend works on a call is over.
-    CallCompletes { backend: BackendId, call_id: u64 },
+    CallCompletion { backend: BackendId, call_id: u64 },
     /// The answer to a call arrives.
     Reply {
         target: ServerIncarnation,
@@ -45,14 +45,14 @@
         connection: u64,
     },
     /// A client stops waiting for an answer.
-    AnswerDue {
+    AnswerDeadline {
         target: ServerIncarnation,
         request_id: u64,
     },
     /// The fault of this index in the history is injected.
     FaultDue(usize),
     /// A second is over.
-    SecondEnds,
+    SecondEnd,
 }
 
 struct ScheduledEvent {
--- a/crates/simulation/src/event_queue/tests.rs
+++ b/crates/simulation/src/event_queue/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn events_come_by_time_and_then_as_they_were_scheduled() {
+fn events_pop_by_due_time_then_in_scheduling_order() {
     let mut queue = EventQueue::default();
     for (index, due_ms) in [30, 10, 20, 10, 30].into_iter().enumerate() {
         queue.push(at(due_ms), Event::FaultDue(index));
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn events_after_the_end_stay() {
+fn events_due_after_the_end_stay_queued() {
     let mut queue = EventQueue::default();
     queue.push(at(11), Event::FaultDue(0));
     queue.push(at(10), Event::FaultDue(1));
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -37,17 +37,17 @@
         factor: f64,
     },
     /// Servers with odd and with even names are cut off from each other.
-    Halves,
+    PartitionHalves,
     /// A server is cut off from all others, in both directions.
     Isolate(ServerId),
     /// No datagram of a server reaches any other; it receives theirs.
-    OneWay(ServerId),
+    BlockOutgoing(ServerId),
     /// All cuts end.
     Heal,
     /// Datagrams are lost, duplicated, corrupted and delayed.
     Datagrams(DatagramFaults),
     /// Datagrams arrive again, quickly and as they were sent.
-    Calm,
+    ClearDatagramFaults,
     /// A backend gets a fault, or none any more.
     Backend {
         /// The backend.
--- a/crates/simulation/src/history/format.rs
+++ b/crates/simulation/src/history/format.rs
@@ -37,12 +37,12 @@
             Fault::SlowEngine { server, factor } => {
                 write!(f, "{} {server} {factor}", words::SLOW_ENGINE)
             }
-            Fault::Halves => f.write_str(words::HALVES),
+            Fault::PartitionHalves => f.write_str(words::PARTITION_HALVES),
             Fault::Isolate(server) => write!(f, "{} {server}", words::ISOLATE),
-            Fault::OneWay(server) => write!(f, "{} {server}", words::ONE_WAY),
+            Fault::BlockOutgoing(server) => write!(f, "{} {server}", words::BLOCK_OUTGOING),
             Fault::Heal => f.write_str(words::HEAL),
             Fault::Datagrams(faults) => write!(f, "{} {faults}", words::DATAGRAMS),
-            Fault::Calm => f.write_str(words::CALM),
+            Fault::ClearDatagramFaults => f.write_str(words::CLEAR_DATAGRAM_FAULTS),
             Fault::Backend {
                 backend,
                 fault: Some(fault),
--- a/crates/simulation/src/history/generator.rs
+++ b/crates/simulation/src/history/generator.rs
@@ -8,7 +8,7 @@
 /// No fault is drawn before this time.
 const FIRST_FAULT_MS: f64 = 4_000.0;
 /// Nothing is faulty for this long before the end, so that the fleet can settle.
-const SETTLING_S: f64 = 16.0;
+const FAULT_FREE_END_S: f64 = 16.0;
 /// The end of the faults is never before this time, however short the history.
 const MIN_LAST_FAULT_S: f64 = 5.0;
 const MS_PER_S: f64 = 1e3;
@@ -16,7 +16,7 @@
 /// The kinds of faults that are drawn are equally likely.
 const FAULT_KINDS: f64 = 16.0;
 /// The highest probability that a datagram is lost, or duplicated.
-const MAX_DATAGRAM_FAULT: f64 = 0.3;
+const MAX_DATAGRAM_FAULT_PROBABILITY: f64 = 0.3;
 /// Datagrams are corrupted this many times as often as they are lost.
 const CORRUPTION_PER_LOSS: f64 = 0.3;
 const MAX_DELAY_MS: f64 = 1_500.0;
@@ -31,9 +31,9 @@
 impl History {
     /// Adds so many faults, drawn from a seed, and then the end of all of them, so that the fleet can settle.
     #[must_use]
-    pub fn with_drawn_faults(mut self, seed: u64, faults: usize) -> History {
+    pub fn with_random_faults(mut self, seed: u64, faults: usize) -> History {
         let mut generator = FaultGenerator::new(seed, &self);
-        let end_ms = (self.seconds as f64 - SETTLING_S).max(MIN_LAST_FAULT_S) * MS_PER_S;
+        let end_ms = (self.seconds as f64 - FAULT_FREE_END_S).max(MIN_LAST_FAULT_S) * MS_PER_S;
         for at_ms in generator.draw_times(faults, end_ms) {
             let fault = generator.draw_fault();
             self.inject(at_ms, fault);
@@ -45,7 +45,7 @@
     /// Makes everything healthy again.
     fn end_faults(&mut self, at_ms: u64, generator: &FaultGenerator) {
         self.inject(at_ms, Fault::Heal);
-        self.inject(at_ms, Fault::Calm);
+        self.inject(at_ms, Fault::ClearDatagramFaults);
         for backend in (0..self.backends).map(BackendId) {
             let fault = None;
             self.inject(at_ms, Fault::Backend { backend, fault });
@@ -100,19 +100,19 @@
         let servers = self.is_up.len() as f64;
         let server = ServerId(self.draw_below(servers) as usize);
         let backend = BackendId(self.draw_below(self.backends) as usize);
-        let loss = self.draw_below(MAX_DATAGRAM_FAULT);
+        let loss = self.draw_below(MAX_DATAGRAM_FAULT_PROBABILITY);
         match self.draw_below(FAULT_KINDS) as usize {
             0 | 1 if !self.is_up[server.0] => self.start(server),
             0 | 1 if !self.is_stopped[server.0] => self.kill(server),
             2 | 3 if self.is_stopped[server.0] => self.continue_process(server),
             2 | 3 if self.is_up[server.0] => self.stop(server),
             4 => self.draw_engine_slowdown(server),
-            5 => Fault::Halves,
+            5 => Fault::PartitionHalves,
             6 => Fault::Isolate(server),
-            7 => Fault::OneWay(server),
+            7 => Fault::BlockOutgoing(server),
             8 => Fault::Heal,
             9 => self.draw_datagram_faults(loss),
-            10 => Fault::Calm,
+            10 => Fault::ClearDatagramFaults,
             11 => backend_fault(backend, Some(BackendFault::Silent)),
             12 => backend_fault(backend, Some(BackendFault::Failing)),
             13 => self.draw_backend_slowdown(backend),
--- a/crates/simulation/src/history/parser.rs
+++ b/crates/simulation/src/history/parser.rs
@@ -47,11 +47,14 @@
             | Fault::Stop(server)
             | Fault::Continue(server)
             | Fault::Isolate(server)
-            | Fault::OneWay(server)
+            | Fault::BlockOutgoing(server)
             | Fault::SlowEngine { server, .. }
             | Fault::Load { server, .. } => server.0 < self.servers,
             Fault::Backend { backend, .. } => backend.0 < self.backends,
-            Fault::Halves | Fault::Heal | Fault::Datagrams(_) | Fault::Calm => true,
+            Fault::PartitionHalves
+            | Fault::Heal
+            | Fault::Datagrams(_)
+            | Fault::ClearDatagramFaults => true,
         }
     }
 
@@ -116,12 +119,12 @@
             server: parse_server(values)?,
             factor: parse_number(values, 1)?,
         },
-        words::HALVES => Fault::Halves,
+        words::PARTITION_HALVES => Fault::PartitionHalves,
         words::ISOLATE => Fault::Isolate(parse_server(values)?),
-        words::ONE_WAY => Fault::OneWay(parse_server(values)?),
+        words::BLOCK_OUTGOING => Fault::BlockOutgoing(parse_server(values)?),
         words::HEAL => Fault::Heal,
         words::DATAGRAMS => Fault::Datagrams(parse_datagram_faults(values)?),
-        words::CALM => Fault::Calm,
+        words::CLEAR_DATAGRAM_FAULTS => Fault::ClearDatagramFaults,
         words::BACKEND => parse_backend_fault(values)?,
         words::LOAD => Fault::Load {
             server: parse_server(values)?,
--- a/crates/simulation/src/history/tests.rs
+++ b/crates/simulation/src/history/tests.rs
@@ -7,15 +7,15 @@
 }
 
 #[test]
-fn parses_what_it_writes() {
+fn a_written_history_parses_to_the_same_history() {
     for seed in 0..50 {
-        let drawn = History::default().with_drawn_faults(seed, 20);
-        assert_eq!(History::parse("x", &drawn.to_string()), Ok(drawn));
+        let generated = History::default().with_random_faults(seed, 20);
+        assert_eq!(History::parse("x", &generated.to_string()), Ok(generated));
     }
 }
 
 #[test]
-fn names_the_line_and_the_word_that_is_wrong() {
+fn errors_name_the_line_and_the_invalid_word() {
     assert_eq!(
         error_of("servers 3\n@5 kill n4\n"),
         "x: 'kill n4' names a server or a backend that there is not"
@@ -60,9 +60,9 @@
             server: third,
             factor: 2.0,
         },
-        Fault::Halves,
+        Fault::PartitionHalves,
         Fault::Isolate(server),
-        Fault::OneWay(other),
+        Fault::BlockOutgoing(other),
         Fault::Heal,
         Fault::Datagrams(DatagramFaults {
             loss: 0.1,
@@ -70,7 +70,7 @@
             corruption: 0.3,
             max_delay_ms: 40,
         }),
-        Fault::Calm,
+        Fault::ClearDatagramFaults,
         Fault::Load {
             server,
             factor: 2.0,
@@ -85,7 +85,7 @@
 
 /// Histories on disk have these words.
 #[test]
-fn text_keeps_the_words_of_earlier_histories() {
+fn text_format_is_stable() {
     let text = "servers 3\nbackends 2\nzones 1\nseconds 9\nrate 2.5\nwhole 8\nparts members shared routes pools\n\
         plant answers\n@1 kill n1\n@2 start n1\n@3 stop n2\n@4 continue n2\n@5 slow n3 2\n@6 halves\n@7 alone n1\n\
         @8 oneway n2\n@9 heal\n@10 net 0.1 0.2 0.3 40\n@11 calm\n@12 load n1 2\n@13 backend 0 silent\n\
@@ -110,7 +110,7 @@
 
 /// Reports and the program's own table have these names.
 #[test]
-fn defects_keep_their_names() {
+fn defect_names_are_stable() {
     let names = Defect::ALL.map(Defect::name);
     assert_eq!(names, ["answers", "runs", "terms", "repeats", "suspicion"]);
 }
--- a/crates/simulation/src/history/words.rs
+++ b/crates/simulation/src/history/words.rs
@@ -27,18 +27,18 @@
 pub(super) const CONTINUE: &str = "continue";
 /// A [`Fault::SlowEngine`](crate::Fault::SlowEngine).
 pub(super) const SLOW_ENGINE: &str = "slow";
-/// A [`Fault::Halves`](crate::Fault::Halves).
-pub(super) const HALVES: &str = "halves";
+/// A [`Fault::PartitionHalves`](crate::Fault::PartitionHalves).
+pub(super) const PARTITION_HALVES: &str = "halves";
 /// A [`Fault::Isolate`](crate::Fault::Isolate).
 pub(super) const ISOLATE: &str = "alone";
-/// A [`Fault::OneWay`](crate::Fault::OneWay).
-pub(super) const ONE_WAY: &str = "oneway";
+/// A [`Fault::BlockOutgoing`](crate::Fault::BlockOutgoing).
+pub(super) const BLOCK_OUTGOING: &str = "oneway";
 /// A [`Fault::Heal`](crate::Fault::Heal).
 pub(super) const HEAL: &str = "heal";
 /// A [`Fault::Datagrams`](crate::Fault::Datagrams).
 pub(super) const DATAGRAMS: &str = "net";
-/// A [`Fault::Calm`](crate::Fault::Calm).
-pub(super) const CALM: &str = "calm";
+/// A [`Fault::ClearDatagramFaults`](crate::Fault::ClearDatagramFaults).
+pub(super) const CLEAR_DATAGRAM_FAULTS: &str = "calm";
 /// A [`Fault::Backend`](crate::Fault::Backend).
 pub(super) const BACKEND: &str = "backend";
 /// A [`Fault::Load`](crate::Fault::Load).
--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -11,7 +11,7 @@
 /// Violations beyond this number are not recorded.
 const MAX_VIOLATIONS: usize = 100;
 /// Within this time of the last fault all servers that run have to hold one view.
-const MAX_SETTLING: Duration = Duration::from_millis(14_000);
+const MAX_CONVERGENCE_TIME: Duration = Duration::from_millis(14_000);
 /// Retries for each first attempt, together with those that are saved up at the start.
 const MAX_RETRY_RATIO: f64 = 0.12;
 /// With fewer first attempts than this the ratio of retries says nothing.
@@ -23,15 +23,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
     /// Each request gets exactly one answer, in time, unless its server was stopped or killed.
-    OneAnswerEach,
+    OneAnswerPerRequest,
     /// A request with an idempotency key runs once, calls upstream once, and is not rejected after it began to run.
-    NoEffectTwice,
+    NoDuplicateEffects,
     /// The fleet never has more upstream calls in flight than its quota.
     QuotaNeverExceeded,
     /// Retries stay within a tenth of first attempts.
     BoundedRetries,
     /// Some time after the last fault, all servers that run hold one view.
-    ViewsSettle,
+    ViewsConverge,
     /// A server never holds more members than there are servers, with one to spare.
     BoundedMemberTables,
 }
@@ -39,22 +39,22 @@
 impl Invariant {
     /// All of them.
     pub const ALL: [Invariant; 6] = [
-        Invariant::OneAnswerEach,
-        Invariant::NoEffectTwice,
+        Invariant::OneAnswerPerRequest,
+        Invariant::NoDuplicateEffects,
         Invariant::QuotaNeverExceeded,
         Invariant::BoundedRetries,
-        Invariant::ViewsSettle,
+        Invariant::ViewsConverge,
         Invariant::BoundedMemberTables,
     ];
 
     /// The rule, as reports print it.
     pub fn rule(self) -> &'static str {
         match self {
-            Invariant::OneAnswerEach => "one answer each",
-            Invariant::NoEffectTwice => "no effect twice",
+            Invariant::OneAnswerPerRequest => "one answer each",
+            Invariant::NoDuplicateEffects => "no effect twice",
             Invariant::QuotaNeverExceeded => "a budget is never passed",
             Invariant::BoundedRetries => "repeats within a tenth",
-            Invariant::ViewsSettle => "settles",
+            Invariant::ViewsConverge => "settles",
             Invariant::BoundedMemberTables => "tables are bounded",
         }
     }
@@ -106,13 +106,18 @@
     }
 
     /// An answer arrived that no client waits for.
-    pub(crate) fn unexpected_answer(&mut self, now: Timestamp, server: ServerId, line: &str) {
+    pub(crate) fn record_unexpected_answer(
+        &mut self,
+        now: Timestamp,
+        server: ServerId,
+        line: &str,
+    ) {
         let detail = format!("{server}: an answer to nothing, or a second one: {line}");
-        self.record(now, Invariant::OneAnswerEach, detail);
+        self.record(now, Invariant::OneAnswerPerRequest, detail);
     }
 
     /// A client waited in vain.
-    pub(crate) fn missing_answer(
+    pub(crate) fn record_missing_answer(
         &mut self,
         now: Timestamp,
         server: ServerId,
@@ -121,18 +126,18 @@
     ) {
         let handler = handler.name();
         let detail = format!("{server}: {handler} {reference} got no answer");
-        self.record(now, Invariant::OneAnswerEach, detail);
+        self.record(now, Invariant::OneAnswerPerRequest, detail);
     }
 
     /// A request with an idempotency key was rejected after it began to run.
-    pub(crate) fn rejected_after_start(
+    pub(crate) fn record_rejection_after_start(
         &mut self,
         now: Timestamp,
         server: ServerId,
         reference: &str,
     ) {
         let detail = format!("{server}: {reference} was shed although it ran");
-        self.record(now, Invariant::NoEffectTwice, detail);
+        self.record(now, Invariant::NoDuplicateEffects, detail);
     }
 
     /// An engine starts so many runs of a request.
@@ -148,7 +153,7 @@
         *total += runs;
         if *total > 1 && handler.has_idempotency_key() {
             let detail = format!("{server}: {reference} ran twice");
-            self.record(now, Invariant::NoEffectTwice, detail);
+            self.record(now, Invariant::NoDuplicateEffects, detail);
         }
     }
 
@@ -175,11 +180,11 @@
     }
 
     /// At the end the views still differ, this long after the last fault.
-    pub(crate) fn check_unsettled(&mut self, now: Timestamp, since_last_fault: Duration) {
-        if since_last_fault > MAX_SETTLING {
+    pub(crate) fn check_divergence(&mut self, now: Timestamp, since_last_fault: Duration) {
+        if since_last_fault > MAX_CONVERGENCE_TIME {
             let seconds = since_last_fault.as_secs_f64();
             let detail = format!("views differ {seconds:.1} s after the last deed");
-            self.record(now, Invariant::ViewsSettle, detail);
+            self.record(now, Invariant::ViewsConverge, detail);
         }
     }
 
@@ -187,7 +192,7 @@
     pub(crate) fn check_keyed_calls(&mut self, now: Timestamp, calls: &BTreeMap<&str, u32>) {
         for (reference, count) in calls.iter().filter(|(_, count)| **count > 1) {
             let detail = format!("{reference} called {count} times");
-            self.record(now, Invariant::NoEffectTwice, detail);
+            self.record(now, Invariant::NoDuplicateEffects, detail);
         }
     }
 
--- a/crates/simulation/src/mixes.rs
+++ b/crates/simulation/src/mixes.rs
@@ -13,7 +13,7 @@
 pub(crate) const SECONDS: u64 = 34;
 const REQUESTS_PER_SECOND: f64 = 20.0;
 /// Upstream calls in flight for each server, of which the quota of the fleet is made.
-const QUOTA_OF_SERVER: u32 = 4;
+const QUOTA_PER_SERVER: u32 = 4;
 const MAX_ZONES: usize = 3;
 /// One backend fails a little after the other faults of its mix.
 const BACKEND_FAULT_MS: u64 = FIRST_FAULT_MS + 500;
@@ -44,16 +44,19 @@
         let mix = |name, faults| FaultMix { name, faults };
         vec![
             mix("calm", vec![]),
-            mix("a cut that flaps, a backend silent", self.flapping_cut()),
+            mix(
+                "a cut that flaps, a backend silent",
+                self.flapping_partition(),
+            ),
             mix("one-way loss, three tenths lost", self.one_way_loss()),
             mix(
                 "seconds of delay, work shifts",
                 self.delay_and_uneven_load(),
             ),
-            mix("pauses of processes, a backend slow", self.pauses()),
+            mix("pauses of processes, a backend slow", self.process_pauses()),
             mix("slow engines, one backend fails", self.slow_engines()),
             mix("a storm of crashes, a tenth lost", self.crashes()),
-            mix("a release over a cut", self.release_over_cut()),
+            mix("a release over a cut", self.rolling_restart_in_partition()),
             mix(
                 "a third of the backends fail in turn",
                 self.failing_backends(),
@@ -69,7 +72,7 @@
             zones: self.backends.min(MAX_ZONES),
             seconds: SECONDS,
             requests_per_second: REQUESTS_PER_SECOND,
-            quota: self.servers as u32 * QUOTA_OF_SERVER,
+            quota: self.servers as u32 * QUOTA_PER_SERVER,
             features,
             defect: None,
             faults: mix.faults.clone(),
@@ -81,7 +84,7 @@
 
     fn end_faults(self, history: &mut History) {
         history.inject(LAST_FAULT_MS, Fault::Heal);
-        history.inject(LAST_FAULT_MS, Fault::Calm);
+        history.inject(LAST_FAULT_MS, Fault::ClearDatagramFaults);
         for backend in (0..self.backends).map(BackendId) {
             let fault = None;
             history.inject(LAST_FAULT_MS, Fault::Backend { backend, fault });
@@ -94,7 +97,7 @@
     }
 
     /// Each of this many servers, beginning with the first, with its number among those.
-    fn every(self, step: usize) -> impl Iterator<Item = (u64, ServerId)> {
+    fn every_nth_server(self, step: usize) -> impl Iterator<Item = (u64, ServerId)> {
         (0..).zip((0..self.servers).step_by(step).map(ServerId))
     }
 
@@ -103,7 +106,7 @@
         FIRST_FAULT_MS + number * (LAST_FAULT_MS - FIRST_FAULT_MS) / (self.servers as u64 / 4 + 1)
     }
 
-    fn one_backend(self, index: usize, fault: BackendFault) -> ScheduledFault {
+    fn single_backend_fault(self, index: usize, fault: BackendFault) -> ScheduledFault {
         let fault = Fault::Backend {
             backend: BackendId(index % self.backends),
             fault: Some(fault),
@@ -111,73 +114,76 @@
         ScheduledFault::new(BACKEND_FAULT_MS, fault)
     }
 
-    fn flapping_cut(self) -> Vec<ScheduledFault> {
+    fn flapping_partition(self) -> Vec<ScheduledFault> {
         let mut faults = vec![];
         for flap in 0..6 {
-            let cut_ms = FIRST_FAULT_MS + flap * 2_000;
-            faults.push(ScheduledFault::new(cut_ms, Fault::Halves));
-            faults.push(ScheduledFault::new(cut_ms + 1_000, Fault::Heal));
+            let partition_ms = FIRST_FAULT_MS + flap * 2_000;
+            faults.push(ScheduledFault::new(partition_ms, Fault::PartitionHalves));
+            faults.push(ScheduledFault::new(partition_ms + 1_000, Fault::Heal));
         }
-        faults.push(self.one_backend(1, BackendFault::Silent));
+        faults.push(self.single_backend_fault(1, BackendFault::Silent));
         faults
     }
 
     fn one_way_loss(self) -> Vec<ScheduledFault> {
-        let one_way = |(_, server)| first(Fault::OneWay(server));
-        let mut faults: Vec<ScheduledFault> = self.every(5).map(one_way).collect();
-        faults.push(first(datagram_faults(0.3, 20)));
+        let one_way = |(_, server)| at_first_fault_time(Fault::BlockOutgoing(server));
+        let mut faults: Vec<ScheduledFault> = self.every_nth_server(5).map(one_way).collect();
+        faults.push(at_first_fault_time(datagram_faults(0.3, 20)));
         faults
     }
 
     fn delay_and_uneven_load(self) -> Vec<ScheduledFault> {
         let mut faults = vec![];
-        for (_, server) in self.every(2) {
+        for (_, server) in self.every_nth_server(2) {
             let neighbour = ServerId((server.0 + 1) % self.servers);
-            faults.push(first(load(server, 2.0)));
-            faults.push(first(load(neighbour, 0.2)));
+            faults.push(at_first_fault_time(load(server, 2.0)));
+            faults.push(at_first_fault_time(load(neighbour, 0.2)));
         }
-        faults.push(first(datagram_faults(0.0, 2_000)));
+        faults.push(at_first_fault_time(datagram_faults(0.0, 2_000)));
         faults
     }
 
-    fn pauses(self) -> Vec<ScheduledFault> {
+    fn process_pauses(self) -> Vec<ScheduledFault> {
         let mut faults = vec![];
-        for (number, server) in self.every(4) {
+        for (number, server) in self.every_nth_server(4) {
             let at_ms = self.staggered_ms(number);
             faults.push(ScheduledFault::new(at_ms, Fault::Stop(server)));
             faults.push(ScheduledFault::new(at_ms + 3_000, Fault::Continue(server)));
         }
-        faults.push(self.one_backend(0, BackendFault::Slow { factor: 10.0 }));
+        faults.push(self.single_backend_fault(0, BackendFault::Slow { factor: 10.0 }));
         faults
     }
 
     fn slow_engines(self) -> Vec<ScheduledFault> {
         let factor = 5.0;
-        let slow = |(_, server)| first(Fault::SlowEngine { server, factor });
-        let mut faults: Vec<ScheduledFault> = self.every(4).map(slow).collect();
-        faults.push(self.one_backend(2, BackendFault::Failing));
+        let slow = |(_, server)| at_first_fault_time(Fault::SlowEngine { server, factor });
+        let mut faults: Vec<ScheduledFault> = self.every_nth_server(4).map(slow).collect();
+        faults.push(self.single_backend_fault(2, BackendFault::Failing));
         faults
     }
 
     fn crashes(self) -> Vec<ScheduledFault> {
         let mut faults = vec![];
-        for (number, server) in self.every(4) {
+        for (number, server) in self.every_nth_server(4) {
             let at_ms = self.staggered_ms(number);
             faults.push(ScheduledFault::new(at_ms, Fault::Kill(server)));
             faults.push(ScheduledFault::new(at_ms + 2_000, Fault::Start(server)));
         }
-        faults.push(first(datagram_faults(0.1, 20)));
+        faults.push(at_first_fault_time(datagram_faults(0.1, 20)));
         faults
     }
 
-    fn release_over_cut(self) -> Vec<ScheduledFault> {
+    fn rolling_restart_in_partition(self) -> Vec<ScheduledFault> {
         let mut faults = vec![];
-        for (number, server) in self.every(2) {
+        for (number, server) in self.every_nth_server(2) {
             let at_ms = FIRST_FAULT_MS + number * 7_000 / (self.servers as u64 / 2 + 1);
             faults.push(ScheduledFault::new(at_ms, Fault::Kill(server)));
             faults.push(ScheduledFault::new(at_ms + 500, Fault::Start(server)));
         }
-        faults.push(ScheduledFault::new(FIRST_FAULT_MS + 1_000, Fault::Halves));
+        faults.push(ScheduledFault::new(
+            FIRST_FAULT_MS + 1_000,
+            Fault::PartitionHalves,
+        ));
         faults
     }
 
@@ -192,20 +198,20 @@
             let backend = BackendId(index);
             let at_ms = FIRST_FAULT_MS + index as u64 * 3_000 % (LAST_FAULT_MS - FIRST_FAULT_MS);
             let fault = Some(kinds[index % kinds.len()]);
-            let begins = Fault::Backend { backend, fault };
-            let ends = Fault::Backend {
+            let injected = Fault::Backend { backend, fault };
+            let cleared = Fault::Backend {
                 backend,
                 fault: None,
             };
-            faults.push(ScheduledFault::new(at_ms, begins));
-            faults.push(ScheduledFault::new(at_ms + 5_000, ends));
+            faults.push(ScheduledFault::new(at_ms, injected));
+            faults.push(ScheduledFault::new(at_ms + 5_000, cleared));
         }
         faults
     }
 }
 
 /// A fault that is among the first.
-fn first(fault: Fault) -> ScheduledFault {
+fn at_first_fault_time(fault: Fault) -> ScheduledFault {
     ScheduledFault::new(FIRST_FAULT_MS, fault)
 }
 
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -12,7 +12,8 @@
 /// The time to a backend, and back.
 pub(crate) const UPSTREAM_DELAY: Duration = Duration::from_millis(1);
 /// The least and the greatest time of a datagram without a fault.
-const DATAGRAM_DELAY: (Duration, Duration) = (Duration::from_micros(200), Duration::from_millis(2));
+const DATAGRAM_DELAY_RANGE: (Duration, Duration) =
+    (Duration::from_micros(200), Duration::from_millis(2));
 /// The least time of a datagram while datagrams are delayed.
 const MIN_FAULTY_DELAY: Duration = Duration::from_millis(1);
 /// Added to the longest delay that a fault names, in milliseconds.
@@ -21,12 +22,12 @@
 const GOSSIP_PORT: u16 = 7_946;
 const BACKEND_PORT: u16 = 7_700;
 /// Addresses that share their third byte.
-const HOSTS_OF_BLOCK: usize = 250;
+const HOSTS_PER_BLOCK: usize = 250;
 
 /// An address in `127.NETWORK.0.0/16` for an index.
 fn address(network: u8, index: usize, port: u16) -> SocketAddr {
-    let block = (index / HOSTS_OF_BLOCK) as u8;
-    let host = (index % HOSTS_OF_BLOCK) as u8 + 1;
+    let block = (index / HOSTS_PER_BLOCK) as u8;
+    let host = (index % HOSTS_PER_BLOCK) as u8 + 1;
     ([127, network, block, host], port).into()
 }
 
@@ -36,7 +37,7 @@
         return None;
     };
     let [_, _, block, host] = ip.octets().map(usize::from);
-    (block * HOSTS_OF_BLOCK + host).checked_sub(1)
+    (block * HOSTS_PER_BLOCK + host).checked_sub(1)
 }
 
 /// Where a server receives datagrams.
@@ -65,7 +66,7 @@
     pub(crate) fn new(servers: usize, seed: u64) -> FleetNetwork {
         FleetNetwork {
             servers,
-            links: SimulatedNetwork::new(servers, seed, DATAGRAM_DELAY),
+            links: SimulatedNetwork::new(servers, seed, DATAGRAM_DELAY_RANGE),
         }
     }
 
@@ -76,7 +77,7 @@
     }
 
     /// What arrives of a datagram, and after which time.
-    pub(crate) fn carry(
+    pub(crate) fn transmit(
         &mut self,
         from: ServerId,
         to: ServerId,
@@ -88,15 +89,15 @@
     /// Injects a fault of the network; other faults change nothing here.
     pub(crate) fn inject(&mut self, fault: Fault) {
         let action = match fault {
-            Fault::Halves => {
+            Fault::PartitionHalves => {
                 let (even, odd) = (0..self.servers).partition(|server| server % 2 == 0);
                 Action::Cut(vec![even, odd])
             }
             Fault::Isolate(server) => Action::Cut(vec![vec![server.0], self.all_but(server)]),
-            Fault::OneWay(server) => Action::OneWay(server.0, self.all_but(server)),
+            Fault::BlockOutgoing(server) => Action::OneWay(server.0, self.all_but(server)),
             Fault::Heal => Action::Heal,
             Fault::Datagrams(faults) => datagram_action(faults),
-            Fault::Calm => Action::Network {
+            Fault::ClearDatagramFaults => Action::Network {
                 loss: None,
                 double: None,
                 spoil: None,
--- a/crates/simulation/src/node.rs
+++ b/crates/simulation/src/node.rs
@@ -7,14 +7,14 @@
 mod client;
 mod process;
 
-pub(crate) use client::{Answer, ExpectedAnswer, PendingRequest};
+pub(crate) use client::{Answer, AnswerMatch, PendingRequest};
 pub(crate) use process::Process;
 
 use crate::clock::NodeClock;
 use crate::event_queue::Event;
 use crate::history::History;
 use crate::ids::{ServerId, ServerIncarnation};
-use assembly::Assembly;
+use assembly::ProcessBuilder;
 use madderbay::time::{Duration, Timestamp};
 use madderbay_settings::Settings;
 
@@ -52,7 +52,7 @@
         settings: &Settings,
     ) -> Node {
         let incarnation = 1;
-        let assembly = Assembly::new(id, incarnation, &clock, now, seed, history);
+        let builder = ProcessBuilder::new(id, incarnation, &clock, now, seed, history);
         Node {
             id,
             incarnation,
@@ -61,7 +61,7 @@
             load: 1.0,
             next_wake_up: NEVER,
             held_events: vec![],
-            process: assembly.start_process(settings),
+            process: builder.start_process(settings),
             clock,
         }
     }
@@ -75,8 +75,9 @@
         settings: &Settings,
     ) {
         self.incarnation += 1;
-        let assembly = Assembly::new(self.id, self.incarnation, &self.clock, now, seed, history);
-        self.process = assembly.start_process(settings);
+        let builder =
+            ProcessBuilder::new(self.id, self.incarnation, &self.clock, now, seed, history);
+        self.process = builder.start_process(settings);
         self.held_events.clear();
         (self.is_up, self.is_stopped) = (true, false);
         self.next_wake_up = NEVER;
@@ -119,7 +120,7 @@
     }
 
     /// Whether this incarnation is the one that runs, paused or not.
-    pub(crate) fn runs(&self, target: ServerIncarnation) -> bool {
+    pub(crate) fn is_running(&self, target: ServerIncarnation) -> bool {
         self.is_up && self.incarnation == target.incarnation
     }
 
@@ -147,7 +148,7 @@
         target: ServerIncarnation,
         event: Event,
     ) -> Option<Event> {
-        if !self.runs(target) {
+        if !self.is_running(target) {
             return None;
         }
         if !self.is_stopped {
@@ -181,7 +182,7 @@
     /// Whether a wake-up that fires now is the one that was scheduled last. Others were put off, or were replaced by
     /// an earlier one.
     pub(crate) fn take_wake_up(&mut self, target: ServerIncarnation, now: Timestamp) -> bool {
-        let is_due = self.runs(target) && !self.is_stopped && self.next_wake_up <= now;
+        let is_due = self.is_running(target) && !self.is_stopped && self.next_wake_up <= now;
         if is_due {
             self.next_wake_up = NEVER;
         }
--- a/crates/simulation/src/node/assembly.rs
+++ b/crates/simulation/src/node/assembly.rs
@@ -48,7 +48,7 @@
 const DOWN_RETENTION: Duration = Duration::from_millis(60_000);
 
 /// What one process is put together from.
-pub(super) struct Assembly<'a> {
+pub(super) struct ProcessBuilder<'a> {
     id: ServerId,
     incarnation: u32,
     now: Timestamp,
@@ -59,7 +59,7 @@
     history: &'a History,
 }
 
-impl<'a> Assembly<'a> {
+impl<'a> ProcessBuilder<'a> {
     /// Sets the server's clock, which its parts read when they are made.
     pub(super) fn new(
         id: ServerId,
@@ -68,8 +68,8 @@
         now: Timestamp,
         seed: u64,
         history: &'a History,
-    ) -> Assembly<'a> {
-        Assembly {
+    ) -> ProcessBuilder<'a> {
+        ProcessBuilder {
             id,
             incarnation,
             now,
@@ -117,7 +117,7 @@
     fn concurrency_limits(&self, settings: &Settings) -> ConcurrencyConfig {
         let upstream_groups = if self.history.features.backends {
             vec![UpstreamGroup {
-                handlers: Handler::CALLING.to_vec(),
+                handlers: Handler::CALLING_UPSTREAM.to_vec(),
                 quota_fraction: 1.0,
             }]
         } else {
@@ -160,7 +160,7 @@
             address: backend_address(BackendId(index)),
             zone: self.zone_of(index).as_str().into(),
             weight: 1.0,
-            handlers: Handler::CALLING.to_vec(),
+            handlers: Handler::CALLING_UPSTREAM.to_vec(),
         }
     }
 
@@ -268,7 +268,7 @@
 
 fn quota_group() -> QuotaGroup {
     QuotaGroup {
-        handlers: Handler::CALLING.to_vec(),
+        handlers: Handler::CALLING_UPSTREAM.to_vec(),
         max_call_wait: MAX_CALL_TIME,
     }
 }
--- a/crates/simulation/src/node/client.rs
+++ b/crates/simulation/src/node/client.rs
@@ -19,9 +19,9 @@
 }
 
 /// How an answer matches the requests that were sent.
-pub(crate) enum ExpectedAnswer {
+pub(crate) enum AnswerMatch {
     /// It answers a request that waits.
-    To(PendingRequest),
+    Pending(PendingRequest),
     /// It answers no request, or one that was answered before.
     Unexpected,
     /// It comes after its client gave up, or after the process was killed.
@@ -72,14 +72,14 @@
     }
 
     /// An answer arrives.
-    pub(crate) fn take_answered(&mut self, id: u64) -> ExpectedAnswer {
+    pub(crate) fn match_answer(&mut self, id: u64) -> AnswerMatch {
         if let Some(request) = self.pending.remove(&id) {
             self.answered.insert(id);
-            ExpectedAnswer::To(request)
+            AnswerMatch::Pending(request)
         } else if id > self.last_id || self.answered.contains(&id) {
-            ExpectedAnswer::Unexpected
+            AnswerMatch::Unexpected
         } else {
-            ExpectedAnswer::Late
+            AnswerMatch::Late
         }
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// Whether a request that waits has this reference and an idempotency key.
-    pub(crate) fn is_keyed(&self, reference: &str) -> bool {
+    pub(crate) fn has_idempotency_key(&self, reference: &str) -> bool {
         self.pending
             .values()
             .any(|request| request.reference == reference && request.handler.has_idempotency_key())
--- a/crates/simulation/src/node/process.rs
+++ b/crates/simulation/src/node/process.rs
@@ -145,13 +145,13 @@
     }
 
     /// The answer to a call arrives. One that cannot be read closes its connection.
-    pub(crate) fn receive_reply(&mut self, now: Timestamp, number: u64, text: &str) {
-        let Some(connection) = self.connections.get_mut(&number) else {
+    pub(crate) fn receive_reply(&mut self, now: Timestamp, connection_id: u64, text: &str) {
+        let Some(connection) = self.connections.get_mut(&connection_id) else {
             return;
         };
         let event_loop = &mut self.event_loop;
         let is_readable = connection.replies.feed(text.as_bytes(), |reply| {
-            event_loop.reply_read(now, number, &reply);
+            event_loop.reply_read(now, connection_id, &reply);
         });
         if !is_readable {
             connection.output.close();
@@ -159,16 +159,16 @@
     }
 
     /// An upstream connection broke.
-    pub(crate) fn lose_connection(&mut self, now: Timestamp, number: u64) {
-        if self.connections.remove(&number).is_some() {
-            self.event_loop.call_connection_ended(now, number);
+    pub(crate) fn connection_lost(&mut self, now: Timestamp, connection_id: u64) {
+        if self.connections.remove(&connection_id).is_some() {
+            self.event_loop.call_connection_ended(now, connection_id);
         }
     }
 
     /// An upstream connection that the server asked to be closed is closed.
-    pub(crate) fn close_connection(&mut self, now: Timestamp, number: u64) {
-        self.connections.remove(&number);
-        self.event_loop.call_connection_ended(now, number);
+    pub(crate) fn close_connection(&mut self, now: Timestamp, connection_id: u64) {
+        self.connections.remove(&connection_id);
+        self.event_loop.call_connection_ended(now, connection_id);
     }
 
     // Time
@@ -233,12 +233,12 @@
 
     /// What was written to the clients.
     pub(crate) fn take_answers(&mut self) -> String {
-        text_of(&self.client.output)
+        take_text(&self.client.output)
     }
 
     /// What was written to the engine.
     pub(crate) fn take_engine_commands(&mut self) -> String {
-        text_of(&self.engine.output)
+        take_text(&self.engine.output)
     }
 
     /// The numbers of the open upstream connections, in order.
@@ -247,17 +247,17 @@
     }
 
     /// Whether an upstream connection is open.
-    pub(crate) fn has_connection(&self, number: u64) -> bool {
-        self.connections.contains_key(&number)
+    pub(crate) fn has_connection(&self, connection_id: u64) -> bool {
+        self.connections.contains_key(&connection_id)
     }
 
     /// What was written to an upstream connection; none if it is closed.
-    pub(crate) fn take_upstream_output(&mut self, number: u64) -> Option<UpstreamOutput> {
-        let connection = self.connections.get(&number)?;
+    pub(crate) fn take_upstream_output(&mut self, connection_id: u64) -> Option<UpstreamOutput> {
+        let connection = self.connections.get(&connection_id)?;
         Some(UpstreamOutput {
             address: connection.address,
             is_closing: connection.output.is_closing(),
-            text: text_of(&connection.output),
+            text: take_text(&connection.output),
         })
     }
 
@@ -286,14 +286,14 @@
 fn notice_of(serial: u64, event: &EngineEvent) -> EngineNotice<'_> {
     match event {
         EngineEvent::NeedsCall { request } => EngineNotice::NeedsCall { serial, request },
-        EngineEvent::Finished { request, took } => EngineNotice::Finished {
+        EngineEvent::Finished { request, run_time } => EngineNotice::Finished {
             serial,
             request,
-            took: *took,
+            run_time: *run_time,
         },
     }
 }
 
-fn text_of(output: &Outbox) -> String {
+fn take_text(output: &Outbox) -> String {
     String::from_utf8(output.take()).unwrap_or_default()
 }
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -78,7 +78,7 @@
     /// The seconds that were completed, in order.
     pub rows: Vec<SecondRow>,
     /// Seconds from the last fault until all servers that run hold one view and suspect nobody; none if they never do.
-    pub settling_s: Option<f64>,
+    pub convergence_s: Option<f64>,
     /// The most transitions of one kind within a tenth of a second, over all servers.
     pub simultaneous_transitions: BTreeMap<BackendTransition, u32>,
     /// Upstream calls for each first attempt.
--- a/crates/simulation/src/shrink.rs
+++ b/crates/simulation/src/shrink.rs
@@ -10,14 +10,14 @@
     let mut smallest = history.clone();
     let mut chunk = smallest.faults.len().div_ceil(2);
     while chunk > 0 {
-        leave_out_chunks(&mut smallest, chunk, seed, invariant);
+        remove_chunks(&mut smallest, chunk, seed, invariant);
         chunk = if chunk == 1 { 0 } else { chunk.div_ceil(2) };
     }
     smallest
 }
 
 /// Leaves out each chunk of faults that the violation does not need.
-fn leave_out_chunks(smallest: &mut History, chunk: usize, seed: u64, invariant: Invariant) {
+fn remove_chunks(smallest: &mut History, chunk: usize, seed: u64, invariant: Invariant) {
     let mut start = 0;
     while start < smallest.faults.len() {
         let end = (start + chunk).min(smallest.faults.len());
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -25,13 +25,13 @@
 use madderbay::time::{Duration, Timestamp};
 use madderbay_settings::Settings;
 use oorandom::Rand64;
-use settling::SettlingTracker;
+use settling::ConvergenceTracker;
 use std::collections::BTreeMap;
 
 /// The length of a row of the report.
 const ROW_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Transitions within this time count as simultaneous.
-const SIMULTANEITY: Duration = Duration::from_millis(100);
+const SIMULTANEITY_WINDOW: Duration = Duration::from_millis(100);
 
 /// A fleet under a history, from its start to its end.
 pub(crate) struct Simulation {
@@ -47,7 +47,7 @@
     row: SecondRow,
     rows: Vec<SecondRow>,
     checker: InvariantChecker,
-    settling: SettlingTracker,
+    convergence: ConvergenceTracker,
     transitions: BTreeMap<BackendTransition, Vec<Timestamp>>,
 }
 
@@ -70,7 +70,7 @@
             row: SecondRow::default(),
             rows: vec![],
             checker: InvariantChecker::default(),
-            settling: SettlingTracker::new(now),
+            convergence: ConvergenceTracker::new(now),
             transitions: BTreeMap::new(),
             history,
         };
@@ -78,7 +78,7 @@
             simulation.add_node(clock);
         }
         simulation.schedule_faults();
-        simulation.queue.push(now + ROW_INTERVAL, Event::SecondEnds);
+        simulation.queue.push(now + ROW_INTERVAL, Event::SecondEnd);
         simulation
     }
 
@@ -134,19 +134,23 @@
                 sender,
                 bytes,
             } => self.receive_datagram(server, sender, &bytes),
-            Event::CallArrives { backend, call } => self.call_arrives(backend, call),
-            Event::CallCompletes { backend, call_id } => self.call_completes(backend, call_id),
+            Event::CallArrival { backend, call } => self.handle_call_arrival(backend, call),
+            Event::CallCompletion { backend, call_id } => {
+                self.handle_call_completion(backend, call_id);
+            }
             Event::Reply {
                 target,
                 connection,
                 text,
             } => self.receive_reply(target, connection, &text),
             Event::ConnectionLost { target, connection } => {
-                self.lose_connection(target, connection);
+                self.connection_lost(target, connection);
+            }
+            Event::AnswerDeadline { target, request_id } => {
+                self.handle_answer_deadline(target, request_id);
             }
-            Event::AnswerDue { target, request_id } => self.answer_due(target, request_id),
             Event::FaultDue(index) => self.inject(self.history.faults[index].fault),
-            Event::SecondEnds => self.end_second(),
+            Event::SecondEnd => self.end_second(),
         }
     }
 
@@ -165,9 +169,9 @@
 
     /// Makes the checks that need the whole simulation.
     fn finish(mut self, end: Timestamp) -> SimulationReport {
-        if self.history.features.membership && !self.settling.is_settled() {
-            let since_last_fault = self.settling.time_since_last_fault(end);
-            self.checker.check_unsettled(self.now, since_last_fault);
+        if self.history.features.membership && !self.convergence.has_converged() {
+            let since_last_fault = self.convergence.time_since_last_fault(end);
+            self.checker.check_divergence(self.now, since_last_fault);
         }
         let keyed_calls = self.backends.keyed_completions();
         self.checker.check_keyed_calls(self.now, &keyed_calls);
@@ -178,8 +182,8 @@
         }
         let calls_per_first_attempt = self.checker.check_retries(self.now);
         SimulationReport {
-            settling_s: self.settling.settling_s(),
-            simultaneous_transitions: simultaneous(&self.transitions),
+            convergence_s: self.convergence.convergence_s(),
+            simultaneous_transitions: max_simultaneous_by_kind(&self.transitions),
             calls_per_first_attempt,
             rows: self.rows,
             violations: self.checker.into_violations(),
@@ -187,8 +191,8 @@
     }
 }
 
-/// The most transitions of each kind within [`SIMULTANEITY`].
-fn simultaneous(
+/// The most transitions of each kind within [`SIMULTANEITY_WINDOW`].
+fn max_simultaneous_by_kind(
     transitions: &BTreeMap<BackendTransition, Vec<Timestamp>>,
 ) -> BTreeMap<BackendTransition, u32> {
     transitions
@@ -197,12 +201,12 @@
         .collect()
 }
 
-/// The most of these times, which are in order, that lie within [`SIMULTANEITY`].
+/// The most of these times, which are in order, that lie within [`SIMULTANEITY_WINDOW`].
 fn max_simultaneous(times: &[Timestamp]) -> u32 {
     let within_window_of = |first: usize| {
         times[first..]
             .iter()
-            .take_while(|time| **time - times[first] <= SIMULTANEITY)
+            .take_while(|time| **time - times[first] <= SIMULTANEITY_WINDOW)
             .count()
     };
     let most = (0..times.len()).map(within_window_of).max();
--- a/crates/simulation/src/simulation/engine_commands.rs
+++ b/crates/simulation/src/simulation/engine_commands.rs
@@ -69,7 +69,7 @@
         let notice = EngineNotice::Halted {
             serial: engine.next_serial(),
             request,
-            took: now - started_at,
+            run_time: now - started_at,
         };
         self.send_notice(target, notice.to_line());
     }
--- a/crates/simulation/src/simulation/faults.rs
+++ b/crates/simulation/src/simulation/faults.rs
@@ -13,7 +13,7 @@
 impl Simulation {
     /// Injects a fault now. One that the state of its server rules out changes nothing.
     pub(super) fn inject(&mut self, fault: Fault) {
-        self.settling.fault_injected(self.now);
+        self.convergence.record_fault(self.now);
         match fault {
             Fault::Kill(server) => self.kill(server),
             Fault::Start(server) => self.start(server),
@@ -22,12 +22,12 @@
             Fault::SlowEngine { server, factor } => self.slow_engine(server, factor),
             Fault::Backend { backend, fault } => self.set_backend_fault(backend, fault),
             Fault::Load { server, factor } => self.node_mut(server).set_load(factor),
-            Fault::Halves
+            Fault::PartitionHalves
             | Fault::Isolate(_)
-            | Fault::OneWay(_)
+            | Fault::BlockOutgoing(_)
             | Fault::Heal
             | Fault::Datagrams(_)
-            | Fault::Calm => self.network.inject(fault),
+            | Fault::ClearDatagramFaults => self.network.inject(fault),
         }
     }
 
@@ -64,8 +64,8 @@
         let node = self.node_mut(server);
         let engine = node.process_mut().engine_mut();
         engine.set_slowdown(factor.max(MIN_SLOWDOWN));
-        let runs = node.is_up() && !node.is_stopped();
-        if runs && self.now > clock::start() {
+        let is_running = node.is_up() && !node.is_stopped();
+        if is_running && self.now > clock::start() {
             self.run_turn(server);
         }
     }
--- a/crates/simulation/src/simulation/requests.rs
+++ b/crates/simulation/src/simulation/requests.rs
@@ -5,7 +5,7 @@
 use crate::event_queue::Event;
 use crate::fault::{Defect, Fault, ScheduledFault};
 use crate::ids::{ServerId, ServerIncarnation};
-use crate::node::{Answer, ExpectedAnswer, PendingRequest};
+use crate::node::{Answer, AnswerMatch, PendingRequest};
 use crate::workload::{CLIENT_TIMEOUT, ClientRequest, Handler};
 use madderbay::time::{Duration, Timestamp};
 
@@ -33,7 +33,7 @@
 
     /// A client sends a request, unless the server is stopped, and the next one is scheduled.
     pub(super) fn send_request(&mut self, target: ServerIncarnation) {
-        if !self.node(target.server).runs(target) {
+        if !self.node(target.server).is_running(target) {
             return;
         }
         self.schedule_request(target.server);
@@ -69,7 +69,7 @@
         self.row.requests[handler.index()] += 1;
         self.queue.push(
             now + CLIENT_TIMEOUT + ANSWER_SLACK,
-            Event::AnswerDue {
+            Event::AnswerDeadline {
                 target,
                 request_id: id,
             },
@@ -78,9 +78,9 @@
     }
 
     /// The time for an answer is over.
-    pub(super) fn answer_due(&mut self, target: ServerIncarnation, request_id: u64) {
+    pub(super) fn handle_answer_deadline(&mut self, target: ServerIncarnation, request_id: u64) {
         let server = target.server;
-        if !self.node(server).runs(target) {
+        if !self.node(server).is_running(target) {
             return;
         }
         let process = self.node_mut(server).process_mut();
@@ -90,19 +90,23 @@
         // A server that was stopped meanwhile answers late, and its clients know why.
         let is_noticed_in_time =
             self.now - request.sent_at <= CLIENT_TIMEOUT + ANSWER_SLACK + DEADLINE_TOLERANCE;
-        let is_excused =
+        let was_server_stopped =
             self.node(server).is_stopped() || self.was_stopped_since(server, request.sent_at);
-        if is_noticed_in_time && !is_excused {
-            self.checker
-                .missing_answer(self.now, server, request.handler, &request.reference);
+        if is_noticed_in_time && !was_server_stopped {
+            self.checker.record_missing_answer(
+                self.now,
+                server,
+                request.handler,
+                &request.reference,
+            );
         }
     }
 
     /// Whether a server was stopped at some time since.
     fn was_stopped_since(&self, server: ServerId, since: Timestamp) -> bool {
-        let is_of_server = |scheduled: &&ScheduledFault| matches!(scheduled.fault, Fault::Stop(other) | Fault::Continue(other) if other == server);
+        let affects_server = |scheduled: &&ScheduledFault| matches!(scheduled.fault, Fault::Stop(other) | Fault::Continue(other) if other == server);
         let mut is_stopped = false;
-        for scheduled in self.history.faults.iter().filter(is_of_server) {
+        for scheduled in self.history.faults.iter().filter(affects_server) {
             let injected_at = clock::instant_at_ms(scheduled.at_ms);
             if injected_at > self.now {
                 continue;
@@ -132,12 +136,13 @@
 
     fn receive_answer(&mut self, server: ServerId, answer: &Answer, line: &str) {
         let process = self.node_mut(server).process_mut();
-        match process.requests_mut().take_answered(answer.id) {
-            ExpectedAnswer::To(request) => self.count_answer(server, &request, answer.error_code),
-            ExpectedAnswer::Unexpected => {
-                self.checker.unexpected_answer(self.now, server, line);
+        match process.requests_mut().match_answer(answer.id) {
+            AnswerMatch::Pending(request) => self.count_answer(server, &request, answer.error_code),
+            AnswerMatch::Unexpected => {
+                self.checker
+                    .record_unexpected_answer(self.now, server, line);
             }
-            ExpectedAnswer::Late => {}
+            AnswerMatch::Late => {}
         }
     }
 
@@ -159,7 +164,7 @@
                 self.row.rejected += 1;
                 if request.is_started && handler.has_idempotency_key() {
                     self.checker
-                        .rejected_after_start(self.now, server, &request.reference);
+                        .record_rejection_after_start(self.now, server, &request.reference);
                 }
             }
             Some(_) => self.row.failed += 1,
--- a/crates/simulation/src/simulation/sampling.rs
+++ b/crates/simulation/src/simulation/sampling.rs
@@ -24,7 +24,7 @@
         counts.sum::<u32>() - most
     }
 
-    fn is_settled(&self) -> bool {
+    fn has_converged(&self) -> bool {
         self.servers_by_digest.len() <= 1 && self.suspected_members == 0
     }
 }
@@ -41,11 +41,11 @@
             }
         }
         self.row.divergent_views = views.divergent_views();
-        self.settling.observe(self.now, views.is_settled());
+        self.convergence.observe(self.now, views.has_converged());
         self.row.second = self.rows.len() as u64 + 1;
         let row = std::mem::take(&mut self.row);
         self.rows.push(row);
-        self.queue.push(self.now + ROW_INTERVAL, Event::SecondEnds);
+        self.queue.push(self.now + ROW_INTERVAL, Event::SecondEnd);
     }
 
     fn sample_view(&mut self, server: ServerId, views: &mut ViewSample) {
--- a/crates/simulation/src/simulation/turn.rs
+++ b/crates/simulation/src/simulation/turn.rs
@@ -39,7 +39,7 @@
         for line in self.node_mut(server).run_turn(now) {
             self.send_notice(target, line);
         }
-        self.carry_output(server);
+        self.transmit_output(server);
         if let Some(due) = self.node_mut(server).schedule_wake_up(now) {
             self.queue.push(due, Event::WakeUp(target));
         }
@@ -51,19 +51,19 @@
         self.queue.push(due, Event::EngineNotice { target, line });
     }
 
-    fn carry_output(&mut self, server: ServerId) {
+    fn transmit_output(&mut self, server: ServerId) {
         let process = self.node_mut(server).process_mut();
         process.open_wanted_connections();
         self.receive_answers(server);
         self.execute_engine_commands(server);
         for connection in self.node(server).process().connections() {
-            self.carry_calls(server, connection);
+            self.transmit_calls(server, connection);
         }
-        self.carry_datagrams(server);
+        self.transmit_datagrams(server);
         self.record_transitions(server);
     }
 
-    fn carry_datagrams(&mut self, server: ServerId) {
+    fn transmit_datagrams(&mut self, server: ServerId) {
         let sender = network::server_address(server);
         let datagrams = self.node_mut(server).process_mut().take_datagrams();
         for (address, datagram) in datagrams {
@@ -71,7 +71,7 @@
             let Some(receiver) = self.network.server_at(address) else {
                 continue;
             };
-            for (delay, bytes) in self.network.carry(server, receiver, &datagram) {
+            for (delay, bytes) in self.network.transmit(server, receiver, &datagram) {
                 let arrival = Event::Datagram {
                     server: receiver,
                     sender,
--- a/crates/simulation/src/simulation/upstream_calls.rs
+++ b/crates/simulation/src/simulation/upstream_calls.rs
@@ -8,14 +8,14 @@
 
 impl Simulation {
     /// Sends on what a server wrote to an upstream connection.
-    pub(super) fn carry_calls(&mut self, server: ServerId, connection: u64) {
+    pub(super) fn transmit_calls(&mut self, server: ServerId, connection: u64) {
         let process = self.node_mut(server).process_mut();
         let Some(output) = process.take_upstream_output(connection) else {
             return;
         };
         // Without selection of backends all calls go to the first one.
         let backend = output.address.map_or(BackendId(0), network::backend_at);
-        for request in output.text.lines().filter_map(called_request) {
+        for request in output.text.lines().filter_map(parse_fetch) {
             self.send_call(server, connection, backend, request);
         }
         if output.is_closing {
@@ -29,11 +29,11 @@
             caller: node.incarnation(),
             connection,
             request: request.into(),
-            has_idempotency_key: node.process().requests().is_keyed(request),
+            has_idempotency_key: node.process().requests().has_idempotency_key(request),
         };
         self.row.upstream_calls += 1;
         let due = self.now + UPSTREAM_DELAY;
-        self.queue.push(due, Event::CallArrives { backend, call });
+        self.queue.push(due, Event::CallArrival { backend, call });
     }
 
     fn close_connection(&mut self, server: ServerId, connection: u64) {
@@ -45,11 +45,11 @@
     }
 
     /// A call arrives at a backend. It is lost if its connection was closed on the way.
-    pub(super) fn call_arrives(&mut self, backend: BackendId, call: UpstreamCall) {
+    pub(super) fn handle_call_arrival(&mut self, backend: BackendId, call: UpstreamCall) {
         let target = call.caller;
         let connection = call.connection;
         let node = self.node(target.server);
-        if !node.runs(target) || !node.process().has_connection(connection) {
+        if !node.is_running(target) || !node.process().has_connection(connection) {
             return;
         }
         let due = self.now + UPSTREAM_DELAY;
@@ -65,7 +65,7 @@
         match disposition {
             CallDisposition::Failed => return self.send_reply(target, connection, failure),
             CallDisposition::Running(duration) => {
-                let completion = Event::CallCompletes { backend, call_id };
+                let completion = Event::CallCompletion { backend, call_id };
                 self.queue.push(self.now + duration, completion);
             }
             CallDisposition::Waiting => {}
@@ -83,11 +83,11 @@
     }
 
     /// A backend is done with a call, and begins the next.
-    pub(super) fn call_completes(&mut self, backend: BackendId, call_id: u64) {
+    pub(super) fn handle_call_completion(&mut self, backend: BackendId, call_id: u64) {
         let completed = self.backends.complete(backend, call_id);
         if let Some(next) = self.backends.start_next(backend, &mut self.random) {
             let call_id = next.call_id;
-            let completion = Event::CallCompletes { backend, call_id };
+            let completion = Event::CallCompletion { backend, call_id };
             self.queue.push(self.now + next.duration, completion);
         }
         if let Some(call) = completed {
@@ -114,16 +114,16 @@
     }
 
     /// A server learns that an upstream connection broke.
-    pub(super) fn lose_connection(&mut self, target: ServerIncarnation, connection: u64) {
+    pub(super) fn connection_lost(&mut self, target: ServerIncarnation, connection: u64) {
         let now = self.now;
         let process = self.node_mut(target.server).process_mut();
-        process.lose_connection(now, connection);
+        process.connection_lost(now, connection);
         self.run_turn(target.server);
     }
 }
 
 /// The request that a line to a backend calls for.
-fn called_request(line: &str) -> Option<&str> {
+fn parse_fetch(line: &str) -> Option<&str> {
     let mut words = line.split_whitespace();
     words.next().filter(|word| *word == "FETCH")?;
     words.next()
--- a/crates/simulation/src/table.rs
+++ b/crates/simulation/src/table.rs
@@ -114,11 +114,11 @@
         let [search, quote, booking] = fractions_during_faults(report);
         let peak_of_quota =
             f64::from(report.peak_calls_in_flight()) / f64::from(self.history.quota);
-        let settling = self.settling(report);
+        let convergence = self.convergence(report);
         let bytes: u64 = report.rows.iter().map(|row| row.datagram_bytes).sum();
         let transitions = report.simultaneous_transitions.values();
         format!(
-            "| {servers}, {} | {} | {search:.3}, {quote:.3}, {booking:.3} | {peak_of_quota:.2} | {settling} | {:.0} | {} | {} | {:.2} |",
+            "| {servers}, {} | {} | {search:.3}, {quote:.3}, {booking:.3} | {peak_of_quota:.2} | {convergence} | {:.0} | {} | {} | {:.2} |",
             self.mix,
             self.feature_set,
             bytes as f64 / server_seconds,
@@ -129,8 +129,8 @@
     }
 
     /// Seconds until the views agreed, if there are any and they did.
-    fn settling(&self, report: &SimulationReport) -> String {
-        match report.settling_s {
+    fn convergence(&self, report: &SimulationReport) -> String {
+        match report.convergence_s {
             Some(seconds) if self.history.features.membership => format!("{seconds:.0}"),
             _ => "-".into(),
         }
--- a/crates/simulation/src/upstream/backend_set.rs
+++ b/crates/simulation/src/upstream/backend_set.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 /// Calls that each backend works on at a time.
-const SLOTS_OF_BACKEND: usize = 40;
+const SLOTS_PER_BACKEND: usize = 40;
 /// The mean time of a call.
 const MEAN_CALL_TIME: Duration = Duration::from_millis(25);
 
@@ -28,7 +28,7 @@
 impl BackendSet {
     /// So many healthy backends.
     pub(crate) fn new(backends: usize) -> BackendSet {
-        let healthy = |_| Backend::new(SLOTS_OF_BACKEND, MEAN_CALL_TIME);
+        let healthy = |_| Backend::new(SLOTS_PER_BACKEND, MEAN_CALL_TIME);
         BackendSet {
             backends: (0..backends).map(healthy).collect(),
             calls_in_flight: 0,
--- a/crates/simulation/src/upstream/engine.rs
+++ b/crates/simulation/src/upstream/engine.rs
@@ -8,7 +8,7 @@
 /// Added to a computed instant, because timestamps are cut to whole microseconds.
 const ROUNDING_MARGIN: Duration = Duration::from_micros(2);
 /// The fraction of its work after which a run needs the answer of its upstream call.
-const CALL_POINT: f64 = 0.5;
+const CALL_POINT_FRACTION: f64 = 0.5;
 
 /// One run of a request.
 struct Run {
@@ -24,7 +24,7 @@
     /// The run waits for the answer of its upstream call.
     NeedsCall { request: String },
     /// The run is complete.
-    Finished { request: String, took: Duration },
+    Finished { request: String, run_time: Duration },
 }
 
 /// Owns the runs of one server and the work that each still needs. It does not know what a run is for.
@@ -65,7 +65,7 @@
     }
 
     /// Core seconds of work that each run gets done in a second.
-    fn speed_of_each_run(&self) -> f64 {
+    fn speed_per_run(&self) -> f64 {
         let runs = self.runs_on_cores().max(1);
         (self.cores / runs as f64).min(1.0) / self.slowdown
     }
@@ -73,7 +73,7 @@
     /// Works up to `now`. Returns the runs that need a call, then those that finished, each in the order of their
     /// names.
     pub(crate) fn advance(&mut self, now: Timestamp) -> Vec<EngineEvent> {
-        let work_s = (now - self.advanced_to).as_secs_f64() * self.speed_of_each_run();
+        let work_s = (now - self.advanced_to).as_secs_f64() * self.speed_per_run();
         self.advanced_to = now;
         let mut events = vec![];
         let mut finished = vec![];
@@ -90,8 +90,8 @@
         }
         for request in finished {
             if let Some(run) = self.runs.remove(&request) {
-                let took = now - run.started_at;
-                events.push(EngineEvent::Finished { request, took });
+                let run_time = now - run.started_at;
+                events.push(EngineEvent::Finished { request, run_time });
             }
         }
         events
@@ -103,15 +103,15 @@
         let least_s = on_cores
             .map(|run| run.remaining_s - run.call_at_remaining_s.unwrap_or(0.0))
             .min_by(f64::total_cmp)?;
-        let wait = Duration::from_secs_f64(least_s.max(0.0) / self.speed_of_each_run());
+        let wait = Duration::from_secs_f64(least_s.max(0.0) / self.speed_per_run());
         Some(self.advanced_to + wait + ROUNDING_MARGIN)
     }
 
     /// Starts a run of so many core seconds. A run of the same request that is under way stays as it is.
-    pub(crate) fn start(&mut self, now: Timestamp, request: &str, work_s: f64, calls: bool) {
+    pub(crate) fn start(&mut self, now: Timestamp, request: &str, work_s: f64, makes_call: bool) {
         let run = Run {
             remaining_s: work_s,
-            call_at_remaining_s: calls.then_some(work_s * CALL_POINT),
+            call_at_remaining_s: makes_call.then_some(work_s * CALL_POINT_FRACTION),
             is_on_core: true,
             started_at: now,
         };
--- a/crates/simulation/src/upstream/engine/tests.rs
+++ b/crates/simulation/src/upstream/engine/tests.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_run_stops_for_its_call_in_the_middle_and_leaves_its_core() {
+fn a_run_pauses_halfway_for_its_call_and_frees_its_core() {
     let mut engine = Engine::new(at(0), CORES);
     engine.start(at(0), "a", 0.010, true);
     let events = engine.advance(at(5));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_cancelled_run_is_gone() {
+fn cancelling_a_run_removes_it() {
     let mut engine = Engine::new(at(0), CORES);
     engine.start(at(3), "a", 0.010, false);
     assert_eq!(engine.cancel("a"), Some(at(3)));
--- a/crates/simulation/src/upstream/engine_notices.rs
+++ b/crates/simulation/src/upstream/engine_notices.rs
@@ -57,13 +57,13 @@
     Finished {
         serial: u64,
         request: &'a str,
-        took: Duration,
+        run_time: Duration,
     },
     /// A run was ended early.
     Halted {
         serial: u64,
         request: &'a str,
-        took: Duration,
+        run_time: Duration,
     },
 }
 
@@ -87,19 +87,19 @@
             EngineNotice::Finished {
                 serial,
                 request,
-                took,
-            } => done_line(*serial, request, "good", *took, "QUJD"),
+                run_time,
+            } => done_line(*serial, request, "good", *run_time, "QUJD"),
             EngineNotice::Halted {
                 serial,
                 request,
-                took,
-            } => done_line(*serial, request, "cut", *took, ""),
+                run_time,
+            } => done_line(*serial, request, "cut", *run_time, ""),
         }
     }
 }
 
-fn done_line(serial: u64, request: &str, how: &str, took: Duration, blob: &str) -> String {
-    let duration_ms = took.as_micros() / 1_000;
+fn done_line(serial: u64, request: &str, how: &str, run_time: Duration, blob: &str) -> String {
+    let duration_ms = run_time.as_micros() / 1_000;
     format!(
         "{{\"msg\":\"DONE\",\"serial\":{serial},\"call\":\"{request}\",\"how\":\"{how}\",\"duration\":{duration_ms},\"blob\":\"{blob}\"}}\n"
     )
--- a/crates/simulation/src/workload.rs
+++ b/crates/simulation/src/workload.rs
@@ -54,7 +54,8 @@
     pub const ALL: [Handler; Handler::COUNT] = [Handler::Search, Handler::Quote, Handler::Booking];
 
     /// Those that call upstream.
-    pub(crate) const CALLING: [HandlerId; 2] = [Handler::Search.id(), Handler::Booking.id()];
+    pub(crate) const CALLING_UPSTREAM: [HandlerId; 2] =
+        [Handler::Search.id(), Handler::Booking.id()];
 
     /// Its index in the settings and in the counts of a [`SecondRow`](crate::SecondRow).
     pub const fn index(self) -> usize {
@@ -107,10 +108,10 @@
 
     /// Draws the handler of a request.
     pub(crate) fn draw(random: &mut Rand64) -> Handler {
-        let mut pick = random.rand_float();
+        let mut remaining_fraction = random.rand_float();
         let is_picked = |handler: &Handler| {
-            pick -= handler.fraction_of_requests();
-            pick < 0.0
+            remaining_fraction -= handler.fraction_of_requests();
+            remaining_fraction < 0.0
         };
         let picked = Handler::ALL.into_iter().find(is_picked);
         picked.unwrap_or(Handler::Booking)
--- a/crates/simulation/tests/known_defects.rs
+++ b/crates/simulation/tests/known_defects.rs
@@ -18,11 +18,15 @@
 }
 
 /// Checks that the invariant is violated with the defect and nothing without it, and that the history can be shrunk.
-fn assert_found(defect: Defect, invariant: Invariant, sound: &History) {
-    assert_eq!(simulate(sound, SEED).violations, [], "without the defect");
+fn assert_detected(defect: Defect, invariant: Invariant, defect_free: &History) {
+    assert_eq!(
+        simulate(defect_free, SEED).violations,
+        [],
+        "without the defect"
+    );
     let defective = History {
         defect: Some(defect),
-        ..sound.clone()
+        ..defect_free.clone()
     };
     assert!(violates(&defective, invariant), "{defective}");
     let shortest = shrink(&defective, SEED, invariant);
@@ -32,12 +36,12 @@
 }
 
 fn all_backends(fault: BackendFault) -> Vec<ScheduledFault> {
-    let of_backend = |backend| Fault::Backend {
+    let fault_of = |backend| Fault::Backend {
         backend,
         fault: Some(fault),
     };
     (0..3)
-        .map(|index| ScheduledFault::new(5_000, of_backend(BackendId(index))))
+        .map(|index| ScheduledFault::new(5_000, fault_of(BackendId(index))))
         .collect()
 }
 
@@ -51,23 +55,23 @@
 }
 
 #[test]
-fn finds_lost_answers() {
-    let invariant = Invariant::OneAnswerEach;
-    assert_found(Defect::LostAnswers, invariant, &small_fleet());
+fn detects_lost_answers() {
+    let invariant = Invariant::OneAnswerPerRequest;
+    assert_detected(Defect::LostAnswers, invariant, &small_fleet());
 }
 
 #[test]
-fn finds_repeated_runs() {
-    let invariant = Invariant::NoEffectTwice;
-    assert_found(Defect::RepeatedRuns, invariant, &small_fleet());
+fn detects_repeated_runs() {
+    let invariant = Invariant::NoDuplicateEffects;
+    assert_detected(Defect::RepeatedRuns, invariant, &small_fleet());
 }
 
 #[test]
-fn finds_lease_terms_shorter_than_calls() {
+fn detects_lease_terms_shorter_than_calls() {
     // Half of the servers work, with quota leased from the others, which want their own back in the middle of a cut.
     let mut faults = all_backends(BackendFault::Slow { factor: 30.0 });
     faults.extend(uneven_load(6_000, 5.0, 0.05));
-    faults.push(ScheduledFault::new(12_000, Fault::Halves));
+    faults.push(ScheduledFault::new(12_000, Fault::PartitionHalves));
     faults.extend(uneven_load(12_000, 5.0, 5.0));
     faults.push(ScheduledFault::new(20_000, Fault::Heal));
     let history = History {
@@ -82,11 +86,11 @@
         ..small_fleet()
     };
     let invariant = Invariant::QuotaNeverExceeded;
-    assert_found(Defect::ShortLeaseTerms, invariant, &history);
+    assert_detected(Defect::ShortLeaseTerms, invariant, &history);
 }
 
 #[test]
-fn finds_unbounded_retries() {
+fn detects_unbounded_retries() {
     let history = History {
         seconds: 20,
         // Concurrency limits, which follow the backends, would let few calls go at all.
@@ -98,15 +102,15 @@
         ..small_fleet()
     };
     let invariant = Invariant::BoundedRetries;
-    assert_found(Defect::UnboundedRetries, invariant, &history);
+    assert_detected(Defect::UnboundedRetries, invariant, &history);
 }
 
 #[test]
-fn finds_endless_suspicion() {
+fn detects_endless_suspicion() {
     let history = History {
         faults: vec![ScheduledFault::new(5_000, Fault::Kill(ServerId(4)))],
         ..small_fleet()
     };
-    let invariant = Invariant::ViewsSettle;
-    assert_found(Defect::EndlessSuspicion, invariant, &history);
+    let invariant = Invariant::ViewsConverge;
+    assert_detected(Defect::EndlessSuspicion, invariant, &history);
 }
--- a/crates/simulation/tests/simulation.rs
+++ b/crates/simulation/tests/simulation.rs
@@ -7,15 +7,15 @@
 
 #[test]
 fn same_seed_gives_the_same_report_and_another_seed_other_rows() {
-    let history = small_fleet().with_drawn_faults(3, 12);
+    let history = small_fleet().with_random_faults(3, 12);
     assert_eq!(simulate(&history, 3), simulate(&history, 3));
     assert_ne!(simulate(&history, 3).rows, simulate(&history, 4).rows);
 }
 
 #[test]
-fn drawn_faults_violate_no_invariant() {
+fn random_faults_violate_no_invariant() {
     for seed in 100..116 {
-        let history = small_fleet().with_drawn_faults(seed, 16);
+        let history = small_fleet().with_random_faults(seed, 16);
         let report = simulate(&history, seed);
         assert_eq!(report.violations, [], "seed {seed}:\n{history}");
         let fraction = fraction_in_time(&report.rows);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn rows_keep_the_json_names_that_other_programs_read() {
+fn json_field_names_of_rows_are_stable() {
     let json = serde_json::to_string(&SecondRow::default()).unwrap();
     let expected = "{\"second\":0,\"asked\":[0,0,0],\"kept\":[0,0,0],\"shed\":0,\"errored\":0,\"peak\":0,\"calls\":0,\
                     \"running\":0,\"apart\":0,\"left_out\":0,\"bytes\":0}";
