--- a/crates/simulation/src/cli.rs
+++ b/crates/simulation/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: its arguments, the commands, and what they print and write.
+//! The command line: its arguments, its commands, and their output.
 
 mod arguments;
 mod commands;
--- a/crates/simulation/src/cli/arguments.rs
+++ b/crates/simulation/src/cli/arguments.rs
@@ -1,9 +1,9 @@
-//! The arguments. Their doc comments are the program's help.
+//! The arguments of the command line. Their doc comments are the program's help.
 
 use clap::{Args, Parser, Subcommand};
 use std::path::PathBuf;
 
-/// A whole fleet in simulated time, from one seed.
+/// Simulates a whole fleet, with all random choices from one seed.
 #[derive(Parser)]
 #[command(name = "madderbay-simulation", version)]
 pub(crate) struct Arguments {
@@ -11,23 +11,25 @@
     pub(crate) command: Command,
 }
 
-// What drawn histories have in common. A doc comment here would replace the help of the commands.
+// The arguments that describe a random history. A doc comment here would replace the help of the commands.
 #[derive(Args)]
 pub(crate) struct DrawArguments {
-    /// Servers, backends, and seconds of a drawn history
+    /// Number of servers
     #[arg(long, default_value_t = 12)]
     pub(crate) servers: usize,
+    /// Number of backends
     #[arg(long, default_value_t = 4)]
     pub(crate) backends: usize,
+    /// Length of the simulation in seconds
     #[arg(long, default_value_t = 45)]
     pub(crate) seconds: u64,
-    /// Reqs a second of each server
+    /// Requests per second of each server
     #[arg(long = "rate", value_name = "RATE", default_value_t = 20.0)]
     pub(crate) requests_per_second: f64,
-    /// Faults in it
+    /// Number of random faults
     #[arg(long, default_value_t = 20)]
     pub(crate) faults: usize,
-    /// Parts that are on, with commas between, or none
+    /// Parts that are on, separated by commas, or `none`
     #[arg(
         long = "parts",
         value_name = "PARTS",
@@ -36,18 +38,19 @@
     pub(crate) features: String,
 }
 
-// The arguments of `search`.
+// The arguments of the `search` command.
 #[derive(Args)]
 pub(crate) struct SearchArguments {
+    /// Number of histories
     #[arg(long, default_value_t = 100)]
     pub(crate) count: u64,
     /// The first seed
     #[arg(long = "seed", value_name = "SEED", default_value_t = 1)]
     pub(crate) first_seed: u64,
-    /// Where to write
+    /// Folder for the histories that violate an invariant
     #[arg(long = "to", value_name = "TO", default_value = "found")]
     pub(crate) folder: PathBuf,
-    /// Plays at a time
+    /// Simulations to run in parallel
     #[arg(long = "beside", value_name = "BESIDE", default_value_t = 4)]
     pub(crate) simulations_at_a_time: usize,
     #[command(flatten)]
@@ -56,45 +59,46 @@
 
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// Play a history; the figures as JSON lines
+    /// Run a history and print its figures as JSON lines
     Run {
         file: PathBuf,
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Write the history that a seed draws
+    /// Print the random history of a seed
     Draw {
         #[arg(long, default_value_t = 1)]
         seed: u64,
         #[command(flatten)]
         draw: DrawArguments,
     },
-    /// Play drawn histories; those that break something are written, with what they broke
+    /// Run random histories and write those that violate an invariant, with the first violation
     Search(SearchArguments),
-    /// The fewest deeds under which a history still breaks a rule
+    /// Reduce a history to the fewest faults that still violate the same invariant
     Shrink {
         file: PathBuf,
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// What a fleet keeps in calm and in eight mixes of faults, with nothing on, each part, and all
+    /// Print a table of a fleet's results without faults and under eight mixes of faults, with no parts on, each part,
+    /// and all parts
     Table {
         #[arg(long, default_value_t = 10)]
         servers: usize,
         #[arg(long = "beside", value_name = "BESIDE", default_value_t = 4)]
         simulations_at_a_time: usize,
-        /// Mixes whose name holds this
+        /// Only mixes whose name contains this
         #[arg(long = "only", value_name = "ONLY", default_value = "")]
         mix_filter: String,
     },
-    /// Two outputs of `run` beside each other
+    /// Print the figures of two outputs of `run` side by side
     Compare {
         #[arg(value_name = "ONE")]
         first: PathBuf,
         #[arg(value_name = "OTHER")]
         second: PathBuf,
     },
-    /// A folder with what a history does: text, JSON lines and plots
+    /// Run a history and write a folder with its report: text, JSON lines and plots
     Report {
         file: PathBuf,
         #[arg(long, default_value_t = 1)]
--- a/crates/simulation/src/cli/commands.rs
+++ b/crates/simulation/src/cli/commands.rs
@@ -1,4 +1,4 @@
-//! The commands.
+//! Executes the commands.
 
 use super::arguments::{Command, DrawArguments};
 use super::error::CommandError;
@@ -7,14 +7,14 @@
 use madderbay_simulation::{Features, History, fault_mix_table, shrink, simulate};
 use std::path::Path;
 
-/// Zones of a drawn history, if it has as many backends.
+/// The number of zones of a random history, or the number of its backends if that is smaller.
 const MAX_ZONES: usize = 3;
-/// Upstream calls in flight for each server, of which the quota of a drawn history is made.
+/// The upstream calls in flight per server from which the quota of a random history is computed.
 const QUOTA_PER_SERVER: usize = 6;
-/// Servers that the mixes of faults need.
+/// The smallest number of servers with which the mixes of faults work.
 const MIN_TABLE_SERVERS: usize = 4;
 
-/// Runs a command to its end.
+/// Executes a command.
 pub(crate) fn execute(command: Command) -> Result<CommandOutcome, CommandError> {
     match command {
         Command::Run { file, seed } => run(&file, seed),
@@ -69,7 +69,7 @@
     Ok(CommandOutcome::Passed)
 }
 
-/// Violations are in the report, and not in the outcome.
+/// Runs a history and writes its report. Violations are in the report, but do not affect the outcome.
 fn report(file: &Path, seed: u64, folder: &Path) -> Result<CommandOutcome, CommandError> {
     let history = files::read_history(file)?;
     let report = simulate(&history, seed);
@@ -79,7 +79,7 @@
 }
 
 impl DrawArguments {
-    /// The history that a seed draws.
+    /// Generates the random history of a seed.
     pub(crate) fn draw(&self, seed: u64) -> Result<History, CommandError> {
         let features = self.parse_features()?;
         if self.servers < 2 || self.backends == 0 {
@@ -99,7 +99,7 @@
         Ok(history.with_random_faults(seed, self.faults))
     }
 
-    /// Reads the parts as the line of a history.
+    /// Parses the features as the `parts` line of a history.
     fn parse_features(&self) -> Result<Features, CommandError> {
         let line = format!("parts {}\n", self.features.replace(',', " "));
         Ok(History::parse("--parts", &line)?.features)
--- a/crates/simulation/src/cli/compare.rs
+++ b/crates/simulation/src/cli/compare.rs
@@ -1,4 +1,4 @@
-//! Puts the figures of two runs beside each other.
+//! Compares the figures of two runs.
 
 use super::error::CommandError;
 use super::files;
@@ -6,7 +6,7 @@
 use madderbay_simulation::{Handler, SecondRow};
 use std::path::Path;
 
-/// What the JSON lines of a run add up to.
+/// Totals over the JSON lines of a run.
 #[derive(Default)]
 struct Totals {
     answered_in_time: [f64; Handler::COUNT],
@@ -41,7 +41,7 @@
     }
 }
 
-/// Prints the figures of two outputs of `run`, and whether they are the same.
+/// Prints the figures of two outputs of `run`, and whether the outputs are the same.
 pub(crate) fn compare(first: &Path, second: &Path) -> Result<CommandOutcome, CommandError> {
     let first_lines = files::read_text(first)?;
     let second_lines = files::read_text(second)?;
--- a/crates/simulation/src/cli/figures.rs
+++ b/crates/simulation/src/cli/figures.rs
@@ -1,9 +1,9 @@
-//! The figures of a simulation as JSON lines: the rows, the violations, and a last line for the whole.
+//! The figures of a simulation as JSON lines: the rows, the violations, and a last line for the whole simulation.
 
 use madderbay_simulation::SimulationReport;
 use serde_json::json;
 
-/// The lines, without a newline at the end.
+/// Returns the lines, without a newline at the end.
 pub(crate) fn json_lines(report: &SimulationReport) -> Result<String, serde_json::Error> {
     let rows = report.rows.iter().map(serde_json::to_string);
     let violations = report.violations.iter().map(serde_json::to_string);
--- a/crates/simulation/src/cli/plot.rs
+++ b/crates/simulation/src/cli/plot.rs
@@ -1,4 +1,4 @@
-//! Plots figures over time into SVG files.
+//! Plots figures over time as SVG files.
 
 use super::error::{CommandError, DrawingError};
 use plotters::prelude::{
@@ -10,16 +10,16 @@
 const SIZE_PIXELS: (u32, u32) = (800, 320);
 const FONT_SIZE_PIXELS: i32 = 16;
 const LEGEND_LINE_PIXELS: i32 = 16;
-/// The value axis ends a little above the greatest value, and never below 1.
+/// The value axis ends at this multiple of the largest value, or of 1 if that is larger.
 const AXIS_HEADROOM: f64 = 1.05;
 
-/// A figure at one time.
+/// A time in seconds, and the figure at that time.
 pub(crate) type Point = (f64, f64);
 
-/// A figure over time.
+/// One figure over time.
 pub(crate) struct Curve {
     pub(crate) label: &'static str,
-    /// Seconds, and the figure then.
+    /// Times in seconds, and the figure at each of them.
     pub(crate) points: Vec<Point>,
 }
 
--- a/crates/simulation/src/cli/report_folder.rs
+++ b/crates/simulation/src/cli/report_folder.rs
@@ -1,4 +1,4 @@
-//! The folder of a report, for a reader who never saw the code: a page of text, the history, the rows, and plots over
+//! The folder of a report, for readers who have not seen the code: a text page, the history, the rows, and plots over
 //! time.
 
 use super::error::CommandError;
@@ -33,7 +33,7 @@
     plots.ejections().write(&folder.join("backends.svg"))
 }
 
-/// The page of text.
+/// The text of `report.txt`.
 struct TextReport<'a> {
     history: &'a History,
     seed: u64,
@@ -101,7 +101,7 @@
     }
 }
 
-/// The plots, each over the seconds of the simulation.
+/// The plots, each over the length of the simulation.
 struct Plots<'a> {
     history: &'a History,
     report: &'a SimulationReport,
--- a/crates/simulation/src/cli/search.rs
+++ b/crates/simulation/src/cli/search.rs
@@ -1,4 +1,4 @@
-//! Looks for drawn histories that violate an invariant.
+//! Searches for random histories that violate an invariant.
 
 use super::arguments::SearchArguments;
 use super::error::CommandError;
@@ -8,20 +8,20 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A history that violates an invariant.
+/// The seed of a history that violates an invariant, and the violation.
 struct Finding {
     seed: u64,
     summary: String,
 }
 
-/// The history in which the fewest requests were answered in time.
+/// The seed of the history in which the fewest requests were answered in time.
 struct WorstHistory {
     seed: u64,
-    /// The fractions of all handlers, added up.
+    /// The fraction of requests answered in time, summed over the handlers.
     answered_in_time: f64,
 }
 
-/// Owns what the simulations found so far.
+/// What the simulations have found so far.
 struct SearchState {
     findings: Vec<Finding>,
     worst: WorstHistory,
@@ -52,7 +52,7 @@
     }
 }
 
-/// The first violation and the number of all; none without any.
+/// Describes the first violation and the number of all violations. Returns `None` if there are none.
 fn summarize(report: &SimulationReport) -> Option<String> {
     let first = report.violations.first()?;
     let count = report.violations.len();
@@ -61,9 +61,9 @@
     Some(format!("{invariant}: {detail} ({count} in all)"))
 }
 
-/// Plays the drawn histories, prints what was found, and writes each history that violates an invariant.
+/// Simulates the random histories, prints what was found, and writes each history that violates an invariant.
 pub(crate) fn search(arguments: &SearchArguments) -> Result<CommandOutcome, CommandError> {
-    // Wrong arguments are found here, before any simulation.
+    // Reports invalid arguments before any simulation starts.
     arguments.draw.draw(arguments.first_seed)?;
     let mut state = simulate_all(arguments);
     state.findings.sort_by_key(|finding| finding.seed);
@@ -90,7 +90,7 @@
     state.into_inner().expect("no simulation panics")
 }
 
-/// Plays histories until there are no more seeds.
+/// Simulates histories until no seeds are left.
 fn simulate_remaining(
     arguments: &SearchArguments,
     next_seed: &AtomicU64,
--- a/crates/simulation/src/clock.rs
+++ b/crates/simulation/src/clock.rs
@@ -1,4 +1,4 @@
-//! Simulated time: the fleet's true time, and the monotonic clock of each server, which is off and drifts.
+//! Simulated time: the true time of the fleet, and the monotonic clock of each server, which has an offset and drifts.
 
 use madderbay::time::{Duration, Timestamp};
 use madderbay_server::support::clock::MonotonicClock;
@@ -6,31 +6,31 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The wall-clock time at which every simulation starts, since the Unix epoch.
+/// The wall-clock time at which every simulation starts, in milliseconds since the Unix epoch.
 const START_MS: u64 = 1_764_576_000_000;
-/// The greatest deviation of a server's clock rate from the true one.
+/// The largest relative deviation of a server's clock rate from the true rate.
 const MAX_DRIFT: f64 = 0.005;
-/// Servers' monotonic clocks start at up to this many seconds.
+/// The largest reading of a server's monotonic clock at the start, in seconds.
 const MAX_CLOCK_OFFSET_S: f64 = 1e4;
-/// Added when a server's time becomes true time, because timestamps are cut to whole microseconds.
+/// Added when a clock reading is converted to true time, because timestamps are truncated to whole microseconds.
 const ROUNDING_MARGIN: Duration = Duration::from_micros(2);
 
-/// The instant this many milliseconds after the start.
+/// Returns the instant `ms` milliseconds after the start of the simulation.
 pub(crate) fn instant_at_ms(ms: u64) -> Timestamp {
     Timestamp::from_micros((START_MS + ms) * 1_000)
 }
 
-/// The start of every simulation.
+/// Returns the instant at which every simulation starts.
 pub(crate) fn start() -> Timestamp {
     instant_at_ms(0)
 }
 
-/// The wall-clock time in milliseconds since the Unix epoch.
+/// Returns the wall-clock time in milliseconds since the Unix epoch.
 pub(crate) fn unix_ms(now: Timestamp) -> u64 {
     (now - Timestamp::default()).as_micros() / 1_000
 }
 
-/// The monotonic clock of one machine. It runs on while the server on it is stopped or restarted.
+/// The monotonic clock of one machine. It keeps running while the server on the machine is stopped or restarted.
 pub(crate) struct NodeClock {
     reading: Rc<Cell<Timestamp>>,
     offset: Duration,
@@ -38,7 +38,7 @@
 }
 
 impl NodeClock {
-    /// Draws the offset and the rate of a clock.
+    /// Creates a clock with a random offset and rate.
     pub(crate) fn draw(random: &mut Rand64) -> NodeClock {
         let offset = Duration::from_secs_f64(random.rand_float() * MAX_CLOCK_OFFSET_S);
         let rate = 1.0 + MAX_DRIFT * (2.0 * random.rand_float() - 1.0);
@@ -49,20 +49,20 @@
         }
     }
 
-    /// Sets the clock to what it shows at a true time, and returns that.
+    /// Advances the clock to the true time `now`, and returns its reading.
     pub(crate) fn advance_to(&self, now: Timestamp) -> Timestamp {
         let reading = Timestamp::default() + self.offset + (now - start()).mul_f64(self.rate);
         self.reading.set(reading);
         reading
     }
 
-    /// The true time at which the clock surely shows `reading`.
+    /// Returns a true time at which the clock has certainly reached `reading`.
     pub(crate) fn true_time_of(&self, reading: Timestamp) -> Timestamp {
         let elapsed = (reading - Timestamp::default()).saturating_sub(self.offset);
         start() + elapsed.mul_f64(1.0 / self.rate) + ROUNDING_MARGIN
     }
 
-    /// The clock as the program's own modules read it.
+    /// Returns the clock in the form in which the program's own modules read it.
     pub(crate) fn as_monotonic_clock(&self) -> MonotonicClock {
         let reading = self.reading.clone();
         Rc::new(move || reading.get())
--- a/crates/simulation/src/event_queue.rs
+++ b/crates/simulation/src/event_queue.rs
@@ -1,5 +1,5 @@
-//! What happens when: the events of the whole fleet in one queue, in the order of their times. Events of one time
-//! happen in the order in which they were scheduled, so that the same seed gives the same simulation.
+//! The events of the whole fleet in one queue, ordered by due time. Events due at the same time are handled in the
+//! order in which they were scheduled, so that the same seed gives the same simulation.
 
 use crate::ids::{BackendId, ServerId, ServerIncarnation};
 use crate::upstream::UpstreamCall;
@@ -8,7 +8,7 @@
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
 
-/// Something that happens at one time.
+/// An event of the simulation.
 #[derive(Clone)]
 pub(crate) enum Event {
     /// A client sends a request.
@@ -31,9 +31,9 @@
         backend: BackendId,
         call: UpstreamCall,
     },
-    /// The time that a backend works on a call is over.
+    /// The processing time of a call at a backend has passed.
     CallCompletion { backend: BackendId, call_id: u64 },
-    /// The answer to a call arrives.
+    /// The answer to an upstream call arrives at its server.
     Reply {
         target: ServerIncarnation,
         connection: u64,
@@ -51,7 +51,7 @@
     },
     /// The fault of this index in the history is injected.
     FaultDue(usize),
-    /// A second is over.
+    /// A second of simulated time ends.
     SecondEnd,
 }
 
@@ -67,7 +67,7 @@
     }
 }
 
-/// The greatest is the one that is due first, as the heap wants it.
+/// Inverts the order of the keys, so that the max-heap yields the event that is due first.
 impl Ord for ScheduledEvent {
     fn cmp(&self, other: &ScheduledEvent) -> Ordering {
         other.key().cmp(&self.key())
@@ -88,7 +88,7 @@
 
 impl Eq for ScheduledEvent {}
 
-/// Owns the events that are still to come.
+/// The events that are scheduled and not yet handled.
 #[derive(Default)]
 pub(crate) struct EventQueue {
     heap: BinaryHeap<ScheduledEvent>,
@@ -96,7 +96,7 @@
 }
 
 impl EventQueue {
-    /// Schedules an event. One that is due in the past happens next.
+    /// Schedules an event. An event that is due in the past is handled next.
     pub(crate) fn push(&mut self, due: Timestamp, event: Event) {
         self.last_sequence += 1;
         self.heap.push(ScheduledEvent {
@@ -106,7 +106,7 @@
         });
     }
 
-    /// Takes out the next event and its time, unless it is due after `end`.
+    /// Removes and returns the next event and its due time, unless it is due after `end`.
     pub(crate) fn pop_until(&mut self, end: Timestamp) -> Option<(Timestamp, Event)> {
         if self.heap.peek()?.due > end {
             return None;
--- a/crates/simulation/src/event_queue/tests.rs
+++ b/crates/simulation/src/event_queue/tests.rs
@@ -4,7 +4,7 @@
     Timestamp::from_micros(ms * 1_000)
 }
 
-/// The indices of the faults that are due until `end_ms`, in their order.
+/// Returns the indices of the faults that are due by `end_ms`, in the order in which they are popped.
 fn due_until(queue: &mut EventQueue, end_ms: u64) -> Vec<usize> {
     let next = || queue.pop_until(at(end_ms));
     std::iter::from_fn(next)
--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -1,17 +1,17 @@
-//! The faults that a history injects, and the known defects that show that the invariants can fail.
+//! The faults that a history can inject, and the known defects with which tests show that the invariants can fail.
 
 use crate::ids::{BackendId, ServerId};
 
-/// What is wrong with a backend.
+/// A fault of a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BackendFault {
-    /// It takes calls and never answers.
+    /// The backend accepts calls and never answers.
     Silent,
-    /// It answers each call at once that it failed.
+    /// The backend answers each call at once with a failure.
     Failing,
-    /// Connections to it break, and calls that were there are lost.
+    /// Connections to the backend break, and the calls that were there are lost.
     Down,
-    /// Its calls take this many times as long.
+    /// Calls to the backend take longer.
     Slow {
         /// The multiple of the usual time.
         factor: f64,
@@ -23,36 +23,36 @@
 pub enum Fault {
     /// The process of a server ends at once.
     Kill(ServerId),
-    /// A server that does not run starts, as a new incarnation.
+    /// A server that is down starts as a new incarnation.
     Start(ServerId),
-    /// The process of a server is paused; what arrives waits.
+    /// The process of a server is paused. What arrives in the meantime is held for it.
     Stop(ServerId),
-    /// A paused process goes on.
+    /// A paused process continues.
     Continue(ServerId),
-    /// The engine of a server takes this many times as long.
+    /// All work of a server's engine takes longer.
     SlowEngine {
         /// The server.
         server: ServerId,
         /// The multiple of the usual time; 1 is no fault.
         factor: f64,
     },
-    /// Servers with odd and with even names are cut off from each other.
+    /// The servers with odd names and those with even names are partitioned from each other.
     PartitionHalves,
-    /// A server is cut off from all others, in both directions.
+    /// A server is partitioned from all others, in both directions.
     Isolate(ServerId),
-    /// No datagram of a server reaches any other; it receives theirs.
+    /// Datagrams from a server reach no other server, but it receives theirs.
     BlockOutgoing(ServerId),
-    /// All cuts end.
+    /// All partitions end, whether in one direction or both.
     Heal,
     /// Datagrams are lost, duplicated, corrupted and delayed.
     Datagrams(DatagramFaults),
-    /// Datagrams arrive again, quickly and as they were sent.
+    /// All datagram faults end: datagrams arrive quickly, and as they were sent.
     ClearDatagramFaults,
-    /// A backend gets a fault, or none any more.
+    /// Sets or clears the fault of a backend.
     Backend {
         /// The backend.
         backend: BackendId,
-        /// What is wrong with it; none when it is healthy again.
+        /// The fault of the backend, or `None` if the backend is healthy again.
         fault: Option<BackendFault>,
     },
     /// The clients of a server send more or fewer requests.
@@ -64,52 +64,52 @@
     },
 }
 
-/// What happens to datagrams between servers. Probabilities are between 0 and 1.
+/// Faults of datagrams between servers. Probabilities are between 0 and 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DatagramFaults {
     /// The probability that a datagram is lost.
     pub loss: f64,
-    /// The probability that it arrives twice.
+    /// The probability that a datagram arrives twice.
     pub duplication: f64,
-    /// The probability that one of its bits is flipped.
+    /// The probability that one bit of a datagram is flipped.
     pub corruption: f64,
-    /// The longest delay beyond a few milliseconds.
+    /// The longest delay, apart from a few milliseconds that are always added.
     pub max_delay_ms: u64,
 }
 
-/// A fault and when it is injected.
+/// A fault and the time at which it is injected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScheduledFault {
     /// Milliseconds since the start.
     pub at_ms: u64,
-    /// The fault.
+    /// The fault to inject.
     pub fault: Fault,
 }
 
 impl ScheduledFault {
-    /// A fault at this many milliseconds since the start.
+    /// Creates a fault that is injected `at_ms` milliseconds after the start.
     pub fn new(at_ms: u64, fault: Fault) -> ScheduledFault {
         ScheduledFault { at_ms, fault }
     }
 }
 
-/// A known defect, one in each part of the program, that an invariant has to find.
+/// A known defect, one in each part of the program, that an invariant must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// One answer in two hundred is lost (the core).
+    /// One answer in 200 is lost (in the core).
     LostAnswers,
-    /// The engine runs one request in sixteen twice (what idempotency keys prevent).
+    /// The engine runs one request in 16 twice, which idempotency keys are there to prevent.
     RepeatedRuns,
-    /// Calls outlast the longest time that quota leases allow for (the quotas).
+    /// Calls outlast the longest time that quota leases allow for (in the quotas).
     ShortLeaseTerms,
-    /// As many retries as first attempts are allowed (the backends).
+    /// As many retries as first attempts are allowed (in the backend selection).
     UnboundedRetries,
-    /// A suspected member is never held down (the membership).
+    /// A suspected member is never held down (in the membership).
     EndlessSuspicion,
 }
 
 impl Defect {
-    /// All of them, in the order in which the tests try them.
+    /// All defects, in the order in which the tests use them.
     pub const ALL: [Defect; 5] = [
         Defect::LostAnswers,
         Defect::RepeatedRuns,
@@ -118,7 +118,7 @@
         Defect::EndlessSuspicion,
     ];
 
-    /// Its name in a history.
+    /// Returns the name of the defect in a history.
     pub fn name(self) -> &'static str {
         match self {
             Defect::LostAnswers => "answers",
@@ -129,7 +129,7 @@
         }
     }
 
-    /// The defect of a name.
+    /// Returns the defect with a name, or `None` if there is no such defect.
     pub fn from_name(name: &str) -> Option<Defect> {
         Defect::ALL.into_iter().find(|defect| defect.name() == name)
     }
--- a/crates/simulation/src/features.rs
+++ b/crates/simulation/src/features.rs
@@ -1,22 +1,22 @@
-//! Which parts of the program a simulated server uses.
+//! The optional parts of the program that the simulated servers use.
 
 use std::fmt;
 
-/// The parts that are on. Without any, a server is its core alone.
+/// The features that are on. Without any, a server consists of its core alone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Features {
-    /// The view of the fleet.
+    /// Membership: the view of the fleet.
     pub membership: bool,
-    /// Quotas over the whole fleet; they need `membership`.
+    /// Quotas of the whole fleet, which require `membership`.
     pub quota: bool,
-    /// Selection of backends, with outlier detection and retries.
+    /// Backend selection, with outlier detection and retries.
     pub backends: bool,
-    /// Concurrency limits by pool.
+    /// Concurrency limits for each pool.
     pub concurrency: bool,
 }
 
 impl Features {
-    /// Everything on.
+    /// All features are on.
     pub const ALL: Features = Features {
         membership: true,
         quota: true,
@@ -24,7 +24,7 @@
         concurrency: true,
     };
 
-    /// Everything off.
+    /// All features are off.
     pub const NONE: Features = Features {
         membership: false,
         quota: false,
@@ -32,7 +32,7 @@
         concurrency: false,
     };
 
-    /// Each part's word in a history and whether it is on.
+    /// Returns the word of each feature in a history, and whether the feature is on.
     fn words(self) -> [(&'static str, bool); 4] {
         [
             ("members", self.membership),
@@ -42,11 +42,11 @@
         ]
     }
 
-    /// Reads the words of a history, and turns on what they need.
+    /// Parses the words of a history, and also turns on the features that the named ones require.
     ///
     /// # Errors
     ///
-    /// The first word that names no part.
+    /// Returns the first word that is not a feature.
     pub(crate) fn from_words<'a>(words: &[&'a str]) -> Result<Features, &'a str> {
         let mut features = Features::NONE;
         for word in words {
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -1,19 +1,24 @@
-//! A history: the size of a fleet, and which faults are injected when. It is kept as text, a line each.
+//! A history describes a fleet, its load and the faults that are injected into it. Its text form has one setting or
+//! fault per line.
 //!
 //! ```text
-//! servers 12                  n1 to n12, all started
+//! servers 12                  n1 to n12, all of them started
 //! backends 4
-//! zones 3                     servers and backends are assigned to them in turn
+//! zones 3                     to which servers and backends are assigned in turn
 //! seconds 30
-//! rate 20                     requests a second at each server
-//! whole 24                    calls that the whole fleet may have in flight (with shared)
-//! parts members shared routes pools        what is on; `none` for nothing
-//! @2500 kill n3               milliseconds; `start n3`, `stop n3`, `continue n3`, `slow n3 4` (its engine)
-//! @3000 halves                odd and even servers are cut off from each other; `alone n3`, `oneway n3`, `heal`
-//! @4000 net 0.2 0.1 0.05 300  loss, duplication, corruption, and the longest delay in ms; `calm`
-//! @5000 backend 2 silent      or `fails`, `down`, `slow 10`, `well`
-//! @6000 load n3 2             this many times the usual requests
-//! plant repeats               a known defect that a search has to find: also `answers`, `runs`, `terms`, `suspicion`
+//! rate 20                     requests per second at each server
+//! whole 24                    the quota: upstream calls that the whole fleet may have in flight (with `shared`)
+//! parts members shared routes pools        the features that are on; `none` for no feature
+//! @2500 kill n3               2500 ms after the start; also `start n3`, `stop n3`, `continue n3`, and `slow n3 4` (its
+//!                             engine is 4 times as slow)
+//! @3000 halves                odd and even servers are partitioned from each other; also `alone n3`, `oneway n3`, and
+//!                             `heal`, which ends all of these
+//! @4000 net 0.2 0.1 0.05 300  probabilities of loss, duplication and corruption of datagrams, and their longest delay
+//!                             in ms; `calm` ends these faults
+//! @5000 backend 2 silent      or `fails`, `down`, `slow 10`, `well` (healthy again)
+//! @6000 load n3 2             the clients of n3 send requests at twice the usual rate
+//! plant repeats               a known defect that an invariant must detect; also `answers`, `runs`, `terms`,
+//!                             `suspicion`
 //! ```
 
 mod error;
@@ -36,17 +41,17 @@
     pub backends: usize,
     /// The number of zones, to which servers and backends are assigned in turn.
     pub zones: usize,
-    /// The length of the simulation.
+    /// The length of the simulation in seconds.
     pub seconds: u64,
-    /// Requests a second that the clients of each server send.
+    /// Requests per second that the clients of each server send.
     pub requests_per_second: f64,
     /// Upstream calls that the whole fleet may have in flight.
     pub quota: u32,
-    /// What the servers use.
+    /// The features that the servers use.
     pub features: Features,
-    /// A known defect in the servers.
+    /// The known defect that the simulated servers have, if any.
     pub defect: Option<Defect>,
-    /// What is injected; [`parse`](History::parse) sorts it by time.
+    /// The faults to inject. [`parse`](History::parse) sorts them by time.
     pub faults: Vec<ScheduledFault>,
 }
 
@@ -67,7 +72,7 @@
 }
 
 impl History {
-    /// Adds a fault at this many milliseconds since the start.
+    /// Adds a fault at `at_ms` milliseconds after the start.
     pub(crate) fn inject(&mut self, at_ms: u64, fault: Fault) {
         self.faults.push(ScheduledFault::new(at_ms, fault));
     }
--- a/crates/simulation/src/history/error.rs
+++ b/crates/simulation/src/history/error.rs
@@ -1,59 +1,59 @@
-//! Why a history is rejected.
+//! Errors in the text of a history.
 
 use crate::fault::Fault;
 use thiserror::Error;
 
-/// What is wrong with the text of a history, and where.
+/// An error in the text of a history, and its location.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum HistoryError {
-    /// A line is not of the grammar.
+    /// A line does not match the grammar.
     #[error("{source_name}:{line}: {error}")]
     Line {
-        /// The name of the text, as the caller gave it.
+        /// The name of the text, as the caller passed it.
         source_name: String,
-        /// The line, counted from 1.
+        /// The line number, counted from 1.
         line: usize,
-        /// What is wrong with it.
+        /// The error in the line.
         error: LineError,
     },
-    /// A fault is injected into a server or backend beyond those of the history.
-    #[error("{source_name}: '{fault}' names a server or a backend that there is not")]
+    /// A fault names a server or backend that the history does not have.
+    #[error("{source_name}: '{fault}' names a server or backend that does not exist")]
     OutOfRange {
-        /// The name of the text, as the caller gave it.
+        /// The name of the text, as the caller passed it.
         source_name: String,
         /// The first such fault.
         fault: Fault,
     },
 }
 
-/// What is wrong with one line. Each variant holds the word that is wrong.
+/// An error in one line. Each variant about an invalid word holds that word.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum LineError {
     /// The line ends where a number must follow.
-    #[error("a number is wanted")]
+    #[error("expected a number")]
     MissingNumber,
     /// The line ends where a server must follow.
-    #[error("a server is wanted")]
+    #[error("expected the name of a server")]
     MissingServer,
-    /// A word is not a number, or not one of the wanted kind.
-    #[error("'{0}' is no number")]
+    /// A word is not a number of the expected type.
+    #[error("invalid number '{0}'")]
     InvalidNumber(String),
     /// A word is not the name of a server.
-    #[error("no such server {0}")]
+    #[error("invalid server name '{0}'")]
     InvalidServer(String),
     /// The first word of the line is unknown.
-    #[error("no such line {0}")]
+    #[error("unknown keyword '{0}'")]
     UnknownLine(String),
     /// The word after the time is not a fault.
-    #[error("no such deed '{0}'")]
+    #[error("unknown fault '{0}'")]
     UnknownFault(String),
-    /// The word after the backend is not a state of one.
-    #[error("a backend is not '{0}'")]
+    /// The word after the number of a backend is not a state of a backend.
+    #[error("unknown backend state '{0}'")]
     UnknownBackendFault(String),
-    /// The word after `parts` is not a part.
-    #[error("no such part {0}")]
+    /// The word after `parts` is not a feature.
+    #[error("unknown part '{0}'")]
     UnknownFeature(String),
     /// The word after `plant` is not a known defect.
-    #[error("no such fault {0}")]
+    #[error("unknown defect '{0}'")]
     UnknownDefect(String),
 }
--- a/crates/simulation/src/history/format.rs
+++ b/crates/simulation/src/history/format.rs
@@ -1,4 +1,4 @@
-//! Histories and faults as text. [`History::parse`] reads what is written here.
+//! Formats histories and faults as text that [`History::parse`] reads.
 
 use super::{History, words};
 use crate::fault::{BackendFault, DatagramFaults, Fault, ScheduledFault};
--- a/crates/simulation/src/history/generator.rs
+++ b/crates/simulation/src/history/generator.rs
@@ -1,35 +1,36 @@
-//! Draws the faults of a history from a seed. The same seed and history give the same faults.
+//! Generates random faults for a history. The same seed and history give the same faults.
 
 use super::History;
 use crate::fault::{BackendFault, DatagramFaults, Fault};
 use crate::ids::{BackendId, ServerId};
 use oorandom::Rand64;
 
-/// No fault is drawn before this time.
+/// Random faults are injected no earlier than this time.
 const FIRST_FAULT_MS: f64 = 4_000.0;
-/// Nothing is faulty for this long before the end, so that the fleet can settle.
+/// The time without faults at the end of a history, in which the views of the fleet can converge.
 const FAULT_FREE_END_S: f64 = 16.0;
-/// The end of the faults is never before this time, however short the history.
+/// Faults end no earlier than this time, however short the history is.
 const MIN_LAST_FAULT_S: f64 = 5.0;
 const MS_PER_S: f64 = 1e3;
 
-/// The kinds of faults that are drawn are equally likely.
+/// The number of equally likely cases from which a random fault is chosen.
 const FAULT_KINDS: f64 = 16.0;
-/// The highest probability that a datagram is lost, or duplicated.
+/// The highest probability that a datagram is lost or duplicated.
 const MAX_DATAGRAM_FAULT_PROBABILITY: f64 = 0.3;
-/// Datagrams are corrupted this many times as often as they are lost.
+/// The probability that a datagram is corrupted, relative to the probability that it is lost.
 const CORRUPTION_PER_LOSS: f64 = 0.3;
 const MAX_DELAY_MS: f64 = 1_500.0;
-/// Engines get up to this much slower than usual, in addition to the usual time.
+/// The largest additional time of a slow engine, as a multiple of the usual time.
 const MAX_ENGINE_SLOWDOWN: f64 = 6.0;
-/// Backends get slower by at least twice, and by up to this much more.
+/// The smallest slowdown of a slow backend, as a multiple of the usual time, and the largest that is added to it.
 const MIN_BACKEND_SLOWDOWN: f64 = 2.0;
 const MAX_BACKEND_SLOWDOWN: f64 = 18.0;
-/// Tenths of the usual load that a server may get.
+/// The highest load of a server, in tenths of the usual load.
 const MAX_LOAD_TENTHS: f64 = 30.0;
 
 impl History {
-    /// Adds so many faults, drawn from a seed, and then the end of all of them, so that the fleet can settle.
+    /// Adds `faults` random faults generated from `seed`, and then the end of all of them, so that the views of the
+    /// fleet can converge.
     #[must_use]
     pub fn with_random_faults(mut self, seed: u64, faults: usize) -> History {
         let mut generator = FaultGenerator::new(seed, &self);
@@ -42,7 +43,7 @@
         self
     }
 
-    /// Makes everything healthy again.
+    /// Ends all faults at `at_ms`.
     fn end_faults(&mut self, at_ms: u64, generator: &FaultGenerator) {
         self.inject(at_ms, Fault::Heal);
         self.inject(at_ms, Fault::ClearDatagramFaults);
@@ -64,7 +65,7 @@
     }
 }
 
-/// Owns the random numbers and the state that the drawn faults leave the servers in.
+/// The random number generator, and the state in which the faults so far leave the servers.
 struct FaultGenerator {
     random: Rand64,
     backends: f64,
@@ -82,7 +83,7 @@
         }
     }
 
-    /// A number between 0 and `max`, without `max`.
+    /// Returns a random number of at least 0 and below `max`.
     fn draw_below(&mut self, max: f64) -> f64 {
         self.random.rand_float() * max
     }
@@ -95,7 +96,8 @@
         times
     }
 
-    /// Draws a target and a kind of fault. Where the target's state rules the kind out, its load changes.
+    /// Draws a target and a kind of fault. If the kind does not apply in the target's state, the fault changes the
+    /// target's load instead.
     fn draw_fault(&mut self) -> Fault {
         let servers = self.is_up.len() as f64;
         let server = ServerId(self.draw_below(servers) as usize);
--- a/crates/simulation/src/history/parser.rs
+++ b/crates/simulation/src/history/parser.rs
@@ -1,4 +1,5 @@
-//! Reads a history. Whatever follows `#` in a line is a comment; words beyond those that a line needs are ignored.
+//! Parses the text of a history. Whatever follows `#` in a line is a comment; words beyond those that a line needs are
+//! ignored.
 
 use super::{History, HistoryError, LineError, words};
 use crate::fault::{BackendFault, DatagramFaults, Defect, Fault, ScheduledFault};
@@ -7,11 +8,12 @@
 use std::str::FromStr;
 
 impl History {
-    /// Reads the text of a history and sorts its faults by time. `source_name` names the text in errors.
+    /// Parses the text of a history and sorts its faults by time. `source_name` names the text in errors.
     ///
     /// # Errors
     ///
-    /// The first line that is not of the grammar, or a fault in a server or backend that the history does not have.
+    /// Returns the first line that does not match the grammar, or else the first fault that names a server or backend
+    /// that the history does not have.
     pub fn parse(source_name: &str, text: &str) -> Result<History, HistoryError> {
         let mut history = History::default();
         for (line, content) in (1..).zip(text.lines()) {
@@ -39,7 +41,7 @@
         }
     }
 
-    /// Whether the server or backend of a fault is one of this history.
+    /// Reports whether the server or backend of a fault exists in this history.
     fn contains_target(&self, fault: Fault) -> bool {
         match fault {
             Fault::Kill(server)
@@ -96,7 +98,7 @@
     Defect::from_name(name).ok_or_else(|| LineError::UnknownDefect(name.into()))
 }
 
-/// Reads the first word as the name of a server.
+/// Parses the first word as the name of a server.
 fn parse_server(values: &[&str]) -> Result<ServerId, LineError> {
     let name = values.first().ok_or(LineError::MissingServer)?;
     let number = name
@@ -143,7 +145,7 @@
     })
 }
 
-/// Reads the number of a backend and its state. A wrong state is found before a wrong number.
+/// Parses the number of a backend and its state. An invalid state is reported before an invalid number.
 fn parse_backend_fault(values: &[&str]) -> Result<Fault, LineError> {
     let fault = match values.get(1).copied().unwrap_or_default() {
         words::HEALTHY_BACKEND => None,
--- a/crates/simulation/src/history/tests.rs
+++ b/crates/simulation/src/history/tests.rs
@@ -18,19 +18,19 @@
 fn errors_name_the_line_and_the_invalid_word() {
     assert_eq!(
         error_of("servers 3\n@5 kill n4\n"),
-        "x: 'kill n4' names a server or a backend that there is not"
+        "x: 'kill n4' names a server or backend that does not exist"
     );
-    assert_eq!(error_of("@5 jump\n"), "x:1: no such deed 'jump'");
-    assert_eq!(error_of("\nparts all\n"), "x:2: no such part all");
-    assert_eq!(error_of("rate\n"), "x:1: a number is wanted");
-    assert_eq!(error_of("rate fast\n"), "x:1: 'fast' is no number");
-    assert_eq!(error_of("@5 kill\n"), "x:1: a server is wanted");
-    assert_eq!(error_of("@5 kill n0\n"), "x:1: no such server n0");
-    assert_eq!(error_of("speed 5\n"), "x:1: no such line speed");
-    assert_eq!(error_of("plant none\n"), "x:1: no such fault none");
+    assert_eq!(error_of("@5 jump\n"), "x:1: unknown fault 'jump'");
+    assert_eq!(error_of("\nparts all\n"), "x:2: unknown part 'all'");
+    assert_eq!(error_of("rate\n"), "x:1: expected a number");
+    assert_eq!(error_of("rate fast\n"), "x:1: invalid number 'fast'");
+    assert_eq!(error_of("@5 kill\n"), "x:1: expected the name of a server");
+    assert_eq!(error_of("@5 kill n0\n"), "x:1: invalid server name 'n0'");
+    assert_eq!(error_of("speed 5\n"), "x:1: unknown keyword 'speed'");
+    assert_eq!(error_of("plant none\n"), "x:1: unknown defect 'none'");
     assert_eq!(
         error_of("@5 backend 1 odd\n"),
-        "x:1: a backend is not 'odd'"
+        "x:1: unknown backend state 'odd'"
     );
 }
 
@@ -83,7 +83,7 @@
     ]
 }
 
-/// Histories on disk have these words.
+/// Stored histories use these words and must stay readable.
 #[test]
 fn text_format_is_stable() {
     let text = "servers 3\nbackends 2\nzones 1\nseconds 9\nrate 2.5\nwhole 8\nparts members shared routes pools\n\
@@ -108,7 +108,7 @@
     assert_eq!(History::parse("x", text), Ok(history));
 }
 
-/// Reports and the program's own table have these names.
+/// Reports and the program's own table use these names.
 #[test]
 fn defect_names_are_stable() {
     let names = Defect::ALL.map(Defect::name);
--- a/crates/simulation/src/ids.rs
+++ b/crates/simulation/src/ids.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-/// A server of the fleet, counted from 0. It is written `n1`, `n2` and so on.
+/// The index of a server of the fleet, counted from 0. It is displayed as `n1`, `n2` and so on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServerId(pub usize);
 
@@ -12,7 +12,7 @@
     }
 }
 
-/// A backend, counted from 0 and written so.
+/// The index of a backend, counted from 0 and displayed as that number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BackendId(pub usize);
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// One start of a server. Events for an earlier incarnation come to nothing.
+/// One start of a server. Events for an earlier incarnation are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ServerIncarnation {
     pub(crate) server: ServerId,
--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold in every simulation, whatever is injected, and the checks of it.
+//! The invariants that must hold in every simulation, whatever faults are injected, and their checks.
 
 use crate::clock;
 use crate::ids::ServerId;
@@ -10,13 +10,13 @@
 
 /// Violations beyond this number are not recorded.
 const MAX_VIOLATIONS: usize = 100;
-/// Within this time of the last fault all servers that run have to hold one view.
+/// The time after the last fault within which all running servers must come to hold one view.
 const MAX_CONVERGENCE_TIME: Duration = Duration::from_millis(14_000);
-/// Retries for each first attempt, together with those that are saved up at the start.
+/// The highest ratio of retries to first attempts, including the retries that are saved up at the start.
 const MAX_RETRY_RATIO: f64 = 0.12;
-/// With fewer first attempts than this the ratio of retries says nothing.
+/// The ratio of retries is checked only above this number of first attempts, because it says nothing with fewer.
 const MIN_FIRST_ATTEMPTS: u64 = 500;
-/// Members that a view may hold beyond the servers that there are.
+/// The number of members that a view may hold in addition to the servers that exist.
 const MAX_EXTRA_MEMBERS: usize = 1;
 
 /// A rule that no simulation may violate.
@@ -24,20 +24,20 @@
 pub enum Invariant {
     /// Each request gets exactly one answer, in time, unless its server was stopped or killed.
     OneAnswerPerRequest,
-    /// A request with an idempotency key runs once, calls upstream once, and is not rejected after it began to run.
+    /// A request with an idempotency key runs once, calls upstream once, and is not rejected after it has started.
     NoDuplicateEffects,
     /// The fleet never has more upstream calls in flight than its quota.
     QuotaNeverExceeded,
     /// Retries stay within a tenth of first attempts.
     BoundedRetries,
-    /// Some time after the last fault, all servers that run hold one view.
+    /// Some time after the last fault, all running servers hold one view.
     ViewsConverge,
-    /// A server never holds more members than there are servers, with one to spare.
+    /// A server never holds more members than there are servers, plus one.
     BoundedMemberTables,
 }
 
 impl Invariant {
-    /// All of them.
+    /// All invariants.
     pub const ALL: [Invariant; 6] = [
         Invariant::OneAnswerPerRequest,
         Invariant::NoDuplicateEffects,
@@ -47,7 +47,7 @@
         Invariant::BoundedMemberTables,
     ];
 
-    /// The rule, as reports print it.
+    /// Returns the name of the invariant in reports.
     pub fn rule(self) -> &'static str {
         match self {
             Invariant::OneAnswerPerRequest => "one answer each",
@@ -72,20 +72,20 @@
     }
 }
 
-/// An invariant that did not hold.
+/// A violation of an invariant.
 #[derive(Clone, Debug, Serialize, PartialEq)]
 pub struct Violation {
     /// Milliseconds since the start.
     pub at_ms: u64,
-    /// What did not hold.
+    /// The invariant that was violated.
     #[serde(rename = "rule")]
     pub invariant: Invariant,
-    /// Where and how, in one line.
+    /// Where and how it was violated, in one line.
     #[serde(rename = "what")]
     pub detail: String,
 }
 
-/// Owns the violations that were found, and the counts over the whole fleet that the checks need.
+/// The violations that were found, and the counts over the whole fleet that the checks need.
 #[derive(Default)]
 pub(crate) struct InvariantChecker {
     violations: Vec<Violation>,
@@ -105,18 +105,18 @@
         }
     }
 
-    /// An answer arrived that no client waits for.
+    /// Records an answer that no client is waiting for.
     pub(crate) fn record_unexpected_answer(
         &mut self,
         now: Timestamp,
         server: ServerId,
         line: &str,
     ) {
-        let detail = format!("{server}: an answer to nothing, or a second one: {line}");
+        let detail = format!("{server}: answer to no pending request, or a second answer: {line}");
         self.record(now, Invariant::OneAnswerPerRequest, detail);
     }
 
-    /// A client waited in vain.
+    /// Records that a request was not answered in time.
     pub(crate) fn record_missing_answer(
         &mut self,
         now: Timestamp,
@@ -129,18 +129,19 @@
         self.record(now, Invariant::OneAnswerPerRequest, detail);
     }
 
-    /// A request with an idempotency key was rejected after it began to run.
+    /// Records that a request with an idempotency key was rejected after it had started.
     pub(crate) fn record_rejection_after_start(
         &mut self,
         now: Timestamp,
         server: ServerId,
         reference: &str,
     ) {
-        let detail = format!("{server}: {reference} was shed although it ran");
+        let detail = format!("{server}: {reference} was rejected after it had started");
         self.record(now, Invariant::NoDuplicateEffects, detail);
     }
 
-    /// An engine starts so many runs of a request.
+    /// Counts the runs that an engine starts for a request. A second run of a request with an idempotency key is a
+    /// violation.
     pub(crate) fn count_engine_runs(
         &mut self,
         now: Timestamp,
@@ -157,15 +158,16 @@
         }
     }
 
-    /// The fleet has so many upstream calls in flight.
+    /// Checks that the upstream calls that the fleet has in flight are within the quota.
     pub(crate) fn check_quota(&mut self, now: Timestamp, calls_in_flight: u32, quota: u32) {
         if calls_in_flight > quota {
-            let detail = format!("{calls_in_flight} calls in hand below, of {quota}");
+            let detail =
+                format!("{calls_in_flight} upstream calls in flight exceed the quota of {quota}");
             self.record(now, Invariant::QuotaNeverExceeded, detail);
         }
     }
 
-    /// A server's view holds so many members.
+    /// Checks that a server's view does not hold too many members.
     pub(crate) fn check_member_table(
         &mut self,
         now: Timestamp,
@@ -179,16 +181,17 @@
         }
     }
 
-    /// At the end the views still differ, this long after the last fault.
+    /// Records that the views still differ at the end, unless the last fault is too recent for them to converge.
     pub(crate) fn check_divergence(&mut self, now: Timestamp, since_last_fault: Duration) {
         if since_last_fault > MAX_CONVERGENCE_TIME {
             let seconds = since_last_fault.as_secs_f64();
-            let detail = format!("views differ {seconds:.1} s after the last deed");
+            let detail = format!("views differ {seconds:.1} s after the last fault");
             self.record(now, Invariant::ViewsConverge, detail);
         }
     }
 
-    /// How often each request with an idempotency key was called, at all backends together.
+    /// Checks that each request with an idempotency key was called at most once. `calls` has the completed calls of
+    /// each such request, across all backends.
     pub(crate) fn check_keyed_calls(&mut self, now: Timestamp, calls: &BTreeMap<&str, u32>) {
         for (reference, count) in calls.iter().filter(|(_, count)| **count > 1) {
             let detail = format!("{reference} called {count} times");
@@ -196,23 +199,23 @@
         }
     }
 
-    /// Adds the attempts of one incarnation of a server.
+    /// Adds the upstream attempts of one incarnation of a server.
     pub(crate) fn count_attempts(&mut self, first_attempts: u64, retries: u64) {
         self.first_attempts += first_attempts;
         self.retries += retries;
     }
 
-    /// Checks the retries of the whole simulation, and returns the calls for each first attempt.
+    /// Checks the retries of the whole simulation, and returns the number of calls per first attempt.
     pub(crate) fn check_retries(&mut self, now: Timestamp) -> f64 {
         let ratio = 1.0 + self.retries as f64 / self.first_attempts.max(1) as f64;
         if ratio > 1.0 + MAX_RETRY_RATIO && self.first_attempts > MIN_FIRST_ATTEMPTS {
-            let detail = format!("{ratio:.3} calls for each first try");
+            let detail = format!("{ratio:.3} upstream calls per first attempt");
             self.record(now, Invariant::BoundedRetries, detail);
         }
         ratio
     }
 
-    /// Ends the checks.
+    /// Ends the checks and returns the violations.
     pub(crate) fn into_violations(self) -> Vec<Violation> {
         self.violations
     }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,15 +1,16 @@
-//! The simulation of a whole fleet: the program's own modules in simulated time and under every mix of faults, all from
-//! one seed. Clients, engines, backends and networks are simulated.
+//! Deterministic simulation of a whole fleet. The servers run the program's own modules in simulated time and under
+//! injected faults; clients, engines, backends and networks are simulated. One seed determines all random choices.
 //!
-//! A [`History`] says what is done to the fleet. [`simulate`] plays it and gives a [`SimulationReport`] with each
-//! [`Invariant`] that was violated. [`shrink()`] makes a history that violates one as short as it gets.
+//! A [`History`] describes a fleet and the faults that are injected into it. [`simulate`] runs a history and returns a
+//! [`SimulationReport`] with each violation of an [`Invariant`]. [`shrink()`] removes faults from a history for as long
+//! as it still violates an invariant.
 //!
 //! | part | files |
 //! | --- | --- |
-//! | what is simulated | `history`, `fault`, `ids`, `features`, `mixes` |
+//! | what a simulation consists of | `history`, `fault`, `ids`, `features`, `mixes` |
 //! | the fleet | `simulation`, `node`, `network`, `upstream`, `workload` |
 //! | time and order | `clock`, `event_queue` |
-//! | what is found | `invariants`, `report`, `shrink`, `table` |
+//! | results | `invariants`, `report`, `shrink`, `table` |
 //!
 //! ```
 //! use madderbay_simulation::{History, simulate};
@@ -50,7 +51,7 @@
 
 use simulation::Simulation;
 
-/// Plays a history to its end. The same history and seed give the same report.
+/// Simulates a history to its end. The same history and seed give the same report.
 pub fn simulate(history: &History, seed: u64) -> SimulationReport {
     Simulation::new(history.clone(), seed).run()
 }
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -1,4 +1,5 @@
-//! `madderbay-simulation`: plays, draws, searches, shrinks, compares and reports histories of a simulated fleet.
+//! The `madderbay-simulation` program: runs, generates, searches, shrinks, compares and reports histories of a
+//! simulated fleet.
 
 mod cli;
 
@@ -6,7 +7,7 @@
 use cli::{Arguments, CommandOutcome};
 use std::process::ExitCode;
 
-/// Exit status of a command line or file that is wrong.
+/// Exit status after an invalid command line or an error of a command, such as an invalid file.
 const USAGE_ERROR: u8 = 2;
 
 fn main() -> ExitCode {
@@ -16,7 +17,7 @@
             return fail(error.to_string().lines().next().unwrap_or_default());
         }
         Err(help_or_version) => {
-            // There is nobody left to report to if standard output is closed.
+            // If standard output is closed, there is no way to report the failure.
             let _ = help_or_version.print();
             return ExitCode::SUCCESS;
         }
--- a/crates/simulation/src/mixes.rs
+++ b/crates/simulation/src/mixes.rs
@@ -1,35 +1,35 @@
-//! Named mixes of faults that come together, and the histories that are made of them.
+//! Named mixes of faults that occur together, and the histories that are built from them.
 
 use crate::fault::{BackendFault, DatagramFaults, Fault, ScheduledFault};
 use crate::features::Features;
 use crate::history::History;
 use crate::ids::{BackendId, ServerId};
 
-/// When the first faults are injected.
+/// The time of the first faults, in milliseconds after the start.
 pub(crate) const FIRST_FAULT_MS: u64 = 5_000;
 /// When all faults have ended.
 pub(crate) const LAST_FAULT_MS: u64 = 17_000;
-/// The length of the histories.
+/// The length of the histories in seconds.
 pub(crate) const SECONDS: u64 = 34;
 const REQUESTS_PER_SECOND: f64 = 20.0;
-/// Upstream calls in flight for each server, of which the quota of the fleet is made.
+/// The upstream calls in flight per server from which the quota of the fleet is computed.
 const QUOTA_PER_SERVER: u32 = 4;
 const MAX_ZONES: usize = 3;
-/// One backend fails a little after the other faults of its mix.
+/// The time of the fault of a single backend, a little after the first faults of its mix.
 const BACKEND_FAULT_MS: u64 = FIRST_FAULT_MS + 500;
 const DUPLICATION: f64 = 0.05;
 const CORRUPTION: f64 = 0.02;
 
-/// Faults that come together.
+/// Faults that occur together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FaultMix {
-    /// What it is called in tables.
+    /// The name of the mix in tables.
     pub name: &'static str,
-    /// What is injected; the end of the faults is not among it.
+    /// The faults to inject, without the final end of all faults, which [`FleetSize::history`] adds.
     pub faults: Vec<ScheduledFault>,
 }
 
-/// The size of a fleet that mixes are made for.
+/// The size of a fleet for which mixes are built.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetSize {
     /// The number of servers.
@@ -39,7 +39,7 @@
 }
 
 impl FleetSize {
-    /// Calm, and eight mixes.
+    /// Returns a mix without faults, followed by eight mixes of faults.
     pub fn mixes(self) -> Vec<FaultMix> {
         let mix = |name, faults| FaultMix { name, faults };
         vec![
@@ -64,7 +64,7 @@
         ]
     }
 
-    /// A history of a mix, after which all is healthy again.
+    /// Returns a history that injects the faults of a mix and then ends all faults.
     pub fn history(self, features: Features, mix: &FaultMix) -> History {
         let mut history = History {
             servers: self.servers,
@@ -96,12 +96,12 @@
         }
     }
 
-    /// Each of this many servers, beginning with the first, with its number among those.
+    /// Returns every `step`th server, beginning with the first, each with its position among those returned.
     fn every_nth_server(self, step: usize) -> impl Iterator<Item = (u64, ServerId)> {
         (0..).zip((0..self.servers).step_by(step).map(ServerId))
     }
 
-    /// The time of the fault of every fourth server, such that all of them fit.
+    /// Returns the time of the fault with this number if every fourth server has one, such that all of the faults fit.
     fn staggered_ms(self, number: u64) -> u64 {
         FIRST_FAULT_MS + number * (LAST_FAULT_MS - FIRST_FAULT_MS) / (self.servers as u64 / 4 + 1)
     }
@@ -210,7 +210,7 @@
     }
 }
 
-/// A fault that is among the first.
+/// Returns a fault that is injected at [`FIRST_FAULT_MS`].
 fn at_first_fault_time(fault: Fault) -> ScheduledFault {
     ScheduledFault::new(FIRST_FAULT_MS, fault)
 }
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,4 +1,4 @@
-//! The network between the servers: their addresses, and the faults that a history injects into it.
+//! The simulated network between the servers: their addresses, and the network faults that a history injects.
 
 use crate::fault::{DatagramFaults, Fault};
 use crate::ids::{BackendId, ServerId};
@@ -7,31 +7,31 @@
 use madderbay_testkit::fleet::script::Action;
 use std::net::{IpAddr, SocketAddr};
 
-/// The time to what runs on the same machine.
+/// The delay of a message to another process on the same machine.
 pub(crate) const LOCAL_DELAY: Duration = Duration::from_micros(100);
-/// The time to a backend, and back.
+/// The delay of a message to or from a backend.
 pub(crate) const UPSTREAM_DELAY: Duration = Duration::from_millis(1);
-/// The least and the greatest time of a datagram without a fault.
+/// The shortest and the longest delay of a datagram without a fault.
 const DATAGRAM_DELAY_RANGE: (Duration, Duration) =
     (Duration::from_micros(200), Duration::from_millis(2));
-/// The least time of a datagram while datagrams are delayed.
+/// The shortest delay of a datagram while datagrams are delayed by a fault.
 const MIN_FAULTY_DELAY: Duration = Duration::from_millis(1);
 /// Added to the longest delay that a fault names, in milliseconds.
 const DELAY_MARGIN_MS: u64 = 2;
 
 const GOSSIP_PORT: u16 = 7_946;
 const BACKEND_PORT: u16 = 7_700;
-/// Addresses that share their third byte.
+/// The number of addresses that share their third byte.
 const HOSTS_PER_BLOCK: usize = 250;
 
-/// An address in `127.NETWORK.0.0/16` for an index.
+/// Returns the address of an index in `127.NETWORK.0.0/16`.
 fn address(network: u8, index: usize, port: u16) -> SocketAddr {
     let block = (index / HOSTS_PER_BLOCK) as u8;
     let host = (index % HOSTS_PER_BLOCK) as u8 + 1;
     ([127, network, block, host], port).into()
 }
 
-/// The index that [`address`] was made for.
+/// Returns the index from which [`address`] made an address.
 fn index_of(address: SocketAddr) -> Option<usize> {
     let IpAddr::V4(ip) = address.ip() else {
         return None;
@@ -40,29 +40,29 @@
     (block * HOSTS_PER_BLOCK + host).checked_sub(1)
 }
 
-/// Where a server receives datagrams.
+/// Returns the address at which a server receives datagrams.
 pub(crate) fn server_address(server: ServerId) -> SocketAddr {
     address(1, server.0, GOSSIP_PORT)
 }
 
-/// Where a backend receives calls.
+/// Returns the address at which a backend receives calls.
 pub(crate) fn backend_address(backend: BackendId) -> SocketAddr {
     address(2, backend.0, BACKEND_PORT)
 }
 
-/// The backend at an address.
+/// Returns the backend at an address.
 pub(crate) fn backend_at(address: SocketAddr) -> BackendId {
     BackendId(index_of(address).unwrap_or_default())
 }
 
-/// Owns the connections between servers and what becomes of datagrams on them.
+/// The links between the servers, and the faults of datagrams on them.
 pub(crate) struct FleetNetwork {
     servers: usize,
     links: SimulatedNetwork,
 }
 
 impl FleetNetwork {
-    /// A network without faults.
+    /// Creates a network without faults.
     pub(crate) fn new(servers: usize, seed: u64) -> FleetNetwork {
         FleetNetwork {
             servers,
@@ -70,13 +70,13 @@
         }
     }
 
-    /// The server at an address, if there is one.
+    /// Returns the server at an address, if there is one.
     pub(crate) fn server_at(&self, address: SocketAddr) -> Option<ServerId> {
         let index = index_of(address).filter(|index| *index < self.servers)?;
         Some(ServerId(index))
     }
 
-    /// What arrives of a datagram, and after which time.
+    /// Transmits a datagram. Returns each copy that arrives, with its delay.
     pub(crate) fn transmit(
         &mut self,
         from: ServerId,
@@ -86,7 +86,7 @@
         self.links.carry(from.0, to.0, bytes)
     }
 
-    /// Injects a fault of the network; other faults change nothing here.
+    /// Injects a network fault. Other faults have no effect here.
     pub(crate) fn inject(&mut self, fault: Fault) {
         let action = match fault {
             Fault::PartitionHalves => {
--- a/crates/simulation/src/node.rs
+++ b/crates/simulation/src/node.rs
@@ -1,7 +1,8 @@
-//! One simulated server: the program's own core, membership, quotas and backends as one process, on a machine with a
-//! clock and an engine of its own.
+//! One simulated server: a process made of the program's own core, membership, quotas and backend selection, on a
+//! machine with its own clock and engine.
 //!
-//! A node owns its state and is given time, lines and datagrams. It schedules nothing and draws no chance.
+//! A node owns its state and receives the time, lines and datagrams from its caller. It schedules no events and draws
+//! no random numbers.
 
 mod assembly;
 mod client;
@@ -18,13 +19,13 @@
 use madderbay::time::{Duration, Timestamp};
 use madderbay_settings::Settings;
 
-/// Datagrams beyond this number of held events are lost while a process is stopped.
+/// While a process is stopped, datagrams are lost once this many events are held for it.
 const MAX_HELD_EVENTS: usize = 500;
-/// A node without any timer wakes up after this time.
+/// Time until the next wake-up of a node that has no timer.
 const IDLE_INTERVAL: Duration = Duration::from_millis(1_000);
-/// The least time between two turns by a timer.
+/// The shortest time from a turn to the next wake-up.
 const MIN_WAKE_UP_DELAY: Duration = Duration::from_micros(20);
-/// No wake-up is scheduled.
+/// The value of `next_wake_up` when no wake-up is scheduled.
 const NEVER: Timestamp = Timestamp::from_micros(u64::MAX);
 
 /// A machine and the process on it.
@@ -34,7 +35,7 @@
     incarnation: u32,
     is_up: bool,
     is_stopped: bool,
-    /// The multiple of the usual request rate.
+    /// The load factor: the multiple of the usual request rate that the clients send.
     load: f64,
     next_wake_up: Timestamp,
     held_events: Vec<Event>,
@@ -42,7 +43,7 @@
 }
 
 impl Node {
-    /// A machine whose process starts for the first time.
+    /// Creates a machine and starts the first incarnation of its process.
     pub(crate) fn new(
         id: ServerId,
         clock: NodeClock,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Starts the process again, as a new incarnation.
+    /// Starts the process again as a new incarnation.
     pub(crate) fn restart(
         &mut self,
         now: Timestamp,
@@ -90,18 +91,18 @@
         self.process.drop_connections();
     }
 
-    /// Pauses the process, if it runs.
+    /// Pauses the process if it is up.
     pub(crate) fn stop(&mut self) {
         self.is_stopped = self.is_up;
     }
 
-    /// Goes on with a paused process. Returns the events that were held for it.
+    /// Continues a paused process. Returns the events that were held for it.
     pub(crate) fn resume(&mut self) -> Vec<Event> {
         self.is_stopped = false;
         std::mem::take(&mut self.held_events)
     }
 
-    /// The server and the present start of it.
+    /// Returns the current incarnation of the server.
     pub(crate) fn incarnation(&self) -> ServerIncarnation {
         ServerIncarnation {
             server: self.id,
@@ -109,22 +110,22 @@
         }
     }
 
-    /// Whether a process runs, paused or not.
+    /// Reports whether the process is up, paused or not.
     pub(crate) fn is_up(&self) -> bool {
         self.is_up
     }
 
-    /// Whether the process is paused.
+    /// Reports whether the process is paused.
     pub(crate) fn is_stopped(&self) -> bool {
         self.is_stopped
     }
 
-    /// Whether this incarnation is the one that runs, paused or not.
+    /// Reports whether `target` is the current incarnation and its process is up, paused or not.
     pub(crate) fn is_running(&self, target: ServerIncarnation) -> bool {
         self.is_up && self.incarnation == target.incarnation
     }
 
-    /// The multiple of the usual request rate.
+    /// The load factor: the multiple of the usual request rate that the clients send.
     pub(crate) fn load(&self) -> f64 {
         self.load
     }
@@ -141,8 +142,8 @@
         &mut self.process
     }
 
-    /// Gives an event back that can be delivered now. An event for a paused process is held; one for a process that
-    /// does not run any more is dropped.
+    /// Returns the event if it can be delivered now. Holds an event for a paused process, except for a datagram when
+    /// [`MAX_HELD_EVENTS`] are held already. Drops an event for an incarnation that no longer runs.
     pub(crate) fn deliver_or_hold(
         &mut self,
         target: ServerIncarnation,
@@ -161,7 +162,7 @@
         None
     }
 
-    /// A datagram arrives from another server.
+    /// Delivers a datagram from another server.
     pub(crate) fn receive_datagram(
         &mut self,
         now: Timestamp,
@@ -172,15 +173,15 @@
         self.process.receive_datagram(reading, sender, bytes);
     }
 
-    /// One turn: the engine works up to now, due timers fire, and the core settles what came. Returns the lines of the
-    /// engine to its server.
+    /// Runs one turn: advances the engine to `now`, fires due timers and runs the core's event loop. Returns the
+    /// engine's notices to the server.
     pub(crate) fn run_turn(&mut self, now: Timestamp) -> Vec<String> {
         let reading = self.clock.advance_to(now);
         self.process.run_turn(now, reading)
     }
 
-    /// Whether a wake-up that fires now is the one that was scheduled last. Others were put off, or were replaced by
-    /// an earlier one.
+    /// Reports whether a wake-up that fires now is the one that was scheduled last, and clears it. Other wake-ups were
+    /// postponed or replaced by an earlier one.
     pub(crate) fn take_wake_up(&mut self, target: ServerIncarnation, now: Timestamp) -> bool {
         let is_due = self.is_running(target) && !self.is_stopped && self.next_wake_up <= now;
         if is_due {
@@ -189,7 +190,7 @@
         is_due
     }
 
-    /// When the next wake-up is to be scheduled; none if one that is scheduled suffices.
+    /// Returns the time at which to schedule the next wake-up, or `None` if the one that is scheduled suffices.
     pub(crate) fn schedule_wake_up(&mut self, now: Timestamp) -> Option<Timestamp> {
         let fleet_timeout = self.process.fleet_timeout();
         let deadlines = [
--- a/crates/simulation/src/node/assembly.rs
+++ b/crates/simulation/src/node/assembly.rs
@@ -1,4 +1,4 @@
-//! Puts the program's own modules together to one process, as the server's start does.
+//! Builds a process from the program's own modules, as the server does at its start.
 
 use super::client::ClientRequests;
 use super::process::{ClientConnection, EngineConnection, Process};
@@ -34,7 +34,7 @@
 
 const LEASE: Duration = Duration::from_millis(1_000);
 const LEASE_GUARD: Duration = Duration::from_millis(50);
-/// What leases take for the longest call under [`Defect::ShortLeaseTerms`].
+/// The longest call time that quota leases allow for under [`Defect::ShortLeaseTerms`].
 const TOO_SHORT_CALL_TIME: Duration = Duration::from_millis(20);
 
 const FLEET_NAME: &str = "lab";
@@ -47,12 +47,12 @@
 const ENDLESS_SUSPICION_TIMEOUT: Duration = Duration::from_millis(3_000_000);
 const DOWN_RETENTION: Duration = Duration::from_millis(60_000);
 
-/// What one process is put together from.
+/// The inputs from which one process is built.
 pub(super) struct ProcessBuilder<'a> {
     id: ServerId,
     incarnation: u32,
     now: Timestamp,
-    /// The start on the server's own clock.
+    /// The start time on the server's own clock.
     monotonic_now: Timestamp,
     monotonic_clock: MonotonicClock,
     seed: u64,
@@ -60,7 +60,7 @@
 }
 
 impl<'a> ProcessBuilder<'a> {
-    /// Sets the server's clock, which its parts read when they are made.
+    /// Creates a builder. Sets the server's clock, because the modules read it when they are created.
     pub(super) fn new(
         id: ServerId,
         incarnation: u32,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The process, connected to its clients and its engine.
+    /// Builds the process and connects it to its clients and its engine.
     pub(super) fn start_process(self, settings: &Settings) -> Process {
         let features = self.history.features;
         let mut event_loop =
@@ -201,7 +201,7 @@
     }
 
     fn membership_settings(&self) -> madderbay_membership::Settings {
-        let loopback = "127.0.0.0/8".parse().expect("a network");
+        let loopback = "127.0.0.0/8".parse().expect("a valid network");
         let suspicion_timeout = if self.has_defect(Defect::EndlessSuspicion) {
             ENDLESS_SUSPICION_TIMEOUT
         } else {
--- a/crates/simulation/src/node/process.rs
+++ b/crates/simulation/src/node/process.rs
@@ -1,4 +1,4 @@
-//! The process of a server, fed with bytes as the program's drivers feed it.
+//! The process of a server. It receives bytes in the same way as from the program's own I/O drivers.
 
 use super::client::ClientRequests;
 use crate::upstream::{Engine, EngineEvent, EngineNotice};
@@ -33,25 +33,25 @@
 /// A connection to a backend.
 struct UpstreamConnection {
     output: Outbox,
-    /// None goes to the first backend.
+    /// The address of the backend. Calls on a connection without an address go to the first backend.
     address: Option<SocketAddr>,
     replies: ReplyReader,
 }
 
-/// What a server wrote to one upstream connection since it was asked last.
+/// The output of a server to one upstream connection since it was last taken.
 pub(crate) struct UpstreamOutput {
     pub(crate) address: Option<SocketAddr>,
     pub(crate) text: String,
     pub(crate) is_closing: bool,
 }
 
-/// The attempts of one incarnation.
+/// The upstream attempts of one incarnation.
 pub(crate) struct AttemptTotals {
     pub(crate) first_attempts: u64,
     pub(crate) retries: u64,
 }
 
-/// Owns the program's own core and fleet stack, and the ends of their connections.
+/// The program's own core and fleet stack, and this process's ends of the simulated connections.
 pub(crate) struct Process {
     pub(super) event_loop: EventLoop,
     pub(super) client: ClientConnection,
@@ -62,7 +62,7 @@
 }
 
 impl Process {
-    /// A process whose parts were put together and connected.
+    /// Creates a process from parts that are already connected.
     pub(super) fn new(
         event_loop: EventLoop,
         client: ClientConnection,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The process was killed: nobody waits for its answers, and its connections are gone.
+    /// Drops the upstream connections and the pending requests of a process that was killed.
     pub(super) fn drop_connections(&mut self) {
         self.connections.clear();
         self.client.requests.drop_pending();
@@ -98,17 +98,17 @@
         &mut self.client.requests
     }
 
-    /// The view of the fleet, quotas and judgements, if membership is on.
+    /// Returns the fleet stack (the view of the fleet, the quotas and the outlier detection) if membership is on.
     pub(crate) fn fleet(&self) -> Option<&RefCell<FleetStack>> {
         self.fleet.as_deref()
     }
 
-    /// The backends, if their selection is on.
+    /// Returns the backends if backend selection is on.
     pub(crate) fn backends(&self) -> Option<&Backends> {
         self.backends.as_deref()
     }
 
-    /// The attempts so far, if the selection of backends is on.
+    /// Returns the upstream attempts so far if backend selection is on.
     pub(crate) fn attempt_totals(&self) -> Option<AttemptTotals> {
         let backends = self.backends.as_ref()?.manager().borrow();
         let totals = backends.totals();
@@ -120,19 +120,19 @@
 
     // Input
 
-    /// A line of a client arrives.
+    /// Delivers a line from a client.
     pub(crate) fn receive_request(&mut self, now: Timestamp, line: &str) {
         let session = &mut self.client.session;
         session.feed(now, line.as_bytes(), &mut self.event_loop);
     }
 
-    /// A line of the engine arrives.
+    /// Delivers a notice from the engine.
     pub(crate) fn receive_notice(&mut self, now: Timestamp, line: &str) {
         let notices = &mut self.engine.notices;
         notices.feed(now, line.as_bytes(), &mut self.event_loop);
     }
 
-    /// A datagram arrives from another server, at a time of the server's own clock.
+    /// Delivers a datagram from another server. `reading` is the time on this server's own clock.
     pub(super) fn receive_datagram(
         &mut self,
         reading: Timestamp,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// The answer to a call arrives. One that cannot be read closes its connection.
+    /// Delivers the answer to a call. Closes the connection if the answer cannot be parsed.
     pub(crate) fn receive_reply(&mut self, now: Timestamp, connection_id: u64, text: &str) {
         let Some(connection) = self.connections.get_mut(&connection_id) else {
             return;
@@ -158,14 +158,14 @@
         }
     }
 
-    /// An upstream connection broke.
+    /// Handles the loss of an upstream connection. Has no effect if the connection is already closed.
     pub(crate) fn connection_lost(&mut self, now: Timestamp, connection_id: u64) {
         if self.connections.remove(&connection_id).is_some() {
             self.event_loop.call_connection_ended(now, connection_id);
         }
     }
 
-    /// An upstream connection that the server asked to be closed is closed.
+    /// Closes an upstream connection at the request of the server.
     pub(crate) fn close_connection(&mut self, now: Timestamp, connection_id: u64) {
         self.connections.remove(&connection_id);
         self.event_loop.call_connection_ended(now, connection_id);
@@ -173,7 +173,8 @@
 
     // Time
 
-    /// The engine works up to now, due timers fire, and the core settles what came.
+    /// Advances the engine to `now`, fires due timers and runs the core's event loop. Returns the engine's notices, one
+    /// per line.
     pub(super) fn run_turn(&mut self, now: Timestamp, reading: Timestamp) -> Vec<String> {
         let notices = self.advance_engine(now);
         self.fire_fleet_timers(reading);
@@ -201,17 +202,17 @@
         events.map(to_line).collect()
     }
 
-    /// When the core is due next.
+    /// Returns when the core's next timer is due.
     pub(super) fn core_deadline(&self) -> Option<Timestamp> {
         self.event_loop.next_deadline()
     }
 
-    /// When the engine is due next.
+    /// Returns when the engine is expected to send its next notice about a run.
     pub(super) fn engine_deadline(&self) -> Option<Timestamp> {
         self.engine.engine.next_deadline()
     }
 
-    /// When the fleet stack is due next, on the server's own clock.
+    /// Returns when the fleet stack's next timer is due, on the server's own clock.
     pub(super) fn fleet_timeout(&self) -> Option<Timestamp> {
         let fleet = self.fleet.as_ref()?;
         Some(fleet.borrow().next_timeout())
@@ -219,7 +220,7 @@
 
     // Output
 
-    /// Opens the upstream connections that the core wants.
+    /// Opens the upstream connections that the core has requested.
     pub(crate) fn open_wanted_connections(&mut self) {
         for wanted in self.event_loop.calls_mut().take_wanted() {
             let connection = UpstreamConnection {
@@ -231,27 +232,27 @@
         }
     }
 
-    /// What was written to the clients.
+    /// Takes the output to the clients.
     pub(crate) fn take_answers(&mut self) -> String {
         take_text(&self.client.output)
     }
 
-    /// What was written to the engine.
+    /// Takes the output to the engine.
     pub(crate) fn take_engine_commands(&mut self) -> String {
         take_text(&self.engine.output)
     }
 
-    /// The numbers of the open upstream connections, in order.
+    /// Returns the ids of the open upstream connections in ascending order.
     pub(crate) fn connections(&self) -> Vec<u64> {
         self.connections.keys().copied().collect()
     }
 
-    /// Whether an upstream connection is open.
+    /// Reports whether an upstream connection is open.
     pub(crate) fn has_connection(&self, connection_id: u64) -> bool {
         self.connections.contains_key(&connection_id)
     }
 
-    /// What was written to an upstream connection; none if it is closed.
+    /// Takes the output to an upstream connection. Returns `None` if the connection is closed.
     pub(crate) fn take_upstream_output(&mut self, connection_id: u64) -> Option<UpstreamOutput> {
         let connection = self.connections.get(&connection_id)?;
         Some(UpstreamOutput {
@@ -261,20 +262,20 @@
         })
     }
 
-    /// The datagrams that are to be sent to other servers, with their addresses.
+    /// Takes the datagrams for other servers, with their destination addresses.
     pub(crate) fn take_datagrams(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         let Some(fleet) = &self.fleet else {
             return vec![];
         };
         let mut fleet = fleet.borrow_mut();
         let datagrams = fleet.take_datagrams();
-        // Nobody reads the log of a simulated server.
+        // Membership and quota events are discarded, because simulated servers write no log.
         fleet.membership_mut().take_events();
         fleet.quotas_mut().map(FleetQuotas::take_events);
         datagrams
     }
 
-    /// What changed in the judgement of backends.
+    /// Takes the recent backend events, such as ejections and changes of state.
     pub(crate) fn take_backend_events(&mut self) -> Vec<BackendEvent> {
         match &self.backends {
             Some(backends) => backends.manager().borrow_mut().take_events(),
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -1,6 +1,6 @@
-//! What a simulation found: figures by second, violated invariants, and figures of the whole.
+//! The results of a simulation: figures for each second, violated invariants, and figures for the whole simulation.
 //!
-//! The JSON names of the fields are part of the program's output, and other than the names here.
+//! The JSON names of the fields are part of the program's output, and differ from the Rust names.
 
 use crate::invariants::Violation;
 use crate::workload::Handler;
@@ -25,16 +25,16 @@
     /// Requests that failed.
     #[serde(rename = "errored")]
     pub failed: u32,
-    /// The most upstream calls of the fleet that were in flight at a time.
+    /// The highest number of upstream calls that the fleet had in flight at a time.
     #[serde(rename = "peak")]
     pub peak_calls_in_flight: u32,
     /// Upstream calls that were sent.
     #[serde(rename = "calls")]
     pub upstream_calls: u32,
-    /// Servers that run at the end of the second.
+    /// Servers that are up at the end of the second, paused or not.
     #[serde(rename = "running")]
     pub running_servers: u32,
-    /// Servers among them whose view of the fleet is not the most frequent one.
+    /// Servers that are up and whose view of the fleet is not the most frequent one.
     #[serde(rename = "apart")]
     pub divergent_views: u32,
     /// Backends that are ejected, summed over the servers.
@@ -45,17 +45,17 @@
     pub datagram_bytes: u64,
 }
 
-/// A change of a server's judgement on a backend, of which many at one time may do harm.
+/// A change in how a server uses a backend. Many such changes at one time may do harm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum BackendTransition {
-    /// A backend gets no calls any more.
+    /// A backend no longer gets calls.
     Ejected,
     /// A backend gets calls again.
     Readmitted,
 }
 
 impl BackendTransition {
-    /// What a server does then, as reports say it.
+    /// Returns what a server does at the transition, as reports describe it.
     pub fn description(self) -> &'static str {
         match self {
             BackendTransition::Ejected => "leave a backend out",
@@ -70,35 +70,36 @@
     }
 }
 
-/// All that a simulation found. The same history and seed give the same report.
+/// The results of a simulation. The same history and seed give the same report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SimulationReport {
-    /// What was violated, in the order of time; no more than a hundred.
+    /// The violations in the order in which they were found, at most 100.
     pub violations: Vec<Violation>,
-    /// The seconds that were completed, in order.
+    /// The rows of the completed seconds, in order.
     pub rows: Vec<SecondRow>,
-    /// Seconds from the last fault until all servers that run hold one view and suspect nobody; none if they never do.
+    /// Seconds from the last fault until all running servers hold one view and suspect no member. `None` if they do
+    /// not.
     pub convergence_s: Option<f64>,
-    /// The most transitions of one kind within a tenth of a second, over all servers.
+    /// The largest number of transitions of each kind within a tenth of a second, over all servers.
     pub simultaneous_transitions: BTreeMap<BackendTransition, u32>,
-    /// Upstream calls for each first attempt.
+    /// Upstream calls per first attempt.
     pub calls_per_first_attempt: f64,
 }
 
 impl SimulationReport {
-    /// The fraction of each handler's requests that were answered in time.
+    /// Returns the fraction of each handler's requests that were answered in time.
     pub fn fractions_in_time(&self) -> [f64; Handler::COUNT] {
         fractions_in_time(&self.rows)
     }
 
-    /// The most upstream calls that were in flight at a time.
+    /// Returns the highest number of upstream calls that were in flight at a time.
     pub fn peak_calls_in_flight(&self) -> u32 {
         let peaks = self.rows.iter().map(|row| row.peak_calls_in_flight);
         peaks.max().unwrap_or(0)
     }
 }
 
-/// The fraction of each handler's requests in these rows that were answered in time.
+/// Returns the fraction of each handler's requests in these rows that were answered in time.
 pub(crate) fn fractions_in_time(rows: &[SecondRow]) -> [f64; Handler::COUNT] {
     std::array::from_fn(|handler| {
         let answered: u32 = rows.iter().map(|row| row.answered_in_time[handler]).sum();
--- a/crates/simulation/src/shrink.rs
+++ b/crates/simulation/src/shrink.rs
@@ -1,11 +1,11 @@
-//! Makes a history that violates an invariant as short as it gets.
+//! Reduces a history that violates an invariant to as few faults as possible.
 
 use crate::history::History;
 use crate::invariants::Invariant;
 use crate::simulate;
 
-/// The fewest faults of a history under which the same invariant is still violated: halves of them are left out, then
-/// quarters, down to single ones. A history that does not violate it comes back as it is.
+/// Returns a history with the fewest faults under which the same invariant is still violated: halves of the faults are
+/// removed, then quarters, down to single ones. A history that does not violate the invariant is returned unchanged.
 pub fn shrink(history: &History, seed: u64, invariant: Invariant) -> History {
     let mut smallest = history.clone();
     let mut chunk = smallest.faults.len().div_ceil(2);
@@ -16,7 +16,7 @@
     smallest
 }
 
-/// Leaves out each chunk of faults that the violation does not need.
+/// Removes each chunk of faults that the violation does not need.
 fn remove_chunks(smallest: &mut History, chunk: usize, seed: u64, invariant: Invariant) {
     let mut start = 0;
     while start < smallest.faults.len() {
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -1,8 +1,9 @@
-//! The simulation of a fleet: each server the program's own core, membership, quotas and backends, on simulated
+//! Simulates a fleet: each server runs the program's own core, membership, quotas and backend selection over simulated
 //! connections in simulated time.
 //!
-//! [`Simulation`] owns the nodes, the network, the backends and the event queue. All chance comes from one seed, and
-//! events of one time happen in a fixed order: the same history and seed give the same report.
+//! [`Simulation`] owns the nodes, the network, the backends and the event queue. All random choices derive from one
+//! seed, and events due at the same time are handled in a fixed order, so the same history and seed give the same
+//! report.
 
 mod engine_commands;
 mod faults;
@@ -28,12 +29,12 @@
 use settling::ConvergenceTracker;
 use std::collections::BTreeMap;
 
-/// The length of a row of the report.
+/// The time that one row of the report covers.
 const ROW_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Transitions within this time count as simultaneous.
+/// Transitions of one kind within this time count as simultaneous.
 const SIMULTANEITY_WINDOW: Duration = Duration::from_millis(100);
 
-/// A fleet under a history, from its start to its end.
+/// The state of a fleet while a history is simulated.
 pub(crate) struct Simulation {
     history: History,
     settings: Settings,
@@ -43,7 +44,7 @@
     nodes: Vec<Node>,
     network: FleetNetwork,
     backends: BackendSet,
-    /// The second that goes on.
+    /// The row of the current second.
     row: SecondRow,
     rows: Vec<SecondRow>,
     checker: InvariantChecker,
@@ -52,7 +53,7 @@
 }
 
 impl Simulation {
-    /// Starts all servers of a history, and schedules its faults.
+    /// Starts all servers of a history and schedules its faults.
     pub(crate) fn new(history: History, seed: u64) -> Simulation {
         let mut random = Rand64::new(u128::from(seed) + 1);
         let clocks: Vec<NodeClock> = (0..history.servers)
@@ -97,13 +98,13 @@
         }
     }
 
-    /// A server has started: its clients begin to send requests.
+    /// Schedules the first client request to a server that has started, and runs the server's first turn.
     fn begin_service(&mut self, server: ServerId) {
         self.schedule_request(server);
         self.run_turn(server);
     }
 
-    /// Plays the history to its end.
+    /// Simulates the history to its end and returns the report.
     pub(crate) fn run(mut self) -> SimulationReport {
         let end = clock::instant_at_ms(self.history.seconds * 1_000);
         while let Some((due, event)) = self.queue.pop_until(end) {
@@ -154,20 +155,21 @@
         }
     }
 
-    /// Gives an event back unless it is for a process that is paused, which gets it later, or does not run any more.
+    /// Returns the event if it can be dispatched now. Holds an event for a paused process until the process continues,
+    /// and drops an event for an incarnation that no longer runs.
     fn deliver_or_hold(&mut self, event: Event) -> Option<Event> {
         let target = match &event {
             Event::EngineNotice { target, .. }
             | Event::Reply { target, .. }
             | Event::ConnectionLost { target, .. } => *target,
-            // Whichever incarnation runs receives datagrams.
+            // A datagram is addressed to a server, so its current incarnation receives it.
             Event::Datagram { server, .. } => self.node(*server).incarnation(),
             _ => return Some(event),
         };
         self.node_mut(target.server).deliver_or_hold(target, event)
     }
 
-    /// Makes the checks that need the whole simulation.
+    /// Runs the invariant checks that need the whole simulation, and builds the report.
     fn finish(mut self, end: Timestamp) -> SimulationReport {
         if self.history.features.membership && !self.convergence.has_converged() {
             let since_last_fault = self.convergence.time_since_last_fault(end);
@@ -191,7 +193,7 @@
     }
 }
 
-/// The most transitions of each kind within [`SIMULTANEITY_WINDOW`].
+/// Returns, for each kind of transition, the largest number of them within one [`SIMULTANEITY_WINDOW`].
 fn max_simultaneous_by_kind(
     transitions: &BTreeMap<BackendTransition, Vec<Timestamp>>,
 ) -> BTreeMap<BackendTransition, u32> {
@@ -201,7 +203,7 @@
         .collect()
 }
 
-/// The most of these times, which are in order, that lie within [`SIMULTANEITY_WINDOW`].
+/// Returns the largest number of `times` within one [`SIMULTANEITY_WINDOW`]. `times` must be in ascending order.
 fn max_simultaneous(times: &[Timestamp]) -> u32 {
     let within_window_of = |first: usize| {
         times[first..]
--- a/crates/simulation/src/simulation/engine_commands.rs
+++ b/crates/simulation/src/simulation/engine_commands.rs
@@ -1,4 +1,4 @@
-//! The engines do what their servers command.
+//! Executes the commands that servers send to their engines.
 
 use super::Simulation;
 use crate::fault::Defect;
@@ -6,11 +6,11 @@
 use crate::upstream::{EngineCommand, EngineNotice};
 use crate::workload::{ENGINE_CORES, Handler};
 
-/// Requests whose reference ends so run twice under [`Defect::RepeatedRuns`].
+/// Under [`Defect::RepeatedRuns`], requests whose reference ends with this digit run twice.
 const REPEATED_REFERENCE_SUFFIX: char = '7';
 
 impl Simulation {
-    /// The engine of a server reads what the server wrote.
+    /// Executes the commands that a server has written to its engine.
     pub(super) fn execute_engine_commands(&mut self, server: ServerId) {
         let target = self.node(server).incarnation();
         let process = self.node_mut(server).process_mut();
--- a/crates/simulation/src/simulation/faults.rs
+++ b/crates/simulation/src/simulation/faults.rs
@@ -7,11 +7,12 @@
 use crate::ids::{BackendId, ServerId};
 use crate::network::UPSTREAM_DELAY;
 
-/// The least factor by which an engine is slowed down.
+/// The smallest slowdown factor of an engine. A smaller factor in a history is raised to it.
 const MIN_SLOWDOWN: f64 = 0.1;
 
 impl Simulation {
-    /// Injects a fault now. One that the state of its server rules out changes nothing.
+    /// Injects a fault at the current time. A fault that does not apply in the state of its server, such as the kill of
+    /// a server that is down, has no effect on the fleet.
     pub(super) fn inject(&mut self, fault: Fault) {
         self.convergence.record_fault(self.now);
         match fault {
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Callers whose calls are lost learn that their connections broke.
+    /// Sets or clears the fault of a backend. Callers whose calls are lost are notified that their connections broke.
     fn set_backend_fault(&mut self, backend: BackendId, fault: Option<BackendFault>) {
         for call in self.backends.set_fault(backend, fault) {
             let lost = Event::ConnectionLost {
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Adds the attempts of the incarnation of a server that runs.
+    /// Adds the upstream attempts of a server's current incarnation to the totals of the fleet.
     pub(super) fn count_attempts(&mut self, server: ServerId) {
         if let Some(totals) = self.node(server).process().attempt_totals() {
             self.checker
--- a/crates/simulation/src/simulation/requests.rs
+++ b/crates/simulation/src/simulation/requests.rs
@@ -1,4 +1,4 @@
-//! The clients: they send requests at random times, and check that each gets its answer.
+//! Simulated clients: they send requests at random times and check that each request is answered.
 
 use super::Simulation;
 use crate::clock;
@@ -9,15 +9,16 @@
 use crate::workload::{CLIENT_TIMEOUT, ClientRequest, Handler};
 use madderbay::time::{Duration, Timestamp};
 
-/// An answer may come this much after its deadline before it counts as missing.
+/// How long after the client timeout an answer may arrive before it counts as missing.
 const ANSWER_SLACK: Duration = Duration::from_millis(50);
-/// A request whose end is noticed later than this was delayed with its server, and proves nothing.
+/// How late an answer deadline may be handled and still count. A later one was delayed together with its server, so the
+/// missing answer proves nothing.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(5);
-/// The least rate at which clients send to a server.
+/// The lowest request rate of the clients of a server, whatever its load factor.
 const MIN_REQUESTS_PER_SECOND: f64 = 0.05;
-/// The error code of a rejected request.
+/// The JSON-RPC error code of a rejected request.
 const REJECTED: i64 = -32002;
-/// Each answer whose number is a multiple of this is lost under [`Defect::LostAnswers`].
+/// Under [`Defect::LostAnswers`], answers whose id is a multiple of this are lost.
 const LOST_ANSWER_INTERVAL: u64 = 200;
 
 impl Simulation {
@@ -31,7 +32,8 @@
         self.queue.push(due, Event::RequestDue(target));
     }
 
-    /// A client sends a request, unless the server is stopped, and the next one is scheduled.
+    /// Sends a random request unless the server is stopped, and schedules the next one. Does nothing if the incarnation
+    /// no longer runs.
     pub(super) fn send_request(&mut self, target: ServerIncarnation) {
         if !self.node(target.server).is_running(target) {
             return;
@@ -77,7 +79,8 @@
         self.run_turn(target.server);
     }
 
-    /// The time for an answer is over.
+    /// Handles the time at which a client stops waiting for an answer. A missing answer is a violation unless the
+    /// server was stopped in the meantime or the deadline is handled late.
     pub(super) fn handle_answer_deadline(&mut self, target: ServerIncarnation, request_id: u64) {
         let server = target.server;
         if !self.node(server).is_running(target) {
@@ -87,7 +90,7 @@
         let Some(request) = process.requests_mut().expire(request_id) else {
             return;
         };
-        // A server that was stopped meanwhile answers late, and its clients know why.
+        // A server that was stopped in the meantime answers late, which is not a violation.
         let is_noticed_in_time =
             self.now - request.sent_at <= CLIENT_TIMEOUT + ANSWER_SLACK + DEADLINE_TOLERANCE;
         let was_server_stopped =
@@ -102,7 +105,7 @@
         }
     }
 
-    /// Whether a server was stopped at some time since.
+    /// Reports whether a server was stopped at any time since `since`.
     fn was_stopped_since(&self, server: ServerId, since: Timestamp) -> bool {
         let affects_server = |scheduled: &&ScheduledFault| matches!(scheduled.fault, Fault::Stop(other) | Fault::Continue(other) if other == server);
         let mut is_stopped = false;
@@ -119,7 +122,7 @@
         is_stopped
     }
 
-    /// The clients read what a server answered.
+    /// Processes the answers that a server has written to its clients.
     pub(super) fn receive_answers(&mut self, server: ServerId) {
         let answers = self.node_mut(server).process_mut().take_answers();
         for line in answers.lines() {
--- a/crates/simulation/src/simulation/sampling.rs
+++ b/crates/simulation/src/simulation/sampling.rs
@@ -1,4 +1,4 @@
-//! The end of each second: what the servers believe then is counted and checked.
+//! At the end of each second, counts and checks the servers' views of the fleet and of the backends.
 
 use super::{ROW_INTERVAL, Simulation};
 use crate::event_queue::Event;
@@ -8,16 +8,16 @@
 use madderbay_upstream::BackendState;
 use std::collections::BTreeMap;
 
-/// The views of the fleet that the servers hold.
+/// The views of the fleet that the running servers hold at one time.
 #[derive(Default)]
 struct ViewSample {
-    /// How many servers hold each view, by its digest.
+    /// The number of servers that hold each view, by the digest of the view.
     servers_by_digest: BTreeMap<u64, u32>,
     suspected_members: usize,
 }
 
 impl ViewSample {
-    /// Servers whose view is not the most frequent one.
+    /// Returns the number of servers whose view is not the most frequent one.
     fn divergent_views(&self) -> u32 {
         let counts = self.servers_by_digest.values();
         let most = counts.clone().max().copied().unwrap_or(0);
@@ -30,7 +30,7 @@
 }
 
 impl Simulation {
-    /// A second is over: its row is complete, and the next begins.
+    /// Completes the row of the second that ends, and schedules the end of the next second.
     pub(super) fn end_second(&mut self) {
         let mut views = ViewSample::default();
         for index in 0..self.nodes.len() {
--- a/crates/simulation/src/simulation/settling.rs
+++ b/crates/simulation/src/simulation/settling.rs
@@ -1,15 +1,15 @@
-//! How long the servers need after the last fault until they agree on one view of the fleet.
+//! Measures how long the servers need after the last fault until they agree on one view of the fleet.
 
 use madderbay::time::{Duration, Timestamp};
 
-/// Owns when the last fault was and since when the views agree.
+/// The time of the last fault, and the time since which all views agree.
 pub(super) struct ConvergenceTracker {
     last_fault: Timestamp,
     converged_at: Option<Timestamp>,
 }
 
 impl ConvergenceTracker {
-    /// The start counts as a fault.
+    /// Creates a tracker at the start of the simulation, which counts as a fault.
     pub(super) fn new(now: Timestamp) -> ConvergenceTracker {
         ConvergenceTracker {
             last_fault: now,
@@ -17,13 +17,13 @@
         }
     }
 
-    /// A fault is injected.
+    /// Records that a fault is injected.
     pub(super) fn record_fault(&mut self, now: Timestamp) {
         self.last_fault = now;
         self.converged_at = None;
     }
 
-    /// Whether all views agree now, and nobody is suspected.
+    /// Records whether all views agree now and no member is suspected.
     pub(super) fn observe(&mut self, now: Timestamp, has_converged: bool) {
         if has_converged {
             self.converged_at.get_or_insert(now);
@@ -32,18 +32,18 @@
         }
     }
 
-    /// Whether the views agreed when they were observed last.
+    /// Reports whether the views agreed when they were last observed.
     pub(super) fn has_converged(&self) -> bool {
         self.converged_at.is_some()
     }
 
-    /// Seconds from the last fault until the views agreed; none if they do not.
+    /// Returns the seconds from the last fault until the views agreed, or `None` if they do not agree.
     pub(super) fn convergence_s(&self) -> Option<f64> {
         let converged_at = self.converged_at?;
         Some((converged_at - self.last_fault).as_secs_f64())
     }
 
-    /// How long there was no fault.
+    /// Returns the time since the last fault.
     pub(super) fn time_since_last_fault(&self, now: Timestamp) -> Duration {
         now - self.last_fault
     }
--- a/crates/simulation/src/simulation/turn.rs
+++ b/crates/simulation/src/simulation/turn.rs
@@ -1,4 +1,4 @@
-//! One turn of a server: what arrived is handed to it, it settles that, and what it sends is carried on.
+//! One turn of a server: its input is delivered, its event loop processes the input, and its output is transmitted.
 
 use super::Simulation;
 use crate::event_queue::Event;
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 
 impl Simulation {
-    /// A timer of a server fires.
+    /// Runs a turn of a server if the wake-up that fires is the one that was scheduled last.
     pub(super) fn wake_up(&mut self, target: ServerIncarnation) {
         let now = self.now;
         if self.node_mut(target.server).take_wake_up(target, now) {
@@ -17,7 +17,7 @@
         }
     }
 
-    /// A line of the engine reaches its server.
+    /// Delivers a notice from the engine to its server.
     pub(super) fn receive_notice(&mut self, target: ServerIncarnation, line: &str) {
         let now = self.now;
         let process = self.node_mut(target.server).process_mut();
@@ -25,14 +25,14 @@
         self.run_turn(target.server);
     }
 
-    /// A datagram reaches a server.
+    /// Delivers a datagram to a server.
     pub(super) fn receive_datagram(&mut self, server: ServerId, sender: SocketAddr, bytes: &[u8]) {
         let now = self.now;
         self.node_mut(server).receive_datagram(now, sender, bytes);
         self.run_turn(server);
     }
 
-    /// A server settles what came, what it sends is carried on, and its next wake-up is scheduled.
+    /// Runs one turn of a server, transmits its output, and schedules its next wake-up.
     pub(super) fn run_turn(&mut self, server: ServerId) {
         let now = self.now;
         let target = self.node(server).incarnation();
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Schedules a line of the engine for its server.
+    /// Schedules the delivery of a notice from the engine to its server.
     pub(super) fn send_notice(&mut self, target: ServerIncarnation, line: String) {
         let due = self.now + LOCAL_DELAY;
         self.queue.push(due, Event::EngineNotice { target, line });
--- a/crates/simulation/src/simulation/upstream_calls.rs
+++ b/crates/simulation/src/simulation/upstream_calls.rs
@@ -1,4 +1,4 @@
-//! Calls from the servers to the backends, and the answers to them.
+//! Upstream calls from the servers to the backends, and the answers to them.
 
 use super::Simulation;
 use crate::event_queue::Event;
@@ -7,13 +7,14 @@
 use crate::upstream::{AcceptedCall, CallDisposition, UpstreamCall};
 
 impl Simulation {
-    /// Sends on what a server wrote to an upstream connection.
+    /// Sends the calls that a server has written to an upstream connection. Closes the connection if the server asked
+    /// for that.
     pub(super) fn transmit_calls(&mut self, server: ServerId, connection: u64) {
         let process = self.node_mut(server).process_mut();
         let Some(output) = process.take_upstream_output(connection) else {
             return;
         };
-        // Without selection of backends all calls go to the first one.
+        // Without backend selection, all calls go to the first backend.
         let backend = output.address.map_or(BackendId(0), network::backend_at);
         for request in output.text.lines().filter_map(parse_fetch) {
             self.send_call(server, connection, backend, request);
@@ -44,7 +45,7 @@
         process.close_connection(now, connection);
     }
 
-    /// A call arrives at a backend. It is lost if its connection was closed on the way.
+    /// Handles the arrival of a call at a backend. The call is lost if its connection was closed on the way.
     pub(super) fn handle_call_arrival(&mut self, backend: BackendId, call: UpstreamCall) {
         let target = call.caller;
         let connection = call.connection;
@@ -82,7 +83,7 @@
         }
     }
 
-    /// A backend is done with a call, and begins the next.
+    /// Completes a call at a backend, starts the next queued call, and sends the answer unless the call was abandoned.
     pub(super) fn handle_call_completion(&mut self, backend: BackendId, call_id: u64) {
         let completed = self.backends.complete(backend, call_id);
         if let Some(next) = self.backends.start_next(backend, &mut self.random) {
@@ -105,7 +106,7 @@
         self.queue.push(self.now + UPSTREAM_DELAY, reply);
     }
 
-    /// The answer to a call reaches its server.
+    /// Delivers the answer to a call to its server.
     pub(super) fn receive_reply(&mut self, target: ServerIncarnation, connection: u64, text: &str) {
         let now = self.now;
         let process = self.node_mut(target.server).process_mut();
@@ -113,7 +114,7 @@
         self.run_turn(target.server);
     }
 
-    /// A server learns that an upstream connection broke.
+    /// Notifies a server that an upstream connection broke.
     pub(super) fn connection_lost(&mut self, target: ServerIncarnation, connection: u64) {
         let now = self.now;
         let process = self.node_mut(target.server).process_mut();
@@ -122,7 +123,7 @@
     }
 }
 
-/// The request that a line to a backend calls for.
+/// Returns the request that a `FETCH` line names, or `None` for any other line.
 fn parse_fetch(line: &str) -> Option<&str> {
     let mut words = line.split_whitespace();
     words.next().filter(|word| *word == "FETCH")?;
--- a/crates/simulation/src/table.rs
+++ b/crates/simulation/src/table.rs
@@ -1,4 +1,4 @@
-//! A table of what a fleet achieves in each mix of faults, by the parts that are on.
+//! A table of the results of a fleet under each mix of faults, by the features that are on.
 
 use crate::features::Features;
 use crate::history::History;
@@ -14,12 +14,12 @@
 const COLUMNS: usize = 9;
 const HEADER: &str = "| servers, mix | on | kept in the trouble: search, quote, book | most below, of the budget | settles, s | bytes a \
                       second a server | unison | rules broken | ms of a core a server-second |";
-/// One backend for so many servers, between the bounds below.
+/// The number of servers per backend. The number of backends stays between the two bounds below.
 const SERVERS_PER_BACKEND: usize = 10;
 const MIN_BACKENDS: usize = 3;
 const MAX_BACKENDS: usize = 30;
 
-/// The sets of parts that are compared, with their names in the table.
+/// The sets of features that are compared, with their names in the table.
 const FEATURE_SETS: [(&str, Features); 6] = [
     ("off", Features::NONE),
     ("members", MEMBERSHIP),
@@ -52,15 +52,16 @@
     ..Features::NONE
 };
 
-/// A row that is to be measured.
+/// A row of the table that is to be measured.
 struct Job {
     mix: &'static str,
     feature_set: &'static str,
     history: History,
 }
 
-/// Measures all mixes whose names contain `mix_filter` on a fleet of this size, so many simulations at a time, and
-/// returns the table as Markdown. The last column is time that passed, and differs from run to run.
+/// Measures all mixes whose names contain `mix_filter` on a fleet of `servers` servers, with `simulations_at_a_time`
+/// simulations in parallel, and returns the table as Markdown. The last column is elapsed real time, and differs from
+/// run to run.
 pub fn fault_mix_table(servers: usize, simulations_at_a_time: usize, mix_filter: &str) -> String {
     let jobs = jobs(servers, mix_filter);
     let next_job = AtomicUsize::new(0);
@@ -74,12 +75,12 @@
                         return;
                     };
                     let row = job.measure();
-                    rows.lock().expect("no measurement panics")[index] = row;
+                    rows.lock().expect("no simulation panics")[index] = row;
                 }
             });
         }
     });
-    let rows = rows.into_inner().expect("no measurement panics").join("\n");
+    let rows = rows.into_inner().expect("no simulation panics").join("\n");
     format!("{HEADER}\n|{}\n{rows}", " --- |".repeat(COLUMNS))
 }
 
@@ -101,7 +102,7 @@
 }
 
 impl Job {
-    /// Runs the simulation. Returns its row of the table.
+    /// Runs the simulation and returns its row of the table.
     fn measure(&self) -> String {
         let started_at = Instant::now();
         let report = simulate(&self.history, SEED);
@@ -128,7 +129,7 @@
         )
     }
 
-    /// Seconds until the views agreed, if there are any and they did.
+    /// Returns the seconds until the views agreed, or `-` without membership or if they did not agree.
     fn convergence(&self, report: &SimulationReport) -> String {
         match report.convergence_s {
             Some(seconds) if self.history.features.membership => format!("{seconds:.0}"),
@@ -137,9 +138,9 @@
     }
 }
 
-/// The fraction of each handler's requests that were answered in time while there were faults.
+/// Returns the fraction of each handler's requests that were answered in time while there were faults.
 fn fractions_during_faults(report: &SimulationReport) -> [f64; Handler::COUNT] {
     let [first, last] = [FIRST_FAULT_MS, LAST_FAULT_MS].map(|ms| (ms / 1_000) as usize);
-    // An answer may come in a later second than its request.
+    // An answer may arrive in a later second than its request, which can make the fraction exceed 1.
     fractions_in_time(&report.rows[first..last]).map(|fraction| fraction.min(1.0))
 }
--- a/crates/simulation/src/upstream.rs
+++ b/crates/simulation/src/upstream.rs
@@ -1,7 +1,8 @@
-//! What the simulated servers call: an execution engine beside each server and the backends that all of them share.
+//! The simulated dependencies of the servers: an execution engine for each server, and the backends that all servers
+//! share.
 //!
-//! Nothing here knows the fleet or the event queue. Callers pass in the time and the source of random numbers and
-//! schedule what comes back.
+//! These modules depend on neither the fleet nor the event queue. Callers pass in the time and the random number
+//! generator, and schedule the resulting events.
 
 mod backend;
 mod backend_set;
--- a/crates/simulation/src/upstream/backend.rs
+++ b/crates/simulation/src/upstream/backend.rs
@@ -1,4 +1,4 @@
-//! One simulated backend: it works on a fixed number of calls at a time, and other calls wait in a queue.
+//! One simulated backend. It processes a fixed number of calls at a time, and other calls wait in a queue.
 
 use crate::fault::BackendFault;
 use crate::ids::ServerIncarnation;
@@ -6,36 +6,36 @@
 use oorandom::Rand64;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The part of a call's time that does not vary.
+/// The fraction of the mean call time that is constant. The rest is exponentially distributed.
 const FIXED_TIME_FRACTION: f64 = 0.5;
 
-/// A call of a server to a backend.
+/// A call from a server to a backend.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct UpstreamCall {
     pub(crate) caller: ServerIncarnation,
-    /// The number of the caller's connection that carries the call.
+    /// The id of the caller's connection that carries the call.
     pub(crate) connection: u64,
     pub(crate) request: String,
     pub(crate) has_idempotency_key: bool,
 }
 
-/// What a backend does with a call that arrives.
+/// What a backend does with an arriving call.
 pub(crate) enum CallDisposition {
-    /// It works on the call for this long.
+    /// The backend processes the call for this time.
     Running(Duration),
-    /// The call waits, perhaps for ever.
+    /// The call waits for a free slot, or forever if the backend never answers.
     Waiting,
-    /// It answers at once that the call failed.
+    /// The backend answers at once that the call failed.
     Failed,
 }
 
-/// A call that a backend began to work on, and how long it takes.
+/// A call that a backend has started to process, and the time that this takes.
 pub(crate) struct StartedCall {
     pub(crate) call_id: u64,
     pub(crate) duration: Duration,
 }
 
-/// Owns the calls at one backend. Call ids are given by the caller and grow.
+/// The calls at one backend. The caller assigns call ids in ascending order.
 pub(crate) struct Backend {
     fault: Option<BackendFault>,
     slots: usize,
@@ -47,7 +47,7 @@
 }
 
 impl Backend {
-    /// A healthy backend that works on `slots` calls at a time, each of `mean_call` on average.
+    /// Creates a healthy backend that processes `slots` calls at a time, each taking `mean_call` on average.
     pub(crate) fn new(slots: usize, mean_call: Duration) -> Backend {
         Backend {
             fault: None,
@@ -60,22 +60,22 @@
         }
     }
 
-    /// Whether connections to it break.
+    /// Reports whether the backend is down, so that connections to it break.
     pub(crate) fn is_down(&self) -> bool {
         self.fault == Some(BackendFault::Down)
     }
 
-    /// Sets or clears its fault. Calls that are at the backend stay there.
+    /// Sets or clears the backend's fault. Calls that are already at the backend stay there.
     pub(crate) fn set_fault(&mut self, fault: Option<BackendFault>) {
         self.fault = fault;
     }
 
-    /// How often each request with an idempotency key was called to the end here, by request.
+    /// Returns how many calls of each request with an idempotency key were completed at this backend.
     pub(crate) fn keyed_completions(&self) -> &BTreeMap<String, u32> {
         &self.keyed_completions
     }
 
-    /// The calls that wait or are worked on, in the order of their ids.
+    /// Returns the calls that are waiting or in progress, in ascending order of their ids.
     pub(crate) fn calls(&self) -> impl Iterator<Item = &UpstreamCall> {
         self.calls.values()
     }
@@ -90,7 +90,7 @@
         Duration::from_secs_f64(self.mean_call_s * slowdown * time)
     }
 
-    /// A call arrives.
+    /// Accepts an arriving call and decides whether it fails, waits or starts.
     pub(crate) fn accept(
         &mut self,
         call_id: u64,
@@ -113,7 +113,8 @@
         }
     }
 
-    /// The time of a call is over and its slot free. Returns the call, unless it was abandoned meanwhile.
+    /// Frees the slot of a call whose processing time has passed. Returns the call unless it was abandoned in the
+    /// meantime.
     pub(crate) fn complete(&mut self, call_id: u64) -> Option<UpstreamCall> {
         self.busy_slots = self.busy_slots.saturating_sub(1);
         let call = self.calls.remove(&call_id)?;
@@ -124,7 +125,7 @@
         Some(call)
     }
 
-    /// Begins to work on the next call in the queue that was not abandoned.
+    /// Starts the next queued call that was not abandoned.
     pub(crate) fn start_next(&mut self, random: &mut Rand64) -> Option<StartedCall> {
         while let Some(call_id) = self.queue.pop_front() {
             if self.calls.contains_key(&call_id) {
@@ -136,8 +137,8 @@
         None
     }
 
-    /// Forgets the calls that `is_abandoned` names, and returns their number. A slot that one of them uses stays busy
-    /// until its time is over.
+    /// Removes the calls that `is_abandoned` selects, and returns their number. A slot that one of them uses stays busy
+    /// until the processing time of the call has passed.
     pub(crate) fn abandon(&mut self, is_abandoned: impl Fn(&UpstreamCall) -> bool) -> u32 {
         let before = self.calls.len();
         self.calls.retain(|_, call| !is_abandoned(call));
--- a/crates/simulation/src/upstream/backend_set.rs
+++ b/crates/simulation/src/upstream/backend_set.rs
@@ -1,4 +1,4 @@
-//! The backends of the fleet, and the calls that the fleet has in flight at them.
+//! The backends that the fleet shares, and its calls in flight at them.
 
 use super::{Backend, CallDisposition, StartedCall, UpstreamCall};
 use crate::fault::BackendFault;
@@ -7,9 +7,9 @@
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 
-/// Calls that each backend works on at a time.
+/// The number of calls that each backend processes at a time.
 const SLOTS_PER_BACKEND: usize = 40;
-/// The mean time of a call.
+/// The mean processing time of a call at a healthy backend.
 const MEAN_CALL_TIME: Duration = Duration::from_millis(25);
 
 /// The outcome of a call's arrival at a backend.
@@ -18,7 +18,7 @@
     pub(crate) disposition: CallDisposition,
 }
 
-/// Owns the backends. Call ids are unique over all of them.
+/// All backends of the fleet. Call ids are unique across them.
 pub(crate) struct BackendSet {
     backends: Vec<Backend>,
     calls_in_flight: u32,
@@ -26,7 +26,7 @@
 }
 
 impl BackendSet {
-    /// So many healthy backends.
+    /// Creates `backends` healthy backends.
     pub(crate) fn new(backends: usize) -> BackendSet {
         let healthy = |_| Backend::new(SLOTS_PER_BACKEND, MEAN_CALL_TIME);
         BackendSet {
@@ -36,17 +36,17 @@
         }
     }
 
-    /// Calls that wait at a backend or are worked on.
+    /// Returns the number of calls that are waiting or in progress at the backends.
     pub(crate) fn calls_in_flight(&self) -> u32 {
         self.calls_in_flight
     }
 
-    /// Whether connections to a backend break.
+    /// Reports whether a backend is down, so that connections to it break.
     pub(crate) fn is_down(&self, backend: BackendId) -> bool {
         self.backends[backend.0].is_down()
     }
 
-    /// A call arrives. One that does not fail at once is in flight.
+    /// Accepts a call at a backend. A call that does not fail at once is in flight.
     pub(crate) fn accept(
         &mut self,
         backend: BackendId,
@@ -65,14 +65,14 @@
         }
     }
 
-    /// The time of a call is over. Returns the call, unless it was abandoned meanwhile.
+    /// Completes a call whose processing time has passed. Returns the call unless it was abandoned in the meantime.
     pub(crate) fn complete(&mut self, backend: BackendId, call_id: u64) -> Option<UpstreamCall> {
         let call = self.backends[backend.0].complete(call_id)?;
         self.calls_in_flight -= 1;
         Some(call)
     }
 
-    /// Begins to work on the next call that waits at a backend.
+    /// Starts the next queued call at a backend.
     pub(crate) fn start_next(
         &mut self,
         backend: BackendId,
@@ -81,12 +81,12 @@
         self.backends[backend.0].start_next(random)
     }
 
-    /// A connection was closed: its calls are abandoned.
+    /// Abandons the calls of a closed connection.
     pub(crate) fn abandon_connection(&mut self, caller: ServerIncarnation, connection: u64) {
         self.abandon(|call| call.caller == caller && call.connection == connection);
     }
 
-    /// A server was killed: its calls are abandoned.
+    /// Abandons the calls of a killed server.
     pub(crate) fn abandon_caller(&mut self, caller: ServerIncarnation) {
         self.abandon(|call| call.caller == caller);
     }
@@ -97,7 +97,8 @@
         }
     }
 
-    /// Sets or clears the fault of a backend. Where that ends the calls there without an answer, they are returned.
+    /// Sets or clears the fault of a backend. If the backend goes down or its fault is cleared, its calls end without
+    /// an answer and are returned.
     pub(crate) fn set_fault(
         &mut self,
         backend: BackendId,
@@ -113,7 +114,7 @@
         lost
     }
 
-    /// How often each request with an idempotency key was called to the end, at all backends together.
+    /// Returns how many calls of each request with an idempotency key were completed, across all backends.
     pub(crate) fn keyed_completions(&self) -> BTreeMap<&str, u32> {
         let mut completions: BTreeMap<&str, u32> = BTreeMap::new();
         for (request, count) in self.backends.iter().flat_map(Backend::keyed_completions) {
--- a/crates/simulation/src/upstream/engine.rs
+++ b/crates/simulation/src/upstream/engine.rs
@@ -3,9 +3,9 @@
 use madderbay::time::{Duration, Timestamp};
 use std::collections::BTreeMap;
 
-/// A run counts as having reached a point when less than this many core seconds are missing.
+/// A run has reached a point when no more than this many core seconds are missing.
 const WORK_TOLERANCE_S: f64 = 1e-7;
-/// Added to a computed instant, because timestamps are cut to whole microseconds.
+/// Added to a computed instant, because timestamps are truncated to whole microseconds.
 const ROUNDING_MARGIN: Duration = Duration::from_micros(2);
 /// The fraction of its work after which a run needs the answer of its upstream call.
 const CALL_POINT_FRACTION: f64 = 0.5;
@@ -13,21 +13,22 @@
 /// One run of a request.
 struct Run {
     remaining_s: f64,
-    /// The remaining work at which the run stops for its upstream call; none without a call or after it.
+    /// The remaining work at which the run pauses for its upstream call. `None` for a run without a call, and once the
+    /// call is requested.
     call_at_remaining_s: Option<f64>,
     is_on_core: bool,
     started_at: Timestamp,
 }
 
-/// What a run reached.
+/// A point that a run has reached.
 pub(crate) enum EngineEvent {
-    /// The run waits for the answer of its upstream call.
+    /// The run needs its upstream call and waits for the answer.
     NeedsCall { request: String },
     /// The run is complete.
     Finished { request: String, run_time: Duration },
 }
 
-/// Owns the runs of one server and the work that each still needs. It does not know what a run is for.
+/// The runs on one engine and the remaining work of each. The engine does not know what a run computes.
 pub(crate) struct Engine {
     cores: f64,
     slowdown: f64,
@@ -37,7 +38,7 @@
 }
 
 impl Engine {
-    /// An engine without runs.
+    /// Creates an engine without runs.
     pub(crate) fn new(now: Timestamp, cores: f64) -> Engine {
         Engine {
             cores,
@@ -48,30 +49,30 @@
         }
     }
 
-    /// Makes all work take this many times as long.
+    /// Makes all work take `slowdown` times as long.
     pub(crate) fn set_slowdown(&mut self, slowdown: f64) {
         self.slowdown = slowdown;
     }
 
-    /// The serial number of the next notice to the server.
+    /// Allocates the serial number of the next notice to the server.
     pub(crate) fn next_serial(&mut self) -> u64 {
         self.serial += 1;
         self.serial
     }
 
-    /// The number of runs that use a core or wait for their share of one.
+    /// Returns the number of runs that use a core or wait for their share of one.
     pub(crate) fn runs_on_cores(&self) -> usize {
         self.runs.values().filter(|run| run.is_on_core).count()
     }
 
-    /// Core seconds of work that each run gets done in a second.
+    /// Returns the core seconds of work that each run completes per second.
     fn speed_per_run(&self) -> f64 {
         let runs = self.runs_on_cores().max(1);
         (self.cores / runs as f64).min(1.0) / self.slowdown
     }
 
-    /// Works up to `now`. Returns the runs that need a call, then those that finished, each in the order of their
-    /// names.
+    /// Advances all runs to `now`. Returns the runs that need a call, then those that finished, each in the order of
+    /// their requests.
     pub(crate) fn advance(&mut self, now: Timestamp) -> Vec<EngineEvent> {
         let work_s = (now - self.advanced_to).as_secs_f64() * self.speed_per_run();
         self.advanced_to = now;
@@ -97,7 +98,8 @@
         events
     }
 
-    /// When the next run needs a call or finishes, if nothing changes before.
+    /// Returns when the next run needs a call or finishes, provided that the set of runs and the slowdown stay the same
+    /// until then.
     pub(crate) fn next_deadline(&self) -> Option<Timestamp> {
         let on_cores = self.runs.values().filter(|run| run.is_on_core);
         let least_s = on_cores
@@ -107,7 +109,7 @@
         Some(self.advanced_to + wait + ROUNDING_MARGIN)
     }
 
-    /// Starts a run of so many core seconds. A run of the same request that is under way stays as it is.
+    /// Starts a run of `work_s` core seconds. Has no effect if the request already has a run.
     pub(crate) fn start(&mut self, now: Timestamp, request: &str, work_s: f64, makes_call: bool) {
         let run = Run {
             remaining_s: work_s,
@@ -118,14 +120,14 @@
         self.runs.entry(request.into()).or_insert(run);
     }
 
-    /// Goes on with a run whose call was answered or skipped.
+    /// Resumes a run whose call was answered or skipped.
     pub(crate) fn resume(&mut self, request: &str) {
         if let Some(run) = self.runs.get_mut(request) {
             run.is_on_core = true;
         }
     }
 
-    /// Ends a run early. Returns when it had started; none if there is no such run.
+    /// Cancels a run. Returns the time at which it started, or `None` if there is no such run.
     pub(crate) fn cancel(&mut self, request: &str) -> Option<Timestamp> {
         self.runs.remove(request).map(|run| run.started_at)
     }
--- a/crates/simulation/src/upstream/engine/tests.rs
+++ b/crates/simulation/src/upstream/engine/tests.rs
@@ -6,7 +6,7 @@
     Timestamp::from_micros(ms * 1_000)
 }
 
-/// The requests whose runs finish by then.
+/// Returns the requests whose runs finish by `now`.
 fn finished_by(engine: &mut Engine, now: Timestamp) -> Vec<String> {
     let events = engine.advance(now).into_iter();
     events
--- a/crates/simulation/src/upstream/engine_notices.rs
+++ b/crates/simulation/src/upstream/engine_notices.rs
@@ -1,25 +1,25 @@
-//! The lines between a server and its engine, as far as the simulated engine speaks them.
+//! The part of the line protocol between a server and its engine that the simulated engine implements.
 
 use crate::workload::Handler;
 use madderbay::time::Duration;
 use serde_json::Value;
 
-/// A command of a server to its engine.
+/// A command from a server to its engine.
 pub(crate) enum EngineCommand {
-    /// The server is there.
+    /// Announces the server to the engine.
     Attach,
-    /// It asks for the engine's figures; the answer carries the cookie.
+    /// Asks for the engine's load figures. The answer repeats the cookie.
     Status { cookie: String },
-    /// A request is to be run.
+    /// Starts a run of a request.
     Run { request: String, handler: Handler },
-    /// The upstream call of a run was answered or skipped.
+    /// Resumes a run whose upstream call was answered or skipped.
     Resume { request: String },
-    /// A run is to end at once.
+    /// Ends a run at once.
     Halt { request: String },
 }
 
 impl EngineCommand {
-    /// Reads a line; none if it says nothing that the simulated engine reacts to.
+    /// Parses a line. Returns `None` for a line that the simulated engine ignores.
     pub(crate) fn parse(line: &str) -> Option<EngineCommand> {
         let members: Value = serde_json::from_str(line).unwrap_or_default();
         let text = |member: &str| members[member].as_str().unwrap_or_default().to_string();
@@ -41,17 +41,17 @@
     }
 }
 
-/// A notice of an engine to its server.
+/// A notice from an engine to its server.
 pub(crate) enum EngineNotice<'a> {
-    /// The engine is there.
+    /// Announces the engine to the server.
     Hello,
-    /// Its figures.
+    /// The engine's load figures.
     Status {
         cookie: &'a str,
         core_use: f64,
         runs_on_cores: usize,
     },
-    /// A run waits for its upstream call.
+    /// A run needs its upstream call and waits for the answer.
     NeedsCall { serial: u64, request: &'a str },
     /// A run is complete.
     Finished {
@@ -59,7 +59,7 @@
         request: &'a str,
         run_time: Duration,
     },
-    /// A run was ended early.
+    /// A run was halted before it was complete.
     Halted {
         serial: u64,
         request: &'a str,
@@ -68,7 +68,7 @@
 }
 
 impl EngineNotice<'_> {
-    /// The line that the engine sends.
+    /// Formats the notice as the line that the engine sends.
     pub(crate) fn to_line(&self) -> String {
         match self {
             EngineNotice::Hello => {
--- a/crates/simulation/src/workload.rs
+++ b/crates/simulation/src/workload.rs
@@ -1,20 +1,20 @@
-//! What the simulated clients ask for, and the settings that the servers run with.
+//! The requests of the simulated clients, and the settings of the servers.
 
 use madderbay::interface::HandlerId;
 use madderbay::time::Duration;
 use madderbay_settings::Settings;
 use oorandom::Rand64;
 
-/// Cores of each server's engine; the settings below name the same number.
+/// Cores of each server's engine. The settings below have the same number.
 pub(crate) const ENGINE_CORES: f64 = 2.0;
 /// Clients give up on a request after this time.
 pub(crate) const CLIENT_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// The longest time that an upstream call is waited for.
+/// The longest time that a server waits for an upstream call.
 pub(crate) const MAX_CALL_TIME: Duration = Duration::from_millis(1_500);
 /// Bytes of results that a server caches for retries.
 pub(crate) const RESULT_CACHE_BYTES: usize = 1 << 20;
 
-/// The settings of every server; `SERVERS` stands for their number.
+/// The settings of every server. `SERVERS` is replaced by the number of servers.
 const SETTINGS: &str = r#"{"classes": [
  {"name": "search", "aim_us": 2000000, "hard_limit_us": 4000000, "importance": 1.0, "effect": "read_like"},
  {"name": "quote", "aim_us": 1500000, "hard_limit_us": 4000000, "importance": 1.0, "effect": "read_like"},
@@ -29,45 +29,45 @@
  "permissions": {"retry_after": true, "max_retry_after_us": 1000000},
  "rules": {"tip_multiple": 20.0, "drain_grace_us": 2000000}, "servers": SERVERS}"#;
 
-/// The settings of a fleet of this size.
+/// Returns the settings of the servers in a fleet of `servers`.
 pub(crate) fn settings(servers: usize) -> Settings {
     let text = SETTINGS.replace("SERVERS", &servers.to_string());
     madderbay_settings::read(text.as_bytes()).expect("the simulation's own settings are valid")
 }
 
-/// The kinds of requests.
+/// The handlers of the simulated servers, one for each kind of request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Handler {
-    /// May run again, and may go without its upstream call.
+    /// May run more than once, and its upstream call is optional.
     Search,
-    /// Calls nothing.
+    /// Makes no upstream call.
     Quote,
-    /// Carries an idempotency key, and must run and call only once.
+    /// Has an idempotency key, and must run and call upstream only once.
     Booking,
 }
 
 impl Handler {
-    /// How many there are.
+    /// The number of handlers.
     pub const COUNT: usize = 3;
 
-    /// All of them, in the order of the settings.
+    /// All handlers, in the order of the settings.
     pub const ALL: [Handler; Handler::COUNT] = [Handler::Search, Handler::Quote, Handler::Booking];
 
-    /// Those that call upstream.
+    /// The handlers that make an upstream call.
     pub(crate) const CALLING_UPSTREAM: [HandlerId; 2] =
         [Handler::Search.id(), Handler::Booking.id()];
 
-    /// Its index in the settings and in the counts of a [`SecondRow`](crate::SecondRow).
+    /// Returns the index of the handler in the settings and in the counts of a [`SecondRow`](crate::SecondRow).
     pub const fn index(self) -> usize {
         self as usize
     }
 
-    /// Its id for the server's parts.
+    /// Returns the id of the handler in the server's modules.
     pub(crate) const fn id(self) -> HandlerId {
         HandlerId::new(self.index())
     }
 
-    /// Its name in requests.
+    /// Returns the name of the handler in requests.
     pub const fn name(self) -> &'static str {
         match self {
             Handler::Search => "search",
@@ -90,7 +90,7 @@
         self == Handler::Booking
     }
 
-    /// The fraction of all requests that are for it.
+    /// Returns the fraction of all requests that are for this handler.
     fn fraction_of_requests(self) -> f64 {
         match self {
             Handler::Search => 0.35,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Draws the handler of a request.
+    /// Draws the handler of a request at random.
     pub(crate) fn draw(random: &mut Rand64) -> Handler {
         let mut remaining_fraction = random.rand_float();
         let is_picked = |handler: &Handler| {
@@ -117,7 +117,7 @@
         picked.unwrap_or(Handler::Booking)
     }
 
-    /// Draws the work of a run, in core seconds.
+    /// Draws the work of a run at random, in core seconds.
     pub(crate) fn draw_work_s(self, random: &mut Rand64) -> f64 {
         self.mean_work_ms() / 1e3 * (0.5 + random.rand_float())
     }
@@ -125,16 +125,16 @@
 
 /// A request as its client sends it.
 pub(crate) struct ClientRequest<'a> {
-    /// The number that its answer carries.
+    /// The JSON-RPC id, which the answer repeats.
     pub(crate) id: u64,
     pub(crate) handler: Handler,
-    /// The reference by which the engine and the backends know it, 16 hexadecimal digits.
+    /// Identifies the request at the engine and the backends; 16 hexadecimal digits.
     pub(crate) reference: &'a str,
     pub(crate) sent_unix_ms: u64,
 }
 
 impl ClientRequest<'_> {
-    /// The line that the client sends.
+    /// Formats the request as the line that the client sends.
     pub(crate) fn to_line(&self) -> String {
         let ClientRequest { id, reference, .. } = self;
         let key = if self.handler.has_idempotency_key() {
--- a/crates/simulation/tests/known_defects.rs
+++ b/crates/simulation/tests/known_defects.rs
@@ -1,4 +1,4 @@
-//! Each known defect violates the invariant that guards against it, without the defect nothing is violated, and the
+//! Each known defect violates the invariant that guards against it. Without the defect nothing is violated, and the
 //! history with the defect can be shrunk.
 
 mod support;
@@ -17,7 +17,8 @@
     violations.any(|violation| violation.invariant == invariant)
 }
 
-/// Checks that the invariant is violated with the defect and nothing without it, and that the history can be shrunk.
+/// Asserts that the invariant is violated with the defect, that nothing is violated without it, and that the history
+/// can be shrunk.
 fn assert_detected(defect: Defect, invariant: Invariant, defect_free: &History) {
     assert_eq!(
         simulate(defect_free, SEED).violations,
@@ -45,7 +46,7 @@
         .collect()
 }
 
-/// Changes the load of all servers, of every second one to another value.
+/// Sets the load of each second server to `even`, beginning with the first, and of the others to `odd`.
 fn uneven_load(at_ms: u64, even: f64, odd: f64) -> impl Iterator<Item = ScheduledFault> {
     (0..6).map(move |index| {
         let server = ServerId(index);
@@ -68,7 +69,8 @@
 
 #[test]
 fn detects_lease_terms_shorter_than_calls() {
-    // Half of the servers work, with quota leased from the others, which want their own back in the middle of a cut.
+    // Half of the servers are busy, with quota leased from the others, which reclaim their own quota during a
+    // partition.
     let mut faults = all_backends(BackendFault::Slow { factor: 30.0 });
     faults.extend(uneven_load(6_000, 5.0, 0.05));
     faults.push(ScheduledFault::new(12_000, Fault::PartitionHalves));
@@ -93,7 +95,7 @@
 fn detects_unbounded_retries() {
     let history = History {
         seconds: 20,
-        // Concurrency limits, which follow the backends, would let few calls go at all.
+        // Concurrency limits adapt to the backends, and would admit only a few calls.
         features: Features {
             backends: true,
             ..Features::NONE
--- a/crates/simulation/tests/support/mod.rs
+++ b/crates/simulation/tests/support/mod.rs
@@ -1,8 +1,8 @@
-//! What the tests of simulations share.
+//! Helpers shared by the simulation tests.
 
 use madderbay_simulation::{History, SecondRow};
 
-/// A fleet that settles from a single fault within its 36 seconds.
+/// A fleet whose views converge within its 36 seconds after a single fault.
 pub(crate) fn small_fleet() -> History {
     History {
         servers: 6,
@@ -15,7 +15,7 @@
     }
 }
 
-/// The fraction of all requests in these rows that were answered in time.
+/// Returns the fraction of all requests in these rows that were answered in time.
 #[allow(
     dead_code,
     reason = "each test program has this module, and not all need this"
