--- a/crates/simulation/src/cli/search.rs
+++ b/crates/simulation/src/cli/search.rs
@@ -1,4 +1,4 @@
-//! Looks for drawn histories that violate an invariant.
+//! Searches for random histories that violate an invariant.
 
 use super::arguments::SearchArguments;
 use super::error::CommandError;
@@ -8,30 +8,30 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A history that violates an invariant.
+/// The seed of a history that violates an invariant, and the violation.
 struct Finding {
     seed: u64,
     summary: String,
 }
 
-/// The history in which the fewest requests were answered in time.
-struct Worst {
+/// The seed of the history in which the fewest requests were answered in time.
+struct WorstHistory {
     seed: u64,
-    /// The fractions of all handlers, added up.
+    /// The fraction of requests answered in time, summed over the handlers.
     answered_in_time: f64,
 }
 
-/// Owns what the simulations found so far.
+/// What the simulations have found so far.
 struct SearchState {
     findings: Vec<Finding>,
-    worst: Worst,
+    worst: WorstHistory,
 }
 
 impl SearchState {
     fn new() -> SearchState {
         SearchState {
             findings: vec![],
-            worst: Worst {
+            worst: WorstHistory {
                 seed: 0,
                 answered_in_time: f64::INFINITY,
             },
@@ -41,7 +41,7 @@
     fn add(&mut self, seed: u64, report: &SimulationReport) {
         let answered_in_time = report.fractions_in_time().iter().sum();
         if answered_in_time < self.worst.answered_in_time {
-            self.worst = Worst {
+            self.worst = WorstHistory {
                 seed,
                 answered_in_time,
             };
@@ -52,7 +52,7 @@
     }
 }
 
-/// The first violation and the number of all; none without any.
+/// Describes the first violation and the number of all violations. Returns `None` if there are none.
 fn summarize(report: &SimulationReport) -> Option<String> {
     let first = report.violations.first()?;
     let count = report.violations.len();
@@ -61,11 +61,11 @@
     Some(format!("{invariant}: {detail} ({count} in all)"))
 }
 
-/// Plays the drawn histories, prints what was found, and writes each history that violates an invariant.
+/// Simulates the random histories, prints what was found, and writes each history that violates an invariant.
 pub(crate) fn search(arguments: &SearchArguments) -> Result<CommandOutcome, CommandError> {
-    // Wrong arguments are found here, before any simulation.
+    // Reports invalid arguments before any simulation starts.
     arguments.draw.draw(arguments.first_seed)?;
-    let mut state = play_all(arguments);
+    let mut state = simulate_all(arguments);
     state.findings.sort_by_key(|finding| finding.seed);
     println!(
         "{} histories of {} servers, {} faults each: {} broken",
@@ -76,22 +76,26 @@
     );
     println!("least kept: seed {}", state.worst.seed);
     write_findings(arguments, &state.findings)?;
-    Ok(CommandOutcome::of_violations(state.findings.len()))
+    Ok(CommandOutcome::from_violation_count(state.findings.len()))
 }
 
-fn play_all(arguments: &SearchArguments) -> SearchState {
+fn simulate_all(arguments: &SearchArguments) -> SearchState {
     let next_seed = AtomicU64::new(arguments.first_seed);
     let state = Mutex::new(SearchState::new());
     std::thread::scope(|scope| {
         for _ in 0..arguments.simulations_at_a_time.max(1) {
-            scope.spawn(|| play_remaining(arguments, &next_seed, &state));
+            scope.spawn(|| simulate_remaining(arguments, &next_seed, &state));
         }
     });
     state.into_inner().expect("no simulation panics")
 }
 
-/// Plays histories until there are no more seeds.
-fn play_remaining(arguments: &SearchArguments, next_seed: &AtomicU64, state: &Mutex<SearchState>) {
+/// Simulates histories until no seeds are left.
+fn simulate_remaining(
+    arguments: &SearchArguments,
+    next_seed: &AtomicU64,
+    state: &Mutex<SearchState>,
+) {
     let end = arguments.first_seed + arguments.count;
     loop {
         let seed = next_seed.fetch_add(1, Ordering::Relaxed);
--- a/crates/simulation/src/history/tests.rs
+++ b/crates/simulation/src/history/tests.rs
@@ -7,30 +7,30 @@
 }
 
 #[test]
-fn parses_what_it_writes() {
+fn a_written_history_parses_to_the_same_history() {
     for seed in 0..50 {
-        let drawn = History::default().with_drawn_faults(seed, 20);
-        assert_eq!(History::parse("x", &drawn.to_string()), Ok(drawn));
+        let generated = History::default().with_random_faults(seed, 20);
+        assert_eq!(History::parse("x", &generated.to_string()), Ok(generated));
     }
 }
 
 #[test]
-fn names_the_line_and_the_word_that_is_wrong() {
+fn errors_name_the_line_and_the_invalid_word() {
     assert_eq!(
         error_of("servers 3\n@5 kill n4\n"),
-        "x: 'kill n4' names a server or a backend that there is not"
+        "x: 'kill n4' names a server or backend that does not exist"
     );
-    assert_eq!(error_of("@5 jump\n"), "x:1: no such deed 'jump'");
-    assert_eq!(error_of("\nparts all\n"), "x:2: no such part all");
-    assert_eq!(error_of("rate\n"), "x:1: a number is wanted");
-    assert_eq!(error_of("rate fast\n"), "x:1: 'fast' is no number");
-    assert_eq!(error_of("@5 kill\n"), "x:1: a server is wanted");
-    assert_eq!(error_of("@5 kill n0\n"), "x:1: no such server n0");
-    assert_eq!(error_of("speed 5\n"), "x:1: no such line speed");
-    assert_eq!(error_of("plant none\n"), "x:1: no such fault none");
+    assert_eq!(error_of("@5 jump\n"), "x:1: unknown fault 'jump'");
+    assert_eq!(error_of("\nparts all\n"), "x:2: unknown part 'all'");
+    assert_eq!(error_of("rate\n"), "x:1: expected a number");
+    assert_eq!(error_of("rate fast\n"), "x:1: invalid number 'fast'");
+    assert_eq!(error_of("@5 kill\n"), "x:1: expected the name of a server");
+    assert_eq!(error_of("@5 kill n0\n"), "x:1: invalid server name 'n0'");
+    assert_eq!(error_of("speed 5\n"), "x:1: unknown keyword 'speed'");
+    assert_eq!(error_of("plant none\n"), "x:1: unknown defect 'none'");
     assert_eq!(
         error_of("@5 backend 1 odd\n"),
-        "x:1: a backend is not 'odd'"
+        "x:1: unknown backend state 'odd'"
     );
 }
 
@@ -60,9 +60,9 @@
             server: third,
             factor: 2.0,
         },
-        Fault::Halves,
+        Fault::PartitionHalves,
         Fault::Isolate(server),
-        Fault::OneWay(other),
+        Fault::BlockOutgoing(other),
         Fault::Heal,
         Fault::Datagrams(DatagramFaults {
             loss: 0.1,
@@ -70,7 +70,7 @@
             corruption: 0.3,
             max_delay_ms: 40,
         }),
-        Fault::Calm,
+        Fault::ClearDatagramFaults,
         Fault::Load {
             server,
             factor: 2.0,
@@ -83,9 +83,9 @@
     ]
 }
 
-/// Histories on disk have these words.
+/// Stored histories use these words and must stay readable.
 #[test]
-fn text_keeps_the_words_of_earlier_histories() {
+fn text_format_is_stable() {
     let text = "servers 3\nbackends 2\nzones 1\nseconds 9\nrate 2.5\nwhole 8\nparts members shared routes pools\n\
         plant answers\n@1 kill n1\n@2 start n1\n@3 stop n2\n@4 continue n2\n@5 slow n3 2\n@6 halves\n@7 alone n1\n\
         @8 oneway n2\n@9 heal\n@10 net 0.1 0.2 0.3 40\n@11 calm\n@12 load n1 2\n@13 backend 0 silent\n\
@@ -108,9 +108,9 @@
     assert_eq!(History::parse("x", text), Ok(history));
 }
 
-/// Reports and the program's own table have these names.
+/// Reports and the program's own table use these names.
 #[test]
-fn defects_keep_their_names() {
+fn defect_names_are_stable() {
     let names = Defect::ALL.map(Defect::name);
     assert_eq!(names, ["answers", "runs", "terms", "repeats", "suspicion"]);
 }
--- a/crates/simulation/src/simulation/faults.rs
+++ b/crates/simulation/src/simulation/faults.rs
@@ -7,13 +7,14 @@
 use crate::ids::{BackendId, ServerId};
 use crate::network::UPSTREAM_DELAY;
 
-/// The least factor by which an engine is slowed down.
+/// The smallest slowdown factor of an engine. A smaller factor in a history is raised to it.
 const MIN_SLOWDOWN: f64 = 0.1;
 
 impl Simulation {
-    /// Injects a fault now. One that the state of its server rules out changes nothing.
+    /// Injects a fault at the current time. A fault that does not apply in the state of its server, such as the kill of
+    /// a server that is down, has no effect on the fleet.
     pub(super) fn inject(&mut self, fault: Fault) {
-        self.settling.fault_injected(self.now);
+        self.convergence.record_fault(self.now);
         match fault {
             Fault::Kill(server) => self.kill(server),
             Fault::Start(server) => self.start(server),
@@ -22,12 +23,12 @@
             Fault::SlowEngine { server, factor } => self.slow_engine(server, factor),
             Fault::Backend { backend, fault } => self.set_backend_fault(backend, fault),
             Fault::Load { server, factor } => self.node_mut(server).set_load(factor),
-            Fault::Halves
+            Fault::PartitionHalves
             | Fault::Isolate(_)
-            | Fault::OneWay(_)
+            | Fault::BlockOutgoing(_)
             | Fault::Heal
             | Fault::Datagrams(_)
-            | Fault::Calm => self.network.inject(fault),
+            | Fault::ClearDatagramFaults => self.network.inject(fault),
         }
     }
 
@@ -64,13 +65,13 @@
         let node = self.node_mut(server);
         let engine = node.process_mut().engine_mut();
         engine.set_slowdown(factor.max(MIN_SLOWDOWN));
-        let runs = node.is_up() && !node.is_stopped();
-        if runs && self.now > clock::start() {
+        let is_running = node.is_up() && !node.is_stopped();
+        if is_running && self.now > clock::start() {
             self.run_turn(server);
         }
     }
 
-    /// Callers whose calls are lost learn that their connections broke.
+    /// Sets or clears the fault of a backend. Callers whose calls are lost are notified that their connections broke.
     fn set_backend_fault(&mut self, backend: BackendId, fault: Option<BackendFault>) {
         for call in self.backends.set_fault(backend, fault) {
             let lost = Event::ConnectionLost {
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Adds the attempts of the incarnation of a server that runs.
+    /// Adds the upstream attempts of a server's current incarnation to the totals of the fleet.
     pub(super) fn count_attempts(&mut self, server: ServerId) {
         if let Some(totals) = self.node(server).process().attempt_totals() {
             self.checker
--- a/crates/simulation/src/simulation/settling.rs
+++ b/crates/simulation/src/simulation/settling.rs
@@ -1,49 +1,49 @@
-//! How long the servers need after the last fault until they agree on one view of the fleet.
+//! Measures how long the servers need after the last fault until they agree on one view of the fleet.
 
 use madderbay::time::{Duration, Timestamp};
 
-/// Owns when the last fault was and since when the views agree.
-pub(super) struct SettlingTracker {
+/// The time of the last fault, and the time since which all views agree.
+pub(super) struct ConvergenceTracker {
     last_fault: Timestamp,
-    settled_at: Option<Timestamp>,
+    converged_at: Option<Timestamp>,
 }
 
-impl SettlingTracker {
-    /// The start counts as a fault.
-    pub(super) fn new(now: Timestamp) -> SettlingTracker {
-        SettlingTracker {
+impl ConvergenceTracker {
+    /// Creates a tracker at the start of the simulation, which counts as a fault.
+    pub(super) fn new(now: Timestamp) -> ConvergenceTracker {
+        ConvergenceTracker {
             last_fault: now,
-            settled_at: None,
+            converged_at: None,
         }
     }
 
-    /// A fault is injected.
-    pub(super) fn fault_injected(&mut self, now: Timestamp) {
+    /// Records that a fault is injected.
+    pub(super) fn record_fault(&mut self, now: Timestamp) {
         self.last_fault = now;
-        self.settled_at = None;
+        self.converged_at = None;
     }
 
-    /// Whether all views agree now, and nobody is suspected.
-    pub(super) fn observe(&mut self, now: Timestamp, is_settled: bool) {
-        if is_settled {
-            self.settled_at.get_or_insert(now);
+    /// Records whether all views agree now and no member is suspected.
+    pub(super) fn observe(&mut self, now: Timestamp, has_converged: bool) {
+        if has_converged {
+            self.converged_at.get_or_insert(now);
         } else if now > self.last_fault {
-            self.settled_at = None;
+            self.converged_at = None;
         }
     }
 
-    /// Whether the views agreed when they were observed last.
-    pub(super) fn is_settled(&self) -> bool {
-        self.settled_at.is_some()
+    /// Reports whether the views agreed when they were last observed.
+    pub(super) fn has_converged(&self) -> bool {
+        self.converged_at.is_some()
     }
 
-    /// Seconds from the last fault until the views agreed; none if they do not.
-    pub(super) fn settling_s(&self) -> Option<f64> {
-        let settled_at = self.settled_at?;
-        Some((settled_at - self.last_fault).as_secs_f64())
+    /// Returns the seconds from the last fault until the views agreed, or `None` if they do not agree.
+    pub(super) fn convergence_s(&self) -> Option<f64> {
+        let converged_at = self.converged_at?;
+        Some((converged_at - self.last_fault).as_secs_f64())
     }
 
-    /// How long there was no fault.
+    /// Returns the time since the last fault.
     pub(super) fn time_since_last_fault(&self, now: Timestamp) -> Duration {
         now - self.last_fault
     }
