--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -32,8 +32,8 @@
     let mut sim = SimulatedFleet::new(FleetSetup::of(n), 7);
     let net = Action::Network {
         loss: Some(0.3),
-        double: None,
-        spoil: None,
+        duplication: None,
+        corruption: None,
         delay: None,
     };
     sim.act(&net).expect("set");
--- a/crates/quota/tests/fleet.rs
+++ b/crates/quota/tests/fleet.rs
@@ -47,7 +47,7 @@
             sim.run(Duration::from_millis(330));
         }
     }
-    let used = Condition::Uses {
+    let used = Condition::InFlightAtLeast {
         who: (0..servers).collect(),
         least: capacity * 9 / 10,
     };
--- a/crates/quota/tests/replicated_counter.rs
+++ b/crates/quota/tests/replicated_counter.rs
@@ -88,13 +88,13 @@
         let bounds = (exact.stale_servers, exact.low, exact.high);
         assert_eq!(bounds, (0, f64::from(truth), f64::from(truth)));
         assert!(truth > 600, "{truth}");
-        let (loss, double, spoil) = (Some(0.2), Some(0.1), Some(0.05));
+        let (loss, duplication, corruption) = (Some(0.2), Some(0.1), Some(0.05));
         act(
             &mut sim,
             Action::Network {
                 loss,
-                double,
-                spoil,
+                duplication,
+                corruption,
                 delay: None,
             },
         );
--- a/crates/server/tests/fleet.rs
+++ b/crates/server/tests/fleet.rs
@@ -26,8 +26,12 @@
 
 /// Whether a script has no step for simulated fleets alone, whose time and views are one.
 fn runs_on_processes(script: &Script) -> bool {
-    let is_simulated =
-        |step: &Step| matches!(step, Step::Action(Action::For(_) | Action::Downs(_)));
+    let is_simulated = |step: &Step| {
+        matches!(
+            step,
+            Step::Action(Action::Advance(_) | Action::CheckWronglyDown(_))
+        )
+    };
     !script.steps.iter().any(|(_, step)| is_simulated(step))
 }
 
--- a/crates/server/tests/shared/quota.rs
+++ b/crates/server/tests/shared/quota.rs
@@ -21,7 +21,7 @@
 fn loads_fleet_with_quota_of_one(monitor: &StallMonitor) {
     let mut fleet = fleet_with_quota_of_one(monitor);
     fleet.start(1);
-    fleet.wait_for(&Condition::Has {
+    fleet.wait_for(&Condition::QuotaBetween {
         who: vec![0],
         least: 1,
         most: 1,
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -98,8 +98,8 @@
             Fault::Datagrams(faults) => datagram_action(faults),
             Fault::Calm => Action::Network {
                 loss: None,
-                double: None,
-                spoil: None,
+                duplication: None,
+                corruption: None,
                 delay: None,
             },
             _ => return,
@@ -118,8 +118,8 @@
     let max_delay = Duration::from_millis(faults.max_delay_ms + DELAY_MARGIN_MS);
     Action::Network {
         loss: Some(faults.loss),
-        double: Some(faults.duplication),
-        spoil: Some(faults.corruption),
+        duplication: Some(faults.duplication),
+        corruption: Some(faults.corruption),
         delay: Some((MIN_FAULTY_DELAY, max_delay)),
     }
 }
--- a/crates/testkit/examples/membership/histories.rs
+++ b/crates/testkit/examples/membership/histories.rs
@@ -118,8 +118,8 @@
         _ if !running[who] => Action::start(who),
         _ => Action::Network {
             loss: None,
-            double: Some(fraction),
-            spoil: Some(fraction),
+            duplication: Some(fraction),
+            corruption: Some(fraction),
             delay: None,
         },
     };
--- a/crates/testkit/examples/membership/row.rs
+++ b/crates/testkit/examples/membership/row.rs
@@ -100,8 +100,8 @@
     let delay = Some((Duration::from_micros(200), Duration::from_millis(5)));
     Action::Network {
         loss: Some(loss),
-        double: None,
-        spoil: None,
+        duplication: None,
+        corruption: None,
         delay,
     }
 }
--- a/crates/testkit/examples/quotas/demand.rs
+++ b/crates/testkit/examples/quotas/demand.rs
@@ -33,7 +33,7 @@
 
 /// Each of the servers may use at least this many calls.
 pub(crate) fn min_quota(servers: usize, calls: u32) -> Condition {
-    Condition::Has {
+    Condition::QuotaBetween {
         who: (0..servers).collect(),
         least: calls,
         most: u32::MAX,
@@ -91,7 +91,7 @@
         act(fleet, Action::Demand(server, *demand));
     }
     let possible = capacity.min(demands.iter().sum());
-    let uses = Condition::Uses {
+    let uses = Condition::InFlightAtLeast {
         who: (0..demands.len()).collect(),
         least: possible * FOLLOWED_PERCENT / 100,
     };
--- a/crates/testkit/src/fleet/network.rs
+++ b/crates/testkit/src/fleet/network.rs
@@ -22,8 +22,8 @@
     one_way: HashSet<(usize, usize)>,
     /// The fractions of all datagrams that are lost, duplicated and corrupted.
     loss: f64,
-    double: f64,
-    spoil: f64,
+    duplication: f64,
+    corruption: f64,
     /// The shortest and the longest delay.
     delay: (Duration, Duration),
     /// The same without faults.
@@ -41,8 +41,8 @@
             partition: vec![0; servers],
             one_way: HashSet::new(),
             loss: 0.0,
-            double: 0.0,
-            spoil: 0.0,
+            duplication: 0.0,
+            corruption: 0.0,
             delay: calm_delay,
             calm_delay,
             retained: vec![vec![]; servers],
@@ -66,24 +66,24 @@
             }
             Action::Network {
                 loss: None,
-                double: None,
-                spoil: None,
+                duplication: None,
+                corruption: None,
                 delay: None,
             } => {
                 self.loss = 0.0;
-                self.double = 0.0;
-                self.spoil = 0.0;
+                self.duplication = 0.0;
+                self.corruption = 0.0;
                 self.delay = self.calm_delay;
             }
             Action::Network {
                 loss,
-                double,
-                spoil,
+                duplication,
+                corruption,
                 delay,
             } => {
                 self.loss = loss.unwrap_or(self.loss);
-                self.double = double.unwrap_or(self.double);
-                self.spoil = spoil.unwrap_or(self.spoil);
+                self.duplication = duplication.unwrap_or(self.duplication);
+                self.corruption = corruption.unwrap_or(self.corruption);
                 self.delay = delay.unwrap_or(self.delay);
             }
             _ => {}
@@ -107,7 +107,7 @@
         if partitioned || self.draw(self.loss) {
             return vec![];
         }
-        let copies = 1 + usize::from(self.draw(self.double));
+        let copies = 1 + usize::from(self.draw(self.duplication));
         (0..copies)
             .map(|_| self.carry_copy(from, to, bytes))
             .collect()
@@ -115,7 +115,7 @@
 
     fn carry_copy(&mut self, from: usize, to: usize, bytes: &[u8]) -> (Duration, Vec<u8>) {
         let mut bytes = bytes.to_vec();
-        if !bytes.is_empty() && self.draw(self.spoil) {
+        if !bytes.is_empty() && self.draw(self.corruption) {
             let position = (self.random.rand_float() * bytes.len() as f64) as usize;
             bytes[position] ^= 1 << (self.random.rand_u64() % 8);
         }
--- a/crates/testkit/src/fleet/processes/actions.rs
+++ b/crates/testkit/src/fleet/processes/actions.rs
@@ -29,7 +29,7 @@
                 self.renew_load(*server);
             }
             Action::SetCapacity { server, capacity } => self.set_capacity(*server, *capacity)?,
-            Action::Peak(most) => self.check_peak(*most)?,
+            Action::CheckPeak(most) => self.check_peak(*most)?,
             Action::Cut(groups) => {
                 for (number, group) in (1..).zip(groups) {
                     group
@@ -45,7 +45,9 @@
             Action::OneWay(..) | Action::Network { .. } | Action::Replay(_) => {
                 self.relays.act(action);
             }
-            Action::For(_) | Action::Downs(_) => return Err(ActionError::SimulatedOnly),
+            Action::Advance(_) | Action::CheckWronglyDown(_) => {
+                return Err(ActionError::SimulatedOnly);
+            }
         }
         Ok(())
     }
--- a/crates/testkit/src/fleet/script/action.rs
+++ b/crates/testkit/src/fleet/script/action.rs
@@ -37,9 +37,9 @@
         /// The fraction of all datagrams that is lost.
         loss: Option<f64>,
         /// The fraction that is duplicated.
-        double: Option<f64>,
+        duplication: Option<f64>,
         /// The fraction that is corrupted: one bit is changed.
-        spoil: Option<f64>,
+        corruption: Option<f64>,
         /// The shortest and the longest delay.
         delay: Option<(Duration, Duration)>,
     },
@@ -55,20 +55,20 @@
         capacity: u32,
     },
     /// Fails if more calls than this were in flight since the last such check.
-    Peak(u32),
+    CheckPeak(u32),
     /// Lets simulated time pass.
-    For(Duration),
+    Advance(Duration),
     /// Fails if more servers than this were declared down that ran and were connected; simulated
     /// only.
-    Downs(usize),
+    CheckWronglyDown(usize),
 }
 
 impl Action {
     /// Ends loss, duplication, corruption and delay of datagrams.
     pub const CALM: Action = Action::Network {
         loss: None,
-        double: None,
-        spoil: None,
+        duplication: None,
+        corruption: None,
         delay: None,
     };
 
@@ -86,8 +86,8 @@
     pub fn loss(fraction: f64) -> Action {
         Action::Network {
             loss: Some(fraction),
-            double: None,
-            spoil: None,
+            duplication: None,
+            corruption: None,
             delay: None,
         }
     }
@@ -115,7 +115,7 @@
         connectivity: Connectivity,
     },
     /// Each server may use at least and at most this many calls of the quota.
-    Has {
+    QuotaBetween {
         /// Which servers.
         who: Vec<usize>,
         /// Calls at least.
@@ -124,7 +124,7 @@
         most: u32,
     },
     /// Servers together have at least this many calls in flight.
-    Uses {
+    InFlightAtLeast {
         /// Which servers.
         who: Vec<usize>,
         /// Calls at least.
--- a/crates/testkit/src/fleet/script/condition_checks.rs
+++ b/crates/testkit/src/fleet/script/condition_checks.rs
@@ -41,8 +41,8 @@
                 servers,
                 connectivity,
             } => self.wrong_connectivity(servers, *connectivity),
-            Condition::Has { who, least, most } => self.quota_outside(who, *least, *most),
-            Condition::Uses { who, least } => {
+            Condition::QuotaBetween { who, least, most } => self.quota_outside(who, *least, *most),
+            Condition::InFlightAtLeast { who, least } => {
                 let in_flight = self.in_flight(who);
                 (in_flight < *least)
                     .then(|| format!("{in_flight} calls are in flight, not {least}"))
--- a/crates/testkit/src/fleet/script/parser.rs
+++ b/crates/testkit/src/fleet/script/parser.rs
@@ -185,9 +185,9 @@
         }
         ("heal", []) => Ok(Action::Heal),
         ("replay", [to]) => Ok(Action::Replay(server(setup, to)?)),
-        ("peak", [most]) => Ok(Action::Peak(number(most)?)),
-        ("for", [duration]) => Ok(Action::For(time(duration)?)),
-        ("downs", [most]) => Ok(Action::Downs(number(most)?)),
+        ("peak", [most]) => Ok(Action::CheckPeak(number(most)?)),
+        ("for", [duration]) => Ok(Action::Advance(time(duration)?)),
+        ("downs", [most]) => Ok(Action::CheckWronglyDown(number(most)?)),
         _ => Err(malformed(keyword)),
     }
 }
@@ -195,21 +195,21 @@
 /// Parses a fault of all datagrams; of the other faults it says nothing.
 fn parse_datagram_fault(keyword: &str, arguments: &[&str]) -> Parsed<Action> {
     let mut loss = None;
-    let mut double = None;
-    let mut spoil = None;
+    let mut duplication = None;
+    let mut corruption = None;
     let mut delay = None;
     match (keyword, arguments) {
         ("loss", [part]) => loss = Some(fraction(part)?),
-        ("duplicate", [part]) => double = Some(fraction(part)?),
-        ("corrupt", [part]) => spoil = Some(fraction(part)?),
+        ("duplicate", [part]) => duplication = Some(fraction(part)?),
+        ("corrupt", [part]) => corruption = Some(fraction(part)?),
         ("delay", [least, most]) => delay = Some((time(least)?, time(most)?)),
         ("calm", []) => {}
         _ => return Err(malformed(keyword)),
     }
     Ok(Action::Network {
         loss,
-        double,
-        spoil,
+        duplication,
+        corruption,
         delay,
     })
 }
@@ -233,7 +233,7 @@
             (condition, term)
         }
         ("quota-at-least", [names, least, term]) => {
-            let condition = Condition::Has {
+            let condition = Condition::QuotaBetween {
                 who: servers(setup, &[names])?,
                 least: number(least)?,
                 most: u32::MAX,
@@ -241,7 +241,7 @@
             (condition, term)
         }
         ("quota-at-most", [names, most, term]) => {
-            let condition = Condition::Has {
+            let condition = Condition::QuotaBetween {
                 who: servers(setup, &[names])?,
                 least: 0,
                 most: number(most)?,
@@ -249,7 +249,7 @@
             (condition, term)
         }
         ("in-flight-at-least", [names @ .., least, term]) => {
-            let condition = Condition::Uses {
+            let condition = Condition::InFlightAtLeast {
                 who: servers(setup, names)?,
                 least: number(least)?,
             };
--- a/crates/testkit/src/fleet/script_generator.rs
+++ b/crates/testkit/src/fleet/script_generator.rs
@@ -80,8 +80,8 @@
             5 => Action::Heal,
             6 => Action::Network {
                 loss: Some(fraction),
-                double: Some(fraction),
-                spoil: Some(fraction * CORRUPTION_PER_LOSS),
+                duplication: Some(fraction),
+                corruption: Some(fraction * CORRUPTION_PER_LOSS),
                 delay,
             },
             7 => Action::CALM,
--- a/crates/testkit/src/fleet/simulated/actions.rs
+++ b/crates/testkit/src/fleet/simulated/actions.rs
@@ -26,15 +26,15 @@
                 self.start_calls(*server);
             }
             Action::SetCapacity { server, capacity } => self.set_capacity(*server, *capacity),
-            Action::Peak(most) => self.check_peak(*most)?,
+            Action::CheckPeak(most) => self.check_peak(*most)?,
             Action::Cut(_) | Action::Heal => {
                 self.network.act(action);
                 self.excused = vec![self.now; self.setup.servers];
             }
             Action::OneWay(..) | Action::Network { .. } => self.network.act(action),
             Action::Replay(server) => self.replay(*server),
-            Action::For(time) => self.run(*time),
-            Action::Downs(most) => self.check_downs(*most)?,
+            Action::Advance(time) => self.run(*time),
+            Action::CheckWronglyDown(most) => self.check_downs(*most)?,
         }
         Ok(())
     }
--- a/crates/testkit/tests/script.rs
+++ b/crates/testkit/tests/script.rs
@@ -75,7 +75,7 @@
         connectivity: Connectivity::Partial,
     };
     assert_eq!(steps("connectivity all partial 2s"), within(partial, 2_000));
-    let upper_bound = Condition::Has {
+    let upper_bound = Condition::QuotaBetween {
         who: vec![0],
         least: 0,
         most: 10,
