--- a/crates/testkit/src/fleet/network.rs
+++ b/crates/testkit/src/fleet/network.rs
@@ -10,7 +10,7 @@
 /// Datagrams to each server that are retained, so that they can be replayed.
 const MAX_RETAINED_DATAGRAMS: usize = 200;
 /// The largest fleet whose datagrams are retained, in servers.
-const MAX_SERVERS_TO_RETAIN: usize = 50;
+const MAX_RETAINING_FLEET_SIZE: usize = 50;
 
 /// Decides what becomes of each datagram: lost, duplicated, corrupted, delayed. What it draws is
 /// determined by its seed.
@@ -27,7 +27,7 @@
     /// The shortest and the longest delay.
     delay: (Duration, Duration),
     /// The same without faults.
-    calm_delay: (Duration, Duration),
+    base_delay: (Duration, Duration),
     /// By receiver the first datagrams, with their senders.
     retained: Vec<Vec<(usize, Vec<u8>)>>,
 }
@@ -35,7 +35,7 @@
 impl SimulatedNetwork {
     /// A network without faults; `calm_delay` is the shortest and the longest delay of its
     /// datagrams.
-    pub fn new(servers: usize, seed: u64, calm_delay: (Duration, Duration)) -> SimulatedNetwork {
+    pub fn new(servers: usize, seed: u64, base_delay: (Duration, Duration)) -> SimulatedNetwork {
         SimulatedNetwork {
             random: Rand64::new(u128::from(seed)),
             partition: vec![0; servers],
@@ -43,8 +43,8 @@
             loss: 0.0,
             duplication: 0.0,
             corruption: 0.0,
-            delay: calm_delay,
-            calm_delay,
+            delay: base_delay,
+            base_delay,
             retained: vec![vec![]; servers],
         }
     }
@@ -73,7 +73,7 @@
                 self.loss = 0.0;
                 self.duplication = 0.0;
                 self.corruption = 0.0;
-                self.delay = self.calm_delay;
+                self.delay = self.base_delay;
             }
             Action::Network {
                 loss,
@@ -104,22 +104,22 @@
     pub fn carry(&mut self, from: usize, to: usize, bytes: &[u8]) -> Vec<(Duration, Vec<u8>)> {
         let partitioned =
             self.partition[from] != self.partition[to] || self.one_way.contains(&(from, to));
-        if partitioned || self.draw(self.loss) {
+        if partitioned || self.draw_fault(self.loss) {
             return vec![];
         }
-        let copies = 1 + usize::from(self.draw(self.duplication));
+        let copies = 1 + usize::from(self.draw_fault(self.duplication));
         (0..copies)
-            .map(|_| self.carry_copy(from, to, bytes))
+            .map(|_| self.deliver_copy(from, to, bytes))
             .collect()
     }
 
-    fn carry_copy(&mut self, from: usize, to: usize, bytes: &[u8]) -> (Duration, Vec<u8>) {
+    fn deliver_copy(&mut self, from: usize, to: usize, bytes: &[u8]) -> (Duration, Vec<u8>) {
         let mut bytes = bytes.to_vec();
-        if !bytes.is_empty() && self.draw(self.corruption) {
+        if !bytes.is_empty() && self.draw_fault(self.corruption) {
             let position = (self.random.rand_float() * bytes.len() as f64) as usize;
             bytes[position] ^= 1 << (self.random.rand_u64() % 8);
         }
-        let small_fleet = self.retained.len() <= MAX_SERVERS_TO_RETAIN;
+        let small_fleet = self.retained.len() <= MAX_RETAINING_FLEET_SIZE;
         if small_fleet && self.retained[to].len() < MAX_RETAINED_DATAGRAMS {
             self.retained[to].push((from, bytes.clone()));
         }
@@ -131,7 +131,7 @@
 
     /// Whether a fault happens that hits this fraction of all datagrams. Nothing is drawn where it
     /// is 0.
-    fn draw(&mut self, fraction: f64) -> bool {
+    fn draw_fault(&mut self, fraction: f64) -> bool {
         fraction > 0.0 && self.random.rand_float() < fraction
     }
 
--- a/crates/testkit/src/fleet/processes/actions.rs
+++ b/crates/testkit/src/fleet/processes/actions.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 
 impl ProcessFleet {
-    pub(super) fn carry_out(&mut self, action: &Action) -> Result<(), ActionError> {
+    pub(super) fn perform(&mut self, action: &Action) -> Result<(), ActionError> {
         match action {
             Action::Start {
                 who,
@@ -18,7 +18,7 @@
                 self.start(*who, *name, &format!("{sign}{}", millis(*clock)));
             }
             Action::Kill(server) => {
-                self.disturb_load(*server);
+                self.interrupt_load(*server);
                 self.nodes[*server].server = None;
             }
             Action::Stop(server) => self.stop(*server)?,
@@ -26,7 +26,7 @@
             Action::Drain(server) => self.drain(*server)?,
             Action::Demand(server, demand) => {
                 self.nodes[*server].demand = *demand;
-                self.renew_load(*server);
+                self.restart_load(*server);
             }
             Action::SetCapacity { server, capacity } => self.set_capacity(*server, *capacity)?,
             Action::CheckPeak(most) => self.check_peak(*most)?,
@@ -53,7 +53,7 @@
     }
 
     fn stop(&mut self, server: usize) -> Result<(), ActionError> {
-        self.disturb_load(server);
+        self.interrupt_load(server);
         let node = &mut self.nodes[server];
         node.running()?.signal("-STOP");
         node.stopped = true;
@@ -61,17 +61,17 @@
     }
 
     fn resume(&mut self, server: usize) -> Result<(), ActionError> {
-        self.disturb_load(server);
+        self.interrupt_load(server);
         let node = &mut self.nodes[server];
         node.running()?.signal("-CONT");
         node.stopped = false;
-        self.renew_load(server);
+        self.restart_load(server);
         Ok(())
     }
 
     /// Has a server drain, and waits for its end.
     fn drain(&mut self, server: usize) -> Result<(), ActionError> {
-        self.disturb_load(server);
+        self.interrupt_load(server);
         let process = self.nodes[server].server.take();
         let process = process.ok_or(ActionError::NotRunning)?;
         process.signal("-TERM");
--- a/crates/testkit/src/fleet/processes/client_load.rs
+++ b/crates/testkit/src/fleet/processes/client_load.rs
@@ -1,6 +1,6 @@
 //! The load that clients put on a server which has demand for calls under a quota.
 
-use super::{Node, ProcessFleet, name, quota_call};
+use super::{Node, ProcessFleet, name, quota_call_time};
 use crate::load_balancer::{Load, RequestKind, RequestRecord, rule_violations};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,62 +12,62 @@
 /// Within this an answer is in time.
 const LATENCY_OBJECTIVE: StdDuration = StdDuration::from_secs(2);
 /// Longer than any script: a load ends when it is switched off.
-const MAX_LENGTH: StdDuration = StdDuration::from_secs(600);
+const MAX_LOAD_LENGTH: StdDuration = StdDuration::from_secs(600);
 
 /// Requests that are sent to one server, each of which makes one call, by a thread of their own.
 pub(super) struct ClientLoad {
-    on: Arc<AtomicBool>,
+    sending: Arc<AtomicBool>,
     records: JoinHandle<Vec<RequestRecord>>,
     /// The server was killed or stopped meanwhile, so that requests may be without an answer.
-    disturbed: bool,
+    interrupted: bool,
 }
 
 impl ClientLoad {
     /// Sends nothing more; answers are still awaited.
-    fn switch_off(&self) {
-        self.on.store(false, Ordering::Relaxed);
+    fn stop_sending(&self) {
+        self.sending.store(false, Ordering::Relaxed);
     }
 }
 
 impl ProcessFleet {
     /// Ends a server's load and starts one for its present demand, if it runs and has any.
-    pub(super) fn renew_load(&mut self, index: usize) {
+    pub(super) fn restart_load(&mut self, index: usize) {
         let node = &mut self.nodes[index];
-        node.loads.iter().for_each(ClientLoad::switch_off);
+        node.loads.iter().for_each(ClientLoad::stop_sending);
         let (Some(server), Some(quota)) = (&node.server, &self.setup.budget) else {
             return;
         };
         if node.demand == 0 {
             return;
         }
-        let call_secs = quota_call(quota).as_secs_f64();
+        let call_secs = quota_call_time(quota).as_secs_f64();
         let load = Load {
             kinds: request_kinds(),
             rates: vec![(StdDuration::ZERO, f64::from(node.demand) / call_secs)],
-            length: MAX_LENGTH,
+            length: MAX_LOAD_LENGTH,
             seed: self.began.elapsed().as_nanos() as u64,
             timeout_ms: REQUEST_TIMEOUT_MS,
         };
         let address = server.address;
         let engine = node.engine.clone();
-        let on = Arc::new(AtomicBool::new(true));
-        let flag = on.clone();
+        let sending = Arc::new(AtomicBool::new(true));
+        let flag = sending.clone();
         let records = std::thread::spawn(move || {
-            let on = || flag.load(Ordering::Relaxed);
-            load.run_while(address, |name| engine.answered(name), |_| (), on)
+            let is_sending = || flag.load(Ordering::Relaxed);
+            load.run_while(address, |name| engine.answered(name), |_| (), is_sending)
         });
         node.loads.push(ClientLoad {
-            on,
+            sending,
             records,
-            disturbed: false,
+            interrupted: false,
         });
     }
 
     /// Ends a server's load because the server is about to be killed or stopped.
-    pub(super) fn disturb_load(&mut self, index: usize) {
+    pub(super) fn interrupt_load(&mut self, index: usize) {
         for load in &mut self.nodes[index].loads {
-            load.disturbed = true;
-            load.switch_off();
+            load.interrupted = true;
+            load.stop_sending();
         }
     }
 
@@ -81,7 +81,7 @@
         let mut requests = 0;
         let mut violations = vec![];
         for node in &self.nodes {
-            node.loads.iter().for_each(ClientLoad::switch_off);
+            node.loads.iter().for_each(ClientLoad::stop_sending);
         }
         for node in &mut self.nodes {
             for load in std::mem::take(&mut node.loads) {
@@ -98,11 +98,11 @@
     let bodies = node.engine.stats().bodies;
     let found = rule_violations(&records, &request_kinds(), &bodies);
     // A server that was disturbed may owe answers.
-    let excused = |violation: &String| load.disturbed && violation.contains(" answers");
+    let is_expected = |violation: &String| load.interrupted && violation.contains(" answers");
     violations.extend(
         found
             .into_iter()
-            .filter(|violation| !excused(violation))
+            .filter(|violation| !is_expected(violation))
             .map(|violation| format!("{}: {violation}", name(node.name))),
     );
     records.len()
--- a/crates/testkit/src/fleet/processes/conditions.rs
+++ b/crates/testkit/src/fleet/processes/conditions.rs
@@ -5,7 +5,7 @@
 use madderbay_membership::{Connectivity, MemberState};
 
 /// What a server answered, with its index.
-struct View {
+struct MemberView {
     server: usize,
     report: MembershipReport,
 }
@@ -16,7 +16,7 @@
             Ok(views) => views,
             Err(server) => return Some(no_answer(server)),
         };
-        views.iter().find_map(|view| self.wrong_view(view, &views))
+        views.iter().find_map(|view| self.view_error(view, &views))
     }
 
     fn wrong_state(
@@ -25,7 +25,7 @@
         member: usize,
         expected: Option<MemberState>,
     ) -> Option<String> {
-        self.find_wrong(observers, |observer, report| {
+        self.find_wrong_report(observers, |observer, report| {
             let reported = report.states.get(&name(member)).copied();
             (reported != expected)
                 .then(|| format!("{} reports {} {reported:?}", name(observer), name(member)))
@@ -33,7 +33,7 @@
     }
 
     fn wrong_connectivity(&self, servers: &[usize], expected: Connectivity) -> Option<String> {
-        self.find_wrong(servers, |server, report| {
+        self.find_wrong_report(servers, |server, report| {
             let reported = report.connectivity;
             (reported != Some(expected))
                 .then(|| format!("{} reports its connectivity {reported:?}", name(server)))
@@ -63,24 +63,24 @@
 
 impl ProcessFleet {
     /// The first of these servers that should answer and whose report is wrong or missing.
-    fn find_wrong(
+    fn find_wrong_report(
         &self,
         servers: &[usize],
-        wrong: impl Fn(usize, &MembershipReport) -> Option<String>,
+        check: impl Fn(usize, &MembershipReport) -> Option<String>,
     ) -> Option<String> {
         let mut answering = servers
             .iter()
             .copied()
             .filter(|server| self.nodes[*server].answers());
         answering.find_map(|server| match self.membership(server) {
-            Some(report) => wrong(server, &report),
+            Some(report) => check(server, &report),
             None => Some(no_answer(server)),
         })
     }
 
     /// The views of all servers that run, but for those whose name another server has taken over.
     /// The error is the index of a server that does not answer.
-    fn views(&self) -> Result<Vec<View>, usize> {
+    fn views(&self) -> Result<Vec<MemberView>, usize> {
         let mut views = vec![];
         for (server, node) in self.nodes.iter().enumerate() {
             if !node.answers() {
@@ -89,15 +89,15 @@
             let report = self.membership(server).ok_or(server)?;
             let own_state = report.states.get(&name(node.name));
             if own_state != Some(&MemberState::Down) {
-                views.push(View { server, report });
+                views.push(MemberView { server, report });
             }
         }
         Ok(views)
     }
 
     /// What is wrong in one view, beside those of the servers that it is connected with.
-    fn wrong_view(&self, view: &View, all: &[View]) -> Option<String> {
-        let View { server, report } = view;
+    fn view_error(&self, view: &MemberView, all: &[MemberView]) -> Option<String> {
+        let MemberView { server, report } = view;
         let connected = || {
             all.iter()
                 .filter(|other| self.partition[other.server] == self.partition[*server])
--- a/crates/testkit/src/fleet/processes/mod.rs
+++ b/crates/testkit/src/fleet/processes/mod.rs
@@ -33,13 +33,13 @@
 /// The time between two checks of a condition, long enough that checking costs the servers little.
 const CHECK_INTERVAL: StdDuration = StdDuration::from_millis(50);
 /// The shortest time of a call under a quota, so that few requests keep many calls in flight.
-const MIN_QUOTA_CALL: StdDuration = StdDuration::from_millis(300);
+const MIN_QUOTA_CALL_TIME: StdDuration = StdDuration::from_millis(300);
 /// Slots of a catalogue at which no call ever waits for one.
-const UNLIMITED_SLOTS: usize = 100_000;
+const UNLIMITED_CATALOGUE_SLOTS: usize = 100_000;
 /// Slots of the catalogue of a single server.
-const OWN_SLOTS: usize = 8;
+const CATALOGUE_SLOTS: usize = 8;
 /// The time of a call at the catalogue of a single server.
-const OWN_CALL: StdDuration = StdDuration::from_millis(5);
+const CATALOGUE_CALL_TIME: StdDuration = StdDuration::from_millis(5);
 /// The cores of each fake engine.
 const ENGINE_CORES: f64 = 2.0;
 
@@ -113,7 +113,7 @@
         let shared = setup
             .budget
             .as_ref()
-            .map(|quota| Catalogue::start(UNLIMITED_SLOTS, quota_call(quota)));
+            .map(|quota| Catalogue::start(UNLIMITED_CATALOGUE_SLOTS, quota_call_time(quota)));
         ProcessFleet::with_catalogue(shared, setup, binary, settings, works, seed)
     }
 
@@ -130,7 +130,7 @@
         works: &[HandlerWork],
         seed: u64,
     ) -> ProcessFleet {
-        let folder = make_folder();
+        let folder = create_folder();
         let capacity = setup.budget.as_ref().map_or(0, |quota| quota.capacity);
         let nodes = (0..setup.servers).map(|index| Node {
             server: None,
@@ -139,7 +139,7 @@
             engine: Engine::start(ENGINE_CORES, works.to_vec(), seed + index as u64),
             catalogue: catalogue
                 .clone()
-                .unwrap_or_else(|| Catalogue::start(OWN_SLOTS, OWN_CALL)),
+                .unwrap_or_else(|| Catalogue::start(CATALOGUE_SLOTS, CATALOGUE_CALL_TIME)),
             registry: Registry::start(),
             demand: 0,
             capacity,
@@ -195,7 +195,7 @@
 
 impl Fleet for ProcessFleet {
     fn act(&mut self, action: &Action) -> Result<(), ActionError> {
-        self.carry_out(action)
+        self.perform(action)
     }
 
     fn unmet(&mut self, condition: &Condition) -> Option<String> {
@@ -219,12 +219,12 @@
 }
 
 /// The time of a call under a quota on real processes.
-fn quota_call(quota: &QuotaSetup) -> StdDuration {
-    StdDuration::from_micros(quota.call.as_micros()).max(MIN_QUOTA_CALL)
+fn quota_call_time(quota: &QuotaSetup) -> StdDuration {
+    StdDuration::from_micros(quota.call.as_micros()).max(MIN_QUOTA_CALL_TIME)
 }
 
 /// Makes a folder that no other fleet has.
-fn make_folder() -> PathBuf {
+fn create_folder() -> PathBuf {
     static COUNT: AtomicU32 = AtomicU32::new(0);
     let number = COUNT.fetch_add(1, Ordering::Relaxed);
     let folder =
--- a/crates/testkit/src/fleet/processes/start.rs
+++ b/crates/testkit/src/fleet/processes/start.rs
@@ -9,7 +9,7 @@
 /// Connections that a server may have.
 const MAX_SOCKETS: usize = 128;
 /// The text of the log line that says where a server receives datagrams.
-const DATAGRAM_LINE: &str = "membership: listening, address=";
+const LISTENING_LOG_TEXT: &str = "membership: listening, address=";
 
 impl ProcessFleet {
     /// Starts a server under the name of another or its own, with a Unix clock that is ahead by a
@@ -32,7 +32,7 @@
         node.name = name;
         node.stopped = false;
         node.datagram_address = Some(address);
-        self.renew_load(index);
+        self.restart_load(index);
     }
 
     fn configuration(&self, index: usize, name: usize) -> String {
@@ -71,7 +71,7 @@
     let after = server
         .before
         .iter()
-        .find_map(|line| line.split(DATAGRAM_LINE).nth(1));
+        .find_map(|line| line.split(LISTENING_LOG_TEXT).nth(1));
     after
         .and_then(|text| text.split(',').next()?.parse().ok())
         .expect("a line that says where it receives datagrams")
--- a/crates/testkit/src/fleet/relay.rs
+++ b/crates/testkit/src/fleet/relay.rs
@@ -61,7 +61,7 @@
             .iter()
             .map(|socket| socket.local_addr().expect("an address"))
             .collect();
-        std::thread::spawn(move || Carrier::new(sockets, seed).run(&received));
+        std::thread::spawn(move || Forwarder::new(sockets, seed).run(&received));
         DatagramRelays { events, addresses }
     }
 
@@ -99,22 +99,22 @@
 }
 
 /// Carries datagrams between the relays, in a thread of its own.
-struct Carrier {
+struct Forwarder {
     /// The relay of each server.
     sockets: Vec<UdpSocket>,
     /// Where each server receives, once it was started.
     addresses: Vec<Option<SocketAddr>>,
-    by_address: HashMap<SocketAddr, usize>,
+    server_by_address: HashMap<SocketAddr, usize>,
     network: SimulatedNetwork,
     delayed: EventQueue<Instant, DelayedDatagram>,
 }
 
-impl Carrier {
-    fn new(sockets: Vec<UdpSocket>, seed: u64) -> Carrier {
+impl Forwarder {
+    fn new(sockets: Vec<UdpSocket>, seed: u64) -> Forwarder {
         let no_delay = (Duration::ZERO, Duration::ZERO);
-        Carrier {
+        Forwarder {
             addresses: vec![None; sockets.len()],
-            by_address: HashMap::new(),
+            server_by_address: HashMap::new(),
             network: SimulatedNetwork::new(sockets.len(), seed, no_delay),
             delayed: EventQueue::new(),
             sockets,
@@ -141,10 +141,10 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Datagram { to, from, bytes } => self.carry(to, from, &bytes),
+            Event::Datagram { to, from, bytes } => self.forward(to, from, &bytes),
             Event::ServerAddress { server, address } => {
-                self.by_address.retain(|_, other| *other != server);
-                self.by_address.insert(address, server);
+                self.server_by_address.retain(|_, other| *other != server);
+                self.server_by_address.insert(address, server);
                 self.addresses[server] = Some(address);
             }
             Event::Action(Action::Replay(to)) => {
@@ -157,8 +157,8 @@
     }
 
     /// Forwards a datagram at once or later. One from an unknown address is dropped.
-    fn carry(&mut self, to: usize, from: SocketAddr, bytes: &[u8]) {
-        let Some(from) = self.by_address.get(&from).copied() else {
+    fn forward(&mut self, to: usize, from: SocketAddr, bytes: &[u8]) {
+        let Some(from) = self.server_by_address.get(&from).copied() else {
             return;
         };
         for (delay, bytes) in self.network.carry(from, to, bytes) {
--- a/crates/testkit/src/fleet/script/condition_checks.rs
+++ b/crates/testkit/src/fleet/script/condition_checks.rs
@@ -36,7 +36,7 @@
                 observers,
                 member,
                 state,
-            } => self.wrong_state(&other_observers(observers, *member), *member, *state),
+            } => self.wrong_state(&observers_except(observers, *member), *member, *state),
             Condition::Connectivity {
                 servers,
                 connectivity,
@@ -52,11 +52,11 @@
 }
 
 /// The observers whose views are looked at: among several the member itself is left out.
-fn other_observers(observers: &[usize], member: usize) -> Vec<usize> {
-    let is_alone = observers.len() == 1;
+fn observers_except(observers: &[usize], member: usize) -> Vec<usize> {
+    let is_single = observers.len() == 1;
     observers
         .iter()
         .copied()
-        .filter(|observer| is_alone || *observer != member)
+        .filter(|observer| is_single || *observer != member)
         .collect()
 }
--- a/crates/testkit/src/fleet/script/parser.rs
+++ b/crates/testkit/src/fleet/script/parser.rs
@@ -45,7 +45,7 @@
         }
         ["set", ref assignments @ ..] => {
             for assignment in assignments {
-                set(setup, assignment)?;
+                apply_assignment(setup, assignment)?;
             }
         }
         [keyword, ref arguments @ ..] => return parse_step(setup, keyword, arguments),
@@ -53,7 +53,7 @@
     Ok(vec![])
 }
 
-fn set(setup: &mut FleetSetup, assignment: &str) -> Parsed<()> {
+fn apply_assignment(setup: &mut FleetSetup, assignment: &str) -> Parsed<()> {
     let (key, value) = assignment
         .split_once('=')
         .ok_or_else(|| unexpected(assignment, Expected::Assignment))?;
@@ -75,13 +75,13 @@
                 .budget
                 .as_mut()
                 .ok_or_else(|| unexpected(key, Expected::Key))?;
-            set_of_quota(quota, key, value)?;
+            apply_quota_assignment(quota, key, value)?;
         }
     }
     Ok(())
 }
 
-fn set_of_quota(quota: &mut QuotaSetup, key: &str, value: &str) -> Parsed<()> {
+fn apply_quota_assignment(quota: &mut QuotaSetup, key: &str, value: &str) -> Parsed<()> {
     match key {
         "max_servers" => quota.servers = number(value)?,
         "slots" => quota.slots = switch(value)?,
@@ -105,10 +105,10 @@
 fn parse_steps(setup: &FleetSetup, keyword: &str, arguments: &[&str]) -> Parsed<Vec<Step>> {
     match keyword {
         "start" => parse_start(setup, arguments),
-        "kill" => each(setup, arguments, Action::Kill),
-        "stop" => each(setup, arguments, Action::Stop),
-        "continue" => each(setup, arguments, Action::Continue),
-        "drain" => each(setup, arguments, Action::Drain),
+        "kill" => step_for_each(setup, arguments, Action::Kill),
+        "stop" => step_for_each(setup, arguments, Action::Stop),
+        "continue" => step_for_each(setup, arguments, Action::Continue),
+        "drain" => step_for_each(setup, arguments, Action::Drain),
         "demand" | "capacity" => parse_amount(setup, keyword, arguments),
         "settle" | "view" | "connectivity" | "quota-at-least" | "quota-at-most"
         | "in-flight-at-least" => Ok(vec![parse_condition(setup, keyword, arguments)?]),
@@ -120,7 +120,11 @@
 }
 
 /// One action for each of these servers.
-fn each(setup: &FleetSetup, names: &[&str], action: impl Fn(usize) -> Action) -> Parsed<Vec<Step>> {
+fn step_for_each(
+    setup: &FleetSetup,
+    names: &[&str],
+    action: impl Fn(usize) -> Action,
+) -> Parsed<Vec<Step>> {
     let servers = servers(setup, names)?;
     Ok(servers
         .into_iter()
@@ -133,22 +137,22 @@
     let mut names = vec![];
     let mut taken_name = None;
     let mut clock = Duration::ZERO;
-    let mut back = false;
+    let mut is_behind = false;
     for word in arguments {
         match word.split_once('=') {
             Some(("name", other)) => taken_name = Some(server(setup, other)?),
             Some(("clock", offset)) => {
-                back = offset.starts_with('-');
+                is_behind = offset.starts_with('-');
                 clock = time(offset.trim_start_matches('-'))?;
             }
             _ => names.push(*word),
         }
     }
-    each(setup, &names, |who| Action::Start {
+    step_for_each(setup, &names, |who| Action::Start {
         who,
         name: taken_name.unwrap_or(who),
         clock,
-        back,
+        back: is_behind,
     })
 }
 
@@ -159,9 +163,9 @@
     };
     let amount = number(amount)?;
     if keyword == "demand" {
-        return each(setup, names, |server| Action::Demand(server, amount));
+        return step_for_each(setup, names, |server| Action::Demand(server, amount));
     }
-    each(setup, names, |server| Action::SetCapacity {
+    step_for_each(setup, names, |server| Action::SetCapacity {
         server,
         capacity: amount,
     })
--- a/crates/testkit/src/fleet/simulated/actions.rs
+++ b/crates/testkit/src/fleet/simulated/actions.rs
@@ -9,7 +9,7 @@
 const DRAIN_TIME: Duration = Duration::from_millis(1_000);
 
 impl SimulatedFleet {
-    pub(super) fn carry_out(&mut self, action: &Action) -> Result<(), ActionError> {
+    pub(super) fn perform(&mut self, action: &Action) -> Result<(), ActionError> {
         match action {
             Action::Start {
                 who,
@@ -29,12 +29,12 @@
             Action::CheckPeak(most) => self.check_peak(*most)?,
             Action::Cut(_) | Action::Heal => {
                 self.network.act(action);
-                self.excused = vec![self.now; self.setup.servers];
+                self.last_disruption = vec![self.now; self.setup.servers];
             }
             Action::OneWay(..) | Action::Network { .. } => self.network.act(action),
             Action::Replay(server) => self.replay(*server),
             Action::Advance(time) => self.run(*time),
-            Action::CheckWronglyDown(most) => self.check_downs(*most)?,
+            Action::CheckWronglyDown(most) => self.check_wrongly_down(*most)?,
         }
         Ok(())
     }
@@ -42,10 +42,10 @@
     /// Continues a stopped server. Its timer and its socket are ready at once; which it handles
     /// first is chance.
     fn resume(&mut self, server: usize) {
-        self.excused[server] = self.now;
+        self.last_disruption[server] = self.now;
         let node = &mut self.nodes[server];
         node.stopped = false;
-        let ended = std::mem::take(&mut node.work.unnoticed_ends);
+        let ended = std::mem::take(&mut node.work.calls_ended_while_stopped);
         let now = node.clock(self.now);
         let quotas = node.stack.as_mut().and_then(|stack| stack.quotas_mut());
         if let Some(budget) = quotas.and_then(|quotas| quotas.budgets_mut().first_mut()) {
@@ -54,7 +54,7 @@
         if self.random.rand_float() < 0.5 {
             self.drive(server, FleetStack::handle_timeout);
         }
-        for (from, bytes) in std::mem::take(&mut self.nodes[server].waiting) {
+        for (from, bytes) in std::mem::take(&mut self.nodes[server].buffered) {
             self.drive(server, |stack, now| {
                 stack.handle_datagram(now, from, &bytes);
             });
@@ -71,8 +71,8 @@
 
     fn set_capacity(&mut self, server: usize, capacity: u32) {
         self.nodes[server].work.capacity = Some(capacity);
-        let named = self.nodes[server].name;
-        let settings = self.quota_settings(server, named);
+        let name_index = self.nodes[server].name;
+        let settings = self.quota_settings(server, name_index);
         let budgets = settings.map_or(vec![], |settings| settings.budgets);
         self.drive(server, |stack, now| {
             if let Some(quotas) = stack.quotas_mut() {
@@ -91,7 +91,7 @@
         Ok(())
     }
 
-    fn check_downs(&self, most: usize) -> Result<(), ActionError> {
+    fn check_wrongly_down(&self, most: usize) -> Result<(), ActionError> {
         let count = self.wrongly_down;
         if count > most {
             return Err(ActionError::WronglyDown { count });
--- a/crates/testkit/src/fleet/simulated/calls.rs
+++ b/crates/testkit/src/fleet/simulated/calls.rs
@@ -99,7 +99,7 @@
             return;
         }
         if node.stopped {
-            node.work.unnoticed_ends += 1;
+            node.work.calls_ended_while_stopped += 1;
             return;
         }
         let now = node.clock(self.now);
--- a/crates/testkit/src/fleet/simulated/counts.rs
+++ b/crates/testkit/src/fleet/simulated/counts.rs
@@ -21,7 +21,7 @@
     /// The server's clock when the incarnation began.
     began: Timestamp,
     /// Requests by key and slot.
-    counted: HashMap<(u32, u64), u32>,
+    requests: HashMap<(u32, u64), u32>,
 }
 
 impl TrueCounts {
@@ -29,17 +29,17 @@
         TrueCounts {
             server,
             began,
-            counted: HashMap::new(),
+            requests: HashMap::new(),
         }
     }
 
     /// Requests of a key in the slots that an estimate is about, by the server's clock.
-    fn in_window(&self, key: u32, now: Timestamp, slot: Duration) -> u32 {
+    fn count_in_window(&self, key: u32, now: Timestamp, slot: Duration) -> u32 {
         let ages = slot.mul_f64(MIN_SLOT_AGE)..slot.mul_f64(MAX_SLOT_AGE);
         let mut sum = 0;
-        for ((counted_key, number), count) in &self.counted {
+        for ((request_key, number), count) in &self.requests {
             let end = self.began + Duration::from_micros((number + 1) * slot.as_micros());
-            if *counted_key == key && now >= end && ages.contains(&(now - end)) {
+            if *request_key == key && now >= end && ages.contains(&(now - end)) {
                 sum += count;
             }
         }
@@ -91,18 +91,18 @@
             if count > 0 {
                 rate.accumulated -= f64::from(count);
                 counter.add(now, rate.key, count);
-                *truth.counted.entry((rate.key, number)).or_default() += count;
+                *truth.requests.entry((rate.key, number)).or_default() += count;
             }
         }
     }
 
     /// The true count of a key in the window that estimates are about now.
     pub fn truth(&self, key: u32) -> u32 {
-        self.truth_of(key, |_| true)
+        self.true_count_of(key, |_| true)
     }
 
     /// The same, of chosen incarnations.
-    fn truth_of(&self, key: u32, chosen: impl Fn(&TrueCounts) -> bool) -> u32 {
+    fn true_count_of(&self, key: u32, chosen: impl Fn(&TrueCounts) -> bool) -> u32 {
         let Some(window) = self.setup.window else {
             return 0;
         };
@@ -111,7 +111,7 @@
         chosen
             .map(|truth| {
                 let now = self.nodes[truth.server].clock(self.now);
-                truth.in_window(key, now, slot)
+                truth.count_in_window(key, now, slot)
             })
             .sum()
     }
@@ -130,9 +130,9 @@
             .shared(server)?
             .estimate(now, CounterId::default(), key, fair_rate);
         let truth = f64::from(self.truth(key));
-        let known_truth = f64::from(self.known_truth(server, key)?);
+        let true_count_in_view = f64::from(self.true_count_in_view(server, key)?);
         self.out_of_bounds.1 += 1;
-        if truth < estimate.low || known_truth > estimate.high {
+        if truth < estimate.low || true_count_in_view > estimate.high {
             self.out_of_bounds.0 += 1;
             self.log_line(
                 server,
@@ -145,11 +145,11 @@
     /// The true count of the incarnations that an estimate's bound is about: the server's present
     /// one and the others in its view. After a start on one side of a partition a server knows
     /// neither the other side, nor what its former incarnation has counted and not sent.
-    fn known_truth(&self, server: usize, key: u32) -> Option<u32> {
+    fn true_count_in_view(&self, server: usize, key: u32) -> Option<u32> {
         let view = self.members(server)?;
         let mut incarnations = self.true_counts.iter().rev();
         let began = incarnations.find(|truth| truth.server == server)?.began;
-        Some(self.truth_of(key, |truth| {
+        Some(self.true_count_of(key, |truth| {
             if truth.server == server {
                 truth.began == began
             } else {
--- a/crates/testkit/src/fleet/simulated/driver.rs
+++ b/crates/testkit/src/fleet/simulated/driver.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 
 /// After a disturbance a server may be declared down for two suspicion times and this much longer.
-const EXCUSED_MARGIN: Duration = Duration::from_millis(2_000);
+const DISRUPTION_MARGIN: Duration = Duration::from_millis(2_000);
 
 impl SimulatedFleet {
     /// Lets this much simulated time pass.
@@ -100,7 +100,7 @@
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, bytes: &[u8]) {
-        let Some(to) = self.by_address.get(&to).copied() else {
+        let Some(to) = self.server_by_address.get(&to).copied() else {
             return;
         };
         for (delay, bytes) in self.network.carry(from, to, bytes) {
@@ -121,20 +121,21 @@
         else {
             return;
         };
-        let Some(of) = self.by_address.get(address).copied() else {
+        let Some(of) = self.server_by_address.get(address).copied() else {
             return;
         };
         let node = &self.nodes[of];
         let runs = node.stack.is_some() && !node.stopped;
-        let excused = self.is_excused(of) || self.is_excused(observer);
-        if runs && !excused && self.network.connects_both_ways(observer, of) {
+        let recently_disrupted =
+            self.was_recently_disrupted(of) || self.was_recently_disrupted(observer);
+        if runs && !recently_disrupted && self.network.connects_both_ways(observer, of) {
             self.wrongly_down += 1;
         }
     }
 
     /// Whether a recent disturbance may have had a server declared down.
-    fn is_excused(&self, server: usize) -> bool {
-        let excused_time = self.setup.suspicion.mul_f64(2.0) + EXCUSED_MARGIN;
-        self.now - self.excused[server] < excused_time
+    fn was_recently_disrupted(&self, server: usize) -> bool {
+        let grace_period = self.setup.suspicion.mul_f64(2.0) + DISRUPTION_MARGIN;
+        self.now - self.last_disruption[server] < grace_period
     }
 }
--- a/crates/testkit/src/fleet/simulated/mod.rs
+++ b/crates/testkit/src/fleet/simulated/mod.rs
@@ -39,7 +39,7 @@
 /// The simulated time at which a fleet is made.
 const START: Timestamp = Timestamp::from_micros(1_000_000);
 /// The shortest and the longest delay of a datagram without faults.
-const CALM_DELAY: (Duration, Duration) = (Duration::from_micros(200), Duration::from_micros(2_000));
+const BASE_DELAY: (Duration, Duration) = (Duration::from_micros(200), Duration::from_micros(2_000));
 /// Servers for each third octet of the addresses.
 const SERVERS_PER_SUBNET: usize = 250;
 /// The port of every server.
@@ -66,7 +66,7 @@
     now: Timestamp,
     random: Rand64,
     nodes: Vec<Node>,
-    by_address: HashMap<SocketAddr, usize>,
+    server_by_address: HashMap<SocketAddr, usize>,
     events: EventQueue<Timestamp, Event>,
     network: SimulatedNetwork,
     /// How often a server was declared down by one that it was connected with, while it ran.
@@ -75,7 +75,7 @@
     pub log: Option<Vec<String>>,
     /// By server the last time of a partition, stop or start, after which a declaration as down may
     /// be right.
-    excused: Vec<Timestamp>,
+    last_disruption: Vec<Timestamp>,
     /// The most calls in flight of all servers together since this was last set.
     pub peak: u32,
     calls: CallMeter,
@@ -92,11 +92,11 @@
         let nodes: Vec<Node> = nodes.collect();
         SimulatedFleet {
             now: START,
-            by_address: (0..setup.servers)
+            server_by_address: (0..setup.servers)
                 .map(|server| (address(server), server))
                 .collect(),
-            network: SimulatedNetwork::new(setup.servers, seed + 2, CALM_DELAY),
-            excused: vec![Timestamp::default(); setup.servers],
+            network: SimulatedNetwork::new(setup.servers, seed + 2, BASE_DELAY),
+            last_disruption: vec![Timestamp::default(); setup.servers],
             setup,
             random,
             nodes,
@@ -148,7 +148,7 @@
 
 impl Fleet for SimulatedFleet {
     fn act(&mut self, action: &Action) -> Result<(), ActionError> {
-        self.carry_out(action)
+        self.perform(action)
     }
 
     fn unmet(&mut self, condition: &Condition) -> Option<String> {
--- a/crates/testkit/src/fleet/simulated/node.rs
+++ b/crates/testkit/src/fleet/simulated/node.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 /// Datagrams that wait for a stopped server, as in the buffer of a socket.
-const MAX_WAITING_DATAGRAMS: usize = 200;
+const MAX_BUFFERED_DATAGRAMS: usize = 200;
 /// The furthest that a clock is ahead of the simulated time at its start, in seconds.
 const MAX_CLOCK_OFFSET_SECS: f64 = 1e4;
 /// The largest fraction by which a clock runs too fast or too slow.
@@ -29,7 +29,7 @@
     /// The capacity of the quota that the operator has set last, where it is not the setup's.
     pub(super) capacity: Option<u32>,
     /// Calls that ended while the server was stopped.
-    pub(super) unnoticed_ends: u32,
+    pub(super) calls_ended_while_stopped: u32,
     /// Counted requests.
     pub(super) rates: Vec<KeyRate>,
 }
@@ -42,7 +42,7 @@
     pub(super) name: usize,
     pub(super) stopped: bool,
     /// Datagrams that arrived while it was stopped.
-    pub(super) waiting: Vec<(SocketAddr, Vec<u8>)>,
+    pub(super) buffered: Vec<(SocketAddr, Vec<u8>)>,
     /// When its timer fires, in simulated time.
     pub(super) timer: Option<Timestamp>,
     /// The number of its starts.
@@ -62,7 +62,7 @@
             stack: None,
             name: index,
             stopped: false,
-            waiting: vec![],
+            buffered: vec![],
             timer: None,
             incarnation: 0,
             work: Workload::default(),
@@ -99,8 +99,8 @@
 
     /// Buffers a datagram for a stopped server; those beyond the size of its buffer are lost.
     pub(super) fn buffer(&mut self, from: SocketAddr, bytes: Vec<u8>) {
-        if self.waiting.len() < MAX_WAITING_DATAGRAMS {
-            self.waiting.push((from, bytes));
+        if self.buffered.len() < MAX_BUFFERED_DATAGRAMS {
+            self.buffered.push((from, bytes));
         }
     }
 }
--- a/crates/testkit/src/fleet/simulated/start.rs
+++ b/crates/testkit/src/fleet/simulated/start.rs
@@ -23,13 +23,24 @@
 impl SimulatedFleet {
     /// Starts a server under the name of another or its own, with a Unix clock that is ahead of the
     /// true time or, if it is late, behind it.
-    pub(super) fn start(&mut self, index: usize, named: usize, clock: Duration, late: bool) {
-        let unix_ms = self.unix_ms(clock, late);
+    pub(super) fn start(
+        &mut self,
+        index: usize,
+        name_index: usize,
+        clock: Duration,
+        is_behind: bool,
+    ) {
+        let unix_ms = self.unix_ms(clock, is_behind);
         let seed = self.random.rand_u64();
         let now = self.nodes[index].clock(self.now);
-        let members = Membership::new(now, unix_ms, seed, self.membership_settings(index, named));
+        let members = Membership::new(
+            now,
+            unix_ms,
+            seed,
+            self.membership_settings(index, name_index),
+        );
         let quotas = self
-            .quota_settings(index, named)
+            .quota_settings(index, name_index)
             .map(|settings| FleetQuotas::new(now, seed, settings));
         if quotas
             .as_ref()
@@ -39,27 +50,31 @@
         }
         let node = &mut self.nodes[index];
         node.stack = Some(FleetStack::new(members, quotas));
-        node.name = named;
+        node.name = name_index;
         node.stopped = false;
         node.timer = None;
-        node.work.unnoticed_ends = 0;
+        node.work.calls_ended_while_stopped = 0;
         node.incarnation += 1;
-        node.waiting.clear();
-        self.excused[index] = self.now;
+        node.buffered.clear();
+        self.last_disruption[index] = self.now;
         self.drive(index, FleetStack::handle_timeout);
     }
 
     /// What a server's Unix clock shows now, in milliseconds.
-    fn unix_ms(&self, offset: Duration, late: bool) -> u64 {
-        let right = UNIX_START_MS + (self.now - Timestamp::default()).as_micros() / 1_000;
+    fn unix_ms(&self, offset: Duration, is_behind: bool) -> u64 {
+        let true_ms = UNIX_START_MS + (self.now - Timestamp::default()).as_micros() / 1_000;
         let offset = offset.as_micros() / 1_000;
-        if late { right - offset } else { right + offset }
+        if is_behind {
+            true_ms - offset
+        } else {
+            true_ms + offset
+        }
     }
 
-    fn membership_settings(&self, index: usize, named: usize) -> Settings {
+    fn membership_settings(&self, index: usize, name_index: usize) -> Settings {
         let setup = &self.setup;
         Settings {
-            name: name(named).into(),
+            name: name(name_index).into(),
             advertise: address(index),
             zone: setup.zones[index].as_str().into(),
             fleet: FLEET_NAME.into(),
@@ -79,14 +94,14 @@
     pub(super) fn quota_settings(
         &self,
         index: usize,
-        named: usize,
+        name_index: usize,
     ) -> Option<madderbay_quota::Settings> {
         let node = &self.nodes[index];
         let budget = self.setup.budget.as_ref().map(|budget| BudgetSettings {
             name: QUOTA_NAME.into(),
             capacity: node.work.capacity.unwrap_or(budget.capacity),
             max_servers: budget.servers,
-            slot: budget.slots.then_some(named as u32 + 1),
+            slot: budget.slots.then_some(name_index as u32 + 1),
             weight: 1.0,
             terms: LeaseTerms {
                 lease: budget.lease,
@@ -100,7 +115,7 @@
             max_per_second: MAX_COUNTED_PER_SECOND,
         });
         (budget.is_some() || counter.is_some()).then(|| madderbay_quota::Settings {
-            name: name(named).into(),
+            name: name(name_index).into(),
             incarnation: (index as u64 + 1) << 32 | u64::from(node.incarnation + 1),
             budgets: budget.into_iter().collect(),
             counters: counter.into_iter().collect(),
--- a/crates/testkit/src/soak/clients.rs
+++ b/crates/testkit/src/soak/clients.rs
@@ -1,6 +1,6 @@
 //! The clients of a play: they send requests over a few connections, withdraw some, and keep every answer.
 
-use super::plan::{HANDLERS, KEYED_HANDLER, PlannedRequest};
+use super::plan::{HANDLERS, IDEMPOTENCY_KEY_HANDLER, PlannedRequest};
 use crate::unix_ms;
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD as BASE64;
@@ -14,9 +14,9 @@
 /// How long a client waits for each answer, in milliseconds, as the request carries it.
 pub(super) const TIMEOUT_MS: u64 = 3_000;
 /// Requests in flight on one connection, as the protocol limits them.
-const MAX_OPEN_REQUESTS: usize = 32;
+const MAX_IN_FLIGHT_PER_CONNECTION: usize = 32;
 /// Requests in flight on every connection from which a new one is opened.
-const NEW_CONNECTION_AT: usize = 8;
+const NEW_CONNECTION_THRESHOLD: usize = 8;
 /// Connections of all clients, at most.
 const MAX_CONNECTIONS: usize = 100;
 /// The error code of a request that was rejected and never ran.
@@ -49,17 +49,17 @@
     /// All answers, with their times since the beginning of the play.
     pub answers: Vec<(ClientAnswer, Duration)>,
     /// When its connection ended, if that was before its answer.
-    pub cut_off: Option<Duration>,
+    pub disconnected: Option<Duration>,
 }
 
 struct Connection {
     stream: TcpStream,
     /// Requests in flight.
-    open: usize,
+    in_flight: usize,
     /// The id of the last request.
     last_id: u64,
     /// It has ended.
-    is_over: bool,
+    is_closed: bool,
 }
 
 /// What a connection has brought: a line, or its end.
@@ -71,7 +71,7 @@
 
 /// Where a request was sent.
 #[derive(Clone, Copy)]
-struct Place {
+struct RequestLocation {
     connection: usize,
     id: u64,
 }
@@ -85,10 +85,10 @@
     sender: Sender<Received>,
     received: Receiver<Received>,
     requests: Vec<SentRequest>,
-    places: Vec<Place>,
+    locations: Vec<RequestLocation>,
     request_of: HashMap<(usize, u64), usize>,
     /// The names of requests that are over since this was last asked.
-    over: Vec<String>,
+    finished: Vec<String>,
 }
 
 impl Clients {
@@ -103,26 +103,26 @@
             sender,
             received,
             requests: vec![],
-            places: vec![],
+            locations: vec![],
             request_of: HashMap::new(),
-            over: vec![],
+            finished: vec![],
         }
     }
 
     /// Sends a request; gives its number. Nothing is sent where the server takes no connection.
     pub(super) fn send(&mut self, planned: PlannedRequest) -> Option<usize> {
-        let connection = self.free_connection()?;
+        let connection = self.select_connection()?;
         let number = self.requests.len();
         let name = format!("{:08x}{number:08x}", self.seed as u32);
         let body = BASE64.encode(&name);
-        let open = &mut self.connections[connection];
-        open.open += 1;
-        open.last_id += 1;
-        let id = open.last_id;
+        let chosen = &mut self.connections[connection];
+        chosen.in_flight += 1;
+        chosen.last_id += 1;
+        let id = chosen.last_id;
         let line = request_line(id, planned.handler, &name, &body);
-        let _ = open.stream.write_all(line.as_bytes());
+        let _ = chosen.stream.write_all(line.as_bytes());
         self.request_of.insert((connection, id), number);
-        self.places.push(Place { connection, id });
+        self.locations.push(RequestLocation { connection, id });
         self.requests.push(SentRequest {
             planned,
             name,
@@ -130,7 +130,7 @@
             sent: self.began.elapsed(),
             withdrawn: None,
             answers: vec![],
-            cut_off: None,
+            disconnected: None,
         });
         Some(number)
     }
@@ -142,12 +142,12 @@
             return;
         }
         request.withdrawn = Some(self.began.elapsed());
-        self.over.push(request.name.clone());
-        let Place { connection, id } = self.places[number];
+        self.finished.push(request.name.clone());
+        let RequestLocation { connection, id } = self.locations[number];
         let line =
             format!("{{\"jsonrpc\":\"2.0\",\"method\":\"forget\",\"params\":{{\"id\":{id}}}}}\n");
         let connection = &mut self.connections[connection];
-        connection.open -= 1;
+        connection.in_flight -= 1;
         let _ = connection.stream.write_all(line.as_bytes());
     }
 
@@ -159,13 +159,13 @@
             let Ok(received) = self.received.recv_timeout(left) else {
                 return;
             };
-            self.take_in(&received);
+            self.handle_received(&received);
         }
     }
 
     /// The names of the requests that were answered or withdrawn since this was last asked.
-    pub(super) fn take_over(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.over)
+    pub(super) fn take_finished(&mut self) -> Vec<String> {
+        std::mem::take(&mut self.finished)
     }
 
     /// What was sent, and what came back.
@@ -175,11 +175,11 @@
 
     /// Whether a request is not answered whose client waits for it.
     pub(super) fn awaits_answer(&self) -> bool {
-        let is_owed = |request: &SentRequest| {
-            let is_over = request.withdrawn.is_some() || request.cut_off.is_some();
+        let is_awaited = |request: &SentRequest| {
+            let is_over = request.withdrawn.is_some() || request.disconnected.is_some();
             request.answers.is_empty() && !is_over
         };
-        self.requests.iter().any(is_owed)
+        self.requests.iter().any(is_awaited)
     }
 
     /// Opens so many connections, as far as the server takes them.
@@ -191,14 +191,17 @@
 
     /// A connection that may have one more request: the one with the fewest, also where the server has said that it
     /// closes it.
-    fn free_connection(&mut self) -> Option<usize> {
-        let is_free =
-            |connection: &Connection| !connection.is_over && connection.open < MAX_OPEN_REQUESTS;
+    fn select_connection(&mut self) -> Option<usize> {
+        let is_free = |connection: &Connection| {
+            !connection.is_closed && connection.in_flight < MAX_IN_FLIGHT_PER_CONNECTION
+        };
         let connections = self.connections.iter().enumerate();
         let free = connections.filter(|(_, connection)| is_free(connection));
-        let least_used = free.min_by_key(|(_, connection)| connection.open);
+        let least_used = free.min_by_key(|(_, connection)| connection.in_flight);
         match least_used {
-            Some((index, connection)) if connection.open < NEW_CONNECTION_AT => Some(index),
+            Some((index, connection)) if connection.in_flight < NEW_CONNECTION_THRESHOLD => {
+                Some(index)
+            }
             Some((index, _)) => self.connect().or(Some(index)),
             None => self.connect(),
         }
@@ -217,18 +220,18 @@
         std::thread::spawn(move || read_lines(index, reader, &sender));
         self.connections.push(Connection {
             stream,
-            open: 0,
+            in_flight: 0,
             last_id: 0,
-            is_over: false,
+            is_closed: false,
         });
         Some(index)
     }
 
     /// Takes in one line, or the end of a connection; lines that are no JSON are ignored.
-    fn take_in(&mut self, received: &Received) {
+    fn handle_received(&mut self, received: &Received) {
         let connection = received.connection;
         let Some(line) = &received.line else {
-            return self.connection_ended(connection, received.at);
+            return self.handle_connection_end(connection, received.at);
         };
         let Ok(message) = serde_json::from_str::<Value>(line) else {
             return;
@@ -239,28 +242,28 @@
         };
         let request = &mut self.requests[*number];
         if request.answers.is_empty() && request.withdrawn.is_none() {
-            self.connections[connection].open -= 1;
-            self.over.push(request.name.clone());
+            self.connections[connection].in_flight -= 1;
+            self.finished.push(request.name.clone());
         }
         let at = received.at.saturating_duration_since(self.began);
-        request.answers.push((answer_in(&message), at));
+        request.answers.push((parse_answer(&message), at));
     }
 
     /// A connection is over: what was not answered on it never will be.
-    fn connection_ended(&mut self, connection: usize, at: Instant) {
-        self.connections[connection].is_over = true;
+    fn handle_connection_end(&mut self, connection: usize, at: Instant) {
+        self.connections[connection].is_closed = true;
         let at = at.saturating_duration_since(self.began);
-        let places = self.places.iter().zip(&mut self.requests);
-        let on_connection = places.filter(|(place, _)| place.connection == connection);
+        let locations = self.locations.iter().zip(&mut self.requests);
+        let on_connection = locations.filter(|(location, _)| location.connection == connection);
         for (_, request) in on_connection.filter(|(_, request)| request.answers.is_empty()) {
-            request.cut_off = Some(at);
+            request.disconnected = Some(at);
         }
     }
 }
 
 /// A request as it is sent.
 fn request_line(id: u64, handler: usize, name: &str, body: &str) -> String {
-    let key = if handler == KEYED_HANDLER {
+    let key = if handler == IDEMPOTENCY_KEY_HANDLER {
         format!("\"replay\":\"{name}{name}\",")
     } else {
         String::new()
@@ -290,7 +293,7 @@
 }
 
 /// What a message that has an id answers.
-fn answer_in(message: &Value) -> ClientAnswer {
+fn parse_answer(message: &Value) -> ClientAnswer {
     let error = &message["error"];
     match error["code"].as_i64() {
         None => ClientAnswer::Served(
--- a/crates/testkit/src/soak/plan.rs
+++ b/crates/testkit/src/soak/plan.rs
@@ -4,43 +4,43 @@
 use std::time::Duration;
 
 /// For how long the troubles last.
-const TROUBLED: Duration = Duration::from_secs(5);
+const FAULT_PHASE: Duration = Duration::from_secs(5);
 /// Time after the troubles in which nothing is sent, for what was begun to end.
-const SETTLING: Duration = Duration::from_millis(1_500);
+const QUIET_PERIOD: Duration = Duration::from_millis(1_500);
 /// For how long the server is asked afterwards whether it serves.
-const CALM: Duration = Duration::from_secs(4);
+const FAULT_FREE_PHASE: Duration = Duration::from_secs(4);
 /// Time between two requests of one handler while all is calm.
-const CALM_INTERVAL: Duration = Duration::from_secs(1);
+const FAULT_FREE_INTERVAL: Duration = Duration::from_secs(1);
 /// Time between the first request and the first trouble.
 const WARM_UP: Duration = Duration::from_millis(300);
 /// Requests a second, at least and at most.
-const RATES: (f64, f64) = (120.0, 240.0);
+const REQUEST_RATES: (f64, f64) = (120.0, 240.0);
 /// The part of the requests whose clients stop waiting, at most.
-const MAX_WITHDRAWN: f64 = 0.6;
+const MAX_WITHDRAWN_FRACTION: f64 = 0.6;
 /// Time after which a client stops waiting, at most.
-const MAX_PATIENCE: Duration = Duration::from_millis(60);
+const MAX_WITHDRAWAL_DELAY: Duration = Duration::from_millis(60);
 /// Mean number of breaks of the engine's link in a second.
 const LINK_BREAKS_PER_SECOND: f64 = 8.0;
 /// The part of these breaks before which the engine reads nothing for a time.
-const UNREAD_BREAKS: f64 = 0.6;
+const UNREAD_BREAK_FRACTION: f64 = 0.6;
 /// Time for which it reads nothing, at most.
-const MAX_UNREAD: Duration = Duration::from_millis(40);
+const MAX_UNREAD_TIME: Duration = Duration::from_millis(40);
 
 /// The part of the plays in which the runs of a moment never end.
-const PLAYS_WITH_HUNG_RUNS: f64 = 0.34;
+const HUNG_RUNS_PROBABILITY: f64 = 0.34;
 /// When these runs hang: so early that those whose clients wait are answered before the calm.
-const HANG: (f64, f64) = (0.5, 1.5);
+const HANG_TIME_SECS: (f64, f64) = (0.5, 1.5);
 
 /// Time from SIGTERM to SIGKILL, in milliseconds, as the configuration has it.
-pub(super) const STOP_MS: u64 = 1_500;
+pub(super) const SHUTDOWN_MS: u64 = 1_500;
 /// Time for which load runs before the program is told to leave; it goes on until the kill.
-const BEFORE_LEAVING: Duration = Duration::from_millis(500);
+const LOAD_BEFORE_SHUTDOWN: Duration = Duration::from_millis(500);
 /// The part of the plays in which a crowd comes when the program is told to leave.
-const PLAYS_WITH_CROWD: f64 = 0.34;
+const SURGE_PROBABILITY: f64 = 0.34;
 /// Requests a second of a crowd, and new connections that it opens.
-const CROWD_RATE: f64 = 900.0;
+const SURGE_RATE: f64 = 900.0;
 /// Connections that a crowd opens at once, half of what the server may have.
-const CROWD_CONNECTIONS: usize = 50;
+const SURGE_CONNECTIONS: usize = 50;
 /// Signals beside SIGTERM, at most.
 const MAX_FURTHER_SIGNALS: u64 = 6;
 /// Span around SIGTERM in which the first half of them comes; the others come until the kill.
@@ -49,7 +49,7 @@
 /// The handlers of the settings, in their order.
 pub(super) const HANDLERS: [&str; 3] = ["search", "quote", "book"];
 /// The handler whose requests have idempotency keys.
-pub(super) const KEYED_HANDLER: usize = 2;
+pub(super) const IDEMPOTENCY_KEY_HANDLER: usize = 2;
 
 /// A request that is to be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -57,9 +57,9 @@
     /// The index of its handler among those of the settings.
     pub handler: usize,
     /// When its client stops waiting, after it was sent; nothing where it waits for the answer.
-    pub patience: Option<Duration>,
+    pub withdraw_after: Option<Duration>,
     /// Whether it is sent when all is calm, and so has to be served.
-    pub has_to_be_served: bool,
+    pub must_be_served: bool,
 }
 
 /// One thing that is done to the server.
@@ -85,11 +85,11 @@
     /// Reload; the configuration is as it was.
     Reload,
     /// Reload of a configuration that was cut in half.
-    ReloadBroken,
+    ReloadTruncated,
     /// Print the counters.
     PrintCounters,
     /// Leave.
-    Leave,
+    Shutdown,
 }
 
 /// A step and its time since the beginning of the play.
@@ -109,9 +109,9 @@
     /// The steps in the order of their times.
     pub steps: Vec<TimedStep>,
     /// When all is calm no more, and load begins again.
-    pub calm_end: Duration,
+    pub fault_free_end: Duration,
     /// When the program gets its first SIGTERM.
-    pub leave: Duration,
+    pub shutdown: Duration,
     /// When the program is killed, if it has not ended: the protocol's earliest moment.
     pub kill: Duration,
 }
@@ -123,19 +123,19 @@
         let mut steps = draw_load(&mut random);
         steps.extend(draw_link_breaks(&mut random));
         steps.extend(draw_hung_runs(&mut random));
-        let calm = TROUBLED + SETTLING;
-        steps.extend(calm_requests(calm));
-        let calm_end = calm + CALM;
-        let leave = calm_end + BEFORE_LEAVING;
-        let kill = leave + Duration::from_millis(STOP_MS);
-        steps.extend(draw_last_load(&mut random, calm_end, kill));
-        steps.extend(draw_signals(&mut random, leave, kill));
+        let fault_free_start = FAULT_PHASE + QUIET_PERIOD;
+        steps.extend(fault_free_requests(fault_free_start));
+        let fault_free_end = fault_free_start + FAULT_FREE_PHASE;
+        let shutdown = fault_free_end + LOAD_BEFORE_SHUTDOWN;
+        let kill = shutdown + Duration::from_millis(SHUTDOWN_MS);
+        steps.extend(draw_shutdown_load(&mut random, fault_free_end, kill));
+        steps.extend(draw_signals(&mut random, shutdown, kill));
         steps.sort_by_key(|step| step.at);
         Plan {
             seed,
             steps,
-            calm_end,
-            leave,
+            fault_free_end,
+            shutdown,
             kill,
         }
     }
@@ -143,67 +143,69 @@
 
 impl Plan {
     /// The steps up to the end of the calm, and those after it.
-    pub(super) fn steps_around_calm_end(&self) -> (&[TimedStep], &[TimedStep]) {
-        let first = self.steps.partition_point(|step| step.at < self.calm_end);
+    pub(super) fn steps_around_fault_free_end(&self) -> (&[TimedStep], &[TimedStep]) {
+        let first = self
+            .steps
+            .partition_point(|step| step.at < self.fault_free_end);
         self.steps.split_at(first)
     }
 }
 
 /// A number between two others.
-fn between(random: &mut Rand64, (least, most): (f64, f64)) -> f64 {
+fn uniform(random: &mut Rand64, (least, most): (f64, f64)) -> f64 {
     least + (most - least) * random.rand_float()
 }
 
 /// A part of a time.
-fn part_of(random: &mut Rand64, whole: Duration) -> Duration {
+fn random_part_of(random: &mut Rand64, whole: Duration) -> Duration {
     whole.mul_f64(random.rand_float())
 }
 
 /// Time to the next of events that come at random, so many a second.
-fn random_gap(random: &mut Rand64, per_second: f64) -> Duration {
+fn exponential_gap(random: &mut Rand64, per_second: f64) -> Duration {
     Duration::from_secs_f64(-(1.0 - random.rand_float()).ln() / per_second)
 }
 
 /// The requests of the troubled time.
 fn draw_load(random: &mut Rand64) -> Vec<TimedStep> {
-    let rate = between(random, RATES);
-    draw_requests(random, rate, Duration::ZERO, TROUBLED)
+    let rate = uniform(random, REQUEST_RATES);
+    draw_requests(random, rate, Duration::ZERO, FAULT_PHASE)
 }
 
 /// The requests from the end of the calm to the kill, perhaps of a crowd.
-fn draw_last_load(random: &mut Rand64, from: Duration, until: Duration) -> Vec<TimedStep> {
-    let has_crowd = random.rand_float() < PLAYS_WITH_CROWD;
-    if !has_crowd {
-        let rate = between(random, RATES);
+fn draw_shutdown_load(random: &mut Rand64, from: Duration, until: Duration) -> Vec<TimedStep> {
+    let has_surge = random.rand_float() < SURGE_PROBABILITY;
+    if !has_surge {
+        let rate = uniform(random, REQUEST_RATES);
         return draw_requests(random, rate, from, until);
     }
-    let step = Step::OpenConnections(CROWD_CONNECTIONS);
+    let step = Step::OpenConnections(SURGE_CONNECTIONS);
     let mut steps = vec![TimedStep { at: from, step }];
-    steps.extend(draw_requests(random, CROWD_RATE, from, until));
+    steps.extend(draw_requests(random, SURGE_RATE, from, until));
     steps
 }
 
 /// The first SIGTERM, and other signals around it and until the kill.
-fn draw_signals(random: &mut Rand64, leave: Duration, kill: Duration) -> Vec<TimedStep> {
+fn draw_signals(random: &mut Rand64, shutdown: Duration, kill: Duration) -> Vec<TimedStep> {
     let signal = |at, signal| TimedStep {
         at,
         step: Step::Signal(signal),
     };
-    let mut steps = vec![signal(leave, Signal::Leave)];
+    let mut steps = vec![signal(shutdown, Signal::Shutdown)];
     for number in 0..random.rand_range(0..MAX_FURTHER_SIGNALS + 1) {
         let drawn = match random.rand_range(0..4) {
             0 => Signal::Reload,
-            1 => Signal::ReloadBroken,
+            1 => Signal::ReloadTruncated,
             2 => Signal::PrintCounters,
-            _ => Signal::Leave,
+            _ => Signal::Shutdown,
         };
         // The first SIGTERM is the one whose time counts.
         let at = if number % 2 == 1 {
-            leave + part_of(random, kill - leave)
-        } else if drawn == Signal::Leave {
-            leave + part_of(random, SIGNAL_BURST)
+            shutdown + random_part_of(random, kill - shutdown)
+        } else if drawn == Signal::Shutdown {
+            shutdown + random_part_of(random, SIGNAL_BURST)
         } else {
-            leave - SIGNAL_BURST + part_of(random, SIGNAL_BURST * 2)
+            shutdown - SIGNAL_BURST + random_part_of(random, SIGNAL_BURST * 2)
         };
         steps.push(signal(at, drawn));
     }
@@ -217,19 +219,19 @@
     from: Duration,
     until: Duration,
 ) -> Vec<TimedStep> {
-    let withdrawn = between(random, (0.0, MAX_WITHDRAWN));
+    let withdrawn = uniform(random, (0.0, MAX_WITHDRAWN_FRACTION));
     let mut steps = vec![];
-    let mut at = from + random_gap(random, rate);
+    let mut at = from + exponential_gap(random, rate);
     while at < until {
         let is_withdrawn = random.rand_float() < withdrawn;
         let request = PlannedRequest {
             handler: random.rand_range(0..HANDLERS.len() as u64) as usize,
-            patience: is_withdrawn.then(|| part_of(random, MAX_PATIENCE)),
-            has_to_be_served: false,
+            withdraw_after: is_withdrawn.then(|| random_part_of(random, MAX_WITHDRAWAL_DELAY)),
+            must_be_served: false,
         };
         let step = Step::Send(request);
         steps.push(TimedStep { at, step });
-        at += random_gap(random, rate);
+        at += exponential_gap(random, rate);
     }
     steps
 }
@@ -238,41 +240,41 @@
 fn draw_link_breaks(random: &mut Rand64) -> Vec<TimedStep> {
     let mut steps = vec![];
     let mut at = WARM_UP;
-    while at < TROUBLED {
-        if random.rand_float() < UNREAD_BREAKS {
+    while at < FAULT_PHASE {
+        if random.rand_float() < UNREAD_BREAK_FRACTION {
             let step = Step::StopReading;
             steps.push(TimedStep { at, step });
-            at += part_of(random, MAX_UNREAD);
+            at += random_part_of(random, MAX_UNREAD_TIME);
         }
         let step = Step::BreakLink;
         steps.push(TimedStep { at, step });
-        at += random_gap(random, LINK_BREAKS_PER_SECOND);
+        at += exponential_gap(random, LINK_BREAKS_PER_SECOND);
     }
     steps
 }
 
 /// The moment whose runs never end, if there is one.
 fn draw_hung_runs(random: &mut Rand64) -> Option<TimedStep> {
-    let is_drawn = random.rand_float() < PLAYS_WITH_HUNG_RUNS;
-    let at = Duration::from_secs_f64(between(random, HANG));
+    let is_drawn = random.rand_float() < HUNG_RUNS_PROBABILITY;
+    let at = Duration::from_secs_f64(uniform(random, HANG_TIME_SECS));
     let step = Step::HangRuns;
     is_drawn.then_some(TimedStep { at, step })
 }
 
 /// One request of each handler at a time from `calm` on.
-fn calm_requests(calm: Duration) -> Vec<TimedStep> {
+fn fault_free_requests(fault_free_start: Duration) -> Vec<TimedStep> {
     let mut steps = vec![];
-    let mut at = calm;
-    while at + CALM_INTERVAL <= calm + CALM {
+    let mut at = fault_free_start;
+    while at + FAULT_FREE_INTERVAL <= fault_free_start + FAULT_FREE_PHASE {
         steps.extend((0..HANDLERS.len()).map(|handler| TimedStep {
             at,
             step: Step::Send(PlannedRequest {
                 handler,
-                patience: None,
-                has_to_be_served: true,
+                withdraw_after: None,
+                must_be_served: true,
             }),
         }));
-        at += CALM_INTERVAL;
+        at += FAULT_FREE_INTERVAL;
     }
     steps
 }
--- a/crates/testkit/src/soak/player.rs
+++ b/crates/testkit/src/soak/player.rs
@@ -2,7 +2,7 @@
 
 use super::SETTINGS;
 use super::clients::{Clients, SentRequest, TIMEOUT_MS};
-use super::plan::{HANDLERS, Plan, STOP_MS, Signal, Step, TimedStep};
+use super::plan::{HANDLERS, Plan, SHUTDOWN_MS, Signal, Step, TimedStep};
 use crate::catalogue::Catalogue;
 use crate::engine::{Engine, EngineStats, HandlerWork};
 use crate::registry::Registry;
@@ -19,13 +19,13 @@
 /// Calls that the fake catalogue works on at a time.
 const CATALOGUE_SLOTS: usize = 16;
 /// Time of a call in its slot.
-const CALL: Duration = Duration::from_millis(10);
+const CATALOGUE_CALL_TIME: Duration = Duration::from_millis(10);
 /// Connections that the server may have.
 const MAX_SOCKETS: usize = 128;
 /// Time for which answers are awaited at a time.
 const RECEIVE_STEP: Duration = Duration::from_millis(5);
 /// Time for which answers are taken in that were sent before the kill.
-const LAST_ANSWERS: Duration = Duration::from_millis(20);
+const LAST_ANSWERS_TIME: Duration = Duration::from_millis(20);
 /// Time that printing the counters may take.
 const COUNTERS_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time in which the next counter comes: they are printed in one piece.
@@ -53,27 +53,33 @@
 ///
 /// If the program or a fake does not start, or the program does not end by itself.
 pub fn play(program: &Path, plan: &Plan) -> PlayRecord {
-    let engine = Engine::start(ENGINE_CORES, works(), plan.seed);
-    let catalogue = Catalogue::start(CATALOGUE_SLOTS, CALL);
+    let engine = Engine::start(ENGINE_CORES, handler_work(), plan.seed);
+    let catalogue = Catalogue::start(CATALOGUE_SLOTS, CATALOGUE_CALL_TIME);
     let registry = Registry::start();
     let dependencies = Dependencies {
         engine: engine.address,
         registry: registry.address,
         catalogue: catalogue.address,
     };
-    let text = configuration("127.0.0.1:0", dependencies, MAX_SOCKETS, STOP_MS, SETTINGS);
+    let text = configuration(
+        "127.0.0.1:0",
+        dependencies,
+        MAX_SOCKETS,
+        SHUTDOWN_MS,
+        SETTINGS,
+    );
     let mut server = Server::start_with_debug_log(program, &text, None);
     server.log_at("engine: up");
     let log = server.follow();
     let mut lines = vec![];
-    let mut run = Run::new(plan, &server, &engine, &text);
-    let (to_calm, from_calm) = plan.steps_around_calm_end();
-    run.play_steps(to_calm, plan.calm_end);
+    let mut run = Playback::new(plan, &server, &engine, &text);
+    let (before, after) = plan.steps_around_fault_free_end();
+    run.play_steps(before, plan.fault_free_end);
     run.await_answers();
     let counters = read_counters(&server, &log, &mut lines);
-    run.restart_clock_at(plan.calm_end);
-    run.play_steps(from_calm, plan.kill);
-    run.take_in_last_answers();
+    run.resume_plan_at(plan.fault_free_end);
+    run.play_steps(after, plan.kill);
+    run.receive_last_answers();
     let requests = run.clients.into_requests();
     let status = server.ended_within(Duration::ZERO);
     let engine = engine.stats();
@@ -89,16 +95,16 @@
 }
 
 /// What the engine does for the handlers.
-fn works() -> Vec<HandlerWork> {
+fn handler_work() -> Vec<HandlerWork> {
     let calls = [true, false, true];
-    let works = HANDLERS.iter().zip(calls);
-    works
+    let handlers = HANDLERS.iter().zip(calls);
+    handlers
         .map(|(handler, calls)| HandlerWork::new(handler, RUN_MS, calls))
         .collect()
 }
 
 /// A play that goes on.
-struct Run<'a> {
+struct Playback<'a> {
     server: &'a Server,
     engine: &'a Engine,
     /// The configuration as it was at the start.
@@ -106,21 +112,26 @@
     clients: Clients,
     began: Instant,
     /// How far the plan's clock stands behind: the time that reading the counters took.
-    behind: Duration,
+    plan_delay: Duration,
     /// When which clients stop waiting.
     withdrawals: BTreeSet<(Duration, usize)>,
 }
 
-impl<'a> Run<'a> {
-    fn new(plan: &Plan, server: &'a Server, engine: &'a Engine, configuration: &'a str) -> Run<'a> {
+impl<'a> Playback<'a> {
+    fn new(
+        plan: &Plan,
+        server: &'a Server,
+        engine: &'a Engine,
+        configuration: &'a str,
+    ) -> Playback<'a> {
         let began = Instant::now();
-        Run {
+        Playback {
             server,
             engine,
             configuration,
             clients: Clients::new(server.address, plan.seed, began),
             began,
-            behind: Duration::ZERO,
+            plan_delay: Duration::ZERO,
             withdrawals: BTreeSet::new(),
         }
     }
@@ -128,31 +139,31 @@
     /// Plays steps, each at its time, and waits until `end`.
     fn play_steps(&mut self, steps: &[TimedStep], end: Duration) {
         for timed in steps {
-            self.wait_until(timed.at + self.behind);
+            self.wait_until(timed.at + self.plan_delay);
             self.play_step(timed.step);
         }
-        self.wait_until(end + self.behind);
+        self.wait_until(end + self.plan_delay);
     }
 
     /// The plan goes on from this time.
-    fn restart_clock_at(&mut self, at: Duration) {
-        self.behind = self.began.elapsed().saturating_sub(at);
+    fn resume_plan_at(&mut self, at: Duration) {
+        self.plan_delay = self.began.elapsed().saturating_sub(at);
     }
 
     /// Takes in what had been sent before the kill, and the ends of the connections.
-    fn take_in_last_answers(&mut self) {
-        self.clients.receive(LAST_ANSWERS);
-        self.tell_engine();
+    fn receive_last_answers(&mut self) {
+        self.clients.receive(LAST_ANSWERS_TIME);
+        self.notify_engine();
     }
 
     /// Sends a signal. One that follows the end of the program is passed over.
     fn signal(&self, signal: Signal) {
         let name = match signal {
-            Signal::Reload | Signal::ReloadBroken => "-HUP",
+            Signal::Reload | Signal::ReloadTruncated => "-HUP",
             Signal::PrintCounters => "-USR1",
-            Signal::Leave => "-TERM",
+            Signal::Shutdown => "-TERM",
         };
-        if signal == Signal::ReloadBroken {
+        if signal == Signal::ReloadTruncated {
             let half = &self.configuration[..self.configuration.len() / 2];
             std::fs::write(&self.server.path, half).expect("written");
         } else if signal == Signal::Reload {
@@ -165,8 +176,8 @@
         match step {
             Step::Send(request) => {
                 let number = self.clients.send(request);
-                if let (Some(number), Some(patience)) = (number, request.patience) {
-                    let at = self.began.elapsed() + patience;
+                if let (Some(number), Some(withdraw_after)) = (number, request.withdraw_after) {
+                    let at = self.began.elapsed() + withdraw_after;
                     self.withdrawals.insert((at, number));
                 }
             }
@@ -189,7 +200,7 @@
                 self.withdrawals.remove(&(at, number));
                 self.clients.withdraw(number);
             }
-            self.tell_engine();
+            self.notify_engine();
             if now >= until {
                 return;
             }
@@ -204,13 +215,13 @@
         let until = self.began.elapsed() + Duration::from_millis(TIMEOUT_MS);
         while self.clients.awaits_answer() && self.began.elapsed() < until {
             self.clients.receive(RECEIVE_STEP);
-            self.tell_engine();
+            self.notify_engine();
         }
     }
 
     /// Tells the engine which requests are over, as the machine does that both run on.
-    fn tell_engine(&mut self) {
-        for name in self.clients.take_over() {
+    fn notify_engine(&mut self) {
+        for name in self.clients.take_finished() {
             self.engine.answered(&name);
         }
     }
@@ -226,7 +237,7 @@
     let mut counters = HashMap::new();
     let mut wait = COUNTERS_TIMEOUT;
     while let Ok((_, line)) = log.recv_timeout(wait) {
-        match line.strip_prefix(COUNTER_PREFIX).and_then(read_counter) {
+        match line.strip_prefix(COUNTER_PREFIX).and_then(parse_counter) {
             Some((name, value)) => {
                 counters.insert(name, value);
                 wait = NEXT_COUNTER_TIMEOUT;
@@ -238,7 +249,7 @@
 }
 
 /// A name and its value.
-fn read_counter(line: &str) -> Option<(String, u64)> {
+fn parse_counter(line: &str) -> Option<(String, u64)> {
     let (name, value) = line.rsplit_once(' ')?;
     Some((name.trim().to_string(), value.parse().ok()?))
 }
--- a/crates/testkit/src/soak/violations.rs
+++ b/crates/testkit/src/soak/violations.rs
@@ -1,7 +1,7 @@
 //! Which rules a play has broken.
 
 use super::clients::{ClientAnswer, SentRequest, TIMEOUT_MS};
-use super::plan::KEYED_HANDLER;
+use super::plan::IDEMPOTENCY_KEY_HANDLER;
 use super::player::PlayRecord;
 use crate::engine::RunEvent;
 use base64::Engine as _;
@@ -14,7 +14,7 @@
 /// Time in which a request and the close of its connection cross, as the protocol has it.
 const CLOSE_CROSSING: Duration = Duration::from_millis(50);
 /// Counters that are zero once all is answered and every run has ended.
-const ZERO_AT_REST: [&str; 3] = ["open", "in_hand", "calls.out"];
+const ZERO_WHEN_IDLE: [&str; 3] = ["open", "in_hand", "calls.out"];
 
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -49,7 +49,7 @@
             what: format!("exit status {:?}", play.exit_status),
         });
     }
-    for name in ZERO_AT_REST {
+    for name in ZERO_WHEN_IDLE {
         let value = play.counters.get(name);
         if value != Some(&0) {
             found.push(Violation {
@@ -66,7 +66,7 @@
     let events = events_of(play, request);
     let mut broken = vec![];
     let is_answered = !request.answers.is_empty();
-    if !is_answered && request.withdrawn.is_none() && !crosses_close(request) {
+    if !is_answered && request.withdrawn.is_none() && !crossed_connection_close(request) {
         broken.push("each request gets an answer");
     }
     if request.answers.len() > 1 {
@@ -82,32 +82,32 @@
     if request
         .answers
         .iter()
-        .any(|(answer, _)| !is_of_run(request, answer, events))
+        .any(|(answer, _)| !has_valid_result(request, answer, events))
     {
         broken.push("served is what a run made");
     }
     let runs = play.engine.bodies.get(&request.body).copied().unwrap_or(0);
-    if runs > 1 && request.planned.handler == KEYED_HANDLER {
+    if runs > 1 && request.planned.handler == IDEMPOTENCY_KEY_HANDLER {
         broken.push("nothing runs twice within its window");
     }
     let was_rejected = matches!(request.answers.first(), Some((ClientAnswer::Rejected, _)));
     if runs > 0 && was_rejected {
         broken.push("what was rejected did not run");
     }
-    if is_cancelled_unstarted(events) {
+    if was_halted_before_run(events) {
         broken.push("the engine is sent RUN before HALT");
     }
     let was_served = matches!(request.answers.first(), Some((ClientAnswer::Served(_), _)));
-    if request.planned.has_to_be_served && !was_served {
+    if request.planned.must_be_served && !was_served {
         broken.push("all is served when calm");
     }
     broken
 }
 
 /// Whether a request was sent so shortly before its connection ended that the protocol has it sent again.
-fn crosses_close(request: &SentRequest) -> bool {
-    let cut_off = request.cut_off;
-    cut_off.is_some_and(|at| at.saturating_sub(request.sent) <= CLOSE_CROSSING)
+fn crossed_connection_close(request: &SentRequest) -> bool {
+    let disconnected = request.disconnected;
+    disconnected.is_some_and(|at| at.saturating_sub(request.sent) <= CLOSE_CROSSING)
 }
 
 fn is_late(request: &SentRequest, at: Duration) -> bool {
@@ -116,7 +116,7 @@
 }
 
 /// Whether an answer is none of a run, or the result that the engine made for this request.
-fn is_of_run(request: &SentRequest, answer: &ClientAnswer, events: &[RunEvent]) -> bool {
+fn has_valid_result(request: &SentRequest, answer: &ClientAnswer, events: &[RunEvent]) -> bool {
     let ClientAnswer::Served(result) = answer else {
         return true;
     };
@@ -124,7 +124,7 @@
     has_run && *result == BASE64.encode(&request.name)
 }
 
-fn is_cancelled_unstarted(events: &[RunEvent]) -> bool {
+fn was_halted_before_run(events: &[RunEvent]) -> bool {
     let was_sent = |kind: &str| events.iter().any(|event| event.kind == kind);
     was_sent("HALT") && !was_sent("RUN")
 }
@@ -153,9 +153,9 @@
         })
     };
     let withdrawn = after("withdrawn", request.withdrawn);
-    let cut_off = after("cut off", request.cut_off);
+    let disconnected = after("cut off", request.disconnected);
     format!(
-        "request {} sent at {} ms{withdrawn}{cut_off}; answers [{}]; engine (its own clock) [{}]; log [{}]",
+        "request {} sent at {} ms{withdrawn}{disconnected}; answers [{}]; engine (its own clock) [{}]; log [{}]",
         request.name,
         request.sent.as_millis(),
         answers.join(", "),
