--- a/crates/testkit/src/fleet/mod.rs
+++ b/crates/testkit/src/fleet/mod.rs
@@ -1,21 +1,23 @@
 //! Fleets of servers under faults.
 //!
-//! A [`script`](crate::fleet::script) is played on any fleet that implements
-//! [`script::Fleet`](crate::fleet::script::Fleet): on [`simulated`](crate::fleet::simulated) ones,
-//! in simulated time and from one seed, and on [`processes`](crate::fleet::processes), whose
-//! datagrams pass through [`relay`](crate::fleet::relay)s. [`network`](crate::fleet::network)
-//! decides for both what becomes of each datagram.
-//! [`script_generator`](crate::fleet::script_generator) draws actions in place of a script.
+//! A [`script`](crate::fleet::script) lists faults to inject and conditions that must hold. It runs
+//! on any fleet that implements [`script::Fleet`](crate::fleet::script::Fleet). There are two such
+//! fleets: [`simulated`](crate::fleet::simulated) runs in simulated time from one seed, and
+//! [`processes`](crate::fleet::processes) starts real servers whose datagrams pass through a
+//! [`relay`](crate::fleet::relay). In both, [`network`](crate::fleet::network) decides which
+//! datagrams are lost, duplicated, corrupted or delayed.
+//! [`script_generator`](crate::fleet::script_generator) draws random actions instead of reading
+//! them from a script.
 
-/// What becomes of datagrams between servers.
+/// Simulated network faults between servers.
 pub mod network;
-/// Fleets of real processes.
+/// Fleets of real server processes.
 pub mod processes;
-/// Relays between real servers.
+/// UDP relays between real servers.
 pub mod relay;
-/// Fault scripts.
+/// Fault scripts: parser and runner.
 pub mod script;
-/// Actions drawn from a seed.
+/// Random actions drawn from a seed.
 pub mod script_generator;
-/// Fleets in simulated time.
+/// Fleets that run in simulated time.
 pub mod simulated;
--- a/crates/testkit/src/fleet/network.rs
+++ b/crates/testkit/src/fleet/network.rs
@@ -1,39 +1,39 @@
-//! The network between the servers of a fleet, with its faults. Simulated fleets and the relays of
-//! real ones share it. It owns partitions and faults, is given datagrams and actions, and never
-//! sends anything itself.
+//! The network between the servers of a fleet, with injected faults. Simulated fleets and the
+//! relays of real fleets share this code. It holds the present partitions and faults and decides
+//! what happens to each datagram, but sends nothing itself.
 
 use super::script::Action;
 use madderbay::time::Duration;
 use oorandom::Rand64;
 use std::collections::HashSet;
 
-/// Datagrams to each server that are retained, so that they can be replayed.
+/// Maximum number of datagrams retained per receiver for a later replay.
 const MAX_RETAINED_DATAGRAMS: usize = 200;
-/// The largest fleet whose datagrams are retained, in servers.
+/// Number of servers up to which a fleet's datagrams are retained.
 const MAX_RETAINING_FLEET_SIZE: usize = 50;
 
-/// Decides what becomes of each datagram: lost, duplicated, corrupted, delayed. What it draws is
-/// determined by its seed.
+/// Decides for each datagram whether it is lost, duplicated, corrupted or delayed. The seed
+/// determines all random choices.
 pub struct SimulatedNetwork {
     random: Rand64,
-    /// The group of the partition that each server is in; all are in one without a partition.
+    /// Partition group of each server; all servers are in one group if there is no partition.
     partition: Vec<usize>,
-    /// Pairs of servers where nothing gets from the first to the second.
+    /// Pairs of servers of which the first cannot reach the second.
     one_way: HashSet<(usize, usize)>,
-    /// The fractions of all datagrams that are lost, duplicated and corrupted.
+    /// Fractions of all datagrams that are lost, duplicated and corrupted.
     loss: f64,
     duplication: f64,
     corruption: f64,
-    /// The shortest and the longest delay.
+    /// Minimum and maximum delay of a datagram.
     delay: (Duration, Duration),
-    /// The same without faults.
+    /// Minimum and maximum delay while no fault changes them.
     base_delay: (Duration, Duration),
-    /// By receiver the first datagrams, with their senders.
+    /// The first datagrams sent to each receiver, with their senders.
     retained: Vec<Vec<(usize, Vec<u8>)>>,
 }
 
 impl SimulatedNetwork {
-    /// A network without faults; `calm_delay` is the shortest and the longest delay of its
+    /// Creates a network without faults. `base_delay` is the minimum and maximum delay of its
     /// datagrams.
     pub fn new(servers: usize, seed: u64, base_delay: (Duration, Duration)) -> SimulatedNetwork {
         SimulatedNetwork {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Carries out an action on the network; all other actions are ignored.
+    /// Applies an action to the network. Actions that do not concern the network are ignored.
     pub fn act(&mut self, action: &Action) {
         match action {
             Action::Cut(groups) => {
@@ -90,17 +90,19 @@
         }
     }
 
-    /// The group of the partition that a server is in.
+    /// Returns the partition group of a server.
     pub(super) fn partition(&self, server: usize) -> usize {
         self.partition[server]
     }
 
-    /// Whether two servers are in one group and there is no partition of one direction anywhere.
+    /// Reports whether two servers are in one partition group and the network has no one-way
+    /// partition between any servers.
     pub(super) fn connects_both_ways(&self, one: usize, other: usize) -> bool {
         self.partition[one] == self.partition[other] && self.one_way.is_empty()
     }
 
-    /// What arrives of a datagram, each copy with its delay.
+    /// Returns the copies of a datagram that arrive, each with its delay. The result is empty if the
+    /// datagram is lost.
     pub fn carry(&mut self, from: usize, to: usize, bytes: &[u8]) -> Vec<(Duration, Vec<u8>)> {
         let partitioned =
             self.partition[from] != self.partition[to] || self.one_way.contains(&(from, to));
@@ -129,13 +131,13 @@
         (delay, bytes)
     }
 
-    /// Whether a fault happens that hits this fraction of all datagrams. Nothing is drawn where it
-    /// is 0.
+    /// Draws whether a fault with this probability happens. A probability of 0 consumes no random
+    /// number.
     fn draw_fault(&mut self, fraction: f64) -> bool {
         fraction > 0.0 && self.random.rand_float() < fraction
     }
 
-    /// The first datagrams that were sent to a server, with their senders.
+    /// Returns the retained datagrams that were sent to a server, with their senders.
     pub(super) fn retained(&self, to: usize) -> Vec<(usize, Vec<u8>)> {
         self.retained[to].clone()
     }
--- a/crates/testkit/src/fleet/processes/actions.rs
+++ b/crates/testkit/src/fleet/processes/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out the actions of a script on real processes.
+//! Performs the actions of a script on real server processes.
 
 use super::operator_file::{self, QUOTA_SECTION, millis};
 use super::{Node, ProcessFleet};
@@ -69,7 +69,7 @@
         Ok(())
     }
 
-    /// Has a server drain, and waits for its end.
+    /// Sends SIGTERM to a server, so that it drains, and waits until it has exited.
     fn drain(&mut self, server: usize) -> Result<(), ActionError> {
         self.interrupt_load(server);
         let process = self.nodes[server].server.take();
@@ -99,11 +99,11 @@
         Ok(())
     }
 
-    /// Edits the operator file of a server and has it reload that.
+    /// Edits the operator file of a server and sends SIGHUP, so that the server reloads it.
     ///
     /// # Panics
     ///
-    /// If the server does not run, or if its operator file can't be read or written.
+    /// If the server does not run, or if its operator file cannot be read or written.
     pub fn rewrite(&self, server: usize, edit: impl Fn(&str) -> String) {
         let server = self.server(server).expect("it runs");
         let path = server.operator.as_ref().expect("it has an operator file");
--- a/crates/testkit/src/fleet/processes/client_load.rs
+++ b/crates/testkit/src/fleet/processes/client_load.rs
@@ -1,4 +1,5 @@
-//! The load that clients put on a server which has demand for calls under a quota.
+//! Client load for servers that share a quota of calls: it gives each server the demand that the
+//! script sets.
 
 use super::{Node, ProcessFleet, name, quota_call_time};
 use crate::load_balancer::{Load, RequestKind, RequestRecord, rule_violations};
@@ -7,30 +8,33 @@
 use std::thread::JoinHandle;
 use std::time::Duration as StdDuration;
 
-/// The time that a client waits for its answer, in milliseconds.
+/// Time for which a client waits for its answer, in milliseconds.
 const REQUEST_TIMEOUT_MS: u64 = 4_000;
-/// Within this an answer is in time.
+/// Latency objective of the requests.
 const LATENCY_OBJECTIVE: StdDuration = StdDuration::from_secs(2);
-/// Longer than any script: a load ends when it is switched off.
+/// Length of a load, longer than any script runs. A load is ended with `stop_sending` instead.
 const MAX_LOAD_LENGTH: StdDuration = StdDuration::from_secs(600);
 
-/// Requests that are sent to one server, each of which makes one call, by a thread of their own.
+/// A load on one server, sent by a thread of its own. Each request makes one upstream call.
 pub(super) struct ClientLoad {
+    /// Whether the thread still sends requests.
     sending: Arc<AtomicBool>,
     records: JoinHandle<Vec<RequestRecord>>,
-    /// The server was killed or stopped meanwhile, so that requests may be without an answer.
+    /// The server was killed, stopped, continued or drained during the load, so requests may have
+    /// no answer.
     interrupted: bool,
 }
 
 impl ClientLoad {
-    /// Sends nothing more; answers are still awaited.
+    /// Stops sending requests. Outstanding answers are still awaited.
     fn stop_sending(&self) {
         self.sending.store(false, Ordering::Relaxed);
     }
 }
 
 impl ProcessFleet {
-    /// Ends a server's load and starts one for its present demand, if it runs and has any.
+    /// Ends a server's load and starts one for its present demand, if the server runs and has
+    /// demand.
     pub(super) fn restart_load(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         node.loads.iter().for_each(ClientLoad::stop_sending);
@@ -63,7 +67,7 @@
         });
     }
 
-    /// Ends a server's load because the server is about to be killed or stopped.
+    /// Ends a server's load because the server is about to be signalled or killed.
     pub(super) fn interrupt_load(&mut self, index: usize) {
         for load in &mut self.nodes[index].loads {
             load.interrupted = true;
@@ -71,12 +75,12 @@
         }
     }
 
-    /// Ends the loads of all servers. Gives the number of their requests, and a line for each
-    /// violated rule.
+    /// Ends the loads of all servers. Returns the number of requests sent and one line for each
+    /// rule violation.
     ///
     /// # Panics
     ///
-    /// If a load's thread has panicked.
+    /// If the thread of a load has panicked.
     pub fn finish_loads(&mut self) -> (usize, Vec<String>) {
         let mut requests = 0;
         let mut violations = vec![];
@@ -92,12 +96,13 @@
     }
 }
 
-/// Waits for the end of a load; gives the number of its requests.
+/// Waits for the end of a load, adds its rule violations to `violations`, and returns the number of
+/// its requests.
 fn finish(load: ClientLoad, node: &Node, violations: &mut Vec<String>) -> usize {
     let records = load.records.join().expect("loaded");
     let bodies = node.engine.stats().bodies;
     let found = rule_violations(&records, &request_kinds(), &bodies);
-    // A server that was disturbed may owe answers.
+    // Requests to a server that was signalled or killed may have no answer.
     let is_expected = |violation: &String| load.interrupted && violation.contains(" answers");
     violations.extend(
         found
--- a/crates/testkit/src/fleet/processes/conditions.rs
+++ b/crates/testkit/src/fleet/processes/conditions.rs
@@ -1,10 +1,10 @@
-//! Checks conditions on the fleet by what its servers report.
+//! Checks script conditions against the reports of real servers.
 
 use super::{MembershipReport, ProcessFleet, name};
 use crate::fleet::script::ConditionChecks;
 use madderbay_membership::{Connectivity, MemberState};
 
-/// What a server answered, with its index.
+/// A server's membership report, with the index of the server.
 struct MemberView {
     server: usize,
     report: MembershipReport,
@@ -62,7 +62,8 @@
 }
 
 impl ProcessFleet {
-    /// The first of these servers that should answer and whose report is wrong or missing.
+    /// Describes the first of these servers that does not answer or whose report `check` finds
+    /// wrong. Servers that are stopped or do not run are skipped.
     fn find_wrong_report(
         &self,
         servers: &[usize],
@@ -78,8 +79,8 @@
         })
     }
 
-    /// The views of all servers that run, but for those whose name another server has taken over.
-    /// The error is the index of a server that does not answer.
+    /// Returns the views of all running servers, except those whose name another server has taken
+    /// over. The error is the index of a server that does not answer.
     fn views(&self) -> Result<Vec<MemberView>, usize> {
         let mut views = vec![];
         for (server, node) in self.nodes.iter().enumerate() {
@@ -95,7 +96,8 @@
         Ok(views)
     }
 
-    /// What is wrong in one view, beside those of the servers that it is connected with.
+    /// Describes the first fault in a view: other members than the connected servers, a member in a
+    /// temporary state, or a digest that differs from that of a connected server.
     fn view_error(&self, view: &MemberView, all: &[MemberView]) -> Option<String> {
         let MemberView { server, report } = view;
         let connected = || {
--- a/crates/testkit/src/fleet/processes/mod.rs
+++ b/crates/testkit/src/fleet/processes/mod.rs
@@ -1,10 +1,10 @@
-//! A fleet of real servers, each between its own fake engine, catalogue and registry.
+//! A fleet of real server processes, each with a fake engine, catalogue and registry.
 //!
 //! [`ProcessFleet`](crate::fleet::processes::ProcessFleet) owns the server processes, their files
 //! and their fakes. Datagrams between servers pass through
-//! [`DatagramRelays`](crate::fleet::relay::DatagramRelays), which carry out the faults of the
-//! network. Conditions are checked at the servers' control sockets. The fleet never touches
-//! anything but its own processes, loopback and a folder of its own.
+//! [`DatagramRelays`](crate::fleet::relay::DatagramRelays), which inject the network faults.
+//! Conditions are checked by queries to the servers' control sockets. The fleet uses only its own
+//! processes, the loopback interface and a folder of its own.
 
 mod actions;
 mod client_load;
@@ -30,42 +30,45 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration as StdDuration, Instant};
 
-/// The time between two checks of a condition, long enough that checking costs the servers little.
+/// Interval between two checks of a condition, long enough to cost the servers little.
 const CHECK_INTERVAL: StdDuration = StdDuration::from_millis(50);
-/// The shortest time of a call under a quota, so that few requests keep many calls in flight.
+/// Minimum duration of a call under a quota. Long calls let a few requests keep many calls in
+/// flight.
 const MIN_QUOTA_CALL_TIME: StdDuration = StdDuration::from_millis(300);
-/// Slots of a catalogue at which no call ever waits for one.
+/// Slots of the shared catalogue, so many that no call ever waits for one.
 const UNLIMITED_CATALOGUE_SLOTS: usize = 100_000;
-/// Slots of the catalogue of a single server.
+/// Slots of a catalogue that serves a single server.
 const CATALOGUE_SLOTS: usize = 8;
-/// The time of a call at the catalogue of a single server.
+/// Duration of a call at a catalogue that serves a single server.
 const CATALOGUE_CALL_TIME: StdDuration = StdDuration::from_millis(5);
-/// The cores of each fake engine.
+/// Number of cores of each fake engine.
 const ENGINE_CORES: f64 = 2.0;
 
-/// One server and what is around it.
+/// One server with its fakes and its client loads.
 struct Node {
-    /// The process while it runs.
+    /// The process; `None` while the server does not run.
     server: Option<Server>,
-    /// The index of the server whose name it has; its own as a rule.
+    /// Index of the server whose name this one uses, normally its own.
     name: usize,
-    /// Stopped by SIGSTOP.
+    /// Whether the process is stopped by SIGSTOP.
     stopped: bool,
     engine: Engine,
     catalogue: Catalogue,
     registry: Registry,
-    /// The calls at a time that it has demand for.
+    /// Demand, in concurrent calls.
     demand: u32,
-    /// The capacity of the quota in its operator file.
+    /// Capacity of the quota in the operator file, in calls.
     capacity: u32,
+    /// The present load and earlier ones that still await answers.
     loads: Vec<ClientLoad>,
-    /// Where it receives datagrams itself, behind its relay.
+    /// Address at which the server itself receives datagrams, behind its relay.
     datagram_address: Option<SocketAddr>,
     control_socket: PathBuf,
 }
 
 impl Node {
-    /// Whether it can answer at its control socket.
+    /// Reports whether the server runs and is not stopped, so that it can answer at its control
+    /// socket.
     fn answers(&self) -> bool {
         self.server.is_some() && !self.stopped
     }
@@ -77,32 +80,32 @@
 
 /// A fleet of real server processes under faults. Dropping it kills them.
 pub struct ProcessFleet {
-    /// How the fleet is set up.
+    /// Setup of the fleet.
     pub setup: FleetSetup,
-    /// Further sections for the operator files of all servers.
+    /// Text appended to the operator files of all servers.
     pub operator: String,
-    /// Further sections for the operator file of each server.
+    /// Text appended to the operator file of each server, by index.
     pub each: Vec<String>,
     binary: PathBuf,
-    /// The platform's settings of all servers, JSON.
+    /// The platform's settings of all servers, as JSON.
     settings: String,
     relays: DatagramRelays,
     nodes: Vec<Node>,
-    /// The group of the partition that each server is in; all are in one without a partition.
+    /// Partition group of each server; all servers are in one group if there is no partition.
     partition: Vec<usize>,
     began: Instant,
-    /// Holds the control sockets.
+    /// Folder of the control sockets.
     folder: PathBuf,
 }
 
 impl ProcessFleet {
-    /// A fleet of which no server is started yet. `works` is what the engines run, `settings` the
-    /// platform's settings of each server. Under a quota all servers share one catalogue, on which
-    /// no call waits.
+    /// Creates a fleet whose servers are not started yet. `works` is the work that the engines do
+    /// for each handler, `settings` the platform's settings of each server. If the setup has a
+    /// quota, all servers share one catalogue with enough slots that no call waits.
     ///
     /// # Panics
     ///
-    /// If its folder or its fakes can't be made.
+    /// If the folder or the fakes cannot be created.
     pub fn new(
         setup: FleetSetup,
         binary: &Path,
@@ -117,11 +120,12 @@
         ProcessFleet::with_catalogue(shared, setup, binary, settings, works, seed)
     }
 
-    /// The same with one given catalogue for all servers, or with one of its own for each.
+    /// Like [`ProcessFleet::new`], but all servers use the given catalogue. Without one, each
+    /// server has a catalogue of its own.
     ///
     /// # Panics
     ///
-    /// If its folder or its fakes can't be made.
+    /// If the folder or the fakes cannot be created.
     pub fn with_catalogue(
         catalogue: Option<Catalogue>,
         setup: FleetSetup,
@@ -161,33 +165,34 @@
         }
     }
 
-    /// The fake engine of a server.
+    /// Returns the fake engine of a server.
     pub fn engine(&self, server: usize) -> &Engine {
         &self.nodes[server].engine
     }
 
-    /// The fake catalogue of a server; under a quota it is the same for all.
+    /// Returns the fake catalogue of a server. Under a quota all servers share one.
     pub fn catalogue(&self, server: usize) -> &Catalogue {
         &self.nodes[server].catalogue
     }
 
-    /// The process of a server, while it runs.
+    /// Returns the process of a server; `None` while it does not run.
     pub fn server(&self, server: usize) -> Option<&Server> {
         self.nodes[server].server.as_ref()
     }
 
-    /// The processor time that all servers that run have used, in seconds.
+    /// Returns the processor time that all running servers together have used, in seconds.
     pub fn cpu(&self) -> f64 {
         let running = self.nodes.iter().filter_map(|node| node.server.as_ref());
         running.map(Server::cpu).sum()
     }
 
-    /// The path of a server's control socket.
+    /// Returns the path of a server's control socket.
     pub fn socket(&self, server: usize) -> &Path {
         &self.nodes[server].control_socket
     }
 
-    /// Where a server receives datagrams itself, behind its relay; `None` before its first start.
+    /// Returns the address at which a server itself receives datagrams, behind its relay; `None`
+    /// before its first start.
     pub fn datagram_address(&self, server: usize) -> Option<SocketAddr> {
         self.nodes[server].datagram_address
     }
@@ -218,12 +223,12 @@
     }
 }
 
-/// The time of a call under a quota on real processes.
+/// Returns the duration of a call under a quota on real processes.
 fn quota_call_time(quota: &QuotaSetup) -> StdDuration {
     StdDuration::from_micros(quota.call.as_micros()).max(MIN_QUOTA_CALL_TIME)
 }
 
-/// Makes a folder that no other fleet has.
+/// Creates a temporary folder with a unique name.
 fn create_folder() -> PathBuf {
     static COUNT: AtomicU32 = AtomicU32::new(0);
     let number = COUNT.fetch_add(1, Ordering::Relaxed);
--- a/crates/testkit/src/fleet/processes/operator_file.rs
+++ b/crates/testkit/src/fleet/processes/operator_file.rs
@@ -1,18 +1,18 @@
-//! The sections of a server's operator file that a fleet writes.
+//! Writes the sections of a server's operator file that depend on the fleet's setup.
 
 use crate::fleet::relay::DatagramRelays;
 use crate::fleet::script::FleetSetup;
 use madderbay::time::Duration;
 use std::path::Path;
 
-/// The section that begins what [`quota`] writes.
+/// Header of the first section that [`quota`] writes.
 pub(super) const QUOTA_SECTION: &str = "[shared]";
 
 pub(super) fn millis(duration: Duration) -> u64 {
     duration.as_micros() / 1_000
 }
 
-/// The sections of membership and of the control socket.
+/// Returns the `[members]` and `[control]` sections of a server.
 pub(super) fn members(
     setup: &FleetSetup,
     index: usize,
@@ -38,7 +38,7 @@
     )
 }
 
-/// The sections of a quota with this capacity; empty without a quota.
+/// Returns the sections of a quota with this capacity; empty if the setup has no quota.
 pub(super) fn quota(setup: &FleetSetup, name: usize, capacity: u32) -> String {
     let Some(quota) = &setup.budget else {
         return String::new();
--- a/crates/testkit/src/fleet/processes/reports.rs
+++ b/crates/testkit/src/fleet/processes/reports.rs
@@ -1,4 +1,4 @@
-//! What servers report at their control sockets.
+//! Queries to the servers' control sockets, and the reports that they return.
 
 use super::{Node, ProcessFleet, name};
 use crate::fleet::script::state_by_name;
@@ -9,49 +9,49 @@
 use std::os::unix::net::UnixStream;
 use std::time::Duration as StdDuration;
 
-/// Upper bound on a query; a stopped server never answers.
+/// Timeout of each read of a query's answer. It is needed because a stopped server never answers.
 const QUERY_TIMEOUT: StdDuration = StdDuration::from_secs(5);
 
-/// A server's view of the fleet.
+/// A server's view of the fleet's membership.
 #[derive(Clone, Debug)]
 pub struct MembershipReport {
-    /// How much of the fleet it receives from; `None` for a word that no server should report.
+    /// How much of the fleet the server receives from; `None` if the reported word is unknown.
     pub connectivity: Option<Connectivity>,
-    /// The digest of its view.
+    /// Digest of the view.
     pub digest: String,
-    /// The number of other members that are not down.
+    /// Number of other members that are not down.
     pub active: usize,
-    /// The state of each member by its name.
+    /// State of each member, by name.
     pub states: HashMap<String, MemberState>,
 }
 
-/// A server's part of the quota, in calls.
+/// A server's share of the quota, in calls.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaReport {
-    /// What it may use now.
+    /// Calls that the server may have in flight now.
     pub usable: u32,
-    /// What it has in flight.
+    /// Calls that the server has in flight.
     pub in_use: u32,
-    /// Its base quota.
+    /// The server's base quota.
     pub base_quota: u32,
-    /// What it has demand for.
+    /// Calls that the server has demand for.
     pub demand: u32,
 }
 
-/// What one server says of one of its backends.
+/// A server's report of one of its backends.
 #[derive(Clone, Debug)]
 pub struct BackendReport {
-    /// `in`, `ejected`, `trial` or `rising`.
+    /// State of the backend: `in`, `ejected`, `trial` or `rising`.
     pub state: String,
-    /// Its weight in the selection.
+    /// Weight of the backend in the selection.
     pub weight: f64,
-    /// Recent failures of its calls.
+    /// Number of recent failed calls to the backend.
     pub failures: u64,
 }
 
 impl ProcessFleet {
-    /// A server's view of the fleet; `None` where it does not answer, or reports a state that no
-    /// member has.
+    /// Queries a server's view of the fleet. Returns `None` if the server does not answer or
+    /// reports an unknown member state.
     pub fn membership(&self, server: usize) -> Option<MembershipReport> {
         let lines = self.query(server, "members")?;
         let (head, members) = lines.split_first()?;
@@ -70,7 +70,8 @@
         })
     }
 
-    /// A server's part of the quota; `None` where it does not answer or has no quota.
+    /// Queries a server's share of the quota. Returns `None` if the server does not answer or has no
+    /// quota.
     pub fn quota(&self, server: usize) -> Option<QuotaReport> {
         let lines = self.query(server, "shared")?;
         let quota = lines.iter().find(|line| line["whole"].is_u64())?;
@@ -83,15 +84,16 @@
         })
     }
 
-    /// A server's count for a key, by the key's name, and the bound on its error; `None` where it
-    /// does not answer or doesn't count the key.
+    /// Queries a server's replicated count for the key with the name `of`. Returns the count and
+    /// the bound on its error, or `None` if the server does not answer or does not count the key.
     pub fn counter(&self, server: usize, of: &str) -> Option<(f64, f64)> {
         let lines = self.query(server, "shared")?;
         let line = lines.iter().find(|line| line["of"] == of)?;
         Some((line["value"].as_f64()?, line["bound"].as_f64()?))
     }
 
-    /// A server's view of its backends by name. `None` where it does not answer.
+    /// Queries a server's backends, by name. Returns `None` if the server does not answer or a line
+    /// of the answer lacks a field.
     pub fn backends(&self, server: usize) -> Option<HashMap<String, BackendReport>> {
         let lines = self.query(server, "routes")?;
         let backend = |line: &Value| {
@@ -103,11 +105,11 @@
             };
             Some((name, report))
         };
-        // The first line is about all of them.
+        // The first line is a summary of all backends.
         lines.iter().skip(1).map(backend).collect()
     }
 
-    /// The quota as all servers that answer report it, in one line.
+    /// Describes in one line the quota that each answering server reports.
     pub(super) fn all_quotas(&self) -> String {
         let reports = (0..self.nodes.len()).filter_map(|server| {
             let QuotaReport {
@@ -127,7 +129,7 @@
     }
 }
 
-/// The connectivity by the word of the operators' interface.
+/// Parses the connectivity as the control socket reports it.
 fn connectivity(word: &Value) -> Option<Connectivity> {
     let all = [
         Connectivity::Complete,
@@ -139,8 +141,8 @@
 }
 
 impl Node {
-    /// The lines of an answer at the control socket; `None` where the server does not answer
-    /// completely.
+    /// Sends a query to the control socket and returns the lines of the answer. Returns `None` if
+    /// the answer is missing or incomplete.
     fn query(&self, what: &str) -> Option<Vec<Value>> {
         if !self.answers() {
             return None;
--- a/crates/testkit/src/fleet/processes/start.rs
+++ b/crates/testkit/src/fleet/processes/start.rs
@@ -1,19 +1,19 @@
-//! Starts a server of the fleet as a process.
+//! Starts the process of a server.
 
 use super::{ProcessFleet, operator_file};
 use crate::server::{Dependencies, Server, configuration};
 use std::net::SocketAddr;
 
-/// The time from SIGTERM to the end of a server, in milliseconds.
+/// Time that a server's graceful shutdown may take, in milliseconds.
 const SHUTDOWN_MS: u64 = 2_000;
-/// Connections that a server may have.
+/// Maximum number of connections of a server.
 const MAX_SOCKETS: usize = 128;
-/// The text of the log line that says where a server receives datagrams.
+/// Start of the log line that reports the address at which a server receives datagrams.
 const LISTENING_LOG_TEXT: &str = "membership: listening, address=";
 
 impl ProcessFleet {
-    /// Starts a server under the name of another or its own, with a Unix clock that is ahead by a
-    /// number of milliseconds, as the command line has it.
+    /// Starts the server `index` under the name of the server `name`. Its Unix clock is ahead by
+    /// `clock_ahead_ms`, a number of milliseconds in the form that the command line takes.
     pub(super) fn start(&mut self, index: usize, name: usize, clock_ahead_ms: &str) {
         let configuration = self.configuration(index, name);
         let operator = self.operator_file(index, name);
@@ -25,7 +25,7 @@
         );
         let address = datagram_address(&server);
         self.relays.set_server_address(index, address);
-        // Nobody needs its log.
+        // The rest of the log is not needed.
         drop(server.follow());
         let node = &mut self.nodes[index];
         node.server = Some(server);
@@ -66,7 +66,7 @@
     }
 }
 
-/// Where a server receives datagrams, by the first lines of its log.
+/// Reads the address at which a server receives datagrams from the first lines of its log.
 fn datagram_address(server: &Server) -> SocketAddr {
     let after = server
         .before
--- a/crates/testkit/src/fleet/relay.rs
+++ b/crates/testkit/src/fleet/relay.rs
@@ -1,9 +1,9 @@
-//! Relays between real servers: one UDP socket for each server, whose address is the one that the
-//! server advertises.
+//! UDP relays that inject network faults between real servers. Each server has a relay socket and
+//! advertises the address of that socket instead of its own.
 //!
-//! A datagram that reaches the relay of one server is forwarded to it from the relay of the sender.
-//! Thus every directed pair of servers can have faults, and no server can tell that there are
-//! relays.
+//! A datagram that arrives at a server's relay is forwarded to the server from the relay socket of
+//! the sender. Faults can therefore be set for each direction between two servers, and the servers
+//! cannot detect the relays.
 
 use super::network::SimulatedNetwork;
 use super::script::Action;
@@ -14,19 +14,19 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
 use std::time::{Duration as StdDuration, Instant};
 
-/// The longest wait for an event.
+/// Maximum wait for an event.
 const MAX_WAIT: StdDuration = StdDuration::from_millis(200);
-/// The largest datagram that is forwarded whole; larger ones are truncated.
+/// Maximum length of a datagram, in bytes; longer datagrams are truncated.
 const MAX_DATAGRAM_BYTES: usize = 2_048;
 
 enum Event {
     Datagram {
-        /// The server whose relay received it.
+        /// The server whose relay received the datagram.
         to: usize,
         from: SocketAddr,
         bytes: Vec<u8>,
     },
-    /// A server receives at that address and sends from it.
+    /// The address at which a server receives datagrams and from which it sends them.
     ServerAddress {
         server: usize,
         address: SocketAddr,
@@ -34,15 +34,15 @@
     Action(Action),
 }
 
-/// The relays of all servers, served by threads that end with this handle.
+/// A handle to the relays of all servers. The threads that serve them end once it is dropped.
 pub struct DatagramRelays {
     events: Sender<Event>,
-    /// The address that each server advertises.
+    /// The relay address that each server advertises.
     pub addresses: Vec<SocketAddr>,
 }
 
 impl DatagramRelays {
-    /// Starts relays on free loopback ports. The seed determines the faults.
+    /// Starts one relay per server on free loopback ports. The seed determines the faults.
     ///
     /// # Panics
     ///
@@ -65,22 +65,25 @@
         DatagramRelays { events, addresses }
     }
 
-    /// A server was started and receives at this address.
+    /// Sets the address at which a started server receives datagrams.
     pub fn set_server_address(&self, server: usize, address: SocketAddr) {
         let _ = self.events.send(Event::ServerAddress { server, address });
     }
 
-    /// Carries out an action on the network from here on; all other actions are ignored.
+    /// Applies an action to the datagrams from now on. Actions that do not concern the network are
+    /// ignored.
     pub fn act(&self, action: &Action) {
         let _ = self.events.send(Event::Action(action.clone()));
     }
 }
 
-/// Hands on what the relay of a server receives, until the carrier is gone.
+/// Passes each datagram that a server's relay receives to the forwarder, until the forwarder has
+/// ended.
 fn read_datagrams(to: usize, socket: &UdpSocket, events: &Sender<Event>) {
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
-        // An error is about a datagram that was sent to a server that is gone.
+        // The operating system reports an error here after a datagram was sent to a server that no
+        // longer runs. The socket stays usable.
         let Ok((length, from)) = socket.recv_from(&mut buffer) else {
             continue;
         };
@@ -91,19 +94,20 @@
     }
 }
 
-/// A datagram that is delayed.
+/// A datagram that is sent once its delay has passed.
 struct DelayedDatagram {
     from: usize,
     to: usize,
     bytes: Vec<u8>,
 }
 
-/// Carries datagrams between the relays, in a thread of its own.
+/// Forwards datagrams between the relays in a thread of its own.
 struct Forwarder {
-    /// The relay of each server.
+    /// The relay socket of each server.
     sockets: Vec<UdpSocket>,
-    /// Where each server receives, once it was started.
+    /// The address at which each server receives; `None` before its first start.
     addresses: Vec<Option<SocketAddr>>,
+    /// The server that receives at and sends from each address.
     server_by_address: HashMap<SocketAddr, usize>,
     network: SimulatedNetwork,
     delayed: EventQueue<Instant, DelayedDatagram>,
@@ -121,7 +125,8 @@
         }
     }
 
-    /// Handles events and sends delayed datagrams in between, until all handles are gone.
+    /// Handles events and sends delayed datagrams when they are due, until all senders of events
+    /// are gone.
     fn run(mut self, received: &Receiver<Event>) {
         loop {
             let until_next = self
@@ -156,7 +161,8 @@
         }
     }
 
-    /// Forwards a datagram at once or later. One from an unknown address is dropped.
+    /// Forwards a datagram, immediately or after its delay. Datagrams from unknown addresses are
+    /// dropped.
     fn forward(&mut self, to: usize, from: SocketAddr, bytes: &[u8]) {
         let Some(from) = self.server_by_address.get(&from).copied() else {
             return;
--- a/crates/testkit/src/fleet/script_generator.rs
+++ b/crates/testkit/src/fleet/script_generator.rs
@@ -1,37 +1,38 @@
-//! Draws actions for a fleet from a seed, one after the other, each of which the fleet can carry
-//! out in its present state. It knows which servers it has killed and stopped, and does nothing to
-//! the fleet itself.
+//! Draws random fault actions for a fleet from a seed. Each action is valid for the state that the
+//! previous ones left the fleet in: the generator tracks which servers it has killed or stopped.
+//! It only returns actions; the caller applies them to the fleet.
 
 use super::script::Action;
 use madderbay::time::Duration;
 use oorandom::Rand64;
 
-/// The largest fraction of all datagrams that a fault of the network hits.
+/// Maximum fraction of all datagrams that a network fault affects.
 const MAX_FAULT_FRACTION: f64 = 0.4;
-/// Datagrams that are corrupted for each one that is lost.
+/// Ratio of the fraction of corrupted datagrams to the fraction of lost ones.
 const CORRUPTION_PER_LOSS: f64 = 0.3;
-/// The number of kinds of actions, which are drawn evenly; those beyond the named ones start,
-/// continue or shift demand.
+/// Number of kinds of actions, each drawn with the same probability. Kinds without a case of their
+/// own restart a killed server, continue a stopped one, or change the demand of a running one.
 const ACTION_KINDS: f64 = 12.0;
 
-/// The shortest delay of a datagram, and the least that the longest one is drawn as.
+/// Minimum delay of a datagram.
 const MIN_DELAY: Duration = Duration::from_millis(1);
+/// Lower bound of the drawn maximum delay, in seconds.
 const MIN_MAX_DELAY_SECS: f64 = 0.01;
 
-/// A source of drawn actions. It owns what it has done to the fleet: which servers it has killed
-/// and stopped.
+/// Generates random actions and tracks which servers they have killed or stopped.
 pub struct ScriptGenerator {
     random: Rand64,
-    /// By server whether it runs, stopped or not.
+    /// Whether each server's process exists. A stopped server counts as up.
     up: Vec<bool>,
+    /// Whether each server is stopped.
     stopped: Vec<bool>,
-    /// The largest demand that a server is given, in calls at a time.
+    /// Upper bound on the demand of a server, in concurrent calls.
     max_demand: f64,
 }
 
 impl ScriptGenerator {
-    /// For a fleet of which all servers run. The demand of a server is less than `demand` calls
-    /// at a time.
+    /// Creates a generator for a fleet whose servers are all running. Each server's demand is below
+    /// `demand` concurrent calls.
     pub fn new(seed: u64, servers: usize, demand: u32) -> ScriptGenerator {
         ScriptGenerator {
             random: Rand64::new(u128::from(seed)),
@@ -41,20 +42,21 @@
         }
     }
 
-    /// Draws a number of seconds under a limit.
+    /// Draws a number of seconds below `max_secs`.
     pub fn secs(&mut self, max_secs: f64) -> f64 {
         self.random.rand_float() * max_secs
     }
 
-    /// The servers that are stopped now.
+    /// Returns the servers that are stopped now.
     pub fn stopped(&self) -> Vec<usize> {
         (0..self.stopped.len())
             .filter(|server| self.stopped[*server])
             .collect()
     }
 
-    /// Draws the next action: crashes, pauses, partitions of both kinds, loss, duplication,
-    /// corruption, delays of up to a second, replayed datagrams, shifted demand.
+    /// Draws the next action: a crash, a pause, a two-way or one-way partition, loss, duplication,
+    /// corruption and delays of up to about a second, the end of faults, a replay of datagrams, the
+    /// restart or continuation of a server, or a change of demand.
     pub fn act(&mut self) -> Action {
         let server = (self.random.rand_float() * self.up.len() as f64) as usize;
         let fraction = self.random.rand_float() * MAX_FAULT_FRACTION;
@@ -90,7 +92,8 @@
         }
     }
 
-    /// Starts a server that is down, continues one that is stopped, or gives it another demand.
+    /// Restarts the server if it was killed, continues it if it is stopped, and otherwise changes
+    /// its demand.
     fn repair_or_shift_demand(&mut self, server: usize) -> Action {
         if !self.up[server] {
             self.up[server] = true;
--- a/crates/testkit/src/fleet/simulated/actions.rs
+++ b/crates/testkit/src/fleet/simulated/actions.rs
@@ -1,11 +1,11 @@
-//! Carries out the actions of a script on simulated servers.
+//! Performs the actions of a script on simulated servers.
 
 use super::{Event, SimulatedFleet, address};
 use crate::fleet::script::{Action, ActionError};
 use madderbay::time::Duration;
 use madderbay_upstream::FleetStack;
 
-/// The time from the beginning of a drain until the server leaves.
+/// Time from the start of a drain until the server leaves the fleet.
 const DRAIN_TIME: Duration = Duration::from_millis(1_000);
 
 impl SimulatedFleet {
@@ -39,8 +39,8 @@
         Ok(())
     }
 
-    /// Continues a stopped server. Its timer and its socket are ready at once; which it handles
-    /// first is chance.
+    /// Continues a stopped server. Its timer and its socket are ready at the same time, so the order
+    /// in which it handles them is drawn at random.
     fn resume(&mut self, server: usize) {
         self.last_disruption[server] = self.now;
         let node = &mut self.nodes[server];
@@ -62,6 +62,7 @@
         self.drive(server, FleetStack::handle_timeout);
     }
 
+    /// Has a server drain for [`DRAIN_TIME`] of simulated time, leave the fleet and end.
     fn drain(&mut self, server: usize) {
         self.drive(server, |stack, now| stack.membership_mut().drain(now));
         self.run(DRAIN_TIME);
@@ -81,7 +82,8 @@
         });
     }
 
-    /// Checks the most calls in flight since the last check.
+    /// Fails if more calls than `most` were in flight at any time since the last check, and starts a
+    /// new measurement.
     fn check_peak(&mut self, most: u32) -> Result<(), ActionError> {
         let peak = std::mem::replace(&mut self.peak, self.calls.in_flight());
         if peak > most {
@@ -91,6 +93,7 @@
         Ok(())
     }
 
+    /// Fails if servers were wrongly declared down more often than `most` times.
     fn check_wrongly_down(&self, most: usize) -> Result<(), ActionError> {
         let count = self.wrongly_down;
         if count > most {
@@ -99,7 +102,7 @@
         Ok(())
     }
 
-    /// Delivers again at once what was sent to a server.
+    /// Delivers the retained datagrams of a server again, without delay.
     fn replay(&mut self, to: usize) {
         for (from, bytes) in self.network.retained(to) {
             let from = address(from);
--- a/crates/testkit/src/fleet/simulated/calls.rs
+++ b/crates/testkit/src/fleet/simulated/calls.rs
@@ -1,15 +1,16 @@
-//! Simulated calls under a quota: a server with demand starts as many as it may.
+//! Simulated calls under a quota. A server with demand starts as many calls as its quota allows.
 
 use super::{Event, SimulatedFleet};
 use madderbay::time::Timestamp;
 
-/// A call takes at least this many times the mean, and less than one mean more.
+/// Minimum duration of a call as a multiple of the mean duration. The maximum is this factor plus
+/// one.
 const MIN_CALL_FACTOR: f64 = 0.5;
 
-/// Calls in flight of all servers together.
+/// Measures the calls in flight of all servers together.
 pub(super) struct CallMeter {
     in_flight: u32,
-    /// Calls in flight, summed over the time until `updated`.
+    /// Integral of the calls in flight over time until `updated`, in call seconds.
     call_seconds: f64,
     updated: Timestamp,
 }
@@ -27,12 +28,12 @@
         self.in_flight
     }
 
-    /// Calls in flight, summed over time until now.
+    /// Returns the integral of the calls in flight over time until now, in call seconds.
     fn call_seconds(&self, now: Timestamp) -> f64 {
         self.call_seconds + f64::from(self.in_flight) * (now - self.updated).as_secs_f64()
     }
 
-    /// Sums up to now, before the calls in flight change.
+    /// Brings the integral up to now. Called before the number of calls in flight changes.
     fn update(&mut self, now: Timestamp) {
         self.call_seconds = self.call_seconds(now);
         self.updated = now;
@@ -50,12 +51,14 @@
 }
 
 impl SimulatedFleet {
-    /// Calls in flight of all servers together, summed over time, in seconds.
+    /// Returns the integral over time of the calls in flight of all servers together, in call
+    /// seconds.
     pub fn used(&self) -> f64 {
         self.calls.call_seconds(self.now)
     }
 
-    /// Starts the calls that a server has demand for, as many as it may.
+    /// Starts calls of a server until its demand is met or its quota is used up. Reports demand that
+    /// is not met as waiting calls.
     pub(super) fn start_calls(&mut self, server: usize) {
         let Some(setup) = &self.setup.budget else {
             return;
@@ -90,7 +93,7 @@
         }
     }
 
-    /// A call ends, whether or not the incarnation that made it still runs.
+    /// Handles the end of a call. The call also ends if the incarnation that made it no longer runs.
     pub(super) fn call_ended(&mut self, server: usize, incarnation: u32) {
         self.calls.call_ended(self.now);
         self.peak = self.peak.max(self.calls.in_flight());
--- a/crates/testkit/src/fleet/simulated/conditions.rs
+++ b/crates/testkit/src/fleet/simulated/conditions.rs
@@ -1,4 +1,4 @@
-//! Checks conditions on the simulated fleet by looking into its servers.
+//! Checks script conditions against the state of the simulated servers.
 
 use super::{SimulatedFleet, name};
 use crate::fleet::script::ConditionChecks;
@@ -13,7 +13,7 @@
         for server in &present {
             *sizes.entry(self.network.partition(*server)).or_default() += 1;
         }
-        // By partition one server, and the digest of its view.
+        // For each partition group, the first server and the digest of its view.
         let mut digests: HashMap<usize, (usize, u64)> = HashMap::new();
         for server in present {
             let members = self.members(server)?;
@@ -39,8 +39,8 @@
                 return Some(format!("{} is joining", name(server)));
             }
         }
-        // Equal digests over as many members as run mean equal views, so that one view of each is
-        // enough.
+        // Within a partition group all digests are equal and all views have as many members as
+        // servers run. The views are therefore equal, and it is enough to check one of them.
         digests
             .values()
             .find_map(|(server, _)| self.suspect(*server))
@@ -90,7 +90,8 @@
 }
 
 impl SimulatedFleet {
-    /// Servers that run, but for those whose name another server has taken over.
+    /// Returns the servers that run and are not stopped, except those whose name another server has
+    /// taken over.
     fn present(&self) -> Vec<usize> {
         let has_own_name = |members: &Membership| {
             members.member_state(&members.local_identity().name) != Some(MemberState::Down)
@@ -104,7 +105,7 @@
             .collect()
     }
 
-    /// That a server holds some member suspect.
+    /// Describes a member that a server suspects; `None` if it suspects none.
     fn suspect(&self, server: usize) -> Option<String> {
         let view = self.members(server)?.view();
         let suspect = view
--- a/crates/testkit/src/fleet/simulated/counts.rs
+++ b/crates/testkit/src/fleet/simulated/counts.rs
@@ -1,4 +1,4 @@
-//! Counted requests, and the check of the servers' estimates against the true counts.
+//! Simulates counted requests, and checks the servers' estimates against the true counts.
 
 use super::node::KeyRate;
 use super::{Event, SimulatedFleet, name};
@@ -6,21 +6,21 @@
 use madderbay_quota::{CountEstimate, CounterId};
 use std::collections::HashMap;
 
-/// The time between two arrivals of counted requests, at all servers at once.
+/// Interval at which counted requests arrive at all servers.
 const ARRIVAL_INTERVAL: Duration = Duration::from_millis(20);
-/// The fraction of a counter's window that one slot has.
+/// Length of a time slot as a fraction of the counter's window.
 const SLOT_FRACTION: f64 = 0.1;
-/// The age, in slots, of the youngest slot that an estimate is about.
+/// Minimum age of a slot that an estimate covers, in slots.
 const MIN_SLOT_AGE: f64 = 3.0;
-/// The age, in slots, from which on an estimate is not about a slot.
+/// Age from which on an estimate no longer covers a slot, in slots.
 const MAX_SLOT_AGE: f64 = 13.0;
 
-/// What one incarnation of a server has truly counted.
+/// The exact number of requests that one incarnation of a server has counted.
 pub(super) struct TrueCounts {
     server: usize,
-    /// The server's clock when the incarnation began.
+    /// Time on the server's clock when the incarnation began.
     began: Timestamp,
-    /// Requests by key and slot.
+    /// Number of requests by key and slot.
     requests: HashMap<(u32, u64), u32>,
 }
 
@@ -33,7 +33,8 @@
         }
     }
 
-    /// Requests of a key in the slots that an estimate is about, by the server's clock.
+    /// Returns the number of requests for a key in the slots that an estimate at `now` covers.
+    /// `now` is a time on the server's clock.
     fn count_in_window(&self, key: u32, now: Timestamp, slot: Duration) -> u32 {
         let ages = slot.mul_f64(MIN_SLOT_AGE)..slot.mul_f64(MAX_SLOT_AGE);
         let mut sum = 0;
@@ -48,7 +49,7 @@
 }
 
 impl SimulatedFleet {
-    /// From here on this many requests of a key arrive at a server each second, and are counted.
+    /// Sets how many counted requests for a key arrive at a server per second from now on.
     pub fn set_request_rate(&mut self, server: usize, key: u32, per_second: f64) {
         if self.nodes.iter().all(|node| node.work.rates.is_empty()) {
             self.push(self.now + ARRIVAL_INTERVAL, Event::Requests);
@@ -62,7 +63,8 @@
         });
     }
 
-    /// Requests arrive at all servers that run.
+    /// Lets requests arrive at all servers that run and are not stopped, and schedules the next
+    /// arrival.
     pub(super) fn requests_arrive(&mut self) {
         for server in 0..self.nodes.len() {
             self.requests_arrive_at(server);
@@ -96,12 +98,12 @@
         }
     }
 
-    /// The true count of a key in the window that estimates are about now.
+    /// Returns the true count of a key in the window that estimates cover now; 0 without a counter.
     pub fn truth(&self, key: u32) -> u32 {
         self.true_count_of(key, |_| true)
     }
 
-    /// The same, of chosen incarnations.
+    /// Like [`SimulatedFleet::truth`], but sums only the incarnations that `chosen` selects.
     fn true_count_of(&self, key: u32, chosen: impl Fn(&TrueCounts) -> bool) -> u32 {
         let Some(window) = self.setup.window else {
             return 0;
@@ -116,9 +118,9 @@
             .sum()
     }
 
-    /// A server's estimate for a key, which is checked against the true count; `fair_rate` is the
-    /// rate that the estimate is asked with, in requests a second. `None` while the server does not
-    /// run, or without a counter.
+    /// Returns a server's estimate for a key and checks it against the true count. `fair_rate` is
+    /// passed to the estimate, in requests per second. Returns `None` if the server does not run or
+    /// the setup has no counter. A violated bound is counted in `out_of_bounds`.
     pub fn checked_estimate(
         &mut self,
         server: usize,
@@ -142,9 +144,10 @@
         Some(estimate)
     }
 
-    /// The true count of the incarnations that an estimate's bound is about: the server's present
-    /// one and the others in its view. After a start on one side of a partition a server knows
-    /// neither the other side, nor what its former incarnation has counted and not sent.
+    /// Returns the true count that the upper bound of a server's estimate must cover: that of the
+    /// server's present incarnation and of all incarnations of other servers in its view. A server
+    /// that was started on one side of a partition knows neither the counts of the other side nor
+    /// those that its former incarnation had not sent yet.
     fn true_count_in_view(&self, server: usize, key: u32) -> Option<u32> {
         let view = self.members(server)?;
         let mut incarnations = self.true_counts.iter().rev();
--- a/crates/testkit/src/fleet/simulated/driver.rs
+++ b/crates/testkit/src/fleet/simulated/driver.rs
@@ -1,5 +1,5 @@
-//! Lets simulated time pass: hands events to the servers' state machines, and carries out what they
-//! ask for.
+//! Advances simulated time: passes events to the servers' state machines, and performs the effects
+//! that these request, such as datagrams and timers.
 
 use super::{Event, SimulatedFleet, address};
 use madderbay::time::{Duration, Timestamp};
@@ -8,11 +8,12 @@
 use madderbay_upstream::FleetStack;
 use std::net::SocketAddr;
 
-/// After a disturbance a server may be declared down for two suspicion times and this much longer.
+/// Added to twice the suspicion timeout: for this time after a disruption, declaring a server down
+/// is not counted as wrong.
 const DISRUPTION_MARGIN: Duration = Duration::from_millis(2_000);
 
 impl SimulatedFleet {
-    /// Lets this much simulated time pass.
+    /// Advances simulated time by this duration and handles the events that are due.
     pub fn run(&mut self, time: Duration) {
         let until = self.now + time;
         while let Some((at, event)) = self.events.pop_until(until) {
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Timers of former incarnations, and those that were set anew, are ignored.
+    /// Handles a timer. Timers of former incarnations and timers that were rescheduled are ignored.
     fn timer_fired(&mut self, server: usize, incarnation: u32) {
         let node = &mut self.nodes[server];
         let due = node.timer.is_some_and(|timer| timer <= self.now);
@@ -54,7 +55,8 @@
         }
     }
 
-    /// Lets a server that runs do something, and carries out what follows.
+    /// Runs an action on a server's state machines, then sends their datagrams, sets their timer and
+    /// handles their events. Does nothing if the server does not run or is stopped.
     pub(super) fn drive(&mut self, server: usize, action: impl FnOnce(&mut FleetStack, Timestamp)) {
         let node = &mut self.nodes[server];
         let clock = node.clock(self.now);
@@ -80,8 +82,8 @@
         }
     }
 
-    /// Sets a server's timer by its clock, if it is earlier than the one that is set or that one is
-    /// past.
+    /// Sets a server's timer to a time on the server's clock. A timer that is already set is kept
+    /// if it is due no later and has not passed.
     fn set_timer(&mut self, server: usize, timeout: Timestamp) {
         let node = &mut self.nodes[server];
         let at = node.simulated_time(timeout).max(self.now);
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Logs a change in a server's view, and checks that it did not wrongly declare another one
+    /// Logs a change in a server's view. Counts it if the observer wrongly declared another server
     /// down.
     fn membership_changed(&mut self, observer: usize, change: &MembershipEvent) {
         self.log_line(observer, format_args!(": {change}"));
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Whether a recent disturbance may have had a server declared down.
+    /// Reports whether a server was disrupted so recently that it may rightly be declared down.
     fn was_recently_disrupted(&self, server: usize) -> bool {
         let grace_period = self.setup.suspicion.mul_f64(2.0) + DISRUPTION_MARGIN;
         self.now - self.last_disruption[server] < grace_period
--- a/crates/testkit/src/fleet/simulated/mod.rs
+++ b/crates/testkit/src/fleet/simulated/mod.rs
@@ -1,14 +1,14 @@
-//! A fleet in simulated time: the state machines of the program over a simulated network.
+//! A fleet in simulated time: the server's state machines on a simulated network.
 //!
 //! [`SimulatedFleet`](crate::fleet::simulated::SimulatedFleet) owns the servers' state machines,
-//! their clocks and the events to come. It is given a setup and a seed, which together with the
-//! calls of its methods determine everything. Nothing is sent and nothing waits.
+//! their clocks and the queue of future events. The setup, the seed and the sequence of method calls
+//! determine the whole simulation. It sends nothing over a real network and never sleeps.
 //!
 //! # What is simulated
 //!
-//! Membership, and quotas and counters if the setup has them. Each server has a monotonic clock
-//! with an offset and a drift of its own. Under a quota, calls take a drawn time. Counted requests
-//! arrive at a given rate.
+//! The simulation covers membership, and quotas and counters if the setup has them. Each server has
+//! a monotonic clock with its own offset and drift. Calls under a quota have random durations.
+//! Counted requests arrive at a given rate.
 
 mod actions;
 mod calls;
@@ -34,18 +34,18 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Simulated time between two checks of a condition.
+/// Interval between two checks of a condition, in simulated time.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// The simulated time at which a fleet is made.
+/// Simulated time at which a fleet is created.
 const START: Timestamp = Timestamp::from_micros(1_000_000);
-/// The shortest and the longest delay of a datagram without faults.
+/// Minimum and maximum delay of a datagram without faults.
 const BASE_DELAY: (Duration, Duration) = (Duration::from_micros(200), Duration::from_micros(2_000));
-/// Servers for each third octet of the addresses.
+/// Number of servers whose addresses share the third octet.
 const SERVERS_PER_SUBNET: usize = 250;
 /// The port of every server.
 const PORT: u16 = 7_946;
 
-/// What happens at a point in simulated time.
+/// An event at a point in simulated time.
 enum Event {
     /// The timer of an incarnation fires.
     Timer { server: usize, incarnation: u32 },
@@ -54,7 +54,7 @@
         from: SocketAddr,
         bytes: Vec<u8>,
     },
-    /// A call of an incarnation ends.
+    /// A call that an incarnation has made ends.
     CallEnded { server: usize, incarnation: u32 },
     /// Counted requests arrive at all servers.
     Requests,
@@ -69,23 +69,25 @@
     server_by_address: HashMap<SocketAddr, usize>,
     events: EventQueue<Timestamp, Event>,
     network: SimulatedNetwork,
-    /// How often a server was declared down by one that it was connected with, while it ran.
+    /// Number of times that a server was declared down although it ran and was connected to the
+    /// observer.
     pub wrongly_down: usize,
-    /// What the servers did, a line each; nothing is logged while it is `None`.
+    /// Log of the servers' events, one line per event. Nothing is logged while it is `None`.
     pub log: Option<Vec<String>>,
-    /// By server the last time of a partition, stop or start, after which a declaration as down may
-    /// be right.
+    /// For each server, the last time when it was started or continued, or when a partition of the
+    /// fleet changed. For a while after that it may rightly be declared down.
     last_disruption: Vec<Timestamp>,
-    /// The most calls in flight of all servers together since this was last set.
+    /// Maximum number of calls in flight of all servers together since this was last set.
     pub peak: u32,
     calls: CallMeter,
+    /// The true counts of all incarnations, in the order of their starts.
     true_counts: Vec<TrueCounts>,
-    /// Estimates that were outside of their bounds, and all that were checked.
+    /// Number of estimates that violated their bounds, and number of all checked estimates.
     pub out_of_bounds: (u64, u64),
 }
 
 impl SimulatedFleet {
-    /// A fleet of which no server is started yet.
+    /// Creates a fleet whose servers are not started yet.
     pub fn new(setup: FleetSetup, seed: u64) -> SimulatedFleet {
         let mut random = Rand64::new(u128::from(seed) + 1);
         let nodes = (0..setup.servers).map(|index| Node::new(index, &mut random));
@@ -110,18 +112,18 @@
         }
     }
 
-    /// The membership of a server; `None` while it does not run.
+    /// Returns the membership of a server; `None` while the server does not run.
     pub fn members(&self, server: usize) -> Option<&Membership> {
         self.nodes[server].members()
     }
 
-    /// The quotas and counters of a server; `None` while it does not run, or without any in the
-    /// setup.
+    /// Returns the quotas and counters of a server; `None` while the server does not run, or if the
+    /// setup has neither.
     pub fn shared(&self, server: usize) -> Option<&FleetQuotas> {
         self.nodes[server].stack.as_ref()?.quotas()
     }
 
-    /// All servers that run, stopped ones included, with their membership.
+    /// Iterates over all running servers, including stopped ones, with their membership.
     pub fn running(&self) -> impl Iterator<Item = (usize, &Membership)> {
         self.nodes
             .iter()
@@ -133,7 +135,7 @@
         self.events.push(at, event);
     }
 
-    /// Logs a line with the time and the server, if there is a log.
+    /// Adds a line with the simulated time and the server's name to the log, if there is one.
     fn log_line(&mut self, server: usize, text: std::fmt::Arguments) {
         let secs = self.secs();
         if let Some(log) = &mut self.log {
@@ -164,7 +166,7 @@
     }
 }
 
-/// The simulated address of a server.
+/// Returns the simulated address of a server.
 fn address(server: usize) -> SocketAddr {
     let subnet = (server / SERVERS_PER_SUBNET) as u8;
     let host = (server % SERVERS_PER_SUBNET) as u8 + 1;
--- a/crates/testkit/src/fleet/simulated/scripts.rs
+++ b/crates/testkit/src/fleet/simulated/scripts.rs
@@ -1,16 +1,16 @@
-//! Plays the scripts of a folder on simulated fleets.
+//! Runs all scripts of a folder on simulated fleets.
 
 use super::SimulatedFleet;
 use crate::fleet::script::load_scripts;
 use std::path::Path;
 
-/// Plays each script of a folder with the seeds from 0. Gives the number of scripts, and a line for
-/// each play that failed. If the folder has only one script, or `FLEET_SCRIPT` chooses only one,
-/// the log of the first play that failed is printed.
+/// Plays each script of a folder with each seed from 0 to `seeds - 1`. Returns the number of scripts
+/// and one line for each play that failed. If the folder has only one script, or `FLEET_SCRIPT`
+/// selects only one, also prints the log of the first play that failed.
 ///
 /// # Panics
 ///
-/// If the folder or a script can't be read, or if a script can't be parsed.
+/// If the folder or a script cannot be read, or if a script cannot be parsed.
 pub fn run_all_scripts(folder: &Path, seeds: u64) -> (usize, Vec<String>) {
     let scripts = load_scripts(folder);
     let mut failed = vec![];
--- a/crates/testkit/src/fleet/simulated/start.rs
+++ b/crates/testkit/src/fleet/simulated/start.rs
@@ -7,22 +7,23 @@
 use madderbay_quota::{BudgetSettings, CounterSettings, FleetQuotas, LeaseTerms};
 use madderbay_upstream::FleetStack;
 
-/// Unix time at the beginning of the simulated time, in milliseconds.
+/// Unix time at simulated time 0, in milliseconds.
 const UNIX_START_MS: u64 = 1_764_576_000_000;
-/// The name of the fleet.
+/// Name of the fleet.
 const FLEET_NAME: &str = "fleet";
-/// The name of the quota and of the counter.
+/// Name of the quota and of the counter.
 const QUOTA_NAME: &str = "below";
-/// The time by which a lessor outwaits a lease.
+/// Time for which a lessor waits beyond the end of a lease before it uses the quota again.
 const LEASE_GUARD: Duration = Duration::from_millis(20);
-/// The rate of requests of a key that a server is taken to read at most, in requests a second.
+/// Maximum rate of counted requests per key that a server is configured for, in requests per
+/// second.
 const MAX_COUNTED_PER_SECOND: f64 = 200.0;
-/// The fraction of the probe interval after which a probe has failed.
+/// Timeout of a probe as a fraction of the probe interval.
 const PROBE_TIMEOUT_FRACTION: f64 = 0.4;
 
 impl SimulatedFleet {
-    /// Starts a server under the name of another or its own, with a Unix clock that is ahead of the
-    /// true time or, if it is late, behind it.
+    /// Starts the server `index` under the name of the server `name_index`. Its Unix clock differs
+    /// from the true time by `clock`: it is ahead, or behind if `is_behind` is set.
     pub(super) fn start(
         &mut self,
         index: usize,
@@ -60,7 +61,7 @@
         self.drive(index, FleetStack::handle_timeout);
     }
 
-    /// What a server's Unix clock shows now, in milliseconds.
+    /// Returns the present time of a Unix clock with this offset, in milliseconds.
     fn unix_ms(&self, offset: Duration, is_behind: bool) -> u64 {
         let true_ms = UNIX_START_MS + (self.now - Timestamp::default()).as_micros() / 1_000;
         let offset = offset.as_micros() / 1_000;
@@ -89,8 +90,8 @@
         }
     }
 
-    /// The quotas of a server's next incarnation, or of its present one if that reloads; `None` if
-    /// the setup has neither a quota nor a counter.
+    /// Returns the quota settings for a server's next incarnation, or for a reload of its present
+    /// one. Returns `None` if the setup has neither a quota nor a counter.
     pub(super) fn quota_settings(
         &self,
         index: usize,
