--- a/crates/testkit/src/fleet/network.rs
+++ b/crates/testkit/src/fleet/network.rs
@@ -101,8 +101,8 @@
         self.partition[one] == self.partition[other] && self.one_way.is_empty()
     }
 
-    /// Returns the copies of a datagram that arrive, each with its delay. The result is empty if the
-    /// datagram is lost.
+    /// Returns the copies of a datagram that arrive, each with its delay. The result is empty if
+    /// the datagram is lost.
     pub fn carry(&mut self, from: usize, to: usize, bytes: &[u8]) -> Vec<(Duration, Vec<u8>)> {
         let partitioned =
             self.partition[from] != self.partition[to] || self.one_way.contains(&(from, to));
--- a/crates/testkit/src/fleet/processes/mod.rs
+++ b/crates/testkit/src/fleet/processes/mod.rs
@@ -59,7 +59,7 @@
     demand: u32,
     /// Capacity of the quota in the operator file, in calls.
     capacity: u32,
-    /// The present load and earlier ones that still await answers.
+    /// The present load and all earlier ones, until their results are collected.
     loads: Vec<ClientLoad>,
     /// Address at which the server itself receives datagrams, behind its relay.
     datagram_address: Option<SocketAddr>,
--- a/crates/testkit/src/fleet/processes/reports.rs
+++ b/crates/testkit/src/fleet/processes/reports.rs
@@ -70,8 +70,8 @@
         })
     }
 
-    /// Queries a server's share of the quota. Returns `None` if the server does not answer or has no
-    /// quota.
+    /// Queries a server's share of the quota. Returns `None` if the server does not answer or has
+    /// no quota.
     pub fn quota(&self, server: usize) -> Option<QuotaReport> {
         let lines = self.query(server, "shared")?;
         let quota = lines.iter().find(|line| line["whole"].is_u64())?;
--- a/crates/testkit/src/fleet/script/action.rs
+++ b/crates/testkit/src/fleet/script/action.rs
@@ -1,65 +1,66 @@
-//! The steps of a script. They own no state; [`Fleet`](super::Fleet) carries them out.
+//! The steps of a script: actions, and conditions with a time limit. A [`Fleet`](super::Fleet)
+//! performs the actions and checks the conditions.
 
 use madderbay::time::Duration;
 use madderbay_membership::{Connectivity, MemberState};
 
-/// What is done to a fleet. Servers are indices from 0.
+/// An action on a fleet. Servers are identified by their index, from 0.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Starts a server.
     Start {
         /// Which server.
         who: usize,
-        /// The index of the server whose name it takes; its own as a rule.
+        /// Index of the server whose name it uses, normally its own.
         name: usize,
-        /// How far its Unix clock is from the true time.
+        /// Difference between its Unix clock and the true time.
         clock: Duration,
-        /// Whether its clock is behind the true time rather than ahead of it.
+        /// Whether its Unix clock is behind the true time instead of ahead.
         back: bool,
     },
     /// Kills a server.
     Kill(usize),
-    /// Stops a server as SIGSTOP does.
+    /// Stops a server, like SIGSTOP.
     Stop(usize),
-    /// Continues a stopped server.
+    /// Continues a stopped server, like SIGCONT.
     Continue(usize),
-    /// Has a server drain, leave and end.
+    /// Makes a server drain, leave the fleet and exit.
     Drain(usize),
-    /// Partitions the network into groups; servers in none of them form one more.
+    /// Partitions the network into groups. Servers that are in none of the groups form one more.
     Cut(Vec<Vec<usize>>),
-    /// Loses all datagrams from the first server to the others.
+    /// Drops all datagrams from the first server to the others.
     OneWay(usize, Vec<usize>),
-    /// Ends all partitions, those of one direction too.
+    /// Ends all partitions, including one-way ones.
     Heal,
-    /// Sets faults of the network; those that are `None` stay as they are, and all `None` ends them
-    /// all.
+    /// Sets network faults. Faults that are `None` stay as they are, but if all are `None`, all
+    /// network faults end.
     Network {
-        /// The fraction of all datagrams that is lost.
+        /// Fraction of all datagrams that is lost.
         loss: Option<f64>,
-        /// The fraction that is duplicated.
+        /// Fraction of all datagrams that is duplicated.
         duplication: Option<f64>,
-        /// The fraction that is corrupted: one bit is changed.
+        /// Fraction of all datagrams in which one bit is flipped.
         corruption: Option<f64>,
-        /// The shortest and the longest delay.
+        /// Minimum and maximum delay of a datagram.
         delay: Option<(Duration, Duration)>,
     },
-    /// Sends again the datagrams that were sent to a server.
+    /// Sends the retained datagrams of a server to it again.
     Replay(usize),
-    /// From here on a server has demand for this many calls at a time.
+    /// Sets the demand of a server, in concurrent calls.
     Demand(usize, u32),
-    /// The operator changes the capacity of the quota at one server, which reloads it.
+    /// Changes the capacity of the quota in the settings of one server, which reloads them.
     SetCapacity {
         /// Which server.
         server: usize,
-        /// Calls in flight in the whole fleet.
+        /// Maximum number of calls in flight in the whole fleet.
         capacity: u32,
     },
-    /// Fails if more calls than this were in flight since the last such check.
+    /// Fails if more calls than this were in flight at any time since the last such check.
     CheckPeak(u32),
-    /// Lets simulated time pass.
+    /// Advances simulated time; simulated fleets only.
     Advance(Duration),
-    /// Fails if more servers than this were declared down that ran and were connected; simulated
-    /// only.
+    /// Fails if more servers than this were declared down although they ran and were connected;
+    /// simulated fleets only.
     CheckWronglyDown(usize),
 }
 
@@ -72,7 +73,7 @@
         delay: None,
     };
 
-    /// Starts a server under its own name, with the right time.
+    /// Starts a server under its own name, with a correct Unix clock.
     pub fn start(server: usize) -> Action {
         Action::Start {
             who: server,
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Loses this fraction of all datagrams.
+    /// Drops this fraction of all datagrams.
     pub fn loss(fraction: f64) -> Action {
         Action::Network {
             loss: Some(fraction),
@@ -96,38 +97,39 @@
 /// A condition on a fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Condition {
-    /// All servers that run and are connected hold exactly each other alive, with one digest.
+    /// Each running server has exactly the servers that it is connected to as members, none of them
+    /// joining or suspect, and their views have the same digest.
     Settled,
     /// A member has this state in the views of some servers.
     View {
-        /// The servers whose views these are; the member itself is left out among several.
+        /// The servers whose views are checked. The member itself is skipped if there are several.
         observers: Vec<usize>,
-        /// The member.
+        /// The member whose state is checked.
         member: usize,
-        /// Its state; `None` if the views don't have it.
+        /// Expected state; `None` if the views must not contain the member.
         state: Option<MemberState>,
     },
-    /// Each server judges its own connectivity like this.
+    /// Each of the servers reports this connectivity.
     Connectivity {
         /// Which servers.
         servers: Vec<usize>,
-        /// Their judgement.
+        /// Expected connectivity.
         connectivity: Connectivity,
     },
-    /// Each server may use at least and at most this many calls of the quota.
+    /// The number of quota calls that each server may use is within these bounds.
     QuotaBetween {
         /// Which servers.
         who: Vec<usize>,
-        /// Calls at least.
+        /// Lower bound, in calls.
         least: u32,
-        /// Calls at most.
+        /// Upper bound, in calls.
         most: u32,
     },
-    /// Servers together have at least this many calls in flight.
+    /// The servers together have at least this many calls in flight.
     InFlightAtLeast {
         /// Which servers.
         who: Vec<usize>,
-        /// Calls at least.
+        /// Lower bound, in calls.
         least: u32,
     },
 }
@@ -135,8 +137,8 @@
 /// One step of a script.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Something is done at once.
+    /// Performs an action immediately.
     Action(Action),
-    /// A condition must hold within a time.
+    /// Waits for a condition, which must hold within this duration.
     Within(Condition, Duration),
 }
--- a/crates/testkit/src/fleet/script/condition_checks.rs
+++ b/crates/testkit/src/fleet/script/condition_checks.rs
@@ -1,17 +1,20 @@
-//! Checks conditions by what a fleet can tell of its servers. It owns no state, and says what is
-//! missing of a condition in one line.
+//! Checks script conditions through the queries that a fleet implements. A condition that does not
+//! hold is described in one line.
 
 use super::Condition;
 use madderbay_membership::{Connectivity, MemberState};
 
-/// What a fleet can tell of its servers. Each check gives what is wrong at the first server where
-/// something is, and `None` if nothing is. Servers that can't answer because they are stopped or
-/// don't run are left out.
+/// The checks that a fleet implements on its servers. Each check returns a description of the
+/// first server that fails it, or `None` if all pass. Servers that cannot answer because they are stopped
+/// or do not run are skipped.
 pub(in crate::fleet) trait ConditionChecks {
-    /// What is missing until all servers that run and are connected hold exactly each other alive.
+    /// Describes why the views have not settled: a running server has other members than the
+    /// servers that it is connected to, a member is joining or suspect, or the views of connected
+    /// servers differ.
     fn unsettled(&self) -> Option<String>;
 
-    /// An observer in whose view a member has another state; `None` stands for no such member.
+    /// Describes an observer in whose view the member has another state than expected. The state
+    /// `None` means that the view does not contain the member.
     fn wrong_state(
         &self,
         observers: &[usize],
@@ -19,16 +22,16 @@
         expected: Option<MemberState>,
     ) -> Option<String>;
 
-    /// A server that judges its connectivity otherwise.
+    /// Describes a server that reports another connectivity than expected.
     fn wrong_connectivity(&self, servers: &[usize], expected: Connectivity) -> Option<String>;
 
-    /// A server that may use fewer calls of the quota than `least`, or more than `most`.
+    /// Describes a server that may use fewer calls of the quota than `least`, or more than `most`.
     fn quota_outside(&self, servers: &[usize], least: u32, most: u32) -> Option<String>;
 
-    /// The calls of the quota that servers have in flight together.
+    /// Returns the number of quota calls that the servers together have in flight.
     fn in_flight(&self, servers: &[usize]) -> u32;
 
-    /// What is missing of a condition, in one line; `None` while it holds.
+    /// Describes in one line why a condition does not hold; `None` if it holds.
     fn unmet_condition(&self, condition: &Condition) -> Option<String> {
         match condition {
             Condition::Settled => self.unsettled(),
@@ -51,7 +54,8 @@
     }
 }
 
-/// The observers whose views are looked at: among several the member itself is left out.
+/// Returns the observers whose views are checked: all but the member itself, which is kept only if
+/// it is the single observer.
 fn observers_except(observers: &[usize], member: usize) -> Vec<usize> {
     let is_single = observers.len() == 1;
     observers
--- a/crates/testkit/src/fleet/script/error.rs
+++ b/crates/testkit/src/fleet/script/error.rs
@@ -1,23 +1,23 @@
-//! The errors of scripts: of parsing one, of playing one, and of a single action.
+//! Errors of parsing a script, of playing a script, and of a single action.
 
 use madderbay::time::Duration;
 use thiserror::Error;
 
-/// Why a script can't be parsed. Displays as one line with the place.
+/// Error of parsing a script. It is displayed as one line with the file and line number.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{file}:{line}: '{word}': {expected}")]
 pub struct ScriptError {
-    /// The name of the script.
+    /// Name of the script.
     pub file: String,
-    /// The line number, from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// The word that was not understood, or the keyword of a line that has too many or too few.
+    /// The invalid word, or the keyword of a line with the wrong arguments.
     pub word: String,
-    /// What can stand in its place.
+    /// What the parser expected in its place.
     pub expected: Expected,
 }
 
-/// What a script was expected to have in the place of a word.
+/// What the parser expected in place of an invalid word.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Expected {
     /// A time.
@@ -29,13 +29,13 @@
     /// A fraction of all datagrams.
     #[error("a fraction from 0 to 1 is expected")]
     Fraction,
-    /// Whether something is on.
+    /// `on` or `off`.
     #[error("on or off is expected")]
     Switch,
     /// The name of one of the servers.
     #[error("a server is expected, as in n1")]
     Server,
-    /// The state of a member.
+    /// The state of a member, or `unknown`.
     #[error("a state is expected: joining, alive, suspect, draining, down, left or unknown")]
     State,
     /// How much of the fleet a server receives from.
@@ -50,12 +50,12 @@
     /// The keyword of a line.
     #[error("no such step")]
     Keyword,
-    /// The arguments of a keyword.
+    /// The keyword's arguments in the given form.
     #[error("the line has to read: {0}")]
     Line(&'static str),
 }
 
-/// Why an action failed.
+/// Error of an action.
 #[derive(Debug, Error)]
 pub enum ActionError {
     /// The server does not run.
@@ -67,44 +67,44 @@
     /// The server's operator file can't be read or written.
     #[error(transparent)]
     OperatorFile(#[from] std::io::Error),
-    /// Only simulated fleets can do it.
+    /// Only simulated fleets support the action.
     #[error("is for simulated fleets")]
     SimulatedOnly,
-    /// More calls than allowed were in flight.
+    /// More calls were in flight than a check allows.
     #[error("{peak} calls were in flight, more than {most}")]
     TooManyCalls {
-        /// The most calls in flight.
+        /// Maximum number of calls in flight.
         peak: u64,
-        /// The most that are allowed.
+        /// Maximum that the check allows.
         most: u32,
     },
-    /// Servers that ran and were connected were declared down.
+    /// Servers were declared down although they ran and were connected.
     #[error("{count} were declared down while they ran")]
     WronglyDown {
-        /// How many.
+        /// Number of wrong declarations.
         count: usize,
     },
 }
 
-/// Why a play of a script failed. Displays as one line with the place.
+/// Error of playing a script. It is displayed as one line with the line number.
 #[derive(Debug, Error)]
 pub enum ScriptFailure {
     /// An action failed.
     #[error("line {line}: {error}")]
     Action {
-        /// The line number, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// Why it failed.
+        /// Error of the action.
         error: ActionError,
     },
-    /// A condition did not hold within its term.
+    /// A condition did not hold within its time limit.
     #[error("line {line}: not within {} s: {unmet}", term.as_secs_f64())]
     Timeout {
-        /// The line number, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// The time within which it had to hold.
+        /// Time limit of the condition.
         term: Duration,
-        /// What was still missing.
+        /// Why the condition did not hold at the last check.
         unmet: String,
     },
 }
--- a/crates/testkit/src/fleet/script/mod.rs
+++ b/crates/testkit/src/fleet/script/mod.rs
@@ -1,82 +1,82 @@
-//! Fault scripts: what is done to a fleet, and the conditions that must hold within a time, a line
-//! each.
+//! Fault scripts. Each line of a script is an action on a fleet, or a condition that must hold
+//! within a time limit.
 //!
 //! [`Script::read`](crate::fleet::script::Script::read) parses a script;
 //! [`Script::play`](crate::fleet::script::Script::play) plays it on any
-//! [`Fleet`](crate::fleet::script::Fleet). A script never sleeps for a fixed time on real
-//! processes: it waits for a condition, and each condition has a term.
+//! [`Fleet`](crate::fleet::script::Fleet). On real processes a script never sleeps for a fixed
+//! time: it waits for conditions, each of which has a time limit, its term.
 //!
 //! # Grammar
 //!
-//! A script is a list of lines, each a keyword and its arguments with spaces between. `#` begins a
-//! comment that ends with the line; empty lines are ignored. A line that does not follow the
-//! grammar is a [`ScriptError`](crate::fleet::script::ScriptError) with the file, the line, the
-//! word, and what was expected in its place.
+//! Each line of a script is a keyword followed by its arguments, separated by spaces. A comment
+//! starts with `#` and ends with the line. Empty lines are ignored. A line that does not follow the
+//! grammar is reported as a [`ScriptError`](crate::fleet::script::ScriptError) with the file, the
+//! line number, the invalid word, and what was expected in its place.
 //!
 //! | word | meaning |
 //! | --- | --- |
-//! | SERVER | a server by its name: `n1`, `n2`, ... |
-//! | GROUP | a SERVER, a ZONE (its servers), or `all` |
-//! | SERVERS | one GROUP or more |
+//! | SERVER | the name of a server: `n1`, `n2`, ... |
+//! | GROUP | a SERVER, a ZONE (all its servers), or `all` |
+//! | SERVERS | one or more GROUPs |
 //! | TIME | `8s` or `40ms` |
-//! | TERM | the TIME within which a condition must hold |
+//! | TERM | the time limit of a condition, a TIME |
 //! | FRACTION | a number from 0 to 1 |
 //! | N | a whole number |
-//! | STATE | `joining`, `alive`, `suspect`, `draining`, `down`, `left`; `unknown` for no member |
+//! | STATE | `joining`, `alive`, `suspect`, `draining`, `down`, `left`, or `unknown` if the view must not contain the member |
 //!
-//! The setup, which applies to the lines below it:
+//! Setup lines apply to the lines below them:
 //!
 //! | line | meaning |
 //! | --- | --- |
-//! | `servers N` | the servers `n1` to nN; none is started |
-//! | `zone ZONE SERVERS` | puts servers into a zone; they are in `north` otherwise |
-//! | `set KEY=VALUE ...` | sets some of the keys below |
+//! | `servers N` | creates the servers `n1` to nN without starting them |
+//! | `zone ZONE SERVERS` | puts servers into a zone; the default zone is `north` |
+//! | `set KEY=VALUE ...` | sets one or more of the keys below |
 //!
 //! | key | meaning |
 //! | --- | --- |
 //! | `down_retention=TIME` | how long a member that is down is remembered |
 //! | `suspicion=TIME` | how long a member is suspect before it is declared down |
-//! | `probe=TIME` | the time between two probes of a server |
-//! | `max_members=N` | the most members that a server holds |
-//! | `join=SERVER,...` | the servers that each one joins through; `n1` by default |
-//! | `window=TIME` | requests are counted over it |
+//! | `probe=TIME` | interval between two probes by a server |
+//! | `max_members=N` | maximum number of members in a server's view |
+//! | `join=SERVER,...` | the servers through which each server joins the fleet; `n1` by default |
+//! | `window=TIME` | length of the window over which requests are counted |
 //! | `capacity=N` | a quota of N calls in flight for the whole fleet |
-//! | `max_servers=N` | after `capacity`: the number of servers that the quota is for |
-//! | `slots=on` | after `capacity`: each server has a configured slot; `off` by default |
+//! | `max_servers=N` | after `capacity`: number of servers that share the quota |
+//! | `slots=on` | after `capacity`: whether each server has a configured slot; `off` by default |
 //! | `lease=TIME` | after `capacity`: how long a lease lasts |
-//! | `max_call=TIME` | after `capacity`: the longest time of a call |
-//! | `call=TIME` | after `capacity`: the mean time of a call |
+//! | `max_call=TIME` | after `capacity`: maximum duration of a call |
+//! | `call=TIME` | after `capacity`: mean duration of a call |
 //!
-//! Actions, which are done at once:
+//! Actions are performed immediately:
 //!
 //! | line | meaning |
 //! | --- | --- |
-//! | `start SERVERS [name=SERVER] [clock=[-]TIME]` | starts servers, under the name of another and with a Unix clock ahead of the true one (or behind it) if given |
+//! | `start SERVERS [name=SERVER] [clock=[-]TIME]` | starts servers, optionally under the name of another server, and with a Unix clock ahead of the true time (behind it with `-`) |
 //! | `kill SERVERS` | SIGKILL |
 //! | `stop SERVERS`, `continue SERVERS` | SIGSTOP, SIGCONT |
-//! | `drain SERVERS` | SIGTERM: each drains, leaves and ends |
+//! | `drain SERVERS` | SIGTERM: each drains, leaves the fleet and exits |
 //! | <code>partition SERVERS &#124; SERVERS ...</code> | partitions the network into these groups |
-//! | `oneway SERVER > SERVERS` | datagrams from the first to the others are lost |
-//! | `heal` | ends all partitions, those of one direction too |
-//! | `loss FRACTION` | this fraction of all datagrams is lost |
-//! | `duplicate FRACTION` | this fraction of all datagrams arrives twice |
-//! | `corrupt FRACTION` | this fraction of all datagrams has one bit changed |
-//! | `delay TIME TIME` | delays each datagram by a time between these |
+//! | `oneway SERVER > SERVERS` | drops all datagrams from the first server to the others |
+//! | `heal` | ends all partitions, including one-way ones |
+//! | `loss FRACTION` | drops this fraction of all datagrams |
+//! | `duplicate FRACTION` | duplicates this fraction of all datagrams |
+//! | `corrupt FRACTION` | flips one bit in this fraction of all datagrams |
+//! | `delay TIME TIME` | delays each datagram by a random time between these two |
 //! | `calm` | ends loss, duplication, corruption and delay |
-//! | `replay SERVER` | sends again all datagrams that were sent to a server |
-//! | `demand SERVERS N` | each has demand for N calls at a time from here on |
-//! | `capacity SERVERS N` | the operator sets the capacity of the quota to N at each, which reloads it |
-//! | `peak N` | fails if more than N calls were in flight since the last such line |
-//! | `for TIME` | simulated only: lets time pass |
-//! | `downs N` | simulated only: fails if more than N servers were declared down that ran and were connected |
+//! | `replay SERVER` | sends the retained datagrams of a server to it again |
+//! | `demand SERVERS N` | sets the demand of each to N concurrent calls |
+//! | `capacity SERVERS N` | sets the capacity of the quota to N in the settings of each server, which reloads them |
+//! | `peak N` | fails if more than N calls were in flight at any time since the last such line |
+//! | `for TIME` | simulated fleets only: advances the time |
+//! | `downs N` | simulated fleets only: fails if more than N servers were declared down although they ran and were connected |
 //!
-//! Conditions, which are waited for:
+//! For a condition the script waits until it holds:
 //!
 //! | line | meaning |
 //! | --- | --- |
-//! | `settle TERM` | all servers that run and are connected hold exactly each other alive, with one digest |
-//! | `view GROUP SERVER STATE TERM` | in the views of the group the server has this state |
-//! | `connectivity GROUP WORD TERM` | each judges its own connectivity `complete`, `partial` or `isolated` |
+//! | `settle TERM` | each running server has exactly the connected servers as members, none joining or suspect, and their views have the same digest |
+//! | `view GROUP SERVER STATE TERM` | the server has this state in the views of the group |
+//! | `connectivity GROUP WORD TERM` | each reports the connectivity `complete`, `partial` or `isolated` |
 //! | `quota-at-least GROUP N TERM` | each may use at least N calls of the quota |
 //! | `quota-at-most GROUP N TERM` | each may use at most N calls of the quota |
 //! | `in-flight-at-least SERVERS N TERM` | together they have at least N calls in flight |
@@ -107,13 +107,13 @@
 /// A parsed script.
 #[derive(Debug)]
 pub struct Script {
-    /// How the fleet is set up.
+    /// Setup of the fleet.
     pub setup: FleetSetup,
-    /// The steps in their order, each with its line number, from 1.
+    /// The steps in order, each with its line number, from 1.
     pub steps: Vec<(usize, Step)>,
 }
 
-/// The name of a server, by its index from 0.
+/// Returns the name of the server with this index, from 0.
 pub fn name(server: usize) -> String {
     format!("n{}", server + 1)
 }
--- a/crates/testkit/src/fleet/script/parser.rs
+++ b/crates/testkit/src/fleet/script/parser.rs
@@ -1,5 +1,5 @@
-//! Parses scripts; the module page of [`super`] has the grammar. Lines are read one after the
-//! other, because setup lines apply to those below them.
+//! Parser of scripts. The documentation of [`super`] has the grammar. Lines are parsed in order,
+//! because setup lines apply to the lines below them.
 
 use super::error::{Expected, ScriptError};
 use super::words::{
@@ -10,11 +10,11 @@
 use madderbay::time::Duration;
 
 impl Script {
-    /// Parses a script; `file` is its name in errors.
+    /// Parses a script. `file` is its name in error messages.
     ///
     /// # Errors
     ///
-    /// The first word that is not understood, with its line.
+    /// Returns the first invalid word with its line number.
     pub fn read(file: &str, text: &str) -> Result<Script, ScriptError> {
         let mut setup = FleetSetup::of(1);
         let mut steps = vec![];
@@ -31,7 +31,7 @@
     }
 }
 
-/// Parses a line: setup changes what is given, and everything else makes steps.
+/// Parses a line. A setup line changes `setup` and has no steps; any other line returns its steps.
 fn parse_line(setup: &mut FleetSetup, line: &str) -> Parsed<Vec<Step>> {
     let line = line.split('#').next().unwrap_or_default();
     let words: Vec<&str> = line.split_whitespace().collect();
@@ -53,6 +53,7 @@
     Ok(vec![])
 }
 
+/// Applies a `KEY=VALUE` argument of `set` to the setup.
 fn apply_assignment(setup: &mut FleetSetup, assignment: &str) -> Parsed<()> {
     let (key, value) = assignment
         .split_once('=')
@@ -81,6 +82,7 @@
     Ok(())
 }
 
+/// Applies a key of `set` that belongs to the quota.
 fn apply_quota_assignment(quota: &mut QuotaSetup, key: &str, value: &str) -> Parsed<()> {
     match key {
         "max_servers" => quota.servers = number(value)?,
@@ -93,7 +95,8 @@
     Ok(())
 }
 
-/// Parses an action or a condition; an action on several servers makes a step for each, and there is one at least.
+/// Parses an action or a condition. An action on several servers becomes one step per server. A
+/// line without any step is an error.
 fn parse_step(setup: &FleetSetup, keyword: &str, arguments: &[&str]) -> Parsed<Vec<Step>> {
     let steps = parse_steps(setup, keyword, arguments)?;
     if steps.is_empty() {
@@ -119,7 +122,7 @@
     }
 }
 
-/// One action for each of these servers.
+/// Parses a list of servers and returns one step per server.
 fn step_for_each(
     setup: &FleetSetup,
     names: &[&str],
@@ -132,7 +135,7 @@
         .collect())
 }
 
-/// Parses `start`, whose options stand among its servers.
+/// Parses `start`. Its options may be anywhere between the servers.
 fn parse_start(setup: &FleetSetup, arguments: &[&str]) -> Parsed<Vec<Step>> {
     let mut names = vec![];
     let mut taken_name = None;
@@ -156,7 +159,7 @@
     })
 }
 
-/// Parses `demand` and `capacity`, which have servers and a number.
+/// Parses `demand` and `capacity`, whose arguments are servers and a number.
 fn parse_amount(setup: &FleetSetup, keyword: &str, arguments: &[&str]) -> Parsed<Vec<Step>> {
     let [names @ .., amount] = arguments else {
         return Err(malformed(keyword));
@@ -171,7 +174,7 @@
     })
 }
 
-/// Parses the actions that are not for each of several servers.
+/// Parses the actions that are a single step.
 fn parse_action(setup: &FleetSetup, keyword: &str, arguments: &[&str]) -> Parsed<Action> {
     match (keyword, arguments) {
         ("partition", groups) => {
@@ -196,7 +199,8 @@
     }
 }
 
-/// Parses a fault of all datagrams; of the other faults it says nothing.
+/// Parses a datagram fault. Faults that the line does not name are `None`, so they stay unchanged;
+/// `calm` leaves all `None`.
 fn parse_datagram_fault(keyword: &str, arguments: &[&str]) -> Parsed<Action> {
     let mut loss = None;
     let mut duplication = None;
@@ -264,7 +268,8 @@
     Ok(Step::Within(condition, time(term)?))
 }
 
-/// What is wrong with a line that has this keyword and other arguments than it has to have.
+/// Returns the error for a line with an unknown keyword, or with the wrong arguments for its
+/// keyword.
 fn malformed(keyword: &str) -> Unexpected {
     let form = match keyword {
         "servers" => "servers N",
--- a/crates/testkit/src/fleet/script/runner.rs
+++ b/crates/testkit/src/fleet/script/runner.rs
@@ -1,5 +1,5 @@
-//! Plays scripts on fleets, step by step, and reads the scripts of a folder. [`Fleet`] is what real
-//! and simulated fleets have in common; this file knows neither.
+//! Plays scripts on fleets, and loads the scripts of a folder. [`Fleet`] is the interface that real
+//! and simulated fleets share.
 
 use super::{Action, ActionError, Condition, Script, ScriptFailure, Step};
 use madderbay::time::Duration;
@@ -7,38 +7,39 @@
 
 /// A fleet that a script can be played on.
 pub trait Fleet {
-    /// Carries out an action.
+    /// Performs an action.
     ///
     /// # Errors
     ///
-    /// If the fleet can't do it, or if the action is a check that does not hold.
+    /// If the fleet cannot perform the action, or if the action is a check that fails.
     fn act(&mut self, action: &Action) -> Result<(), ActionError>;
 
-    /// What is missing of a condition, in one line; `None` while it holds.
+    /// Describes in one line why a condition does not hold; `None` if it holds.
     fn unmet(&mut self, condition: &Condition) -> Option<String>;
 
-    /// Lets a short time pass, real or simulated, before a condition is checked again.
+    /// Waits for a short time, real or simulated, before a condition is checked again.
     fn pass(&mut self);
 
-    /// The time since the fleet was made, real or simulated.
+    /// Returns the time since the fleet was created, real or simulated.
     fn at(&self) -> Duration;
 }
 
 /// How long a condition took to hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConditionTime {
-    /// The line number of the condition, from 1.
+    /// Line number of the condition, from 1.
     pub line: usize,
-    /// The time since the step before it.
+    /// Time from the end of the previous step until the condition held.
     pub took: Duration,
 }
 
 impl Script {
-    /// Plays the script; gives how long each condition took.
+    /// Plays the script and returns how long each condition took to hold.
     ///
     /// # Errors
     ///
-    /// The first action that failed, or the first condition that did not hold within its term.
+    /// Returns the first action that failed, or the first condition that did not hold within its
+    /// time limit.
     pub fn play(&self, fleet: &mut impl Fleet) -> Result<Vec<ConditionTime>, ScriptFailure> {
         let mut times = vec![];
         for (line, step) in &self.steps {
@@ -56,7 +57,7 @@
     }
 }
 
-/// Waits until the condition of a line holds, within its term.
+/// Waits until the condition of a line holds. Fails if it does not hold within `term`.
 fn wait_for(
     fleet: &mut impl Fleet,
     condition: &Condition,
@@ -74,13 +75,13 @@
     Ok(ConditionTime { line, took })
 }
 
-/// Reads the scripts of a folder, sorted by file name; only those whose name contains the value of
-/// the environment variable `FLEET_SCRIPT`, if it is set.
+/// Loads the scripts of a folder, sorted by file name. If the environment variable `FLEET_SCRIPT`
+/// is set, loads only those whose name contains its value.
 ///
 /// # Panics
 ///
-/// If the folder or a script can't be read, or if a script can't be parsed: that is a fault of the
-/// test.
+/// If the folder or a script cannot be read, or if a script cannot be parsed. Either is an error in
+/// the test.
 pub fn load_scripts(folder: &Path) -> Vec<(String, Script)> {
     let only = std::env::var("FLEET_SCRIPT").unwrap_or_default();
     let entries = std::fs::read_dir(folder).expect("a folder of scripts");
--- a/crates/testkit/src/fleet/script/setup.rs
+++ b/crates/testkit/src/fleet/script/setup.rs
@@ -1,32 +1,32 @@
-//! How a fleet is set up before a script plays: its servers, their timing, and a quota of calls.
+//! Setup of a fleet before a script plays: its servers, their timing, and a quota of calls.
 
 use madderbay::time::Duration;
 
-/// The zone of servers that no script puts elsewhere.
+/// Zone of the servers that a script does not put into another one.
 const DEFAULT_ZONE: &str = "north";
 
-/// A quota of calls in flight in the whole fleet, and the calls that are made under it.
+/// A quota that limits the calls in flight in the whole fleet, and the duration of these calls.
 #[derive(Clone, Debug)]
 pub struct QuotaSetup {
-    /// The capacity: calls in flight in the whole fleet.
+    /// Maximum number of calls in flight in the whole fleet.
     pub capacity: u32,
-    /// The number of servers that the quota is for.
+    /// Number of servers that share the quota.
     pub servers: u32,
     /// Whether each server has a configured slot.
     pub slots: bool,
     /// How long a lease lasts.
     pub lease: Duration,
-    /// The longest time that a call takes.
+    /// Maximum duration of a call.
     pub max_call: Duration,
-    /// The mean time that a call takes.
+    /// Mean duration of a call.
     pub call: Duration,
-    /// The handlers whose calls are under the quota, as the operator file has them; of real
-    /// processes only.
+    /// The handlers whose calls count against the quota, as written in the operator file. Used
+    /// only by fleets of real processes.
     pub handlers: &'static str,
 }
 
 impl QuotaSetup {
-    /// A quota of a capacity for a number of servers, with short leases and calls.
+    /// Creates a quota with this capacity for a number of servers, with short leases and calls.
     pub(super) fn of(capacity: u32, servers: usize) -> QuotaSetup {
         QuotaSetup {
             capacity,
@@ -40,34 +40,35 @@
     }
 }
 
-/// How a fleet is set up.
+/// Setup of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetSetup {
-    /// The number of servers.
+    /// Number of servers.
     pub servers: usize,
-    /// The zone of each server.
+    /// Zone of each server, by index.
     pub zones: Vec<String>,
     /// How long a member that is down is remembered.
     pub down_retention: Duration,
     /// How long a member is suspect before it is declared down.
     pub suspicion: Duration,
-    /// The time between two probes of a server.
+    /// Interval between two probes by a server.
     pub probe: Duration,
-    /// The most members that a server holds.
+    /// Maximum number of members in a server's view.
     pub max_members: usize,
-    /// The servers that each one joins through.
+    /// The servers through which each server joins the fleet.
     pub join: Vec<usize>,
-    /// Whether servers take their local health into account; without it they are plain SWIM.
-    /// Simulated only.
+    /// Whether servers take their local health into account. Without it the protocol is plain SWIM.
+    /// Used only by simulated fleets.
     pub local_health_aware: bool,
-    /// The quota of calls, if there is one.
+    /// Quota of calls; `None` if the fleet has none.
     pub budget: Option<QuotaSetup>,
-    /// The window over which requests are counted, if they are.
+    /// Length of the window over which requests are counted; `None` if they are not counted.
     pub window: Option<Duration>,
 }
 
 impl FleetSetup {
-    /// A fleet with one quota of a capacity for all its servers, whose calls take that long.
+    /// Creates a fleet with a quota of this capacity for all its servers. `call` is the mean
+    /// duration of a call.
     pub fn with_budget(servers: usize, capacity: u32, call: Duration) -> FleetSetup {
         let budget = QuotaSetup {
             call,
@@ -79,7 +80,7 @@
         }
     }
 
-    /// A number of servers in one zone that join through the first, without a quota.
+    /// Creates a fleet of servers in one zone that join through the first, without a quota.
     pub fn of(servers: usize) -> FleetSetup {
         FleetSetup {
             servers,
@@ -95,7 +96,8 @@
         }
     }
 
-    /// Sets the number of servers, all in the default zone; the rest of the setup stays.
+    /// Sets the number of servers and puts all of them into the default zone. The rest of the setup
+    /// is unchanged.
     pub(super) fn set_servers(&mut self, servers: usize) {
         self.servers = servers;
         self.zones = FleetSetup::default_zones(servers);
--- a/crates/testkit/src/fleet/script/words.rs
+++ b/crates/testkit/src/fleet/script/words.rs
@@ -1,4 +1,4 @@
-//! The words of a line: times, numbers, states and servers.
+//! Parsers of the words of a line: times, numbers, states and servers.
 
 use super::error::Expected;
 use super::setup::FleetSetup;
@@ -16,7 +16,7 @@
     MemberState::Left,
 ];
 
-/// A word that was not understood, without its place.
+/// An invalid word, without its file and line number.
 pub(super) struct Unexpected {
     pub(super) word: String,
     pub(super) expected: Expected,
@@ -62,7 +62,7 @@
     }
 }
 
-/// A state, or `None` for a member that is not known.
+/// Parses the state of a member, or `unknown`, which is `None`.
 pub(super) fn member_state(word: &str) -> Parsed<Option<MemberState>> {
     if word == "unknown" {
         return Ok(None);
@@ -73,7 +73,7 @@
     }
 }
 
-/// A member's state by the word that servers report.
+/// Returns the member state with the name that servers report.
 pub(in crate::fleet) fn state_by_name(word: &str) -> Option<MemberState> {
     STATES.into_iter().find(|state| state.to_string() == word)
 }
@@ -87,7 +87,7 @@
     }
 }
 
-/// The index of a server by its name.
+/// Parses the name of a server and returns its index.
 pub(super) fn server(setup: &FleetSetup, word: &str) -> Parsed<usize> {
     word.strip_prefix('n')
         .and_then(|number| number.parse::<usize>().ok())
@@ -96,7 +96,7 @@
         .ok_or_else(|| unexpected(word, Expected::Server))
 }
 
-/// The indices of servers by their names and zones, or of all.
+/// Parses a list of server names, zones and `all`, and returns the indices of the servers.
 pub(super) fn servers(setup: &FleetSetup, words: &[&str]) -> Parsed<Vec<usize>> {
     let mut found = vec![];
     for word in words {
--- a/crates/testkit/src/fleet/simulated/actions.rs
+++ b/crates/testkit/src/fleet/simulated/actions.rs
@@ -39,8 +39,8 @@
         Ok(())
     }
 
-    /// Continues a stopped server. Its timer and its socket are ready at the same time, so the order
-    /// in which it handles them is drawn at random.
+    /// Continues a stopped server. Its timer and its socket are ready at the same time, so the
+    /// order in which it handles them is drawn at random.
     fn resume(&mut self, server: usize) {
         self.last_disruption[server] = self.now;
         let node = &mut self.nodes[server];
@@ -82,8 +82,8 @@
         });
     }
 
-    /// Fails if more calls than `most` were in flight at any time since the last check, and starts a
-    /// new measurement.
+    /// Fails if more calls than `most` were in flight at any time since the last check, and starts
+    /// a new measurement.
     fn check_peak(&mut self, most: u32) -> Result<(), ActionError> {
         let peak = std::mem::replace(&mut self.peak, self.calls.in_flight());
         if peak > most {
--- a/crates/testkit/src/fleet/simulated/calls.rs
+++ b/crates/testkit/src/fleet/simulated/calls.rs
@@ -57,8 +57,8 @@
         self.calls.call_seconds(self.now)
     }
 
-    /// Starts calls of a server until its demand is met or its quota is used up. Reports demand that
-    /// is not met as waiting calls.
+    /// Starts calls of a server until its demand is met or its quota is used up. Reports demand
+    /// that is not met as waiting calls.
     pub(super) fn start_calls(&mut self, server: usize) {
         let Some(setup) = &self.setup.budget else {
             return;
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Handles the end of a call. The call also ends if the incarnation that made it no longer runs.
+    /// Handles the end of a call, also if the incarnation that made it no longer runs.
     pub(super) fn call_ended(&mut self, server: usize, incarnation: u32) {
         self.calls.call_ended(self.now);
         self.peak = self.peak.max(self.calls.in_flight());
--- a/crates/testkit/src/fleet/simulated/driver.rs
+++ b/crates/testkit/src/fleet/simulated/driver.rs
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Runs an action on a server's state machines, then sends their datagrams, sets their timer and
-    /// handles their events. Does nothing if the server does not run or is stopped.
+    /// Runs an action on a server's state machines, then sends their datagrams, sets their timer
+    /// and handles their events. Does nothing if the server does not run or is stopped.
     pub(super) fn drive(&mut self, server: usize, action: impl FnOnce(&mut FleetStack, Timestamp)) {
         let node = &mut self.nodes[server];
         let clock = node.clock(self.now);
--- a/crates/testkit/src/fleet/simulated/mod.rs
+++ b/crates/testkit/src/fleet/simulated/mod.rs
@@ -1,8 +1,8 @@
 //! A fleet in simulated time: the server's state machines on a simulated network.
 //!
 //! [`SimulatedFleet`](crate::fleet::simulated::SimulatedFleet) owns the servers' state machines,
-//! their clocks and the queue of future events. The setup, the seed and the sequence of method calls
-//! determine the whole simulation. It sends nothing over a real network and never sleeps.
+//! their clocks and the queue of future events. The setup, the seed and the sequence of method
+//! calls determine the whole simulation. It sends nothing over a real network and never sleeps.
 //!
 //! # What is simulated
 //!
--- a/crates/testkit/src/fleet/simulated/node.rs
+++ b/crates/testkit/src/fleet/simulated/node.rs
@@ -78,7 +78,7 @@
         Timestamp::default() + self.clock_offset + elapsed
     }
 
-    /// Converts a time on the server's clock to simulated time, rounded up by a microsecond.
+    /// Converts a time on the server's clock to simulated time, plus one microsecond.
     pub(super) fn simulated_time(&self, clock: Timestamp) -> Timestamp {
         let elapsed = clock.saturating_sub(self.clock_offset) - Timestamp::default();
         Timestamp::from_micros(1) + elapsed.mul_f64(1.0 / self.clock_rate)
--- a/crates/testkit/src/fleet/simulated/start.rs
+++ b/crates/testkit/src/fleet/simulated/start.rs
@@ -13,7 +13,7 @@
 const FLEET_NAME: &str = "fleet";
 /// Name of the quota and of the counter.
 const QUOTA_NAME: &str = "below";
-/// Time for which a lessor waits beyond the end of a lease before it uses the quota again.
+/// The time by which a lessor outwaits a lease.
 const LEASE_GUARD: Duration = Duration::from_millis(20);
 /// Maximum rate of counted requests per key that a server is configured for, in requests per
 /// second.
--- a/crates/testkit/src/soak/clients.rs
+++ b/crates/testkit/src/soak/clients.rs
@@ -1,4 +1,5 @@
-//! The clients of a play: they send requests over a few connections, withdraw some, and keep every answer.
+//! The clients of a play. They send requests over a small number of connections, withdraw some of them, and record
+//! every answer.
 
 use super::plan::{HANDLERS, IDEMPOTENCY_KEY_HANDLER, PlannedRequest};
 use crate::unix_ms;
@@ -11,18 +12,18 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-/// How long a client waits for each answer, in milliseconds, as the request carries it.
+/// Time for which a client waits for an answer, in milliseconds. Each request carries it.
 pub(super) const TIMEOUT_MS: u64 = 3_000;
-/// Requests in flight on one connection, as the protocol limits them.
+/// Maximum number of requests in flight on one connection, set by the protocol.
 const MAX_IN_FLIGHT_PER_CONNECTION: usize = 32;
-/// Requests in flight on every connection from which a new one is opened.
+/// A new connection is opened when every connection has at least this many requests in flight.
 const NEW_CONNECTION_THRESHOLD: usize = 8;
-/// Connections of all clients, at most.
+/// Maximum number of connections over a play.
 const MAX_CONNECTIONS: usize = 100;
-/// The error code of a request that was rejected and never ran.
+/// Error code of a request that was rejected and never ran.
 const REJECTED: i64 = -32002;
 
-/// What a client was answered.
+/// An answer to a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientAnswer {
     /// The result of a run, in base64.
@@ -33,43 +34,43 @@
     Failed,
 }
 
-/// A request that was sent, and what came back.
+/// A request that was sent, with its answers.
 #[derive(Clone, Debug)]
 pub struct SentRequest {
-    /// What was planned.
+    /// The request as planned.
     pub planned: PlannedRequest,
-    /// The name of the attempt.
+    /// Name of the attempt.
     pub name: String,
-    /// The body in base64; no other request has the same.
+    /// Body in base64, unique to this request.
     pub body: String,
-    /// When it was sent, since the beginning of the play.
+    /// Time of sending, since the beginning of the play.
     pub sent: Duration,
-    /// When its client stopped waiting.
+    /// Time at which the client withdrew the request, that is, stopped waiting for it.
     pub withdrawn: Option<Duration>,
-    /// All answers, with their times since the beginning of the play.
+    /// All answers with their times since the beginning of the play.
     pub answers: Vec<(ClientAnswer, Duration)>,
-    /// When its connection ended, if that was before its answer.
+    /// Time at which the connection ended, if there was no answer until then.
     pub disconnected: Option<Duration>,
 }
 
 struct Connection {
     stream: TcpStream,
-    /// Requests in flight.
+    /// Number of requests in flight.
     in_flight: usize,
-    /// The id of the last request.
+    /// Id of the last request.
     last_id: u64,
-    /// It has ended.
+    /// Whether the connection has ended.
     is_closed: bool,
 }
 
-/// What a connection has brought: a line, or its end.
+/// A line received on a connection, or the end of the connection if `line` is `None`.
 struct Received {
     connection: usize,
     line: Option<String>,
     at: Instant,
 }
 
-/// Where a request was sent.
+/// The connection on which a request was sent, and its id there.
 #[derive(Clone, Copy)]
 struct RequestLocation {
     connection: usize,
@@ -85,14 +86,16 @@
     sender: Sender<Received>,
     received: Receiver<Received>,
     requests: Vec<SentRequest>,
+    /// Location of each request, by its number.
     locations: Vec<RequestLocation>,
+    /// Number of a request by its connection and id.
     request_of: HashMap<(usize, u64), usize>,
-    /// The names of requests that are over since this was last asked.
+    /// Names of the requests that were answered or withdrawn since the last `take_finished`.
     finished: Vec<String>,
 }
 
 impl Clients {
-    /// Clients without a connection yet.
+    /// Creates clients that have no connection yet.
     pub(super) fn new(server: SocketAddr, seed: u64, began: Instant) -> Clients {
         let (sender, received) = channel();
         Clients {
@@ -109,7 +112,7 @@
         }
     }
 
-    /// Sends a request; gives its number. Nothing is sent where the server takes no connection.
+    /// Sends a request and returns its number. Returns `None` and sends nothing if there is no connection for it.
     pub(super) fn send(&mut self, planned: PlannedRequest) -> Option<usize> {
         let connection = self.select_connection()?;
         let number = self.requests.len();
@@ -135,7 +138,7 @@
         Some(number)
     }
 
-    /// The client of a request that is not answered yet stops waiting for it.
+    /// Withdraws a request: its client stops waiting and tells the server so. Does nothing if the request is answered.
     pub(super) fn withdraw(&mut self, number: usize) {
         let request = &mut self.requests[number];
         if !request.answers.is_empty() {
@@ -151,7 +154,7 @@
         let _ = connection.stream.write_all(line.as_bytes());
     }
 
-    /// Takes in answers for so long.
+    /// Reads answers for this duration.
     pub(super) fn receive(&mut self, wait: Duration) {
         let until = Instant::now() + wait;
         loop {
@@ -163,17 +166,17 @@
         }
     }
 
-    /// The names of the requests that were answered or withdrawn since this was last asked.
+    /// Takes the names of the requests that were answered or withdrawn since the last call.
     pub(super) fn take_finished(&mut self) -> Vec<String> {
         std::mem::take(&mut self.finished)
     }
 
-    /// What was sent, and what came back.
+    /// Returns all requests that were sent, with their answers.
     pub(super) fn into_requests(self) -> Vec<SentRequest> {
         self.requests
     }
 
-    /// Whether a request is not answered whose client waits for it.
+    /// Reports whether any client still waits for an answer on an open connection.
     pub(super) fn awaits_answer(&self) -> bool {
         let is_awaited = |request: &SentRequest| {
             let is_over = request.withdrawn.is_some() || request.disconnected.is_some();
@@ -182,15 +185,15 @@
         self.requests.iter().any(is_awaited)
     }
 
-    /// Opens so many connections, as far as the server takes them.
+    /// Opens this many connections, or fewer if the server refuses some or the maximum is reached.
     pub(super) fn open_connections(&mut self, count: usize) {
         for _ in 0..count {
             self.connect();
         }
     }
 
-    /// A connection that may have one more request: the one with the fewest, also where the server has said that it
-    /// closes it.
+    /// Returns the connection with the fewest requests in flight that may have one more, or a new one. A connection is
+    /// used even if the server has announced that it will close it.
     fn select_connection(&mut self) -> Option<usize> {
         let is_free = |connection: &Connection| {
             !connection.is_closed && connection.in_flight < MAX_IN_FLIGHT_PER_CONNECTION
@@ -207,7 +210,7 @@
         }
     }
 
-    /// A new connection, if the server takes one.
+    /// Opens a connection. Returns `None` if the server refuses it or the maximum is reached.
     fn connect(&mut self) -> Option<usize> {
         if self.connections.len() >= MAX_CONNECTIONS {
             return None;
@@ -227,7 +230,8 @@
         Some(index)
     }
 
-    /// Takes in one line, or the end of a connection; lines that are no JSON are ignored.
+    /// Handles a line, or the end of a connection. Lines that are not JSON are ignored, as are messages without the id
+    /// of a request.
     fn handle_received(&mut self, received: &Received) {
         let connection = received.connection;
         let Some(line) = &received.line else {
@@ -249,7 +253,7 @@
         request.answers.push((parse_answer(&message), at));
     }
 
-    /// A connection is over: what was not answered on it never will be.
+    /// Handles the end of a connection. Its requests without an answer will never get one.
     fn handle_connection_end(&mut self, connection: usize, at: Instant) {
         self.connections[connection].is_closed = true;
         let at = at.saturating_duration_since(self.began);
@@ -261,7 +265,7 @@
     }
 }
 
-/// A request as it is sent.
+/// Returns the JSON line of a request.
 fn request_line(id: u64, handler: usize, name: &str, body: &str) -> String {
     let key = if handler == IDEMPOTENCY_KEY_HANDLER {
         format!("\"replay\":\"{name}{name}\",")
@@ -276,7 +280,7 @@
     )
 }
 
-/// Passes on each line of a connection, and its end.
+/// Passes on each line of a connection, then its end.
 fn read_lines(connection: usize, stream: TcpStream, sender: &Sender<Received>) {
     let lines = BufReader::new(stream).lines().map_while(Result::ok);
     for line in lines.map(Some).chain([None]) {
@@ -292,7 +296,7 @@
     }
 }
 
-/// What a message that has an id answers.
+/// Parses a response into an answer.
 fn parse_answer(message: &Value) -> ClientAnswer {
     let error = &message["error"];
     match error["code"].as_i64() {
--- a/crates/testkit/src/soak/plan.rs
+++ b/crates/testkit/src/soak/plan.rs
@@ -1,123 +1,125 @@
-//! What is done to the server, drawn from a seed.
+//! The plan of a play: requests, faults and signals with their times, drawn from a seed. A play has three phases: one
+//! with faults, one without, and a shutdown under load.
 
 use oorandom::Rand64;
 use std::time::Duration;
 
-/// For how long the troubles last.
+/// Length of the phase with faults.
 const FAULT_PHASE: Duration = Duration::from_secs(5);
-/// Time after the troubles in which nothing is sent, for what was begun to end.
+/// Time after the faults in which nothing is sent, so that running requests can end.
 const QUIET_PERIOD: Duration = Duration::from_millis(1_500);
-/// For how long the server is asked afterwards whether it serves.
+/// Length of the phase without faults that follows, in which the server must serve every request.
 const FAULT_FREE_PHASE: Duration = Duration::from_secs(4);
-/// Time between two requests of one handler while all is calm.
+/// Interval between two requests for one handler in the phase without faults.
 const FAULT_FREE_INTERVAL: Duration = Duration::from_secs(1);
-/// Time between the first request and the first trouble.
+/// Time from the beginning of the play, and of its load, to the first fault.
 const WARM_UP: Duration = Duration::from_millis(300);
-/// Requests a second, at least and at most.
+/// Minimum and maximum rate of the requests, in requests per second.
 const REQUEST_RATES: (f64, f64) = (120.0, 240.0);
-/// The part of the requests whose clients stop waiting, at most.
+/// Maximum fraction of the requests whose clients withdraw them, that is, stop waiting for the answer.
 const MAX_WITHDRAWN_FRACTION: f64 = 0.6;
-/// Time after which a client stops waiting, at most.
+/// Maximum time after which a client withdraws its request.
 const MAX_WITHDRAWAL_DELAY: Duration = Duration::from_millis(60);
-/// Mean number of breaks of the engine's link in a second.
+/// Mean number of times per second that the link to the engine is broken.
 const LINK_BREAKS_PER_SECOND: f64 = 8.0;
-/// The part of these breaks before which the engine reads nothing for a time.
+/// Probability that the engine stops reading for a while before a break.
 const UNREAD_BREAK_FRACTION: f64 = 0.6;
-/// Time for which it reads nothing, at most.
+/// Maximum time for which the engine does not read before a break.
 const MAX_UNREAD_TIME: Duration = Duration::from_millis(40);
 
-/// The part of the plays in which the runs of a moment never end.
+/// Probability that a play hangs all runs that are in progress at one point in time, so that they never end.
 const HUNG_RUNS_PROBABILITY: f64 = 0.34;
-/// When these runs hang: so early that those whose clients wait are answered before the calm.
+/// Earliest and latest time at which the runs hang, in seconds. It is so early that their waiting clients are answered
+/// before the phase without faults.
 const HANG_TIME_SECS: (f64, f64) = (0.5, 1.5);
 
-/// Time from SIGTERM to SIGKILL, in milliseconds, as the configuration has it.
+/// Time from SIGTERM to SIGKILL, in milliseconds. The server's configuration has the same value.
 pub(super) const SHUTDOWN_MS: u64 = 1_500;
-/// Time for which load runs before the program is told to leave; it goes on until the kill.
+/// Time for which load runs before SIGTERM. The load then continues until SIGKILL.
 const LOAD_BEFORE_SHUTDOWN: Duration = Duration::from_millis(500);
-/// The part of the plays in which a crowd comes when the program is told to leave.
+/// Probability that a play has a surge of load around the shutdown.
 const SURGE_PROBABILITY: f64 = 0.34;
-/// Requests a second of a crowd, and new connections that it opens.
+/// Rate of the requests in a surge, in requests per second.
 const SURGE_RATE: f64 = 900.0;
-/// Connections that a crowd opens at once, half of what the server may have.
+/// Number of connections that a surge opens at once, half of what the server may have.
 const SURGE_CONNECTIONS: usize = 50;
-/// Signals beside SIGTERM, at most.
+/// Maximum number of signals besides the first SIGTERM.
 const MAX_FURTHER_SIGNALS: u64 = 6;
-/// Span around SIGTERM in which the first half of them comes; the others come until the kill.
+/// Span around SIGTERM in which the first half of these signals is sent. The others are sent until SIGKILL.
 const SIGNAL_BURST: Duration = Duration::from_millis(20);
 
-/// The handlers of the settings, in their order.
+/// The handlers of the settings, in order.
 pub(super) const HANDLERS: [&str; 3] = ["search", "quote", "book"];
-/// The handler whose requests have idempotency keys.
+/// Index of the handler whose requests have idempotency keys.
 pub(super) const IDEMPOTENCY_KEY_HANDLER: usize = 2;
 
-/// A request that is to be sent.
+/// A request that a plan sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedRequest {
-    /// The index of its handler among those of the settings.
+    /// Index of the handler in the settings.
     pub handler: usize,
-    /// When its client stops waiting, after it was sent; nothing where it waits for the answer.
+    /// Time from sending until the client withdraws the request; `None` if the client waits for the answer.
     pub withdraw_after: Option<Duration>,
-    /// Whether it is sent when all is calm, and so has to be served.
+    /// Whether the request is sent in the phase without faults, so that the server must serve it.
     pub must_be_served: bool,
 }
 
-/// One thing that is done to the server.
+/// One step of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// A client sends a request.
     Send(PlannedRequest),
-    /// The engine reads nothing more on the link of the moment.
+    /// The engine stops reading from the present link.
     StopReading,
-    /// The engine ends the link.
+    /// The engine closes the present link.
     BreakLink,
-    /// The runs that go on never end.
+    /// The runs that are in progress hang and never end.
     HangRuns,
-    /// New connections are opened, and are used like the others.
+    /// The clients open this many new connections, which are then used like the others.
     OpenConnections(usize),
-    /// The program gets a signal.
+    /// The server is sent a signal.
     Signal(Signal),
 }
 
-/// A signal to the program.
+/// A signal to the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// Reload; the configuration is as it was.
+    /// SIGHUP with an unchanged configuration.
     Reload,
-    /// Reload of a configuration that was cut in half.
+    /// SIGHUP with a configuration file truncated to half its length.
     ReloadTruncated,
-    /// Print the counters.
+    /// SIGUSR1: the server prints its counters.
     PrintCounters,
-    /// Leave.
+    /// SIGTERM: the server shuts down.
     Shutdown,
 }
 
-/// A step and its time since the beginning of the play.
+/// A step with its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimedStep {
-    /// The time since the beginning.
+    /// Time since the beginning of the play.
     pub at: Duration,
-    /// What is done.
+    /// The step.
     pub step: Step,
 }
 
-/// All that is done to a server in one play.
+/// All steps of one play.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// The seed that it was drawn from.
+    /// Seed from which the plan was drawn.
     pub seed: u64,
-    /// The steps in the order of their times.
+    /// The steps in order of time.
     pub steps: Vec<TimedStep>,
-    /// When all is calm no more, and load begins again.
+    /// End of the phase without faults, when load begins again.
     pub fault_free_end: Duration,
-    /// When the program gets its first SIGTERM.
+    /// Time of the first SIGTERM.
     pub shutdown: Duration,
-    /// When the program is killed, if it has not ended: the protocol's earliest moment.
+    /// Time at which the server is killed if it has not exited, the earliest that the protocol allows.
     pub kill: Duration,
 }
 
 impl Plan {
-    /// Draws a plan.
+    /// Draws a plan. The same seed always gives the same plan.
     pub fn draw(seed: u64) -> Plan {
         let mut random = Rand64::new(u128::from(seed));
         let mut steps = draw_load(&mut random);
@@ -142,7 +144,7 @@
 }
 
 impl Plan {
-    /// The steps up to the end of the calm, and those after it.
+    /// Splits the steps into those before the end of the phase without faults and the rest.
     pub(super) fn steps_around_fault_free_end(&self) -> (&[TimedStep], &[TimedStep]) {
         let first = self
             .steps
@@ -151,28 +153,28 @@
     }
 }
 
-/// A number between two others.
+/// Draws a number from a uniform distribution between `least` and `most`.
 fn uniform(random: &mut Rand64, (least, most): (f64, f64)) -> f64 {
     least + (most - least) * random.rand_float()
 }
 
-/// A part of a time.
+/// Draws a duration from a uniform distribution between 0 and `whole`.
 fn random_part_of(random: &mut Rand64, whole: Duration) -> Duration {
     whole.mul_f64(random.rand_float())
 }
 
-/// Time to the next of events that come at random, so many a second.
+/// Draws the time to the next event of a Poisson process with this rate, in events per second.
 fn exponential_gap(random: &mut Rand64, per_second: f64) -> Duration {
     Duration::from_secs_f64(-(1.0 - random.rand_float()).ln() / per_second)
 }
 
-/// The requests of the troubled time.
+/// Draws the requests of the phase with faults.
 fn draw_load(random: &mut Rand64) -> Vec<TimedStep> {
     let rate = uniform(random, REQUEST_RATES);
     draw_requests(random, rate, Duration::ZERO, FAULT_PHASE)
 }
 
-/// The requests from the end of the calm to the kill, perhaps of a crowd.
+/// Draws the requests from the end of the phase without faults to SIGKILL, possibly a surge.
 fn draw_shutdown_load(random: &mut Rand64, from: Duration, until: Duration) -> Vec<TimedStep> {
     let has_surge = random.rand_float() < SURGE_PROBABILITY;
     if !has_surge {
@@ -185,7 +187,7 @@
     steps
 }
 
-/// The first SIGTERM, and other signals around it and until the kill.
+/// Returns the first SIGTERM, and draws further signals around it and until SIGKILL.
 fn draw_signals(random: &mut Rand64, shutdown: Duration, kill: Duration) -> Vec<TimedStep> {
     let signal = |at, signal| TimedStep {
         at,
@@ -199,7 +201,7 @@
             2 => Signal::PrintCounters,
             _ => Signal::Shutdown,
         };
-        // The first SIGTERM is the one whose time counts.
+        // The server's shutdown time counts from the first SIGTERM, so a further one never comes before it.
         let at = if number % 2 == 1 {
             shutdown + random_part_of(random, kill - shutdown)
         } else if drawn == Signal::Shutdown {
@@ -212,7 +214,7 @@
     steps
 }
 
-/// Requests at random times with this mean rate, some of which are withdrawn.
+/// Draws requests at random times with this mean rate. Some of them are withdrawn.
 fn draw_requests(
     random: &mut Rand64,
     rate: f64,
@@ -236,7 +238,7 @@
     steps
 }
 
-/// The breaks of the engine's link, some after a time in which the engine reads nothing.
+/// Draws the breaks of the engine's link. Before some of them the engine stops reading for a while.
 fn draw_link_breaks(random: &mut Rand64) -> Vec<TimedStep> {
     let mut steps = vec![];
     let mut at = WARM_UP;
@@ -253,7 +255,7 @@
     steps
 }
 
-/// The moment whose runs never end, if there is one.
+/// Draws whether and when the runs in progress hang.
 fn draw_hung_runs(random: &mut Rand64) -> Option<TimedStep> {
     let is_drawn = random.rand_float() < HUNG_RUNS_PROBABILITY;
     let at = Duration::from_secs_f64(uniform(random, HANG_TIME_SECS));
@@ -261,7 +263,7 @@
     is_drawn.then_some(TimedStep { at, step })
 }
 
-/// One request of each handler at a time from `calm` on.
+/// Returns the requests of the phase without faults: one for each handler per interval.
 fn fault_free_requests(fault_free_start: Duration) -> Vec<TimedStep> {
     let mut steps = vec![];
     let mut at = fault_free_start;
--- a/crates/testkit/src/soak/player.rs
+++ b/crates/testkit/src/soak/player.rs
@@ -1,4 +1,5 @@
-//! Plays one plan: the real program between fakes, and the clients.
+//! Plays a plan: starts the real server with fake dependencies, and sends it the requests, faults and signals of the
+//! plan.
 
 use super::SETTINGS;
 use super::clients::{Clients, SentRequest, TIMEOUT_MS};
@@ -12,46 +13,46 @@
 use std::sync::mpsc::Receiver;
 use std::time::{Duration, Instant};
 
-/// Cores of the fake engine.
+/// Number of cores of the fake engine.
 const ENGINE_CORES: f64 = 4.0;
-/// Work of a run on one core, least and most, in milliseconds.
+/// Minimum and maximum work of a run on one core, in milliseconds.
 const RUN_MS: (f64, f64) = (2.0, 20.0);
-/// Calls that the fake catalogue works on at a time.
+/// Number of calls that the fake catalogue processes concurrently.
 const CATALOGUE_SLOTS: usize = 16;
-/// Time of a call in its slot.
+/// Time for which a call occupies its slot of the fake catalogue.
 const CATALOGUE_CALL_TIME: Duration = Duration::from_millis(10);
-/// Connections that the server may have.
+/// Maximum number of connections of the server.
 const MAX_SOCKETS: usize = 128;
-/// Time for which answers are awaited at a time.
+/// Maximum time of one wait for answers.
 const RECEIVE_STEP: Duration = Duration::from_millis(5);
-/// Time for which answers are taken in that were sent before the kill.
+/// Time for which answers that were sent before the kill are still read.
 const LAST_ANSWERS_TIME: Duration = Duration::from_millis(20);
-/// Time that printing the counters may take.
+/// Timeout for a log line while no counter has been printed yet.
 const COUNTERS_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time in which the next counter comes: they are printed in one piece.
+/// Timeout for a log line after the first counter. It is short because the server prints all counters at once.
 const NEXT_COUNTER_TIMEOUT: Duration = Duration::from_millis(200);
-/// What a line of a counter begins with.
+/// Prefix of the log line of a counter.
 const COUNTER_PREFIX: &str = "counter ";
 
-/// What became of a play.
+/// The results of a play.
 pub struct PlayRecord {
-    /// All requests, in the order in which they were sent.
+    /// All requests, in the order of sending.
     pub requests: Vec<SentRequest>,
-    /// What the engine has seen.
+    /// Statistics of the fake engine.
     pub engine: EngineStats,
-    /// The server's counters at the end, when all was answered.
+    /// The server's counters at the end of the phase without faults, after all answers.
     pub counters: HashMap<String, u64>,
-    /// The lines of the server's log at the level `debug`, but for the counters.
+    /// The server's log at the level `debug`, without the counters that were read.
     pub log: Vec<String>,
-    /// The status with which the program ended by itself; nothing where it was killed.
+    /// The server's exit status; `None` if it had to be killed.
     pub exit_status: Option<i32>,
 }
 
-/// Plays a plan with this program.
+/// Plays a plan against a server started from this binary.
 ///
 /// # Panics
 ///
-/// If the program or a fake does not start, or the program does not end by itself.
+/// If the server or a fake does not start, or the server does not exit by itself.
 pub fn play(program: &Path, plan: &Plan) -> PlayRecord {
     let engine = Engine::start(ENGINE_CORES, handler_work(), plan.seed);
     let catalogue = Catalogue::start(CATALOGUE_SLOTS, CATALOGUE_CALL_TIME);
@@ -94,7 +95,7 @@
     }
 }
 
-/// What the engine does for the handlers.
+/// Returns the work that the engine does for each handler.
 fn handler_work() -> Vec<HandlerWork> {
     let calls = [true, false, true];
     let handlers = HANDLERS.iter().zip(calls);
@@ -103,17 +104,17 @@
         .collect()
 }
 
-/// A play that goes on.
+/// State of a play in progress.
 struct Playback<'a> {
     server: &'a Server,
     engine: &'a Engine,
-    /// The configuration as it was at the start.
+    /// The configuration that the server was started with.
     configuration: &'a str,
     clients: Clients,
     began: Instant,
-    /// How far the plan's clock stands behind: the time that reading the counters took.
+    /// Delay of the plan's clock, caused by awaiting the last answers and reading the counters.
     plan_delay: Duration,
-    /// When which clients stop waiting.
+    /// Pending withdrawals: the time of each and the number of its request.
     withdrawals: BTreeSet<(Duration, usize)>,
 }
 
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Plays steps, each at its time, and waits until `end`.
+    /// Plays each step at its time, then waits until `end`.
     fn play_steps(&mut self, steps: &[TimedStep], end: Duration) {
         for timed in steps {
             self.wait_until(timed.at + self.plan_delay);
@@ -145,18 +146,18 @@
         self.wait_until(end + self.plan_delay);
     }
 
-    /// The plan goes on from this time.
+    /// Sets the plan's clock to this time, so that the plan continues from there.
     fn resume_plan_at(&mut self, at: Duration) {
         self.plan_delay = self.began.elapsed().saturating_sub(at);
     }
 
-    /// Takes in what had been sent before the kill, and the ends of the connections.
+    /// Reads the answers that were sent before the kill, and the ends of the connections.
     fn receive_last_answers(&mut self) {
         self.clients.receive(LAST_ANSWERS_TIME);
         self.notify_engine();
     }
 
-    /// Sends a signal. One that follows the end of the program is passed over.
+    /// Sends a signal to the server. Ignored if the server has exited.
     fn signal(&self, signal: Signal) {
         let name = match signal {
             Signal::Reload | Signal::ReloadTruncated => "-HUP",
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Takes in answers, and withdraws requests, until a time since the beginning.
+    /// Reads answers and withdraws requests until a time since the beginning of the play.
     fn wait_until(&mut self, until: Duration) {
         loop {
             let now = self.began.elapsed();
@@ -210,7 +211,7 @@
         }
     }
 
-    /// Waits for the answers that are owed, as long as the last client waits.
+    /// Waits for the outstanding answers, for at most the timeout of a request.
     fn await_answers(&mut self) {
         let until = self.began.elapsed() + Duration::from_millis(TIMEOUT_MS);
         while self.clients.awaits_answer() && self.began.elapsed() < until {
@@ -219,7 +220,8 @@
         }
     }
 
-    /// Tells the engine which requests are over, as the machine does that both run on.
+    /// Tells the engine which requests were answered or withdrawn. In production, the machine that runs both server and
+    /// engine does this.
     fn notify_engine(&mut self) {
         for name in self.clients.take_finished() {
             self.engine.answered(&name);
@@ -227,7 +229,7 @@
     }
 }
 
-/// Has the server print its counters, and reads them; other lines of the log are put by.
+/// Makes the server print its counters and reads them from the log. Other log lines are added to `lines`.
 fn read_counters(
     server: &Server,
     log: &Receiver<(Instant, String)>,
@@ -248,7 +250,7 @@
     counters
 }
 
-/// A name and its value.
+/// Parses the name and value of a counter.
 fn parse_counter(line: &str) -> Option<(String, u64)> {
     let (name, value) = line.rsplit_once(' ')?;
     Some((name.trim().to_string(), value.parse().ok()?))
--- a/crates/testkit/src/soak/violations.rs
+++ b/crates/testkit/src/soak/violations.rs
@@ -1,4 +1,4 @@
-//! Which rules a play has broken.
+//! Checks the record of a play for violated rules.
 
 use super::clients::{ClientAnswer, SentRequest, TIMEOUT_MS};
 use super::plan::IDEMPOTENCY_KEY_HANDLER;
@@ -9,19 +9,21 @@
 use std::fmt::{Display, Formatter};
 use std::time::Duration;
 
-/// Time by which an answer may be later than its client waits: the protocol's slack, and what this process takes.
+/// Time by which an answer may arrive after the request's timeout: the slack of the protocol plus the delay of this
+/// process.
 const ANSWER_SLACK: Duration = Duration::from_millis(110);
-/// Time in which a request and the close of its connection cross, as the protocol has it.
+/// Time before the end of a connection within which the protocol assumes that a request and the close crossed on the
+/// network.
 const CLOSE_CROSSING: Duration = Duration::from_millis(50);
-/// Counters that are zero once all is answered and every run has ended.
+/// Counters that must be zero once every request is answered and every run has ended.
 const ZERO_WHEN_IDLE: [&str; 3] = ["open", "in_hand", "calls.out"];
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The rule, the same for all its violations.
+    /// The rule, with the same text for all its violations.
     pub rule: &'static str,
-    /// What happened, with the request's events where it is about one.
+    /// What happened. For a rule about a request, this includes the events of the request.
     pub what: String,
 }
 
@@ -31,7 +33,7 @@
     }
 }
 
-/// All violations of a play.
+/// Returns all violations in a play.
 pub fn violations(play: &PlayRecord) -> Vec<Violation> {
     let mut found = vec![];
     for request in &play.requests {
@@ -61,7 +63,7 @@
     found
 }
 
-/// The rules that a request's treatment breaks.
+/// Returns the rules that the server broke for a request.
 fn broken_rules(play: &PlayRecord, request: &SentRequest) -> Vec<&'static str> {
     let events = events_of(play, request);
     let mut broken = vec![];
@@ -104,7 +106,8 @@
     broken
 }
 
-/// Whether a request was sent so shortly before its connection ended that the protocol has it sent again.
+/// Reports whether a request was sent so shortly before its connection ended that the protocol lets the client send it
+/// again. Such a request needs no answer.
 fn crossed_connection_close(request: &SentRequest) -> bool {
     let disconnected = request.disconnected;
     disconnected.is_some_and(|at| at.saturating_sub(request.sent) <= CLOSE_CROSSING)
@@ -115,7 +118,7 @@
         && at > request.sent + Duration::from_millis(TIMEOUT_MS) + ANSWER_SLACK
 }
 
-/// Whether an answer is none of a run, or the result that the engine made for this request.
+/// Reports whether an answer is the result that the engine made for this request. Answers without a result are valid.
 fn has_valid_result(request: &SentRequest, answer: &ClientAnswer, events: &[RunEvent]) -> bool {
     let ClientAnswer::Served(result) = answer else {
         return true;
@@ -136,7 +139,7 @@
         .map_or(&[], Vec::as_slice)
 }
 
-/// What happened to a request, in one line.
+/// Describes in one line what happened to a request.
 fn describe(play: &PlayRecord, request: &SentRequest) -> String {
     let events: Vec<String> = events_of(play, request)
         .iter()
@@ -164,7 +167,7 @@
     )
 }
 
-/// The lines of the server's log that name a request's attempt.
+/// Returns the lines of the server's log that contain the name of the request's attempt.
 fn log_lines<'a>(play: &'a PlayRecord, request: &SentRequest) -> Vec<&'a str> {
     let lines = play.log.iter().map(String::as_str);
     lines.filter(|line| line.contains(&request.name)).collect()
