--- a/crates/testkit/src/fleet/processes/actions.rs
+++ b/crates/testkit/src/fleet/processes/actions.rs
@@ -105,10 +105,13 @@
     ///
     /// If the server does not run, or if its operator file cannot be read or written.
     pub fn rewrite(&self, server: usize, edit: impl Fn(&str) -> String) {
-        let server = self.server(server).expect("it runs");
-        let path = server.operator.as_ref().expect("it has an operator file");
-        let text = std::fs::read_to_string(path).expect("text");
-        std::fs::write(path, edit(&text)).expect("written");
+        let server = self.server(server).expect("the server runs");
+        let path = server
+            .operator
+            .as_ref()
+            .expect("the server has an operator file");
+        let text = std::fs::read_to_string(path).expect("a readable operator file");
+        std::fs::write(path, edit(&text)).expect("a writable operator file");
         server.signal("-HUP");
     }
 }
--- a/crates/testkit/src/fleet/processes/client_load.rs
+++ b/crates/testkit/src/fleet/processes/client_load.rs
@@ -99,7 +99,10 @@
 /// Waits for the end of a load, adds its rule violations to `violations`, and returns the number of
 /// its requests.
 fn finish(load: ClientLoad, node: &Node, violations: &mut Vec<String>) -> usize {
-    let records = load.records.join().expect("loaded");
+    let records = load
+        .records
+        .join()
+        .expect("the load thread ends without a panic");
     let bodies = node.engine.stats().bodies;
     let found = rule_violations(&records, &request_kinds(), &bodies);
     // Requests to a server that was signalled or killed may have no answer.
--- a/crates/testkit/src/fleet/processes/conditions.rs
+++ b/crates/testkit/src/fleet/processes/conditions.rs
@@ -27,8 +27,13 @@
     ) -> Option<String> {
         self.find_wrong_report(observers, |observer, report| {
             let reported = report.states.get(&name(member)).copied();
-            (reported != expected)
-                .then(|| format!("{} reports {} {reported:?}", name(observer), name(member)))
+            (reported != expected).then(|| {
+                format!(
+                    "{} reports {} as {reported:?}",
+                    name(observer),
+                    name(member)
+                )
+            })
         })
     }
 
@@ -36,7 +41,7 @@
         self.find_wrong_report(servers, |server, report| {
             let reported = report.connectivity;
             (reported != Some(expected))
-                .then(|| format!("{} reports its connectivity {reported:?}", name(server)))
+                .then(|| format!("{} reports connectivity {reported:?}", name(server)))
         })
     }
 
@@ -50,8 +55,13 @@
                 return Some(no_answer(server));
             };
             let usable = report.usable;
-            (usable < least || usable > most)
-                .then(|| format!("{} may use {usable}; {}", name(server), self.all_quotas()))
+            (usable < least || usable > most).then(|| {
+                format!(
+                    "{} may use {usable} calls; all servers: {}",
+                    name(server),
+                    self.all_quotas()
+                )
+            })
         })
     }
 
@@ -117,7 +127,7 @@
         in_view.sort();
         if in_view != present {
             return Some(format!(
-                "{} has {in_view:?} in its view, not {present:?}",
+                "{} has the members {in_view:?} in its view, expected {present:?}",
                 name(*server)
             ));
         }
@@ -126,7 +136,7 @@
             .iter()
             .find(|(_, state)| matches!(state, MemberState::Suspect | MemberState::Joining));
         if let Some((member, state)) = unsettled {
-            return Some(format!("{} reports {member} {state}", name(*server)));
+            return Some(format!("{} reports {member} as {state}", name(*server)));
         }
         let mut others = connected();
         let different = others.find(|other| other.report.digest != report.digest)?;
--- a/crates/testkit/src/fleet/processes/mod.rs
+++ b/crates/testkit/src/fleet/processes/mod.rs
@@ -234,6 +234,6 @@
     let number = COUNT.fetch_add(1, Ordering::Relaxed);
     let folder =
         std::env::temp_dir().join(format!("madderbay-stand-{}-{number}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("a temporary folder");
     folder
 }
--- a/crates/testkit/src/fleet/processes/reports.rs
+++ b/crates/testkit/src/fleet/processes/reports.rs
@@ -119,7 +119,9 @@
                 ..
             } = self.quota(server)?;
             let name = name(server);
-            Some(format!("{name} {in_use} of {usable}, demand {demand}"))
+            Some(format!(
+                "{name} has {in_use} of {usable} calls in flight, demand {demand}"
+            ))
         });
         reports.collect::<Vec<String>>().join("; ")
     }
--- a/crates/testkit/src/fleet/processes/start.rs
+++ b/crates/testkit/src/fleet/processes/start.rs
@@ -74,5 +74,5 @@
         .find_map(|line| line.split(LISTENING_LOG_TEXT).nth(1));
     after
         .and_then(|text| text.split(',').next()?.parse().ok())
-        .expect("a line that says where it receives datagrams")
+        .expect("a log line with the address for datagrams")
 }
--- a/crates/testkit/src/fleet/relay.rs
+++ b/crates/testkit/src/fleet/relay.rs
@@ -52,14 +52,14 @@
         let mut sockets = vec![];
         for server in 0..servers {
             let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
-            let reader = socket.try_clone().expect("a second handle");
+            let reader = socket.try_clone().expect("a second handle of the socket");
             let events = events.clone();
             std::thread::spawn(move || read_datagrams(server, &reader, &events));
             sockets.push(socket);
         }
         let addresses = sockets
             .iter()
-            .map(|socket| socket.local_addr().expect("an address"))
+            .map(|socket| socket.local_addr().expect("the address of the socket"))
             .collect();
         std::thread::spawn(move || Forwarder::new(sockets, seed).run(&received));
         DatagramRelays { events, addresses }
--- a/crates/testkit/src/fleet/script/condition_checks.rs
+++ b/crates/testkit/src/fleet/script/condition_checks.rs
@@ -48,7 +48,7 @@
             Condition::InFlightAtLeast { who, least } => {
                 let in_flight = self.in_flight(who);
                 (in_flight < *least)
-                    .then(|| format!("{in_flight} calls are in flight, not {least}"))
+                    .then(|| format!("{in_flight} calls are in flight, expected at least {least}"))
             }
         }
     }
--- a/crates/testkit/src/fleet/script/error.rs
+++ b/crates/testkit/src/fleet/script/error.rs
@@ -45,13 +45,13 @@
     #[error("KEY=VALUE is expected")]
     Assignment,
     /// A key of `set`.
-    #[error("no such key, or one that needs capacity= before it")]
+    #[error("unknown key, or a key that needs capacity= before it")]
     Key,
     /// The keyword of a line.
-    #[error("no such step")]
+    #[error("unknown keyword")]
     Keyword,
     /// The keyword's arguments in the given form.
-    #[error("the line has to read: {0}")]
+    #[error("the expected form is: {0}")]
     Line(&'static str),
 }
 
@@ -59,19 +59,19 @@
 #[derive(Debug, Error)]
 pub enum ActionError {
     /// The server does not run.
-    #[error("it does not run")]
+    #[error("the server does not run")]
     NotRunning,
     /// The server was started without an operator file.
-    #[error("it has no operator file")]
+    #[error("the server has no operator file")]
     NoOperatorFile,
     /// The server's operator file can't be read or written.
     #[error(transparent)]
     OperatorFile(#[from] std::io::Error),
     /// Only simulated fleets support the action.
-    #[error("is for simulated fleets")]
+    #[error("the action is for simulated fleets only")]
     SimulatedOnly,
     /// More calls were in flight than a check allows.
-    #[error("{peak} calls were in flight, more than {most}")]
+    #[error("{peak} calls were in flight at once, more than {most}")]
     TooManyCalls {
         /// Maximum number of calls in flight.
         peak: u64,
@@ -79,7 +79,7 @@
         most: u32,
     },
     /// Servers were declared down although they ran and were connected.
-    #[error("{count} were declared down while they ran")]
+    #[error("servers that ran and were connected were declared down {count} times")]
     WronglyDown {
         /// Number of wrong declarations.
         count: usize,
@@ -98,7 +98,7 @@
         error: ActionError,
     },
     /// A condition did not hold within its time limit.
-    #[error("line {line}: not within {} s: {unmet}", term.as_secs_f64())]
+    #[error("line {line}: the condition did not hold within {} s: {unmet}", term.as_secs_f64())]
     Timeout {
         /// Line number, from 1.
         line: usize,
--- a/crates/testkit/src/fleet/script/runner.rs
+++ b/crates/testkit/src/fleet/script/runner.rs
@@ -91,7 +91,7 @@
         if !name.contains(&only) {
             continue;
         }
-        let text = std::fs::read_to_string(entry.path()).expect("text");
+        let text = std::fs::read_to_string(entry.path()).expect("a readable script");
         let script = Script::read(&name, &text).unwrap_or_else(|error| panic!("{error}"));
         scripts.push((name, script));
     }
--- a/crates/testkit/src/fleet/simulated/conditions.rs
+++ b/crates/testkit/src/fleet/simulated/conditions.rs
@@ -22,7 +22,7 @@
             let active = members.active_count();
             if active != others {
                 return Some(format!(
-                    "{} has {active} other members, not {others}",
+                    "{} has {active} other members, expected {others}",
                     name(server)
                 ));
             }
@@ -36,7 +36,7 @@
                 ));
             }
             if members.local_identity().phase == Phase::Joining {
-                return Some(format!("{} is joining", name(server)));
+                return Some(format!("{} is still joining", name(server)));
             }
         }
         // Within a partition group all digests are equal and all views have as many members as
@@ -56,19 +56,15 @@
             let members = self.nodes[*observer].active_members()?;
             let state = members.member_state(&name(member));
             (state != expected)
-                .then(|| format!("{} reports {} {state:?}", name(*observer), name(member)))
+                .then(|| format!("{} reports {} as {state:?}", name(*observer), name(member)))
         })
     }
 
     fn wrong_connectivity(&self, servers: &[usize], expected: Connectivity) -> Option<String> {
         servers.iter().find_map(|server| {
             let connectivity = self.nodes[*server].active_members()?.connectivity();
-            (connectivity != expected).then(|| {
-                format!(
-                    "{} reports its connectivity {connectivity:?}",
-                    name(*server)
-                )
-            })
+            (connectivity != expected)
+                .then(|| format!("{} reports connectivity {connectivity:?}", name(*server)))
         })
     }
 
@@ -76,8 +72,12 @@
         servers.iter().find_map(|server| {
             let now = self.nodes[*server].clock(self.now);
             let usable = self.shared(*server)?.budgets().first()?.usable(now);
-            (usable < least || usable > most)
-                .then(|| format!("{} may use {usable}, of at least {least}", name(*server)))
+            (usable < least || usable > most).then(|| {
+                format!(
+                    "{} may use {usable} calls, outside the expected range from {least}",
+                    name(*server)
+                )
+            })
         })
     }
 
@@ -112,6 +112,6 @@
             .members
             .iter()
             .find(|member| member.state == MemberState::Suspect)?;
-        Some(format!("{} is suspect", suspect.name))
+        Some(format!("{} is suspected", suspect.name))
     }
 }
--- a/crates/testkit/src/fleet/simulated/counts.rs
+++ b/crates/testkit/src/fleet/simulated/counts.rs
@@ -83,7 +83,7 @@
         let mut incarnations = self.true_counts.iter_mut().rev();
         let truth = incarnations
             .find(|truth| truth.server == server)
-            .expect("began");
+            .expect("an incarnation of the server");
         let slot = counter.settings().window.mul_f64(SLOT_FRACTION);
         let number = (now - truth.began).as_micros() / slot.as_micros();
         for rate in &mut node.work.rates {
--- a/crates/testkit/src/soak/player.rs
+++ b/crates/testkit/src/soak/player.rs
@@ -166,9 +166,10 @@
         };
         if signal == Signal::ReloadTruncated {
             let half = &self.configuration[..self.configuration.len() / 2];
-            std::fs::write(&self.server.path, half).expect("written");
+            std::fs::write(&self.server.path, half).expect("a writable configuration file");
         } else if signal == Signal::Reload {
-            std::fs::write(&self.server.path, self.configuration).expect("written");
+            std::fs::write(&self.server.path, self.configuration)
+                .expect("a writable configuration file");
         }
         self.server.try_signal(name);
     }
--- a/crates/testkit/src/soak/violations.rs
+++ b/crates/testkit/src/soak/violations.rs
@@ -47,7 +47,7 @@
     }
     if play.exit_status != Some(0) {
         found.push(Violation {
-            rule: "the program ends by itself, with status 0, before the kill",
+            rule: "the server exits by itself, with status 0, before the kill",
             what: format!("exit status {:?}", play.exit_status),
         });
     }
@@ -55,7 +55,7 @@
         let value = play.counters.get(name);
         if value != Some(&0) {
             found.push(Violation {
-                rule: "nothing is in flight at rest",
+                rule: "nothing is in flight when the server is idle",
                 what: format!("counter {name} is {value:?}"),
             });
         }
@@ -79,29 +79,29 @@
         .first()
         .is_some_and(|(_, at)| is_late(request, *at))
     {
-        broken.push("answers come in time");
+        broken.push("answers arrive before the timeout");
     }
     if request
         .answers
         .iter()
         .any(|(answer, _)| !has_valid_result(request, answer, events))
     {
-        broken.push("served is what a run made");
+        broken.push("a served answer is the result of a run");
     }
     let runs = play.engine.bodies.get(&request.body).copied().unwrap_or(0);
     if runs > 1 && request.planned.handler == IDEMPOTENCY_KEY_HANDLER {
-        broken.push("nothing runs twice within its window");
+        broken.push("no request runs twice within its repeat window");
     }
     let was_rejected = matches!(request.answers.first(), Some((ClientAnswer::Rejected, _)));
     if runs > 0 && was_rejected {
-        broken.push("what was rejected did not run");
+        broken.push("a rejected request does not run");
     }
     if was_halted_before_run(events) {
         broken.push("the engine is sent RUN before HALT");
     }
     let was_served = matches!(request.answers.first(), Some((ClientAnswer::Served(_), _)));
     if request.planned.must_be_served && !was_served {
-        broken.push("all is served when calm");
+        broken.push("every request is served in the phase without faults");
     }
     broken
 }
@@ -156,7 +156,7 @@
         })
     };
     let withdrawn = after("withdrawn", request.withdrawn);
-    let disconnected = after("cut off", request.disconnected);
+    let disconnected = after("disconnected", request.disconnected);
     format!(
         "request {} sent at {} ms{withdrawn}{disconnected}; answers [{}]; engine (its own clock) [{}]; log [{}]",
         request.name,
