--- a/crates/testkit/src/fleet/processes/conditions.rs
+++ b/crates/testkit/src/fleet/processes/conditions.rs
@@ -49,7 +49,7 @@
         let mut answering = servers
             .iter()
             .copied()
-            .filter(|server| self.nodes[*server].answers());
+            .filter(|server| self.nodes[*server].is_responsive());
         answering.find_map(|server| {
             let Some(report) = self.quota(server) else {
                 return Some(no_answer(server));
@@ -82,7 +82,7 @@
         let mut answering = servers
             .iter()
             .copied()
-            .filter(|server| self.nodes[*server].answers());
+            .filter(|server| self.nodes[*server].is_responsive());
         answering.find_map(|server| match self.membership(server) {
             Some(report) => check(server, &report),
             None => Some(no_answer(server)),
@@ -94,7 +94,7 @@
     fn views(&self) -> Result<Vec<MemberView>, usize> {
         let mut views = vec![];
         for (server, node) in self.nodes.iter().enumerate() {
-            if !node.answers() {
+            if !node.is_responsive() {
                 continue;
             }
             let report = self.membership(server).ok_or(server)?;
@@ -106,8 +106,8 @@
         Ok(views)
     }
 
-    /// Describes the first fault in a view: other members than the connected servers, a member in a
-    /// temporary state, or a digest that differs from that of a connected server.
+    /// Describes the first fault in a view: other members than the connected servers, a member that
+    /// is suspect or joining, or a digest that differs from that of a connected server.
     fn view_error(&self, view: &MemberView, all: &[MemberView]) -> Option<String> {
         let MemberView { server, report } = view;
         let connected = || {
--- a/crates/testkit/src/fleet/processes/mod.rs
+++ b/crates/testkit/src/fleet/processes/mod.rs
@@ -69,7 +69,7 @@
 impl Node {
     /// Reports whether the server runs and is not stopped, so that it can answer at its control
     /// socket.
-    fn answers(&self) -> bool {
+    fn is_responsive(&self) -> bool {
         self.server.is_some() && !self.stopped
     }
 
--- a/crates/testkit/src/fleet/processes/reports.rs
+++ b/crates/testkit/src/fleet/processes/reports.rs
@@ -146,7 +146,7 @@
     /// Sends a query to the control socket and returns the lines of the answer. Returns `None` if
     /// the answer is missing or incomplete.
     fn query(&self, what: &str) -> Option<Vec<Value>> {
-        if !self.answers() {
+        if !self.is_responsive() {
             return None;
         }
         let mut stream = UnixStream::connect(&self.control_socket).ok()?;
--- a/crates/testkit/src/fleet/simulated/conditions.rs
+++ b/crates/testkit/src/fleet/simulated/conditions.rs
@@ -8,7 +8,7 @@
 
 impl ConditionChecks for SimulatedFleet {
     fn unsettled(&self) -> Option<String> {
-        let present = self.present();
+        let present = self.present_servers();
         let mut sizes: HashMap<usize, usize> = HashMap::new();
         for server in &present {
             *sizes.entry(self.network.partition(*server)).or_default() += 1;
@@ -43,7 +43,7 @@
         // servers run. The views are therefore equal, and it is enough to check one of them.
         digests
             .values()
-            .find_map(|(server, _)| self.suspect(*server))
+            .find_map(|(server, _)| self.find_suspect(*server))
     }
 
     fn wrong_state(
@@ -92,7 +92,7 @@
 impl SimulatedFleet {
     /// Returns the servers that run and are not stopped, except those whose name another server has
     /// taken over.
-    fn present(&self) -> Vec<usize> {
+    fn present_servers(&self) -> Vec<usize> {
         let has_own_name = |members: &Membership| {
             members.member_state(&members.local_identity().name) != Some(MemberState::Down)
         };
@@ -106,7 +106,7 @@
     }
 
     /// Describes a member that a server suspects; `None` if it suspects none.
-    fn suspect(&self, server: usize) -> Option<String> {
+    fn find_suspect(&self, server: usize) -> Option<String> {
         let view = self.members(server)?.view();
         let suspect = view
             .members
--- a/crates/testkit/src/fleet/simulated/driver.rs
+++ b/crates/testkit/src/fleet/simulated/driver.rs
@@ -8,8 +8,8 @@
 use madderbay_upstream::FleetStack;
 use std::net::SocketAddr;
 
-/// Added to twice the suspicion timeout: for this time after a disruption, declaring a server down
-/// is not counted as wrong.
+/// Added to twice the suspicion timeout. Until this long after a disruption, a server that is
+/// declared down is not counted as wrongly declared.
 const DISRUPTION_MARGIN: Duration = Duration::from_millis(2_000);
 
 impl SimulatedFleet {
--- a/crates/testkit/src/soak/player.rs
+++ b/crates/testkit/src/soak/player.rs
@@ -221,8 +221,8 @@
         }
     }
 
-    /// Tells the engine which requests were answered or withdrawn. In production, the machine that runs both server and
-    /// engine does this.
+    /// Tells the engine which requests were answered or withdrawn, as the machine that runs both the server and the
+    /// engine does.
     fn notify_engine(&mut self) {
         for name in self.clients.take_finished() {
             self.engine.answered(&name);
