--- a/crates/testkit/src/fleet/script/condition_checks.rs
+++ b/crates/testkit/src/fleet/script/condition_checks.rs
@@ -4,8 +4,8 @@
 use super::Condition;
 use madderbay_membership::{Connectivity, MemberState};
 
-/// The checks that a fleet implements on its servers. Each check returns a description of the
-/// first server that fails it, or `None` if all pass. Servers that cannot answer because they are stopped
+/// The checks that a fleet implements on its servers. Each check returns a description of the first
+/// server that fails it, or `None` if all pass. Servers that cannot answer because they are stopped
 /// or do not run are skipped.
 pub(in crate::fleet) trait ConditionChecks {
     /// Describes why the views have not settled: a running server has other members than the
