--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -33,8 +33,8 @@
     let mut sim = SimulatedFleet::new(FleetSetup::of(server_count), 7);
     let lossy_network = Action::Network {
         loss: Some(0.3),
-        double: None,
-        spoil: None,
+        duplication: None,
+        corruption: None,
         delay: None,
     };
     sim.act(&lossy_network).expect("set");
--- a/crates/testkit/src/fleet/processes/conditions.rs
+++ b/crates/testkit/src/fleet/processes/conditions.rs
@@ -1,11 +1,11 @@
-//! Checks conditions on the fleet by what its servers report.
+//! Checks script conditions against the reports of real servers.
 
 use super::{MembershipReport, ProcessFleet, name};
 use crate::fleet::script::ConditionChecks;
 use madderbay_membership::{Connectivity, MemberState};
 
-/// What a server answered, with its index.
-struct View {
+/// A server's membership report, with the index of the server.
+struct MemberView {
     server: usize,
     report: MembershipReport,
 }
@@ -16,7 +16,7 @@
             Ok(views) => views,
             Err(server) => return Some(no_answer(server)),
         };
-        views.iter().find_map(|view| self.wrong_view(view, &views))
+        views.iter().find_map(|view| self.view_error(view, &views))
     }
 
     fn wrong_state(
@@ -25,18 +25,23 @@
         member: usize,
         expected: Option<MemberState>,
     ) -> Option<String> {
-        self.find_wrong(observers, |observer, report| {
+        self.find_wrong_report(observers, |observer, report| {
             let reported = report.states.get(&name(member)).copied();
-            (reported != expected)
-                .then(|| format!("{} reports {} {reported:?}", name(observer), name(member)))
+            (reported != expected).then(|| {
+                format!(
+                    "{} reports {} as {reported:?}",
+                    name(observer),
+                    name(member)
+                )
+            })
         })
     }
 
     fn wrong_connectivity(&self, servers: &[usize], expected: Connectivity) -> Option<String> {
-        self.find_wrong(servers, |server, report| {
+        self.find_wrong_report(servers, |server, report| {
             let reported = report.connectivity;
             (reported != Some(expected))
-                .then(|| format!("{} reports its connectivity {reported:?}", name(server)))
+                .then(|| format!("{} reports connectivity {reported:?}", name(server)))
         })
     }
 
@@ -44,14 +49,19 @@
         let mut answering = servers
             .iter()
             .copied()
-            .filter(|server| self.nodes[*server].answers());
+            .filter(|server| self.nodes[*server].is_responsive());
         answering.find_map(|server| {
             let Some(report) = self.quota(server) else {
                 return Some(no_answer(server));
             };
             let usable = report.usable;
-            (usable < least || usable > most)
-                .then(|| format!("{} may use {usable}; {}", name(server), self.all_quotas()))
+            (usable < least || usable > most).then(|| {
+                format!(
+                    "{} may use {usable} calls; all servers: {}",
+                    name(server),
+                    self.all_quotas()
+                )
+            })
         })
     }
 
@@ -62,42 +72,44 @@
 }
 
 impl ProcessFleet {
-    /// The first of these servers that should answer and whose report is wrong or missing.
-    fn find_wrong(
+    /// Describes the first of these servers that does not answer or whose report `check` finds
+    /// wrong. Servers that are stopped or do not run are skipped.
+    fn find_wrong_report(
         &self,
         servers: &[usize],
-        wrong: impl Fn(usize, &MembershipReport) -> Option<String>,
+        check: impl Fn(usize, &MembershipReport) -> Option<String>,
     ) -> Option<String> {
         let mut answering = servers
             .iter()
             .copied()
-            .filter(|server| self.nodes[*server].answers());
+            .filter(|server| self.nodes[*server].is_responsive());
         answering.find_map(|server| match self.membership(server) {
-            Some(report) => wrong(server, &report),
+            Some(report) => check(server, &report),
             None => Some(no_answer(server)),
         })
     }
 
-    /// The views of all servers that run, but for those whose name another server has taken over.
-    /// The error is the index of a server that does not answer.
-    fn views(&self) -> Result<Vec<View>, usize> {
+    /// Returns the views of all running servers, except those whose name another server has taken
+    /// over. The error is the index of a server that does not answer.
+    fn views(&self) -> Result<Vec<MemberView>, usize> {
         let mut views = vec![];
         for (server, node) in self.nodes.iter().enumerate() {
-            if !node.answers() {
+            if !node.is_responsive() {
                 continue;
             }
             let report = self.membership(server).ok_or(server)?;
             let own_state = report.states.get(&name(node.name));
             if own_state != Some(&MemberState::Down) {
-                views.push(View { server, report });
+                views.push(MemberView { server, report });
             }
         }
         Ok(views)
     }
 
-    /// What is wrong in one view, beside those of the servers that it is connected with.
-    fn wrong_view(&self, view: &View, all: &[View]) -> Option<String> {
-        let View { server, report } = view;
+    /// Describes the first fault in a view: other members than the connected servers, a member that
+    /// is suspect or joining, or a digest that differs from that of a connected server.
+    fn view_error(&self, view: &MemberView, all: &[MemberView]) -> Option<String> {
+        let MemberView { server, report } = view;
         let connected = || {
             all.iter()
                 .filter(|other| self.partition[other.server] == self.partition[*server])
@@ -115,7 +127,7 @@
         in_view.sort();
         if in_view != present {
             return Some(format!(
-                "{} has {in_view:?} in its view, not {present:?}",
+                "{} has the members {in_view:?} in its view, expected {present:?}",
                 name(*server)
             ));
         }
@@ -124,7 +136,7 @@
             .iter()
             .find(|(_, state)| matches!(state, MemberState::Suspect | MemberState::Joining));
         if let Some((member, state)) = unsettled {
-            return Some(format!("{} reports {member} {state}", name(*server)));
+            return Some(format!("{} reports {member} as {state}", name(*server)));
         }
         let mut others = connected();
         let different = others.find(|other| other.report.digest != report.digest)?;
--- a/crates/testkit/src/fleet/simulated/actions.rs
+++ b/crates/testkit/src/fleet/simulated/actions.rs
@@ -1,15 +1,15 @@
-//! Carries out the actions of a script on simulated servers.
+//! Performs the actions of a script on simulated servers.
 
 use super::{Event, SimulatedFleet, address};
 use crate::fleet::script::{Action, ActionError};
 use madderbay::time::Duration;
 use madderbay_upstream::FleetStack;
 
-/// The time from the beginning of a drain until the server leaves.
+/// Time from the start of a drain until the server leaves the fleet.
 const DRAIN_TIME: Duration = Duration::from_millis(1_000);
 
 impl SimulatedFleet {
-    pub(super) fn carry_out(&mut self, action: &Action) -> Result<(), ActionError> {
+    pub(super) fn perform(&mut self, action: &Action) -> Result<(), ActionError> {
         match action {
             Action::Start {
                 who,
@@ -26,26 +26,26 @@
                 self.start_calls(*server);
             }
             Action::SetCapacity { server, capacity } => self.set_capacity(*server, *capacity),
-            Action::Peak(most) => self.check_peak(*most)?,
+            Action::CheckPeak(most) => self.check_peak(*most)?,
             Action::Cut(_) | Action::Heal => {
                 self.network.act(action);
-                self.excused = vec![self.now; self.setup.servers];
+                self.last_disruption = vec![self.now; self.setup.servers];
             }
             Action::OneWay(..) | Action::Network { .. } => self.network.act(action),
             Action::Replay(server) => self.replay(*server),
-            Action::For(time) => self.run(*time),
-            Action::Downs(most) => self.check_downs(*most)?,
+            Action::Advance(time) => self.run(*time),
+            Action::CheckWronglyDown(most) => self.check_wrongly_down(*most)?,
         }
         Ok(())
     }
 
-    /// Continues a stopped server. Its timer and its socket are ready at once; which it handles
-    /// first is chance.
+    /// Continues a stopped server. Its timer and its socket are ready at the same time, so the
+    /// order in which it handles them is drawn at random.
     fn resume(&mut self, server: usize) {
-        self.excused[server] = self.now;
+        self.last_disruption[server] = self.now;
         let node = &mut self.nodes[server];
         node.stopped = false;
-        let ended = std::mem::take(&mut node.work.unnoticed_ends);
+        let ended = std::mem::take(&mut node.work.calls_ended_while_stopped);
         let now = node.clock(self.now);
         let quotas = node.stack.as_mut().and_then(|stack| stack.quotas_mut());
         if let Some(budget) = quotas.and_then(|quotas| quotas.budgets_mut().first_mut()) {
@@ -54,7 +54,7 @@
         if self.random.rand_float() < 0.5 {
             self.drive(server, FleetStack::handle_timeout);
         }
-        for (from, bytes) in std::mem::take(&mut self.nodes[server].waiting) {
+        for (from, bytes) in std::mem::take(&mut self.nodes[server].buffered) {
             self.drive(server, |stack, now| {
                 stack.handle_datagram(now, from, &bytes);
             });
@@ -62,6 +62,7 @@
         self.drive(server, FleetStack::handle_timeout);
     }
 
+    /// Has a server drain for [`DRAIN_TIME`] of simulated time, leave the fleet and end.
     fn drain(&mut self, server: usize) {
         self.drive(server, |stack, now| stack.membership_mut().drain(now));
         self.run(DRAIN_TIME);
@@ -71,8 +72,8 @@
 
     fn set_capacity(&mut self, server: usize, capacity: u32) {
         self.nodes[server].work.capacity = Some(capacity);
-        let named = self.nodes[server].name;
-        let settings = self.quota_settings(server, named);
+        let name_index = self.nodes[server].name;
+        let settings = self.quota_settings(server, name_index);
         let budgets = settings.map_or(vec![], |settings| settings.budgets);
         self.drive(server, |stack, now| {
             if let Some(quotas) = stack.quotas_mut() {
@@ -81,7 +82,8 @@
         });
     }
 
-    /// Checks the most calls in flight since the last check.
+    /// Fails if more calls than `most` were in flight at any time since the last check, and starts
+    /// a new measurement.
     fn check_peak(&mut self, most: u32) -> Result<(), ActionError> {
         let peak = std::mem::replace(&mut self.peak, self.calls.in_flight());
         if peak > most {
@@ -91,7 +93,8 @@
         Ok(())
     }
 
-    fn check_downs(&self, most: usize) -> Result<(), ActionError> {
+    /// Fails if servers were wrongly declared down more often than `most` times.
+    fn check_wrongly_down(&self, most: usize) -> Result<(), ActionError> {
         let count = self.wrongly_down;
         if count > most {
             return Err(ActionError::WronglyDown { count });
@@ -99,7 +102,7 @@
         Ok(())
     }
 
-    /// Delivers again at once what was sent to a server.
+    /// Delivers the retained datagrams of a server again, without delay.
     fn replay(&mut self, to: usize) {
         for (from, bytes) in self.network.retained(to) {
             let from = address(from);
--- a/crates/testkit/src/fleet/simulated/start.rs
+++ b/crates/testkit/src/fleet/simulated/start.rs
@@ -7,29 +7,41 @@
 use madderbay_quota::{BudgetSettings, CounterSettings, FleetQuotas, LeaseTerms};
 use madderbay_upstream::FleetStack;
 
-/// Unix time at the beginning of the simulated time, in milliseconds.
+/// Unix time at simulated time 0, in milliseconds.
 const UNIX_START_MS: u64 = 1_764_576_000_000;
-/// The name of the fleet.
+/// Name of the fleet.
 const FLEET_NAME: &str = "fleet";
-/// The name of the quota and of the counter.
+/// Name of the quota and of the counter.
 const QUOTA_NAME: &str = "below";
 /// The time by which a lessor outwaits a lease.
 const LEASE_GUARD: Duration = Duration::from_millis(20);
-/// The rate of requests of a key that a server is taken to read at most, in requests a second.
+/// Maximum rate of counted requests per key that a server is configured for, in requests per
+/// second.
 const MAX_COUNTED_PER_SECOND: f64 = 200.0;
-/// The fraction of the probe interval after which a probe has failed.
+/// Timeout of a probe as a fraction of the probe interval.
 const PROBE_TIMEOUT_FRACTION: f64 = 0.4;
 
 impl SimulatedFleet {
-    /// Starts a server under the name of another or its own, with a Unix clock that is ahead of the
-    /// true time or, if it is late, behind it.
-    pub(super) fn start(&mut self, index: usize, named: usize, clock: Duration, late: bool) {
-        let unix_ms = self.unix_ms(clock, late);
+    /// Starts the server `index` under the name of the server `name_index`. Its Unix clock differs
+    /// from the true time by `clock`: it is ahead, or behind if `is_behind` is set.
+    pub(super) fn start(
+        &mut self,
+        index: usize,
+        name_index: usize,
+        clock: Duration,
+        is_behind: bool,
+    ) {
+        let unix_ms = self.unix_ms(clock, is_behind);
         let seed = self.random.rand_u64();
         let now = self.nodes[index].clock(self.now);
-        let members = Membership::new(now, unix_ms, seed, self.membership_settings(index, named));
+        let members = Membership::new(
+            now,
+            unix_ms,
+            seed,
+            self.membership_settings(index, name_index),
+        );
         let quotas = self
-            .quota_settings(index, named)
+            .quota_settings(index, name_index)
             .map(|settings| FleetQuotas::new(now, seed, settings));
         if quotas
             .as_ref()
@@ -39,27 +51,31 @@
         }
         let node = &mut self.nodes[index];
         node.stack = Some(FleetStack::new(members, quotas));
-        node.name = named;
+        node.name = name_index;
         node.stopped = false;
         node.timer = None;
-        node.work.unnoticed_ends = 0;
+        node.work.calls_ended_while_stopped = 0;
         node.incarnation += 1;
-        node.waiting.clear();
-        self.excused[index] = self.now;
+        node.buffered.clear();
+        self.last_disruption[index] = self.now;
         self.drive(index, FleetStack::handle_timeout);
     }
 
-    /// What a server's Unix clock shows now, in milliseconds.
-    fn unix_ms(&self, offset: Duration, late: bool) -> u64 {
-        let right = UNIX_START_MS + (self.now - Timestamp::default()).as_micros() / 1_000;
+    /// Returns the present time of a Unix clock with this offset, in milliseconds.
+    fn unix_ms(&self, offset: Duration, is_behind: bool) -> u64 {
+        let true_ms = UNIX_START_MS + (self.now - Timestamp::default()).as_micros() / 1_000;
         let offset = offset.as_micros() / 1_000;
-        if late { right - offset } else { right + offset }
+        if is_behind {
+            true_ms - offset
+        } else {
+            true_ms + offset
+        }
     }
 
-    fn membership_settings(&self, index: usize, named: usize) -> Settings {
+    fn membership_settings(&self, index: usize, name_index: usize) -> Settings {
         let setup = &self.setup;
         Settings {
-            name: name(named).into(),
+            name: name(name_index).into(),
             advertise: address(index),
             zone: setup.zones[index].as_str().into(),
             fleet: FLEET_NAME.into(),
@@ -74,19 +90,19 @@
         }
     }
 
-    /// The quotas of a server's next incarnation, or of its present one if that reloads; `None` if
-    /// the setup has neither a quota nor a counter.
+    /// Returns the quota settings for a server's next incarnation, or for a reload of its present
+    /// one. Returns `None` if the setup has neither a quota nor a counter.
     pub(super) fn quota_settings(
         &self,
         index: usize,
-        named: usize,
+        name_index: usize,
     ) -> Option<madderbay_quota::Settings> {
         let node = &self.nodes[index];
         let budget = self.setup.budget.as_ref().map(|budget| BudgetSettings {
             name: QUOTA_NAME.into(),
             capacity: node.work.capacity.unwrap_or(budget.capacity),
             max_servers: budget.servers,
-            slot: budget.slots.then_some(named as u32 + 1),
+            slot: budget.slots.then_some(name_index as u32 + 1),
             weight: 1.0,
             terms: LeaseTerms {
                 lease: budget.lease,
@@ -100,7 +116,7 @@
             max_per_second: MAX_COUNTED_PER_SECOND,
         });
         (budget.is_some() || counter.is_some()).then(|| madderbay_quota::Settings {
-            name: name(named).into(),
+            name: name(name_index).into(),
             incarnation: (index as u64 + 1) << 32 | u64::from(node.incarnation + 1),
             budgets: budget.into_iter().collect(),
             counters: counter.into_iter().collect(),
