--- a/crates/idempotency-store/src/segment.rs
+++ b/crates/idempotency-store/src/segment.rs
@@ -17,7 +17,7 @@
 
 const MAGIC: &[u8; 6] = b"MBKEPT";
 /// Bytes of the header that its checksum covers.
-const HEADER_CHECKED_BYTES: usize = 8;
+const HEADER_CHECKSUMMED_BYTES: usize = 8;
 /// Bytes of a damaged header that must match the magic for the file to count as a torn segment
 /// rather than a foreign file.
 const MIN_MATCHING_MAGIC_BYTES: usize = 3;
@@ -70,7 +70,7 @@
 impl Header {
     /// Reads the header of a file from its bytes.
     pub(crate) fn read(bytes: &[u8]) -> Header {
-        match complete_header_version(bytes) {
+        match valid_header_version(bytes) {
             Some(version) if version > FORMAT_VERSION => Header::Newer(version),
             Some(_) => Header::Valid,
             None if resembles_magic(bytes) => Header::Torn,
@@ -80,12 +80,14 @@
 }
 
 /// Returns the version of a header whose magic and checksum match.
-fn complete_header_version(bytes: &[u8]) -> Option<u16> {
-    let (checked, checksum) = bytes.get(..HEADER_BYTES)?.split_at(HEADER_CHECKED_BYTES);
-    if crc32c::crc32c(checked).to_le_bytes() != checksum {
+fn valid_header_version(bytes: &[u8]) -> Option<u16> {
+    let (checksummed, checksum) = bytes
+        .get(..HEADER_BYTES)?
+        .split_at(HEADER_CHECKSUMMED_BYTES);
+    if crc32c::crc32c(checksummed).to_le_bytes() != checksum {
         return None;
     }
-    let version = checked.strip_prefix(MAGIC)?;
+    let version = checksummed.strip_prefix(MAGIC)?;
     Some(u16::from_le_bytes(version.try_into().ok()?))
 }
 
--- a/crates/idempotency-store/src/storage/directory/tests.rs
+++ b/crates/idempotency-store/src/storage/directory/tests.rs
@@ -4,10 +4,10 @@
 
 /// A file system without locks must not send the operator looking for another process.
 #[test]
-fn tells_a_lock_in_use_from_one_that_fails() {
+fn distinguishes_held_lock_from_failing_lock() {
     let directory = Path::new("/var/kept");
-    let in_use = lock_error(directory, TryLockError::WouldBlock);
-    assert_eq!(in_use.to_string(), "/var/kept: another process has it");
+    let held = lock_error(directory, TryLockError::WouldBlock);
+    assert_eq!(held.to_string(), "/var/kept: another process has it");
     let unsupported = io::Error::other("locks are not supported");
     let failed = lock_error(directory, TryLockError::Error(unsupported));
     let expected = "/var/kept: cannot be locked: locks are not supported";
--- a/crates/idempotency-store/src/storage/memory.rs
+++ b/crates/idempotency-store/src/storage/memory.rs
@@ -36,12 +36,12 @@
     /// Returns the bytes that are left after a crash.
     fn after_crash(&self, effect: CrashEffect) -> Vec<u8> {
         let mut bytes = self.durable.clone();
-        let first = |n: usize| &self.unsynced[..n.min(self.unsynced.len())];
+        let unsynced_prefix = |n: usize| &self.unsynced[..n.min(self.unsynced.len())];
         match effect {
             CrashEffect::Lost => {}
-            CrashEffect::Truncated(length) => bytes.extend_from_slice(first(length)),
+            CrashEffect::Truncated(length) => bytes.extend_from_slice(unsynced_prefix(length)),
             CrashEffect::Zeroed(from) => {
-                bytes.extend_from_slice(first(from));
+                bytes.extend_from_slice(unsynced_prefix(from));
                 bytes.resize(self.len(), 0);
             }
             CrashEffect::Corrupted(index) => {
@@ -85,7 +85,7 @@
     /// file, in ascending order of names.
     #[must_use]
     pub fn after_crash(&self, mut effect: impl FnMut(&str, &[u8]) -> CrashEffect) -> MemoryStorage {
-        let mut left = MemoryStorage::default();
+        let mut survivors = MemoryStorage::default();
         for (name, file) in &self.files {
             let effect = effect(name, &file.unsynced);
             if matches!(effect, CrashEffect::Lost) && !file.entry_is_durable {
@@ -97,9 +97,9 @@
                 unsynced: vec![],
                 entry_is_durable: true,
             };
-            left.files.insert(name.clone(), file);
+            survivors.files.insert(name.clone(), file);
         }
-        left
+        survivors
     }
 
     /// Truncates the durable bytes of a file to a length in bytes, as a damaged disk would.
--- a/crates/idempotency-store/src/write_ahead_log.rs
+++ b/crates/idempotency-store/src/write_ahead_log.rs
@@ -90,7 +90,7 @@
         let age_limit = limits.retention_micros / SEGMENTS_PER_RETENTION;
         let log = WriteAheadLog {
             storage,
-            next_segment_number: number_after(files.last()),
+            next_segment_number: next_number(files.last()),
             closed: files
                 .into_iter()
                 .map(|file| file.into_segment(expires_at_micros))
@@ -171,12 +171,12 @@
     fn close_full_or_old_segment(&mut self, now_micros: u64) {
         let size_limit = self.segment_size_limit_bytes;
         let age_limit = self.segment_age_limit_micros;
-        let closes = |active: &mut ActiveSegment| {
+        let must_close = |active: &mut ActiveSegment| {
             active.segment.size_bytes >= size_limit
                 || now_micros >= active.close_at_micros
                 || now_micros + age_limit < active.close_at_micros
         };
-        if let Some(active) = self.active.take_if(closes) {
+        if let Some(active) = self.active.take_if(must_close) {
             self.closed.push_back(active.segment);
         }
     }
@@ -212,7 +212,7 @@
     }
 }
 
-fn number_after(last: Option<&SegmentFile>) -> u64 {
+fn next_number(last: Option<&SegmentFile>) -> u64 {
     let number = last.and_then(|file| segment::parse_file_name(&file.name));
     number.map_or(0, |number| number + 1)
 }
--- a/crates/idempotency-store/tests/store/commit_failures.rs
+++ b/crates/idempotency-store/tests/store/commit_failures.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn keeps_committed_records_while_storage_is_full_or_failing() {
+fn retains_committed_records_while_storage_is_full_or_failing() {
     let mut log = log_with(&[intent(1, RETENTION_MICROS)]);
     let second = [
         intent(2, RETENTION_MICROS),
--- a/crates/idempotency-store/tests/store/crash_recovery.rs
+++ b/crates/idempotency-store/tests/store/crash_recovery.rs
@@ -10,7 +10,7 @@
 use madderbay_idempotency_store::write_ahead_log::LogEntry;
 
 /// A log of one segment, and what must be recovered from each of its prefixes.
-struct OneSegment {
+struct SingleSegmentLog {
     storage: MemoryStorage,
     name: String,
     bytes: Vec<u8>,
@@ -22,8 +22,8 @@
     expected: ExpectedRuns,
 }
 
-impl OneSegment {
-    fn new() -> OneSegment {
+impl SingleSegmentLog {
+    fn new() -> SingleSegmentLog {
         let entries: Vec<LogEntry> = (0..12)
             .flat_map(|key| {
                 let result = "r".repeat(key as usize * 3);
@@ -42,7 +42,7 @@
         let bytes = storage.read(&name).expect("read");
         let prefixes = prefixes(&entries);
         assert_eq!(prefixes.last().expect("not empty").end_bytes, bytes.len());
-        OneSegment {
+        SingleSegmentLog {
             storage,
             name,
             bytes,
@@ -51,7 +51,7 @@
     }
 
     /// What must be recovered if only the bytes before this one are intact.
-    fn expected_up_to(&self, intact_bytes: usize) -> &ExpectedRuns {
+    fn expected_for_intact_bytes(&self, intact_bytes: usize) -> &ExpectedRuns {
         let complete = |prefix: &&Prefix| prefix.end_bytes <= intact_bytes;
         &self
             .prefixes
@@ -83,11 +83,11 @@
 
 #[test]
 fn recovers_complete_records_before_truncation_at_every_byte() {
-    let segment = OneSegment::new();
+    let segment = SingleSegmentLog::new();
     for length in 0..=segment.bytes.len() {
         let mut truncated = segment.storage.clone();
         truncated.truncate(&segment.name, length);
-        let expected = segment.expected_up_to(length);
+        let expected = segment.expected_for_intact_bytes(length);
         let runs = open(truncated.clone(), 3).1;
         assert_eq!(
             &ExpectedRuns::of(&runs),
@@ -113,18 +113,18 @@
 
 #[test]
 fn recovers_complete_records_before_corruption_of_every_byte() {
-    let segment = OneSegment::new();
+    let segment = SingleSegmentLog::new();
     for index in 0..segment.bytes.len() {
         let mut bytes = segment.bytes.clone();
         bytes[index] ^= 1;
         let runs = open(storage_with_file(&segment.name, &bytes), 3).1;
-        let expected = segment.expected_up_to(index);
+        let expected = segment.expected_for_intact_bytes(index);
         assert_eq!(&ExpectedRuns::of(&runs), expected, "byte {index} corrupted");
     }
 }
 
 /// A log with records that are synced and records that are only appended.
-struct PartlySynced {
+struct PartlySyncedLog {
     storage: MemoryStorage,
     unsynced_bytes: usize,
     first_record_bytes: usize,
@@ -133,8 +133,8 @@
     with_both: ExpectedRuns,
 }
 
-impl PartlySynced {
-    fn new() -> PartlySynced {
+impl PartlySyncedLog {
+    fn new() -> PartlySyncedLog {
         let synced = [
             intent(1, RETENTION_MICROS),
             completed(1, "one", RETENTION_MICROS),
@@ -151,7 +151,7 @@
         }
         let name = log.storage().list().expect("listed").remove(0);
         log.storage_mut().append(&name, &bytes).expect("appended");
-        PartlySynced {
+        PartlySyncedLog {
             storage: log.storage().clone(),
             unsynced_bytes: bytes.len(),
             first_record_bytes: unsynced[0].record.size_bytes(),
@@ -161,11 +161,11 @@
         }
     }
 
-    fn recovered_after(&self, effect: CrashEffect) -> ExpectedRuns {
+    fn runs_recovered_after(&self, effect: CrashEffect) -> ExpectedRuns {
         ExpectedRuns::of(&open(self.storage.after_crash(|_, _| effect), 3).1)
     }
 
-    fn expected_up_to(&self, intact_bytes: usize) -> &ExpectedRuns {
+    fn expected_for_intact_bytes(&self, intact_bytes: usize) -> &ExpectedRuns {
         if intact_bytes >= self.unsynced_bytes {
             &self.with_both
         } else if intact_bytes >= self.first_record_bytes {
@@ -178,14 +178,18 @@
 
 #[test]
 fn recovers_synced_records_and_complete_unsynced_ones_in_order() {
-    let log = PartlySynced::new();
-    assert_eq!(log.recovered_after(CrashEffect::Lost), log.synced);
+    let log = PartlySyncedLog::new();
+    assert_eq!(log.runs_recovered_after(CrashEffect::Lost), log.synced);
     for n in 0..=log.unsynced_bytes {
-        let truncated = log.recovered_after(CrashEffect::Truncated(n));
-        assert_eq!(&truncated, log.expected_up_to(n), "truncated to {n} bytes");
+        let truncated = log.runs_recovered_after(CrashEffect::Truncated(n));
+        assert_eq!(
+            &truncated,
+            log.expected_for_intact_bytes(n),
+            "truncated to {n} bytes"
+        );
 
         // Zeros in place of the rest are no records. Where the rest was zeros, nothing is lost.
-        let zeroed = log.recovered_after(CrashEffect::Zeroed(n));
+        let zeroed = log.runs_recovered_after(CrashEffect::Zeroed(n));
         let possible = [&log.synced, &log.with_first, &log.with_both];
         assert!(possible.contains(&&zeroed), "zeroed from byte {n}");
         assert!(
@@ -194,8 +198,12 @@
         );
 
         if n < log.unsynced_bytes {
-            let corrupted = log.recovered_after(CrashEffect::Corrupted(n));
-            assert_eq!(&corrupted, log.expected_up_to(n), "byte {n} corrupted");
+            let corrupted = log.runs_recovered_after(CrashEffect::Corrupted(n));
+            assert_eq!(
+                &corrupted,
+                log.expected_for_intact_bytes(n),
+                "byte {n} corrupted"
+            );
         }
     }
 }
--- a/crates/idempotency-store/tests/store/directory_storage.rs
+++ b/crates/idempotency-store/tests/store/directory_storage.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn rejects_missing_directory_and_file() {
+fn rejects_missing_directory_and_regular_file() {
     let directory = TemporaryDirectory::new("missing");
     let missing = open_error(&directory.0);
     assert!(
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn stores_and_recovers_with_one_owner_at_a_time() {
+fn recovers_after_reopening_and_rejects_second_writer() {
     let directory = TemporaryDirectory::new("owner");
     std::fs::create_dir(&directory.0).expect("created");
     {
--- a/crates/idempotency-store/tests/store/durable_results.rs
+++ b/crates/idempotency-store/tests/store/durable_results.rs
@@ -13,7 +13,7 @@
 const HASH_OF_KEY_1: u64 = 8;
 
 /// Returns the table after a restart, with these entries in the log.
-fn recovered(entries: &[LogEntry]) -> DurableResults {
+fn table_after_restart(entries: &[LogEntry]) -> DurableResults {
     let storage = log_with(entries).storage().clone();
     let (_, recovery) = WriteAheadLog::open(storage, 3, LIMITS).expect("read");
     let mut results = DurableResults::new(MEMORY_LIMIT_BYTES, DISK_LIMIT_BYTES);
@@ -21,7 +21,7 @@
     results
 }
 
-fn committed(results: &mut DurableResults) {
+fn commit_next_batch(results: &mut DurableResults) {
     let batch = results.take_batch().expect("records to commit");
     results.on_committed(batch.last, 0);
 }
@@ -31,8 +31,8 @@
 }
 
 #[test]
-fn answers_attempts_from_earlier_incarnation() {
-    let mut results = recovered(&[
+fn answers_attempts_of_earlier_incarnation_runs() {
+    let mut results = table_after_restart(&[
         intent(1, RETENTION_MICROS),
         completed(1, "one", RETENTION_MICROS),
         intent(2, RETENTION_MICROS),
@@ -53,8 +53,8 @@
 }
 
 #[test]
-fn forgets_recovered_runs_after_retention_and_grace() {
-    let mut results = recovered(&[
+fn drops_recovered_runs_after_retention_and_grace() {
+    let mut results = table_after_restart(&[
         intent(1, RETENTION_MICROS),
         completed(1, "one", RETENTION_MICROS),
     ]);
@@ -68,7 +68,7 @@
 
 #[test]
 fn drops_results_that_do_not_fit_in_memory() {
-    let mut results = recovered(&[
+    let mut results = table_after_restart(&[
         intent(1, RETENTION_MICROS),
         completed(1, "123456", RETENTION_MICROS),
         intent(2, RETENTION_MICROS),
@@ -80,17 +80,17 @@
 
 #[test]
 fn returns_result_of_recovered_run_only_once_durable() {
-    let mut results = recovered(&[intent(1, RETENTION_MICROS)]);
+    let mut results = table_after_restart(&[intent(1, RETENTION_MICROS)]);
     assert!(!results.complete_recovered_run(&[b'b'; 16], Some(b"one")));
     assert!(results.complete_recovered_run(ATTEMPT, Some(b"one")));
     assert!(!results.complete_recovered_run(ATTEMPT, Some(b"one")));
     assert_eq!(results.lookup(1, HASH_OF_KEY_1), Lookup::NoResult);
-    committed(&mut results);
+    commit_next_batch(&mut results);
     assert_eq!(results.lookup(1, HASH_OF_KEY_1), completed_lookup("one"));
 }
 
 #[test]
-fn returns_results_up_to_the_committed_number_only() {
+fn returns_results_up_to_committed_sequence_number_only() {
     let other_attempt = [b'b'; 16];
     let other = Record::Intent {
         key: 2,
@@ -99,7 +99,7 @@
         attempt_id: other_attempt,
     };
     let entries = [intent(1, RETENTION_MICROS), entry(other, RETENTION_MICROS)];
-    let mut results = recovered(&entries);
+    let mut results = table_after_restart(&entries);
     assert!(results.complete_recovered_run(ATTEMPT, Some(b"one")));
     let first = results.take_batch().expect("records to commit");
     assert!(results.complete_recovered_run(&other_attempt, Some(b"two")));
@@ -114,7 +114,7 @@
 
 #[test]
 fn drops_result_of_recovered_run_if_its_commit_fails() {
-    let mut results = recovered(&[intent(1, RETENTION_MICROS)]);
+    let mut results = table_after_restart(&[intent(1, RETENTION_MICROS)]);
     assert!(results.complete_recovered_run(ATTEMPT, Some(b"one")));
     let batch = results.take_batch().expect("records to commit");
     results.on_commit_failed(batch.last);
@@ -125,7 +125,7 @@
 
 #[test]
 fn rejects_intents_while_storage_fails() {
-    let mut results = recovered(&[]);
+    let mut results = table_after_restart(&[]);
     let last = results.record_intent(1, 1, *ATTEMPT, Timestamp::from_micros(1));
     results.on_commit_failed(last);
     assert_eq!(results.admit_intent(), Err(IntentError::StorageUnavailable));
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn drops_results_past_their_part_of_the_disk() {
+fn drops_results_beyond_their_fraction_of_the_disk_limit() {
     let mut results = DurableResults::new(MEMORY_LIMIT_BYTES, DISK_LIMIT_BYTES);
     let expires_at = Timestamp::from_micros(1);
     results.on_storage_recovered(DISK_LIMIT_BYTES / 4 * 3 - 3);
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn numbers_records_across_batches() {
+fn numbers_records_consecutively_across_batches() {
     let mut results = DurableResults::new(MEMORY_LIMIT_BYTES, DISK_LIMIT_BYTES);
     assert!(results.take_batch().is_none());
     results.record_intent(1, 1, *ATTEMPT, Timestamp::from_micros(1));
@@ -172,7 +172,7 @@
 
 /// A result that its record can't hold for want of disk is not answered from memory either.
 #[test]
-fn answers_no_recovered_run_whose_record_has_no_result() {
+fn returns_no_result_that_did_not_fit_on_disk() {
     let storage = log_with(&[intent(1, RETENTION_MICROS)]).storage().clone();
     let (_, recovery) = WriteAheadLog::open(storage, 3, LIMITS).expect("read");
     let mut results = DurableResults::new(MEMORY_LIMIT_BYTES, 10);
@@ -187,13 +187,13 @@
 /// Bytes that are on their way to the disk count against its limit until their commit is reported, whatever becomes of
 /// other batches.
 #[test]
-fn counts_batches_on_their_way_to_the_disk() {
+fn counts_batches_in_flight_against_disk_limit() {
     let mut results = DurableResults::new(MEMORY_LIMIT_BYTES, DISK_LIMIT_BYTES);
-    let mut take = |key| {
+    let mut record_and_take = |key| {
         results.record_intent(key, 1, *ATTEMPT, Timestamp::from_micros(9));
         results.take_batch().expect("a batch").last
     };
-    let (first, second, third) = (take(1), take(2), take(3));
+    let (first, second, third) = (record_and_take(1), record_and_take(2), record_and_take(3));
     results.record_intent(4, 1, *ATTEMPT, Timestamp::from_micros(9));
     let intents = |count: u64| count * INTENT_BYTES as u64;
     assert_eq!(results.usage().disk_bytes, intents(4));
--- a/crates/idempotency-store/tests/store/record_codec.rs
+++ b/crates/idempotency-store/tests/store/record_codec.rs
@@ -10,7 +10,7 @@
     bytes
 }
 
-fn each_kind() -> [Record; 4] {
+fn one_record_of_each_kind() -> [Record; 4] {
     let key = 0x0123_4567_89ab_cdef_0011_2233_4455_6677;
     let attempt_id = *b"0000000000000001";
     [
@@ -30,14 +30,14 @@
 }
 
 #[test]
-fn decodes_what_was_encoded() {
+fn decodes_encoded_records() {
     let sizes = [
         INTENT_BYTES,
         KEY_RECORD_BYTES + 6,
         KEY_RECORD_BYTES,
         KEY_RECORD_BYTES,
     ];
-    for (record, size_bytes) in each_kind().into_iter().zip(sizes) {
+    for (record, size_bytes) in one_record_of_each_kind().into_iter().zip(sizes) {
         let mut bytes = encoded(&record);
         assert_eq!((bytes.len(), record.size_bytes()), (size_bytes, size_bytes));
         bytes.extend_from_slice(b"more");
@@ -48,7 +48,7 @@
 
 #[test]
 fn rejects_truncated_record() {
-    for record in each_kind() {
+    for record in one_record_of_each_kind() {
         let bytes = encoded(&record);
         for length in 0..bytes.len() {
             assert_eq!(
@@ -73,7 +73,7 @@
 
 #[test]
 fn rejects_changed_byte_and_unknown_kind() {
-    let mut bytes = encoded(&each_kind()[2]);
+    let mut bytes = encoded(&one_record_of_each_kind()[2]);
     bytes[8] = 9;
     assert_eq!(Record::decode(&bytes), Err(DecodeError::ChecksumMismatch));
     let checksum = crc32c::crc32c(&bytes[8..]);
--- a/crates/idempotency-store/tests/store/restart_histories.rs
+++ b/crates/idempotency-store/tests/store/restart_histories.rs
@@ -55,7 +55,7 @@
     /// A restart after a crash with this effect on unsynced bytes.
     Crash(CrashEffect),
     /// This many microseconds pass.
-    Pass(u32),
+    AdvanceClock(u32),
 }
 
 fn crash_effect((kind, n): (u8, u16)) -> CrashEffect {
@@ -74,7 +74,7 @@
         6 => writes.prop_map(Event::Commit),
         1 => (0u8..3).prop_map(Event::FailAfter),
         2 => (0u8..4, any::<u16>()).prop_map(crash_effect).prop_map(Event::Crash),
-        2 => (0u32..4_000_000).prop_map(Event::Pass),
+        2 => (0u32..4_000_000).prop_map(Event::AdvanceClock),
     ]
 }
 
@@ -108,7 +108,7 @@
 
     fn apply(&mut self, event: Event) -> Result<(), TestCaseError> {
         match event {
-            Event::Pass(micros) => {
+            Event::AdvanceClock(micros) => {
                 self.now += u64::from(micros);
                 self.log.remove_expired_segments(self.now);
             }
@@ -146,7 +146,7 @@
         for (key, acknowledged) in &mut self.acknowledged {
             let unacknowledged = self.unacknowledged.remove(key);
             acknowledged.check(*key, &runs, unacknowledged, self.now)?;
-            acknowledged.adopt(*key, &runs, self.now);
+            acknowledged.reset_to_recovered(*key, &runs, self.now);
         }
         Ok(())
     }
@@ -196,7 +196,7 @@
     }
 
     /// The recovered state is expected from now on.
-    fn adopt(&mut self, key: IdempotencyKey, runs: &Runs, now: u64) {
+    fn reset_to_recovered(&mut self, key: IdempotencyKey, runs: &Runs, now: u64) {
         self.expected.0.clear();
         self.expected
             .0
@@ -206,7 +206,7 @@
 }
 
 /// The same cases in each run.
-fn seeded(cases: u32) -> ProptestConfig {
+fn fixed_seed_config(cases: u32) -> ProptestConfig {
     let rng_seed = proptest::test_runner::RngSeed::Fixed(7);
     ProptestConfig {
         cases,
@@ -217,10 +217,10 @@
 }
 
 proptest! {
-    #![proptest_config(seeded(300))]
+    #![proptest_config(fixed_seed_config(300))]
 
     #[test]
-    fn recovers_what_was_acknowledged_and_nothing_that_was_not_written(
+    fn recovers_all_acknowledged_and_only_written_records(
         events in prop::collection::vec(event(), 1..60)
     ) {
         let mut history = History::new();
--- a/crates/idempotency-store/tests/store/segment_expiry.rs
+++ b/crates/idempotency-store/tests/store/segment_expiry.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn remembers_runs_for_full_retention_after_clock_step() {
+fn retains_runs_for_full_retention_after_clock_step() {
     let recorded_at = 1_000_000_000;
     for now in [0, 1_000, 5_000_000_000_000] {
         let mut log = open(MemoryStorage::default(), recorded_at).0;
--- a/crates/idempotency-store/tests/store/stored_data.rs
+++ b/crates/idempotency-store/tests/store/stored_data.rs
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn verifies_stored_directories_with_the_same_lines() {
+fn verify_prints_the_stored_lines() {
     let lines = |name: &str| -> String {
         let defects = verify(&stored(name)).expect("read");
         defects.iter().map(|defect| format!("{defect}\n")).collect()
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn writes_the_same_records_to_the_same_bytes() {
+fn encodes_commits_to_the_stored_bytes() {
     let storage = MemoryStorage::default();
     let (mut log, _) = WriteAheadLog::open(storage, START_MICROS, LIMITS).expect("opened");
     for commit in first_segment_commits()
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn encodes_decoded_records_to_the_same_bytes() {
+fn reencodes_decoded_records_to_the_stored_bytes() {
     let segments = [
         ("complete", 0, 0),
         ("complete", 1, 0),
--- a/crates/simulator-adapter/src/codec/action.rs
+++ b/crates/simulator-adapter/src/codec/action.rs
@@ -5,7 +5,7 @@
 /// Longest text of a [`Action::Fault`], in bytes. A longer one is cut before the character that exceeds it.
 const MAX_FAULT_MESSAGE_BYTES: usize = 500;
 /// Health checks are answered from the stored state and do no work.
-const HEALTH_FROM_STORE: u8 = 1;
+const HEALTH_FROM_STORED_STATE: u8 = 1;
 /// Token of an instance's timer. An instance has one timer, so the token distinguishes nothing.
 const TIMER_TOKEN: u64 = 0;
 
@@ -143,7 +143,9 @@
                 put_u64(out, request_id);
                 put_duration(out, duration);
             }
-            Action::SetHealth { healthy } => out.extend([u8::from(healthy), HEALTH_FROM_STORE]),
+            Action::SetHealth { healthy } => {
+                out.extend([u8::from(healthy), HEALTH_FROM_STORED_STATE])
+            }
             Action::SetLoadReport { value } => out.extend((value as f32).to_le_bytes()),
             Action::SetIdleLimit { limit } => put_duration(out, limit),
             Action::SetTimer { after } => {
--- a/crates/simulator-adapter/src/codec/field_reader.rs
+++ b/crates/simulator-adapter/src/codec/field_reader.rs
@@ -29,7 +29,7 @@
         if length > self.remaining() {
             return Err(AdapterError::TruncatedRecord {
                 position: self.position,
-                wanted: length,
+                needed: length,
                 available: self.remaining(),
             });
         }
--- a/crates/simulator-adapter/src/codec/reply.rs
+++ b/crates/simulator-adapter/src/codec/reply.rs
@@ -26,7 +26,7 @@
     }
 
     /// The sink for the decisions of one instance.
-    pub fn actions_of(&mut self, instance: InstanceId) -> InstanceActions<'_> {
+    pub fn actions_for(&mut self, instance: InstanceId) -> InstanceActions<'_> {
         InstanceActions {
             instance,
             reply: self,
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -56,12 +56,12 @@
         cause: Box<AdapterError>,
     },
     /// A record ends within a field.
-    #[error("record cut short at byte {position}: {wanted} wanted, {available} left")]
+    #[error("record cut short at byte {position}: {needed} wanted, {available} left")]
     TruncatedRecord {
         /// Where the field begins, in bytes from the first record of the batch.
         position: usize,
         /// Length of the field, in bytes.
-        wanted: usize,
+        needed: usize,
         /// Bytes left in the batch.
         available: usize,
     },
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -30,13 +30,13 @@
     ///
     /// [`AdapterError::Record`] for the first record that is invalid, and
     /// [`AdapterError::TrailingBytes`] for bytes after the last one.
-    pub fn play_batch(&mut self, batch: &Batch) -> Result<Vec<u8>, AdapterError> {
+    pub fn process_batch(&mut self, batch: &Batch) -> Result<Vec<u8>, AdapterError> {
         let now = batch.header.clock;
         let count = batch.header.record_count;
         let mut fields = FieldReader::new(&batch.body);
-        let mut unsettled = vec![];
+        let mut instances_to_settle = vec![];
         for number in 1..=count {
-            self.play_record(now, &mut fields, &mut unsettled)
+            self.process_record(now, &mut fields, &mut instances_to_settle)
                 .map_err(|cause| AdapterError::Record {
                     number,
                     count,
@@ -49,37 +49,37 @@
                 records: count,
             });
         }
-        for instance in unsettled {
-            self.decide(instance, |state, actions| {
+        for instance in instances_to_settle {
+            self.call_instance(instance, |state, actions| {
                 state.decider.settle(now, actions);
             })?;
         }
         Ok(self.reply.take_frame())
     }
 
-    /// Plays one record. `unsettled` lists the running instances with an event in the batch, in the
+    /// Plays one record. `instances_to_settle` lists the running instances with an event in the batch, in the
     /// order of their first one.
-    fn play_record(
+    fn process_record(
         &mut self,
         now: Timestamp,
         fields: &mut FieldReader,
-        unsettled: &mut Vec<InstanceId>,
+        instances_to_settle: &mut Vec<InstanceId>,
     ) -> Result<(), AdapterError> {
         let RecordHeader { code, instance } = RecordHeader::decode(fields)?;
         if code == EventCode::Arrival {
             // An unknown instance is reported before any defect in the request's fields.
             self.instance(instance)?;
         }
-        self.play_event(now, instance, Event::decode(code, fields)?)?;
+        self.process_event(now, instance, Event::decode(code, fields)?)?;
         if code == EventCode::Kill {
-            unsettled.retain(|other| *other != instance);
-        } else if !unsettled.contains(&instance) {
-            unsettled.push(instance);
+            instances_to_settle.retain(|other| *other != instance);
+        } else if !instances_to_settle.contains(&instance) {
+            instances_to_settle.push(instance);
         }
         Ok(())
     }
 
-    fn play_event(
+    fn process_event(
         &mut self,
         now: Timestamp,
         instance: InstanceId,
@@ -89,30 +89,30 @@
             Event::Start { seed, settings } => self.start(now, instance, seed, settings),
             Event::Arrival(arrival) => {
                 let arrival = self.instance(instance)?.validate(arrival)?;
-                self.decide(instance, |state, actions| {
+                self.call_instance(instance, |state, actions| {
                     state.decider.on_arrival(now, &arrival, actions);
                 })
             }
-            Event::RunEnded(result) => self.decide(instance, |state, _| {
+            Event::RunEnded(result) => self.call_instance(instance, |state, _| {
                 let id = result.request_id;
                 let decider = &mut state.decider;
                 decider.on_run_ended(now, id, result.outcome, result.elapsed);
             }),
-            Event::CallNeeded { request_id } => self.decide(instance, |state, actions| {
+            Event::CallNeeded { request_id } => self.call_instance(instance, |state, actions| {
                 state.decider.on_call_needed(now, request_id, actions);
             }),
-            Event::CallFinished(result) => self.decide(instance, |state, actions| {
+            Event::CallFinished(result) => self.call_instance(instance, |state, actions| {
                 let id = result.request_id;
                 let decider = &mut state.decider;
                 decider.on_call_finished(now, id, result.outcome, result.elapsed, actions);
             }),
-            Event::Drain { remaining } => self.decide(instance, |state, _| {
+            Event::Drain { remaining } => self.call_instance(instance, |state, _| {
                 state.decider.drain(now, remaining);
             }),
-            Event::ClientGone { request_id } => self.decide(instance, |state, actions| {
+            Event::ClientGone { request_id } => self.call_instance(instance, |state, actions| {
                 state.decider.on_client_gone(now, request_id, actions);
             }),
-            Event::Tick { gauges } => self.decide(instance, |state, actions| {
+            Event::Tick { gauges } => self.call_instance(instance, |state, actions| {
                 let gauges = state.gauges(&gauges);
                 state.decider.on_tick(now, &gauges, actions);
             }),
@@ -130,7 +130,7 @@
         let settings = madderbay_settings::read(settings)?;
         let started = Instance::new(now, seed, &settings);
         self.instances.insert(instance, started);
-        self.decide(instance, |state, actions| state.decider.on_start(actions))
+        self.call_instance(instance, |state, actions| state.decider.on_start(actions))
     }
 
     fn kill(&mut self, instance: InstanceId) -> Result<(), AdapterError> {
@@ -147,7 +147,7 @@
     }
 
     /// Lets an instance decide. A panic of the decision module becomes a `FAULT` on the wire.
-    fn decide(
+    fn call_instance(
         &mut self,
         instance: InstanceId,
         step: impl FnOnce(&mut Instance, &mut InstanceActions),
@@ -156,7 +156,7 @@
             .instances
             .get_mut(&instance)
             .ok_or(AdapterError::UnknownInstance { instance })?;
-        let mut actions = self.reply.actions_of(instance);
+        let mut actions = self.reply.actions_for(instance);
         let result = catch_unwind(AssertUnwindSafe(|| step(state, &mut actions)));
         if let Err(panic) = result {
             let message = panic_message(panic.as_ref());
--- a/crates/simulator-adapter/src/stdio.rs
+++ b/crates/simulator-adapter/src/stdio.rs
@@ -13,7 +13,7 @@
 pub fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     while let Some(batch) = read_batch(input)? {
-        let frame = host.play_batch(&batch)?;
+        let frame = host.process_batch(&batch)?;
         output.write_all(&frame).map_err(AdapterError::Output)?;
         output.flush().map_err(AdapterError::Output)?;
     }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -62,21 +62,21 @@
 }
 
 /// Plays frames one after the other and gives the replies, or the first error.
-fn play(frames: &[Vec<u8>]) -> Result<Vec<Vec<u8>>, AdapterError> {
+fn process_frames(frames: &[Vec<u8>]) -> Result<Vec<Vec<u8>>, AdapterError> {
     let (input, mut host, mut replies) = (frames.concat(), Host::default(), vec![]);
     let mut input = input.as_slice();
     while let Some(batch) = read_batch(&mut input)? {
-        replies.push(host.play_batch(&batch)?);
+        replies.push(host.process_batch(&batch)?);
     }
     Ok(replies)
 }
 
 #[test]
-fn encodes_actions_as_in_the_published_examples() {
+fn encodes_actions_as_in_published_examples() {
     let id = u64::from_le_bytes(bytes("c4913a5de3f90d00").try_into().unwrap());
     let other = u64::from_le_bytes(bytes("192b6f0e8e790400").try_into().unwrap());
     let mut reply = Reply::default();
-    let mut actions = reply.actions_of(InstanceId(3));
+    let mut actions = reply.actions_for(InstanceId(3));
     actions.start(id);
     actions.reject(other, Duration::from_millis(250), true);
     actions.fail(other);
@@ -105,11 +105,14 @@
 #[test]
 fn answers_empty_batch_with_empty_reply() {
     let frame = bytes("5a5c800000000000 04000000 00000000");
-    assert_eq!(play(&[frame]).unwrap(), [bytes("04000000 00000000")]);
+    assert_eq!(
+        process_frames(&[frame]).unwrap(),
+        [bytes("04000000 00000000")]
+    );
 }
 
 #[test]
-fn starts_request_of_published_bytes_and_ignores_late_outcome() {
+fn starts_request_of_published_example_and_ignores_late_outcome() {
     let ended = bytes("03 0300 c4913a5de3f90d00 01 44480000");
     let tick = bytes("08 0300 0000000000000000 02 52b81e3f 00004040");
     let frames = [
@@ -118,7 +121,7 @@
         batch(2, &[ended.clone(), tick].concat()),
         batch(1, &ended),
     ];
-    let replies = play(&frames).unwrap();
+    let replies = process_frames(&frames).unwrap();
     assert_eq!(
         replies[1],
         bytes("0f000000 01000000 01 0300 c4913a5de3f90d00")
@@ -133,7 +136,7 @@
 #[test]
 fn restarts_instance_within_one_batch() {
     let restart = [bytes("09 0300"), start_event(SETTINGS), arrival_event()].concat();
-    let replies = play(&[
+    let replies = process_frames(&[
         batch(1, &start_event(SETTINGS)),
         batch(1, &arrival_event()),
         batch(3, &restart),
@@ -144,7 +147,7 @@
 
 /// Checks that an input ends with exactly that line, and that the cause is not in the settings.
 fn assert_reported(frames: &[Vec<u8>], expected: &str) {
-    let error = play(frames).expect_err(expected);
+    let error = process_frames(frames).expect_err(expected);
     assert_eq!(error.to_string(), expected);
     assert!(!error.is_settings_error(), "{error}");
 }
@@ -153,14 +156,17 @@
 fn reports_malformed_frames_in_one_line() {
     let start = start_event(SETTINGS);
     let complete_frame = batch(1, &start);
-    let cut_frame = complete_frame[..complete_frame.len() - 5].to_vec();
+    let truncated_frame = complete_frame[..complete_frame.len() - 5].to_vec();
     let short_length = bytes("5a5c800000000000 03000000 00000000");
     let cases = [
         (
             bytes("5a5c8000"),
             "frame: input ends 4 bytes into a header of 16",
         ),
-        (cut_frame, "frame: input ends 376 bytes into records of 381"),
+        (
+            truncated_frame,
+            "frame: input ends 376 bytes into records of 381",
+        ),
         (
             short_length,
             "frame: length 3 has no room for the count of records",
@@ -221,8 +227,8 @@
 /// The instance is named even where the rest of the record is cut short.
 #[test]
 fn reports_events_of_unknown_instance() {
-    let cut_arrival = arrival_event()[..20].to_vec();
-    for event in [arrival_event(), cut_arrival, bytes("09 0300")] {
+    let truncated_arrival = arrival_event()[..20].to_vec();
+    for event in [arrival_event(), truncated_arrival, bytes("09 0300")] {
         assert_reported(
             &[batch(1, &event)],
             "record 1 of 1: instance 3 was never begun",
@@ -242,7 +248,7 @@
         (SETTINGS.replace("read_like", "odd"), "'odd'"),
     ];
     for (settings, expected) in cases {
-        let error = play(&[batch(1, &start_event(&settings))]).expect_err(expected);
+        let error = process_frames(&[batch(1, &start_event(&settings))]).expect_err(expected);
         let message = error.to_string();
         assert!(
             message.starts_with("record 1 of 1: settings: "),
@@ -258,7 +264,7 @@
 
 /// A text that is cut inside a character is none that the simulator can read.
 #[test]
-fn cuts_fault_before_the_character_that_exceeds_it() {
+fn truncates_fault_message_at_character_boundary() {
     let message = format!("{}é", "x".repeat(499));
     let mut reply = Reply::default();
     reply.push(InstanceId(3), &Action::Fault { message: &message });
@@ -268,11 +274,11 @@
 }
 
 #[test]
-fn limits_what_is_sent_to_its_fields() {
+fn clamps_values_to_field_widths() {
     let message = "x".repeat(501);
     let mut reply = Reply::default();
     reply
-        .actions_of(InstanceId(3))
+        .actions_for(InstanceId(3))
         .set_idle_limit(Duration::from_millis(u64::from(u32::MAX)));
     reply.push(InstanceId(3), &Action::Fault { message: &message });
     let idle_limit = bytes("0c 0300 ffffffff");
@@ -288,12 +294,16 @@
 
 #[test]
 fn accepts_settings_with_required_keys_only() {
-    let bare = r#"{"classes": [{"aim_us": 1, "hard_limit_us": 1, "importance": 0,
+    let minimal_settings = r#"{"classes": [{"aim_us": 1, "hard_limit_us": 1, "importance": 0,
         "effect": "non_idempotent"}],
         "family_info": {"n_cores": 1, "memory_kb": 1, "blowup": 1}, "permissions": {},
         "rules": {"tip_multiple": 1}, "servers": 0}"#;
-    assert!(settings::read(bare.as_bytes()).is_ok());
-    let replies = play(&[batch(1, &start_event(bare)), batch(1, &arrival_event())]).unwrap();
+    assert!(settings::read(minimal_settings.as_bytes()).is_ok());
+    let replies = process_frames(&[
+        batch(1, &start_event(minimal_settings)),
+        batch(1, &arrival_event()),
+    ])
+    .unwrap();
     assert!(
         replies[1].len() > 8,
         "a request without time left is answered"
@@ -318,7 +328,7 @@
 }
 
 #[test]
-fn exits_with_2_on_invalid_settings_and_with_1_on_malformed_input() {
+fn exits_with_status_2_on_invalid_settings_and_1_on_malformed_input() {
     let unknown_word = SETTINGS.replace("\"preemption\": \"freeze\"", "\"preemption\": \"melt\"");
     let cases = [
         (
@@ -347,7 +357,7 @@
 }
 
 #[test]
-fn events_have_the_codes_of_the_wire() {
+fn event_codes_match_wire_protocol() {
     let codes = [
         ("BEGIN", 1, EventCode::Start),
         ("QUERY", 2, EventCode::Arrival),
@@ -370,7 +380,7 @@
 }
 
 #[test]
-fn outcomes_have_the_codes_of_the_wire() {
+fn outcome_codes_match_wire_protocol() {
     let outcomes = [
         Outcome::Completed,
         Outcome::Failed,
