--- a/crates/idempotency-store/src/error.rs
+++ b/crates/idempotency-store/src/error.rs
@@ -1,38 +1,38 @@
-//! Errors of the store. Each displays as the one line that an operator is shown.
+//! Errors of the store. Each one is displayed to the operator as a single line.
 
 use crate::segment::FORMAT_VERSION;
 use std::io;
 use std::path::PathBuf;
 
-/// Why a directory of durable results cannot be opened or read.
+/// The reason why a directory of durable results cannot be opened or read.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// The directory or its lock file cannot be opened.
     #[error("{}: {source}", directory.display())]
     OpenDirectory {
-        /// The directory to be opened.
+        /// The directory that was to be opened.
         directory: PathBuf,
-        /// The cause.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The path exists and is not a directory.
+    /// The path exists but is not a directory.
     #[error("{}: is no folder", directory.display())]
     NotADirectory {
-        /// The path to be opened.
+        /// The path that was to be opened.
         directory: PathBuf,
     },
-    /// Another process has the lock of the directory.
+    /// Another process holds the lock of the directory.
     #[error("{}: another process has it", directory.display())]
     Locked {
-        /// The directory to be opened.
+        /// The directory that was to be opened.
         directory: PathBuf,
     },
-    /// The lock of the directory cannot be taken, though no other process has it.
+    /// The lock of the directory cannot be acquired, although no other process holds it.
     #[error("{}: cannot be locked: {source}", directory.display())]
     Lock {
-        /// The directory to be opened.
+        /// The directory that was to be opened.
         directory: PathBuf,
-        /// The cause.
+        /// The I/O error.
         source: io::Error,
     },
     /// The files of the storage cannot be listed.
@@ -43,10 +43,10 @@
     ReadSegment {
         /// File name of the segment.
         segment: String,
-        /// The cause.
+        /// The I/O error.
         source: io::Error,
     },
-    /// A segment was written in a format newer than this program's.
+    /// The format version of a segment is newer than this program supports.
     #[error("{segment}: is of version {version}; this program knows {FORMAT_VERSION}")]
     NewerVersion {
         /// File name of the segment.
@@ -54,18 +54,18 @@
         /// Format version of the segment.
         version: u16,
     },
-    /// A file has the name of a segment and other content.
+    /// A file has the name of a segment, but its content is not a segment.
     #[error("{segment}: is no segment of kept results")]
     ForeignFile {
-        /// File name of the segment.
+        /// Name of the file.
         segment: String,
     },
 }
 
-/// Why no intent can be recorded now.
+/// The reason why no intent can be recorded at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum IntentError {
-    /// The disk limit is reached by records that have not expired.
+    /// Records that have not expired use up the disk limit.
     #[error("the disk limit of durable results is reached")]
     DiskLimitReached,
     /// The last commit failed.
--- a/crates/idempotency-store/src/lib.rs
+++ b/crates/idempotency-store/src/lib.rs
@@ -1,29 +1,32 @@
-//! Durable results of requests with an idempotency key, across restarts of the server.
+//! Stores the results of requests with an idempotency key, so that they survive restarts of the
+//! server.
 //!
-//! An intent is durable before its run is sent, and a result is durable before its response leaves.
-//! A request whose intent was recorded by an earlier incarnation may have run, so it never runs
-//! again: its attempts are answered from the recorded result, or fail if there is none.
+//! The server writes an intent record before it starts a run, and a result record before it sends
+//! the response; each must be durable before the server proceeds. A request whose intent was
+//! recorded by an earlier incarnation may have run, so it never runs again: its attempts are
+//! answered from the recorded result, or fail if there is none.
 //!
-//! [`DurableResults`] decides which intents may be recorded, what an attempt is answered, and which
-//! records are committed next. It does no I/O. [`WriteAheadLog`](write_ahead_log::WriteAheadLog)
-//! commits batches of records to segment files of a [`Storage`](storage::Storage), removes expired
-//! segments, and recovers what earlier incarnations left.
+//! [`DurableResults`] decides whether an intent may be recorded, how an attempt is answered, and
+//! which records are committed next. It performs no I/O.
+//! [`WriteAheadLog`](write_ahead_log::WriteAheadLog) commits batches of records to segment files of
+//! a [`Storage`](storage::Storage), removes expired segments, and recovers the records of earlier
+//! incarnations.
 
-/// Why a store cannot be opened and why an intent is rejected.
+/// Errors of opening a store and of recording an intent.
 pub mod error;
 mod limits;
-/// One step of a request, as it is stored.
+/// The records of the log and their encoding.
 pub mod record;
-/// Reads what earlier incarnations left.
+/// Recovers the runs that earlier incarnations recorded.
 pub mod recovery;
-/// Layout of a segment file.
+/// Layout of segment files.
 pub mod segment;
 /// The storage trait and its implementations.
 pub mod storage;
 mod table;
-/// Reports the defects of stored segments.
+/// Checks the integrity of stored segments.
 pub mod verify;
-/// Commits records and removes expired ones.
+/// Commits records and removes expired segments.
 pub mod write_ahead_log;
 
 pub use error::{IntentError, StoreError};
--- a/crates/idempotency-store/src/limits.rs
+++ b/crates/idempotency-store/src/limits.rs
@@ -1,13 +1,16 @@
-//! The limits of durable results on disk and in memory.
+//! Accounting of the bytes that durable results use on disk and in memory, against their limits.
 //!
-//! This module owns the sums of bytes. It never measures the disk; it is given each change.
+//! The disk is never measured here; callers report every change.
 
-/// Part of the disk limit past which results are dropped, so that intents still fit.
+/// Fraction of the disk limit that results may fill. Results beyond it are dropped, so that
+/// intents still fit.
 const RESULTS_DISK_FRACTION: f64 = 0.75;
 
-/// Bytes of the log on disk, with those on their way to it, and their limit.
+/// Tracks the bytes of the log, both on disk and waiting to be committed, against the disk limit.
 pub(crate) struct DiskUsage {
+    /// Bytes of all segments on disk.
     stored_bytes: u64,
+    /// Bytes of records whose commit has not been reported yet.
     pending_bytes: u64,
     limit_bytes: u64,
 }
@@ -21,17 +24,17 @@
         }
     }
 
-    /// Bytes stored and pending.
+    /// Returns the stored and the pending bytes together.
     pub(crate) fn total_bytes(&self) -> u64 {
         self.stored_bytes + self.pending_bytes
     }
 
-    /// Whether this many more bytes stay within the limit.
+    /// Reports whether `bytes` more bytes fit within the limit.
     pub(crate) fn fits(&self, bytes: u64) -> bool {
         self.total_bytes() + bytes <= self.limit_bytes
     }
 
-    /// Whether a result stays within the part of the disk that results may use.
+    /// Reports whether `result` fits within the fraction of the disk limit that results may fill.
     pub(crate) fn fits_result(&self, result: &[u8]) -> bool {
         let limit_bytes = (self.limit_bytes as f64 * RESULTS_DISK_FRACTION) as u64;
         self.total_bytes() + result.len() as u64 <= limit_bytes
@@ -50,7 +53,7 @@
     }
 }
 
-/// Bytes of results in memory and their limit.
+/// Tracks the bytes of results held in memory against the memory limit.
 pub(crate) struct ResultMemory {
     used_bytes: usize,
     limit_bytes: usize,
@@ -64,7 +67,7 @@
         }
     }
 
-    /// Whether one more result stays within the limit.
+    /// Reports whether `result` fits within the limit in addition to the results held.
     pub(crate) fn fits(&self, result: &[u8]) -> bool {
         self.used_bytes + result.len() <= self.limit_bytes
     }
--- a/crates/idempotency-store/src/record.rs
+++ b/crates/idempotency-store/src/record.rs
@@ -1,4 +1,4 @@
-//! The records of the log and their encoding. All numbers are little-endian.
+//! The records of the log and their encoding.
 //!
 //! ```text
 //! record       length:u32 checksum:u32 | kind:u8 payload
@@ -8,26 +8,26 @@
 //! not run 4    key:16
 //! ```
 //!
-//! Length and checksum (CRC-32C) are those of kind and payload together. Times are in Unix
-//! microseconds. A result is stored as the run returned it.
-//!
-//! This module owns the encoding of one record. It does no I/O.
+//! The length and the checksum (CRC-32C) cover the kind and the payload. All numbers are
+//! little-endian, and times are in Unix microseconds. A result is stored exactly as the run
+//! returned it.
 
-/// Identifies an idempotent request; the same for all its attempts.
+/// Identifies an idempotent request. All attempts of the request share the key.
 pub type IdempotencyKey = u128;
 
 /// Identifies one attempt of a request.
 pub type AttemptId = [u8; 16];
 
-/// Bytes of a record before its kind: its length and its checksum.
+/// Size in bytes of the length and the checksum that precede the kind of a record.
 const FRAME_BYTES: usize = 8;
-/// Bytes of a kind and a key, which every record has.
+/// Size in bytes of the kind and the key, which every record has.
 const KIND_AND_KEY_BYTES: usize = 17;
-/// Bytes of an intent's payload after its key.
+/// Size in bytes of the fields of an intent after its key.
 const INTENT_FIELDS_BYTES: usize = 32;
-/// Upper bound on the kind and payload of a record, in bytes. It exceeds any result.
+/// Upper bound on the size of the kind and the payload of a record together, in bytes. It
+/// exceeds the size of any result.
 pub const MAX_BODY_BYTES: usize = 1 << 20;
-/// Encoded size in bytes of a record that has only a key.
+/// Encoded size in bytes of a record whose payload is only a key.
 pub const KEY_RECORD_BYTES: usize = FRAME_BYTES + KIND_AND_KEY_BYTES;
 /// Encoded size in bytes of an intent.
 pub const INTENT_BYTES: usize = KEY_RECORD_BYTES + INTENT_FIELDS_BYTES;
@@ -37,16 +37,16 @@
 const KIND_NO_RESULT: u8 = 3;
 const KIND_NOT_RUN: u8 = 4;
 
-/// One step of an idempotent request.
+/// One step in the life of an idempotent request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
-    /// A run is about to be sent.
+    /// A run of the request is about to be started.
     Intent {
         /// Key of the request.
         key: IdempotencyKey,
-        /// Hash of the handler and the body.
+        /// Hash of the handler and the body of the request.
         request_hash: u64,
-        /// End of the time in which the key may be repeated, in Unix microseconds.
+        /// End of the period in which a client may send the key again, in Unix microseconds.
         expires_at_micros: u64,
         /// The attempt that starts the run.
         attempt_id: AttemptId,
@@ -58,12 +58,12 @@
         /// The result as the run returned it.
         result: Box<[u8]>,
     },
-    /// The run ended and no result is available.
+    /// The run ended, but no result is available.
     NoResult {
         /// Key of the request.
         key: IdempotencyKey,
     },
-    /// The run of the intent did not start and will not.
+    /// The run announced by the intent did not start and never will.
     NotRun {
         /// Key of the request.
         key: IdempotencyKey,
@@ -75,35 +75,35 @@
 pub struct DecodedRecord {
     /// The record.
     pub record: Record,
-    /// Bytes from which it was decoded.
+    /// Number of bytes that the encoded record occupies.
     pub size_bytes: usize,
 }
 
-/// Why bytes do not begin with a complete record.
+/// The reason why a byte slice does not begin with a complete record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// The bytes end before the record does.
+    /// The bytes end within the record.
     #[error("the record is truncated")]
     Truncated,
-    /// The length is out of range.
+    /// The length field is out of range.
     #[error("the record has an invalid length of {length_bytes} bytes")]
     InvalidLength {
-        /// The length as stored.
+        /// The stored length.
         length_bytes: usize,
     },
     /// The checksum does not match the kind and the payload.
     #[error("the checksum of the record does not match")]
     ChecksumMismatch,
-    /// The kind is unknown or its payload has another length.
+    /// The kind is unknown, or the payload has the wrong length for it.
     #[error("the record of kind {kind} has an invalid payload")]
     InvalidPayload {
-        /// The kind as stored.
+        /// The stored kind.
         kind: u8,
     },
 }
 
 impl Record {
-    /// Key of the request that the record belongs to.
+    /// Returns the key of the request that the record belongs to.
     pub fn key(&self) -> IdempotencyKey {
         match self {
             Record::Intent { key, .. }
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Encoded size in bytes.
+    /// Returns the encoded size in bytes.
     pub fn size_bytes(&self) -> usize {
         match self {
             Record::Intent { .. } => INTENT_BYTES,
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Appends the encoded record to a buffer.
+    /// Appends the encoded record to `buffer`.
     pub fn encode(&self, buffer: &mut Vec<u8>) {
         let start = buffer.len();
         buffer.extend_from_slice(&[0; FRAME_BYTES]);
@@ -147,11 +147,11 @@
         frame[4..].copy_from_slice(&crc32c::crc32c(body).to_le_bytes());
     }
 
-    /// Decodes the record at the start of the bytes.
+    /// Decodes the record at the start of `bytes`. Bytes after the record are ignored.
     ///
     /// # Errors
     ///
-    /// A [`DecodeError`] if the bytes do not begin with a complete record.
+    /// Returns a [`DecodeError`] if `bytes` does not begin with a complete record.
     pub fn decode(bytes: &[u8]) -> Result<DecodedRecord, DecodeError> {
         let (length, rest) = bytes.split_first_chunk().ok_or(DecodeError::Truncated)?;
         let (checksum, rest) = rest.split_first_chunk().ok_or(DecodeError::Truncated)?;
@@ -179,7 +179,7 @@
     }
 }
 
-/// Decodes kind and payload, whose checksum matches.
+/// Decodes the kind and the payload of a record, after its checksum has been verified.
 fn decode_body(body: &[u8]) -> Result<Record, DecodeError> {
     let (kind, payload) = body.split_first().ok_or(DecodeError::Truncated)?;
     let (key, fields) = payload.split_first_chunk().ok_or(DecodeError::Truncated)?;
--- a/crates/idempotency-store/src/recovery.rs
+++ b/crates/idempotency-store/src/recovery.rs
@@ -1,6 +1,5 @@
-//! Recovery: what the segments of earlier incarnations say about each idempotent request.
-//!
-//! This module is given a storage, reads it and never changes it.
+//! Recovery: rebuilds the state of each idempotent request from the segments of earlier
+//! incarnations. The storage is only read, never changed.
 
 use crate::error::StoreError;
 use crate::record::{AttemptId, IdempotencyKey, Record};
@@ -9,61 +8,62 @@
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
 
-/// Last known state of a run of an earlier incarnation.
+/// The last recorded state of a run of an earlier incarnation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunState {
-    /// Its intent was recorded and nothing after it, so it may have run.
+    /// Only its intent was recorded, so it may have run.
     MayHaveRun,
-    /// It returned this result.
+    /// The run returned this result.
     Completed(Box<[u8]>),
-    /// It ended and no result is available.
+    /// The run ended, but no result is available.
     NoResult,
 }
 
 /// A run that an earlier incarnation recorded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecoveredRun {
-    /// Hash of the handler and the body.
+    /// Hash of the handler and the body of the request.
     pub request_hash: u64,
-    /// Until when the run must be remembered, in Unix microseconds.
+    /// Time until which the run must be remembered, in Unix microseconds.
     pub expires_at_micros: u64,
     /// The attempt that started the run.
     pub attempt_id: AttemptId,
-    /// Last known state.
+    /// The last recorded state of the run.
     pub state: RunState,
 }
 
-/// A segment that recovery read.
+/// Name and size of a segment that recovery read.
 #[derive(Debug)]
 pub(crate) struct SegmentFile {
     pub(crate) name: String,
     pub(crate) size_bytes: u64,
 }
 
-/// What earlier incarnations left.
+/// The runs that earlier incarnations recorded, with statistics of the segments read.
 #[derive(Debug, Default)]
 pub struct Recovery {
-    /// The runs that are not known to have never started.
+    /// The runs that started or may have started, by the key of their request.
     pub runs: HashMap<IdempotencyKey, RecoveredRun>,
-    /// Number of segments.
+    /// Number of segments read.
     pub segments: usize,
-    /// Bytes of all segments.
+    /// Total size of all segments, in bytes.
     pub size_bytes: u64,
-    /// Number of complete records.
+    /// Number of complete records in all segments.
     pub records: u64,
-    /// Number of segments that end in bytes that are no complete record.
+    /// Number of segments with a torn end: trailing bytes that are not a complete record.
     pub torn_segments: usize,
-    /// Bytes of all torn ends together.
+    /// Total size of all torn ends, in bytes.
     pub torn_bytes: u64,
-    /// The segments in ascending order of their numbers.
+    /// The segments in ascending order of their numbers, which is the order of writing.
     pub(crate) segment_files: Vec<SegmentFile>,
 }
 
-/// Reads all segments of a storage. Other files are skipped.
+/// Recovers the runs recorded in all segments of a storage. Files that do not have the name of a
+/// segment are skipped.
 ///
 /// # Errors
 ///
-/// [`StoreError::List`] or [`StoreError::ReadSegment`] if the storage fails,
+/// Returns [`StoreError::List`] or [`StoreError::ReadSegment`] if the storage fails, and
 /// [`StoreError::NewerVersion`] or [`StoreError::ForeignFile`] for a segment that this program
 /// cannot read.
 pub fn recover(storage: &impl Storage) -> Result<Recovery, StoreError> {
@@ -99,7 +99,7 @@
         Ok(())
     }
 
-    /// Replays all complete records of a segment and returns the torn bytes after them.
+    /// Replays all complete records of a segment and returns the number of torn bytes after them.
     fn replay_segment(&mut self, bytes: &[u8]) -> usize {
         let mut records = Records::of_segment(bytes);
         for record in records.by_ref() {
@@ -132,8 +132,9 @@
         }
     }
 
-    /// An intent that follows another one without an end between them belongs to the same run. An
-    /// intent after an end does not replace what is known of the run that ended.
+    /// Replays an intent. If the last record of the key is also an intent, both belong to the same
+    /// run, and the later expiration time applies. If the run has already ended, the intent is
+    /// ignored, so that the recorded state of that run is not lost.
     fn replay_intent(&mut self, key: IdempotencyKey, run: RecoveredRun) {
         match self.runs.entry(key) {
             Entry::Vacant(entry) => {
@@ -150,13 +151,14 @@
         }
     }
 
-    /// A result without an intent is ignored.
+    /// Sets the state of a run. A result without an intent is ignored.
     fn set_state(&mut self, key: IdempotencyKey, state: RunState) {
         if let Some(run) = self.runs.get_mut(&key) {
             run.state = state;
         }
     }
 
+    /// Forgets the run of an intent that never started. A run that has ended is not affected.
     fn replay_not_run(&mut self, key: IdempotencyKey) {
         if self
             .runs
--- a/crates/idempotency-store/src/segment.rs
+++ b/crates/idempotency-store/src/segment.rs
@@ -1,36 +1,36 @@
-//! The files of the log: their names, their headers and the records after the header.
+//! Segment files of the log: their names, their header and the records that follow it.
 //!
 //! ```text
 //! segment   "MBKEPT" version:u16 checksum:u32 | record*
 //! ```
 //!
 //! The checksum is the CRC-32C of the bytes before it. All numbers are little-endian.
-//!
-//! This module owns the layout of a segment. It is given bytes and does no I/O.
 
 use crate::record::Record;
 
-/// Format version that is written. Older versions are read, newer ones are rejected.
+/// Format version of new segments. Segments of older versions can be read; newer ones are rejected.
 pub const FORMAT_VERSION: u16 = 1;
-/// Bytes of a segment's header.
+/// Size of the header of a segment, in bytes.
 pub const HEADER_BYTES: usize = 12;
 
 const MAGIC: &[u8; 6] = b"MBKEPT";
-/// Bytes of the header that its checksum covers.
+/// Number of header bytes that the checksum covers.
 const HEADER_CHECKSUMMED_BYTES: usize = 8;
-/// Bytes of a damaged header that must match the magic for the file to count as a torn segment
-/// rather than a foreign file.
+/// Minimum number of bytes of a damaged header that must match the magic number for the file to be
+/// treated as a torn segment rather than a foreign file.
 const MIN_MATCHING_MAGIC_BYTES: usize = 3;
-/// Part of a stored file name, so it stays as it was first released.
+/// Prefix of the file names of segments. It must not change, because it is part of the names of
+/// files already stored.
 const FILE_NAME_PREFIX: &str = "kept-";
+/// Number of hexadecimal digits after the prefix.
 const FILE_NAME_DIGITS: usize = 16;
 
-/// Returns the file name of a segment. Names sort in the order of their numbers.
+/// Returns the file name of a segment. File names sort in the order of segment numbers.
 pub(crate) fn file_name(number: u64) -> String {
     format!("{FILE_NAME_PREFIX}{number:016x}")
 }
 
-/// Returns the number of a segment by its file name, or nothing if a file is no segment.
+/// Parses the segment number from a file name. Returns `None` if the name is not that of a segment.
 pub(crate) fn parse_file_name(name: &str) -> Option<u64> {
     let digits = name.strip_prefix(FILE_NAME_PREFIX)?;
     if digits.len() != FILE_NAME_DIGITS {
@@ -39,12 +39,13 @@
     u64::from_str_radix(digits, 16).ok()
 }
 
-/// Appends the header of a new segment to a buffer.
+/// Appends the header of a new segment to `buffer`.
 pub fn write_segment_header(buffer: &mut Vec<u8>) {
     write_segment_header_of_version(FORMAT_VERSION, buffer);
 }
 
-/// Appends the header of a segment of any version, all of which have the same layout.
+/// Appends the header of a segment of the given format version to `buffer`. The header has the same
+/// layout in all versions.
 pub fn write_segment_header_of_version(version: u16, buffer: &mut Vec<u8>) {
     let start = buffer.len();
     buffer.extend_from_slice(MAGIC);
@@ -53,22 +54,22 @@
     buffer.extend_from_slice(&checksum.to_le_bytes());
 }
 
-/// What the first bytes of a file say about it.
+/// Classification of a file by its header.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Header {
     /// A segment that this program can read.
     Valid,
-    /// A segment truncated or damaged within its header. The header is synced together with the
-    /// first records, so no record of such a segment was ever acknowledged.
+    /// A segment that is truncated or damaged within its header. The header is synced together with
+    /// the first records, so no record of such a segment was ever acknowledged.
     Torn,
-    /// A segment of a newer format version.
+    /// A segment of this newer format version.
     Newer(u16),
-    /// No segment.
+    /// Not a segment.
     Foreign,
 }
 
 impl Header {
-    /// Reads the header of a file from its bytes.
+    /// Classifies a file by its content.
     pub(crate) fn read(bytes: &[u8]) -> Header {
         match valid_header_version(bytes) {
             Some(version) if version > FORMAT_VERSION => Header::Newer(version),
@@ -79,7 +80,7 @@
     }
 }
 
-/// Returns the version of a header whose magic and checksum match.
+/// Returns the format version if the magic number and the checksum of the header match.
 fn valid_header_version(bytes: &[u8]) -> Option<u16> {
     let (checksummed, checksum) = bytes
         .get(..HEADER_BYTES)?
@@ -91,7 +92,9 @@
     Some(u16::from_le_bytes(version.try_into().ok()?))
 }
 
-/// A zero byte counts as a match, because a crash may leave zeros in place of unwritten bytes.
+/// Reports whether enough of the first bytes match the magic number for the file to be a damaged
+/// segment. A zero byte counts as a match, because a crash may leave zeros in place of unwritten
+/// bytes.
 fn resembles_magic(bytes: &[u8]) -> bool {
     let matching = bytes
         .iter()
@@ -100,21 +103,22 @@
     matching.count() >= MIN_MATCHING_MAGIC_BYTES.min(bytes.len())
 }
 
-/// Iterates over the complete records after a segment's header. It ends at the first bytes that are
-/// no complete record.
+/// Iterator over the records of a segment. It ends at the first bytes that are not a complete
+/// record.
 pub(crate) struct Records<'a> {
     remaining: &'a [u8],
 }
 
 impl<'a> Records<'a> {
-    /// Reads the records of a segment from all its bytes.
+    /// Creates an iterator over the records of a segment, given the content of the whole file.
     pub(crate) fn of_segment(bytes: &'a [u8]) -> Records<'a> {
         Records {
             remaining: bytes.get(HEADER_BYTES..).unwrap_or_default(),
         }
     }
 
-    /// Bytes that were not read as records. After the last record these are the torn bytes.
+    /// Returns the number of bytes that have not been decoded. Once the iterator has ended, this is
+    /// the size of the torn end.
     pub(crate) fn remaining_bytes(&self) -> usize {
         self.remaining.len()
     }
--- a/crates/idempotency-store/src/storage/directory.rs
+++ b/crates/idempotency-store/src/storage/directory.rs
@@ -7,16 +7,19 @@
 use std::io::{self, ErrorKind, Write};
 use std::path::{Path, PathBuf};
 
-/// File that carries the lock of the writing process. It is not listed.
+/// Name of the lock file, which the process that writes to the directory keeps locked. The file is
+/// not listed.
 const LOCK_FILE_NAME: &str = "lock";
 
-/// A directory of files. At most one process at a time has it open for writing.
+/// Storage in a directory. At most one process at a time can open it for writing.
 pub struct DirectoryStorage {
     directory: PathBuf,
+    /// Files that were appended to, by name.
     open_files: HashMap<String, File>,
-    /// A file was created since the directory was last synced, so its entry may not be durable.
+    /// Whether a file may have been created since the directory was last synced, so that its
+    /// directory entry may not be durable.
     has_unsynced_entries: bool,
-    /// Holds the lock until the storage is dropped; `None` when opened read-only.
+    /// Holds the lock until the storage is dropped. `None` if the directory was opened read-only.
     _lock: Option<File>,
 }
 
@@ -25,10 +28,10 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::OpenDirectory`] if the directory or its lock file cannot be opened,
-    /// [`StoreError::NotADirectory`] if the path is another kind of file, and
-    /// [`StoreError::Locked`] if another process has the lock, [`StoreError::Lock`] if it cannot be
-    /// taken for another reason.
+    /// Returns [`StoreError::OpenDirectory`] if the directory or its lock file cannot be opened,
+    /// [`StoreError::NotADirectory`] if the path is not a directory, [`StoreError::Locked`] if
+    /// another process holds the lock, and [`StoreError::Lock`] if the lock cannot be acquired for
+    /// another reason.
     pub fn open(directory: &Path) -> Result<DirectoryStorage, StoreError> {
         let open_error = |source| StoreError::OpenDirectory {
             directory: directory.into(),
@@ -50,8 +53,8 @@
         Ok(DirectoryStorage::with_lock(directory, Some(lock)))
     }
 
-    /// Opens a directory for reading only, without taking the lock. Another process may have it
-    /// open for writing. A missing directory is reported by the first method that reads it.
+    /// Opens a directory for reading only, without acquiring the lock. Another process may have it
+    /// open for writing. A missing directory is reported by the first method that reads from it.
     pub fn open_read_only(directory: &Path) -> DirectoryStorage {
         DirectoryStorage::with_lock(directory, None)
     }
@@ -66,7 +69,7 @@
     }
 }
 
-/// Why the lock of a directory was not taken.
+/// Returns the error for a lock that could not be acquired.
 fn lock_error(directory: &Path, error: TryLockError) -> StoreError {
     let directory = directory.into();
     match error {
--- a/crates/idempotency-store/src/storage/directory/tests.rs
+++ b/crates/idempotency-store/src/storage/directory/tests.rs
@@ -1,8 +1,9 @@
-//! What the operator is told where the lock is not taken.
+//! Errors shown to the operator if the directory cannot be locked.
 
 use super::*;
 
-/// A file system without locks must not send the operator looking for another process.
+/// On a file system without support for locks, the error must not say that another process has the
+/// directory, because there is no such process to look for.
 #[test]
 fn distinguishes_held_lock_from_failing_lock() {
     let directory = Path::new("/var/kept");
--- a/crates/idempotency-store/src/storage/memory.rs
+++ b/crates/idempotency-store/src/storage/memory.rs
@@ -1,22 +1,22 @@
-//! Storage in memory that simulates crashes, full disks and I/O failures, for tests.
+//! In-memory storage for tests that simulates crashes, full disks and I/O failures.
 
 use super::Storage;
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
 
-/// Changed bits of a corrupted byte.
+/// Bits that are flipped in a corrupted byte.
 const CORRUPTION_MASK: u8 = 0x55;
 
-/// What a crash does to the bytes of one file that were not synced.
+/// Effect of a crash on the unsynced bytes of one file.
 #[derive(Clone, Copy, Debug)]
 pub enum CrashEffect {
-    /// None of them is left. A file that was never synced is gone.
+    /// All unsynced bytes are lost. A file that was never synced no longer exists.
     Lost,
-    /// Only this many of them are left.
+    /// Only the first unsynced bytes, as many as given, remain.
     Truncated(usize),
-    /// The file has its full length, but all bytes from this one on are zero.
+    /// The file keeps its full length, but the unsynced bytes from this index on are zero.
     Zeroed(usize),
-    /// All of them are left, but this one is changed.
+    /// All unsynced bytes remain, but the one at this index is changed.
     Corrupted(usize),
 }
 
@@ -24,7 +24,7 @@
 struct MemoryFile {
     durable: Vec<u8>,
     unsynced: Vec<u8>,
-    /// The directory entry is durable.
+    /// Whether the directory entry of the file is durable.
     entry_is_durable: bool,
 }
 
@@ -33,7 +33,7 @@
         self.durable.len() + self.unsynced.len()
     }
 
-    /// Returns the bytes that are left after a crash.
+    /// Returns the content of the file after a crash.
     fn after_crash(&self, effect: CrashEffect) -> Vec<u8> {
         let mut bytes = self.durable.clone();
         let unsynced_prefix = |n: usize| &self.unsynced[..n.min(self.unsynced.len())];
@@ -55,34 +55,37 @@
     }
 }
 
-/// A directory in memory.
+/// An in-memory replacement for a directory of files.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryStorage {
     files: BTreeMap<String, MemoryFile>,
-    /// Writing operations left until all fail; `None` when none fails.
+    /// Number of writing operations that still succeed before all further ones fail. `None` if no
+    /// failure is injected.
     operations_until_failure: Option<usize>,
+    /// Upper bound on the size of all files together. `None` if there is none.
     capacity_bytes: Option<usize>,
     sync_count: u64,
 }
 
 impl MemoryStorage {
-    /// Lets this many writing operations succeed and fails all after them. `None` ends the failure.
+    /// Lets the given number of writing operations succeed and fails all later ones. `None` ends
+    /// the failure.
     pub fn fail_after(&mut self, operations: Option<usize>) {
         self.operations_until_failure = operations;
     }
 
-    /// Sets the bytes that all files may have together; `None` is no limit.
+    /// Sets the upper bound on the size of all files together. `None` removes the bound.
     pub fn set_capacity(&mut self, bytes: Option<usize>) {
         self.capacity_bytes = bytes;
     }
 
-    /// Number of syncs so far, without those that failed by injection.
+    /// Returns the number of syncs so far, without those that failed by injection.
     pub fn sync_count(&self) -> u64 {
         self.sync_count
     }
 
-    /// Returns the storage after a crash. `effect` is given the name and the unsynced bytes of each
-    /// file, in ascending order of names.
+    /// Returns the storage as it is after a crash. `effect` is called with the name and the
+    /// unsynced bytes of each file, in ascending order of names.
     #[must_use]
     pub fn after_crash(&self, mut effect: impl FnMut(&str, &[u8]) -> CrashEffect) -> MemoryStorage {
         let mut survivors = MemoryStorage::default();
@@ -102,13 +105,14 @@
         survivors
     }
 
-    /// Truncates the durable bytes of a file to a length in bytes, as a damaged disk would.
+    /// Truncates the durable content of a file to `length` bytes, as a damaged disk might.
     pub fn truncate(&mut self, name: &str, length: usize) {
         if let Some(file) = self.files.get_mut(name) {
             file.durable.truncate(length);
         }
     }
 
+    /// Counts a writing operation, or fails it if a failure is injected.
     fn begin_operation(&mut self) -> io::Result<()> {
         match &mut self.operations_until_failure {
             Some(0) => Err(io::Error::other("injected failure")),
@@ -141,7 +145,7 @@
         self.begin_operation()?;
         let free = self.free_bytes();
         let file = self.files.entry(name.into()).or_default();
-        // A full disk takes the bytes that fit before it reports the error.
+        // A full disk writes the bytes that still fit before it reports the error.
         file.unsynced
             .extend_from_slice(&bytes[..bytes.len().min(free)]);
         if bytes.len() > free {
--- a/crates/idempotency-store/src/table.rs
+++ b/crates/idempotency-store/src/table.rs
@@ -1,8 +1,9 @@
-//! The table of durable results: what an incarnation knows from earlier ones, and what it writes.
+//! The table of durable results: the runs recovered from earlier incarnations, and the records that
+//! the current incarnation has to write.
 //!
-//! [`DurableResults`] owns the runs recovered from earlier incarnations, the batch of records to be
-//! committed next, and the limits on disk and memory. It is given recovered state, events of the
-//! current incarnation and the outcome of each commit. It never does I/O and never reads a clock.
+//! [`DurableResults`] holds the recovered runs, the batch of records to be committed next, and the
+//! limits on disk and memory. The caller reports the events of the current incarnation and the
+//! outcome of each commit, and passes in the time. The table performs no I/O and reads no clock.
 
 use crate::error::IntentError;
 use crate::limits::{DiskUsage, ResultMemory};
@@ -13,57 +14,59 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-/// Numbers the records handed out to be committed, in order, from 1.
+/// Number of a record in the order in which records are committed, starting at 1.
 pub type SequenceNumber = u64;
 
-/// Disk bytes reserved for an intent: its record and the shortest record that ends its run.
+/// Disk space needed for an intent, in bytes: its own record and the shortest record that can end
+/// its run.
 const INTENT_RESERVATION_BYTES: u64 = (INTENT_BYTES + KEY_RECORD_BYTES) as u64;
-/// How long a recovered run is remembered after its window, for attempts that are read late.
+/// Time for which a recovered run is remembered after its expiration, for attempts that are read
+/// late.
 const LATE_ATTEMPT_GRACE: Duration = Duration::from_millis(10_000);
 
-/// What is known of an idempotent request from earlier incarnations.
+/// What earlier incarnations recorded about an idempotent request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Lookup {
-    /// Nothing; the request may run.
+    /// Nothing was recorded, so the request may run.
     NotFound,
-    /// Its run returned this result.
+    /// The run of the request returned this result.
     Completed(Box<[u8]>),
-    /// It ran, or may have run, and no result is available. It must not run again.
+    /// The request ran or may have run, and no result is available. It must not run again.
     NoResult,
     /// The key was used with another handler or body.
     Mismatch,
 }
 
-/// Sizes of the table.
+/// Size of the table in memory and on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Usage {
-    /// Number of requests known from earlier incarnations.
+    /// Number of requests recovered from earlier incarnations.
     pub recovered_runs: usize,
-    /// Bytes on disk and on their way to it.
+    /// Bytes on disk, including those of records whose commit has not been reported yet.
     pub disk_bytes: u64,
 }
 
-/// Events since the table was created.
+/// Counts of events since the table was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Lookups that returned a result.
+    /// Number of lookups that returned a result.
     pub results_returned: u64,
-    /// Lookups of a run without an available result.
+    /// Number of lookups of a run without an available result.
     pub results_unavailable: u64,
-    /// Recorded intents.
+    /// Number of intents that were recorded.
     pub intents_recorded: u64,
-    /// Intents that were rejected.
+    /// Number of intents that were rejected.
     pub intents_rejected: u64,
-    /// Failed commits.
+    /// Number of commits that failed.
     pub commit_failures: u64,
 }
 
-/// Records to be committed together.
+/// Records to be committed together (group commit).
 #[derive(Debug)]
 pub struct Batch {
     /// Sequence number of the last entry.
     pub last: SequenceNumber,
-    /// The entries in order.
+    /// The entries in the order of their sequence numbers.
     pub entries: Vec<LogEntry>,
 }
 
@@ -75,24 +78,27 @@
     state: RunState,
 }
 
-/// A result of a recovered run that is returned once its record is durable.
+/// The result of a recovered run whose record is not durable yet. Lookups return the result only
+/// once it is.
 struct PendingResult {
     sequence: SequenceNumber,
     key: IdempotencyKey,
     result: Box<[u8]>,
 }
 
-/// A batch that was taken, and of which no commit was reported yet.
+/// A batch that was taken by the caller and whose commit has not been reported yet.
 struct BatchInFlight {
     last: SequenceNumber,
     bytes: u64,
 }
 
-/// The durable results of one incarnation.
+/// The durable results as one incarnation of the server sees them.
 pub struct DurableResults {
     recovered: HashMap<IdempotencyKey, RecoveredEntry>,
-    /// The recovered runs whose result may still be reported, by the attempt that started them.
+    /// Keys of the recovered runs whose result may still be reported, by the attempt that started
+    /// the run.
     unresolved: HashMap<AttemptId, IdempotencyKey>,
+    /// Expiration times of the recovered runs, earliest first.
     expirations: BTreeSet<(Timestamp, IdempotencyKey)>,
     pending_results: VecDeque<PendingResult>,
     next_batch: Vec<LogEntry>,
@@ -100,13 +106,14 @@
     last_sequence: SequenceNumber,
     disk: DiskUsage,
     memory: ResultMemory,
+    /// Whether the last commit failed and the storage has not recovered since.
     storage_failed: bool,
     counters: Counters,
 }
 
 impl DurableResults {
-    /// Creates an empty table. `memory_limit_bytes` bounds the results of earlier incarnations in
-    /// memory, `disk_limit_bytes` all segments.
+    /// Creates an empty table. `memory_limit_bytes` bounds the results of earlier incarnations that
+    /// are held in memory, and `disk_limit_bytes` bounds the size of all segments.
     pub fn new(memory_limit_bytes: usize, disk_limit_bytes: u64) -> DurableResults {
         DurableResults {
             recovered: HashMap::new(),
@@ -123,8 +130,8 @@
         }
     }
 
-    /// Takes over the runs of earlier incarnations. Results that do not fit in memory are dropped,
-    /// those that expire first before the others; their requests have no result from then on.
+    /// Loads the runs of earlier incarnations, those that expire last first. A result that does not
+    /// fit in memory is dropped, and its request has no available result from then on.
     pub fn load_recovery(&mut self, recovery: Recovery) {
         self.disk.set_stored(recovery.size_bytes);
         let mut runs: Vec<_> = recovery.runs.into_iter().collect();
@@ -164,7 +171,7 @@
         );
     }
 
-    /// Sizes of the table.
+    /// Returns the size of the table in memory and on disk.
     pub fn usage(&self) -> Usage {
         Usage {
             recovered_runs: self.recovered.len(),
@@ -172,12 +179,12 @@
         }
     }
 
-    /// Events since the table was created.
+    /// Returns the counts of events since the table was created.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// Looks up what earlier incarnations recorded for a request.
+    /// Returns what earlier incarnations recorded about a request.
     pub fn lookup(&mut self, key: IdempotencyKey, request_hash: u64) -> Lookup {
         let Some(entry) = self.recovered.get(&key) else {
             return Lookup::NotFound;
@@ -197,12 +204,13 @@
         }
     }
 
-    /// Checks whether one more intent may be recorded, and counts a rejection.
+    /// Checks whether one more intent may be recorded. A rejection is counted.
     ///
     /// # Errors
     ///
-    /// [`IntentError::StorageUnavailable`] after a failed commit,
-    /// [`IntentError::DiskLimitReached`] if the intent and its end do not fit on the disk.
+    /// Returns [`IntentError::StorageUnavailable`] after a failed commit, and
+    /// [`IntentError::DiskLimitReached`] if the record of the intent and the record that ends its
+    /// run do not fit within the disk limit.
     pub fn admit_intent(&mut self) -> Result<(), IntentError> {
         let error = if self.storage_failed {
             IntentError::StorageUnavailable
@@ -215,8 +223,8 @@
         Err(error)
     }
 
-    /// Records the intent to run a request. The run may be sent once the returned number is
-    /// durable.
+    /// Records the intent to run a request and returns the sequence number of the record. The run
+    /// may be sent once the record is durable.
     pub fn record_intent(
         &mut self,
         key: IdempotencyKey,
@@ -235,8 +243,9 @@
         self.enqueue(record, expires_at)
     }
 
-    /// Records that a run ended. Its response may be sent once the returned number is durable. The
-    /// result is dropped if it does not fit in the part of the disk that results may use.
+    /// Records that a run ended and returns the sequence number of the record. The response may be
+    /// sent once the record is durable. The result is dropped if it does not fit within the
+    /// fraction of the disk limit that results may fill.
     pub fn record_result(
         &mut self,
         key: IdempotencyKey,
@@ -254,13 +263,14 @@
     }
 
     /// Records that the run of an intent was never sent or never started, so that a later attempt
-    /// may run.
+    /// may run. Returns the sequence number of the record.
     pub fn record_not_run(&mut self, key: IdempotencyKey, expires_at: Timestamp) -> SequenceNumber {
         self.enqueue(Record::NotRun { key }, expires_at)
     }
 
-    /// Takes the result of a run of an earlier incarnation, which is returned by lookups once it is
-    /// durable. Returns false if no such run is unresolved.
+    /// Records the end of a run of an earlier incarnation. Lookups return its result once the
+    /// record is durable. Returns false if the attempt did not start a run that still awaits its
+    /// result.
     pub fn complete_recovered_run(
         &mut self,
         attempt_id: &AttemptId,
@@ -274,7 +284,8 @@
         };
         entry.state = RunState::NoResult;
         let expires_at = entry.expires_at;
-        // What the record can't hold is no answer either: after the next restart it would be gone.
+        // A result that is not recorded is not used as an answer either, because it would be lost
+        // at the next restart.
         let result = result.filter(|r| self.memory.fits(r) && self.disk.fits_result(r));
         let sequence = self.record_result(key, result, expires_at);
         if let Some(result) = result {
@@ -288,7 +299,7 @@
         true
     }
 
-    /// Takes all records that are to be committed next.
+    /// Takes all records that are to be committed next. Returns `None` if there are none.
     pub fn take_batch(&mut self) -> Option<Batch> {
         if self.next_batch.is_empty() {
             return None;
@@ -301,7 +312,8 @@
         Some(Batch { last, entries })
     }
 
-    /// All records up to a sequence number are durable; the segments have `disk_bytes` now.
+    /// Handles a successful commit: all records up to `sequence` are durable, and the segments now
+    /// have a total size of `disk_bytes`.
     pub fn on_committed(&mut self, sequence: SequenceNumber, disk_bytes: u64) {
         self.disk.set_stored(disk_bytes);
         self.release_batches(sequence);
@@ -314,7 +326,8 @@
         }
     }
 
-    /// The commit of all records up to a sequence number failed; none of them counts as durable.
+    /// Handles a failed commit: the records up to `sequence` that were not committed before do not
+    /// count as durable.
     pub fn on_commit_failed(&mut self, sequence: SequenceNumber) {
         self.storage_failed = true;
         self.release_batches(sequence);
@@ -324,13 +337,14 @@
         }
     }
 
-    /// The storage can be written again; the segments have `disk_bytes` now.
+    /// Handles the recovery of the storage: it can be written again, and the segments now have a
+    /// total size of `disk_bytes`.
     pub fn on_storage_recovered(&mut self, disk_bytes: u64) {
         self.storage_failed = false;
         self.disk.set_stored(disk_bytes);
     }
 
-    /// Removes the runs of earlier incarnations that have expired.
+    /// Removes the recovered runs that have expired at `now`.
     pub fn expire(&mut self, now: Timestamp) {
         while let Some(&(expires_at, key)) = self.expirations.first()
             && expires_at <= now
@@ -346,6 +360,7 @@
         }
     }
 
+    /// Adds a record to the next batch and returns its sequence number.
     fn enqueue(&mut self, record: Record, expires_at: Timestamp) -> SequenceNumber {
         self.disk.add_pending(record.size_bytes() as u64);
         let expires_at_micros = unix_micros(expires_at);
@@ -357,7 +372,7 @@
         self.last_sequence
     }
 
-    /// The bytes of the batches up to a sequence number are no longer on their way to the disk.
+    /// Stops counting the bytes of the batches up to a sequence number as pending.
     fn release_batches(&mut self, up_to: SequenceNumber) {
         while let Some(batch) = self
             .batches_in_flight
@@ -367,13 +382,14 @@
         }
     }
 
+    /// Removes and returns the first pending result whose record is at most `up_to`.
     fn pop_pending_result(&mut self, up_to: SequenceNumber) -> Option<PendingResult> {
         self.pending_results
             .pop_front_if(|pending| pending.sequence <= up_to)
     }
 }
 
-/// A time as it is stored, in Unix microseconds.
+/// Converts a timestamp to Unix microseconds, the representation of times in records.
 fn unix_micros(timestamp: Timestamp) -> u64 {
     (timestamp - Timestamp::from_micros(0)).as_micros()
 }
--- a/crates/idempotency-store/src/verify.rs
+++ b/crates/idempotency-store/src/verify.rs
@@ -1,12 +1,10 @@
-//! Integrity check of stored segments for the operator.
-//!
-//! This module is given a storage, reads it and never changes it.
+//! Integrity check of stored segments for operators. The storage is only read, never changed.
 
 use crate::error::StoreError;
 use crate::segment::{self, HEADER_BYTES, Header, Records};
 use crate::storage::{self, Storage};
 
-/// A defect of one file. It displays as the one line that an operator is shown.
+/// A defect of one file. It is displayed to the operator as a single line.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Defect {
     /// The file does not have the name of a segment.
@@ -15,16 +13,16 @@
         /// Name of the file.
         file: String,
     },
-    /// The segment ends in bytes that are no complete record.
+    /// The segment ends with bytes that are not a complete record.
     #[error("{segment}: after {records} whole records {bytes} bytes from {offset} on are none")]
     TornEnd {
         /// File name of the segment.
         segment: String,
         /// Number of complete records before the torn end.
         records: usize,
-        /// Bytes of the torn end.
+        /// Size of the torn end in bytes.
         bytes: usize,
-        /// Where the torn end begins, in bytes from the start of the file.
+        /// Offset of the torn end from the start of the file, in bytes.
         offset: usize,
     },
     /// The segment is truncated or damaged within its header.
@@ -33,7 +31,7 @@
         /// File name of the segment.
         segment: String,
     },
-    /// The segment was written in a format newer than this program's.
+    /// The format version of the segment is newer than this program supports.
     #[error("{segment}: is of the newer version {version}")]
     NewerVersion {
         /// File name of the segment.
@@ -41,19 +39,19 @@
         /// Format version of the segment.
         version: u16,
     },
-    /// The file has the name of a segment and other content.
+    /// The file has the name of a segment, but its content is not a segment.
     #[error("{segment}: is no segment of kept results")]
     ForeignFile {
-        /// File name of the segment.
+        /// Name of the file.
         segment: String,
     },
 }
 
-/// Returns the defects of all files in ascending order of their names.
+/// Checks all files of a storage and returns their defects in ascending order of file names.
 ///
 /// # Errors
 ///
-/// [`StoreError::List`] or [`StoreError::ReadSegment`] if the storage fails.
+/// Returns [`StoreError::List`] or [`StoreError::ReadSegment`] if the storage fails.
 pub fn verify(storage: &impl Storage) -> Result<Vec<Defect>, StoreError> {
     let mut defects = vec![];
     for name in storage.list().map_err(StoreError::List)? {
--- a/crates/idempotency-store/src/write_ahead_log.rs
+++ b/crates/idempotency-store/src/write_ahead_log.rs
@@ -1,9 +1,9 @@
-//! The write-ahead log: segments written one after the other, each removed as a unit once all its
+//! The write-ahead log: a sequence of segments, each of which is removed as a whole once all its
 //! records have expired.
 //!
-//! This module owns the storage and decides when a segment is closed and when it is removed. It is
-//! given the entries of each commit and the current time. It never appends to a segment of an
-//! earlier incarnation, so a torn end is always at the end of a segment, and never reads a clock.
+//! The log decides when a segment is closed and when it is removed. It never appends to a segment
+//! of an earlier incarnation, so incomplete records occur only at the end of a segment. It reads no
+//! clock; the caller passes in the current time.
 
 use crate::error::StoreError;
 use crate::record::Record;
@@ -13,52 +13,54 @@
 use std::collections::VecDeque;
 use std::io;
 
-/// A segment is closed at this part of the disk limit, so that expired records leave the disk soon.
+/// Number of segments that fill the disk limit: a segment is closed once it reaches 1/16 of the
+/// limit, so that expired records are removed from the disk soon.
 const SEGMENTS_PER_DISK_LIMIT: u64 = 16;
-/// A segment is closed at this part of the retention, for the same reason.
+/// Number of segments per retention period: a segment is closed once it is half a retention period
+/// old, so that expired records are removed from the disk soon.
 const SEGMENTS_PER_RETENTION: u64 = 2;
-/// Lower bound on the size at which a segment is closed, in bytes.
+/// Lower bound on the size in bytes at which a segment is closed.
 const MIN_SEGMENT_SIZE_BYTES: u64 = 4 << 10;
-/// Lower bound on the age at which a segment is closed, in microseconds.
+/// Lower bound on the age in microseconds at which a segment is closed.
 const MIN_SEGMENT_AGE_MICROS: u64 = 1;
 
-/// A record to be written and how long it must be stored.
+/// A record to be written, and the time until which it must be stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogEntry {
     /// The record.
     pub record: Record,
-    /// Until when the record must be stored, in Unix microseconds.
+    /// Time until which the record must be stored, in Unix microseconds.
     pub expires_at_micros: u64,
 }
 
-/// Limits of a log.
+/// Size and retention limits of a log.
 #[derive(Clone, Copy, Debug)]
 pub struct LogLimits {
-    /// Upper bound on the bytes of all segments. The log only derives the size of its segments from
-    /// it; [`DurableResults`](crate::DurableResults) enforces it.
+    /// Upper bound on the total size of all segments, in bytes. The log only derives the size of
+    /// its segments from it; [`DurableResults`](crate::DurableResults) enforces it.
     pub disk_bytes: u64,
-    /// Longest time in which a key may be repeated, in microseconds.
+    /// Longest period in which a client may send a key again, in microseconds.
     pub retention_micros: u64,
 }
 
 struct Segment {
     name: String,
     size_bytes: u64,
-    /// When all its records have expired, in Unix microseconds.
+    /// Time at which all records of the segment have expired, in Unix microseconds.
     expires_at_micros: u64,
 }
 
-/// The segment that is written to.
+/// The segment to which records are appended.
 struct ActiveSegment {
     segment: Segment,
-    /// When it is closed at the latest, in Unix microseconds.
+    /// Time at which the segment is closed even if it is not full, in Unix microseconds.
     close_at_micros: u64,
 }
 
-/// A write-ahead log on a storage.
+/// A write-ahead log in the files of a storage.
 pub struct WriteAheadLog<S: Storage> {
     storage: S,
-    /// Oldest first.
+    /// Segments that are no longer appended to, oldest first.
     closed: VecDeque<Segment>,
     active: Option<ActiveSegment>,
     next_segment_number: u64,
@@ -67,14 +69,15 @@
 }
 
 impl<S: Storage> WriteAheadLog<S> {
-    /// Opens the log of earlier incarnations and returns it with what they left.
+    /// Opens the log of earlier incarnations and returns it with the runs they recorded.
     ///
-    /// No stored time is trusted, because clocks step between incarnations: every recovered run
-    /// expires one full retention after `now_micros`, in Unix microseconds.
+    /// Stored expiration times are not trusted, because the clock may be stepped between
+    /// incarnations. Instead, every recovered run expires one full retention period after
+    /// `now_micros`, which is in Unix microseconds.
     ///
     /// # Errors
     ///
-    /// The errors of [`recover`].
+    /// Returns the errors of [`recover`].
     pub fn open(
         storage: S,
         now_micros: u64,
@@ -102,7 +105,7 @@
         Ok((log, recovery))
     }
 
-    /// Bytes of all segments.
+    /// Returns the total size of all segments, in bytes.
     pub fn size_bytes(&self) -> u64 {
         let closed: u64 = self.closed.iter().map(|segment| segment.size_bytes).sum();
         closed
@@ -112,13 +115,13 @@
                 .map_or(0, |active| active.segment.size_bytes)
     }
 
-    /// Appends entries and syncs them with one sync (group commit). `now_micros` is in Unix
-    /// microseconds.
+    /// Appends entries to the log and makes them durable with a single sync (group commit).
+    /// `now_micros` is in Unix microseconds.
     ///
     /// # Errors
     ///
-    /// The I/O error of the storage. It is then unknown which of the entries are durable, and the
-    /// next commit begins a new segment.
+    /// Returns the I/O error of the storage. It is then unknown which of the entries are durable,
+    /// and the next commit begins a new segment.
     pub fn commit(&mut self, now_micros: u64, entries: &[LogEntry]) -> io::Result<()> {
         self.close_full_or_old_segment(now_micros);
         let mut bytes = vec![];
@@ -136,14 +139,16 @@
         if committed.is_ok() {
             self.active = Some(active);
         } else {
-            // Some of its records may be durable, so the segment has to expire like the others.
+            // Some records of the failed commit may be durable, so the segment stays until they
+            // have expired, like any other closed segment.
             self.closed.push_back(active.segment);
         }
         committed
     }
 
-    /// Removes the segments whose records have all expired, oldest first. `now_micros` is in Unix
-    /// microseconds. A segment that cannot be removed stays and is retried by the next call.
+    /// Removes segments whose records have all expired, oldest first, up to the first segment with
+    /// a record that has not. `now_micros` is in Unix microseconds. If a segment cannot be removed,
+    /// it stays, and the next call tries again.
     pub fn remove_expired_segments(&mut self, now_micros: u64) {
         while let Some(segment) = self.closed.front()
             && segment.expires_at_micros < now_micros
@@ -157,17 +162,18 @@
         }
     }
 
-    /// The storage of the log.
+    /// Returns the storage of the log.
     pub fn storage(&self) -> &S {
         &self.storage
     }
 
-    /// The storage of the log, to inject failures in tests.
+    /// Returns the storage of the log for writing, so that tests can inject failures.
     pub fn storage_mut(&mut self) -> &mut S {
         &mut self.storage
     }
 
-    /// A segment is also closed if the clock has stepped back to before its beginning.
+    /// Closes the active segment if it has reached its size or age limit, or if the clock has been
+    /// stepped back to before the segment was begun.
     fn close_full_or_old_segment(&mut self, now_micros: u64) {
         let size_limit = self.segment_size_limit_bytes;
         let age_limit = self.segment_age_limit_micros;
@@ -181,7 +187,7 @@
         }
     }
 
-    /// Begins a segment whose header is appended to the buffer.
+    /// Begins a segment and appends its header to `buffer`.
     fn begin_segment(&mut self, now_micros: u64, buffer: &mut Vec<u8>) -> ActiveSegment {
         let name = segment::file_name(self.next_segment_number);
         self.next_segment_number += 1;
@@ -212,6 +218,7 @@
     }
 }
 
+/// Returns the number of the segment that follows the last one, or 0 if there is none.
 fn next_number(last: Option<&SegmentFile>) -> u64 {
     let number = last.and_then(|file| segment::parse_file_name(&file.name));
     number.map_or(0, |number| number + 1)
--- a/crates/idempotency-store/tests/store/commit_failures.rs
+++ b/crates/idempotency-store/tests/store/commit_failures.rs
@@ -1,4 +1,4 @@
-//! Commits on a full or failing storage.
+//! Tests of commits to a storage that is full or fails.
 
 use crate::support::{RETENTION_MICROS, completed, intent, log_with, open};
 use madderbay_idempotency_store::storage::{CrashEffect, Storage};
--- a/crates/idempotency-store/tests/store/crash_recovery.rs
+++ b/crates/idempotency-store/tests/store/crash_recovery.rs
@@ -1,5 +1,5 @@
-//! Recovery after crashes: segments truncated and corrupted at every byte, and unsynced bytes lost,
-//! partly written, zeroed or corrupted.
+//! Tests of recovery after crashes: segments are truncated or corrupted at every byte, and unsynced
+//! bytes are lost, partly written, zeroed or corrupted.
 
 use crate::support::{
     ExpectedRuns, RETENTION_MICROS, completed, entry, intent, log_with, open, storage_with_file,
@@ -9,7 +9,7 @@
 use madderbay_idempotency_store::storage::{CrashEffect, MemoryStorage, Storage};
 use madderbay_idempotency_store::write_ahead_log::LogEntry;
 
-/// A log of one segment, and what must be recovered from each of its prefixes.
+/// A log with a single segment, and the runs that must be recovered from each prefix of it.
 struct SingleSegmentLog {
     storage: MemoryStorage,
     name: String,
@@ -17,7 +17,9 @@
     prefixes: Vec<Prefix>,
 }
 
+/// A prefix of a segment that ends with a complete record or with the header.
 struct Prefix {
+    /// Length of the prefix.
     end_bytes: usize,
     expected: ExpectedRuns,
 }
@@ -50,7 +52,7 @@
         }
     }
 
-    /// What must be recovered if only the bytes before this one are intact.
+    /// Returns the runs that must be recovered if only the first `intact_bytes` bytes are intact.
     fn expected_for_intact_bytes(&self, intact_bytes: usize) -> &ExpectedRuns {
         let complete = |prefix: &&Prefix| prefix.end_bytes <= intact_bytes;
         &self
@@ -95,7 +97,8 @@
             "truncated to {length} bytes"
         );
 
-        // The next incarnation continues, and the one after it recovers the records of both.
+        // The next incarnation writes another record, and the one after it recovers the records of
+        // both.
         let mut log = open(truncated, 3).0;
         let added = intent(1_000, RETENTION_MICROS);
         log.commit(4, std::slice::from_ref(&added))
@@ -123,7 +126,7 @@
     }
 }
 
-/// A log with records that are synced and records that are only appended.
+/// A log with synced records, followed by two records that are appended but not synced.
 struct PartlySyncedLog {
     storage: MemoryStorage,
     unsynced_bytes: usize,
@@ -188,7 +191,7 @@
             "truncated to {n} bytes"
         );
 
-        // Zeros in place of the rest are no records. Where the rest was zeros, nothing is lost.
+        // Zeros are not decoded as records. Nothing is lost if the zeroed bytes were zeros before.
         let zeroed = log.runs_recovered_after(CrashEffect::Zeroed(n));
         let possible = [&log.synced, &log.with_first, &log.with_both];
         assert!(possible.contains(&&zeroed), "zeroed from byte {n}");
--- a/crates/idempotency-store/tests/store/directory_storage.rs
+++ b/crates/idempotency-store/tests/store/directory_storage.rs
@@ -1,4 +1,4 @@
-//! The log on the file system.
+//! Tests of the log on the file system.
 
 use crate::support::{LIMITS, RETENTION_MICROS, completed, intent};
 use madderbay_idempotency_store::StoreError;
@@ -8,7 +8,7 @@
 use madderbay_idempotency_store::write_ahead_log::WriteAheadLog;
 use std::path::{Path, PathBuf};
 
-/// A directory that does not exist yet and is removed at the end.
+/// Path of a temporary directory. The test creates the directory, which is removed on drop.
 struct TemporaryDirectory(PathBuf);
 
 impl TemporaryDirectory {
@@ -27,7 +27,7 @@
 fn open_error(directory: &Path) -> StoreError {
     DirectoryStorage::open(directory)
         .map(|_| ())
-        .expect_err("is rejected")
+        .expect_err("opening the directory must fail")
 }
 
 #[test]
@@ -68,7 +68,7 @@
         let error = open_error(&directory.0).to_string();
         assert!(error.ends_with("another process has it"), "{error}");
     }
-    let storage = DirectoryStorage::open(&directory.0).expect("opened again");
+    let storage = DirectoryStorage::open(&directory.0).expect("reopened");
     assert_eq!(verify(&storage).expect("read"), []);
     let (mut log, recovery) = WriteAheadLog::open(storage, 3, LIMITS).expect("read");
     assert_eq!(
--- a/crates/idempotency-store/tests/store/durable_results.rs
+++ b/crates/idempotency-store/tests/store/durable_results.rs
@@ -1,4 +1,5 @@
-//! The table: what is admitted, what attempts are answered, and what waits for a commit.
+//! Tests of the table: which intents are admitted, how attempts are answered, and which results
+//! wait for a commit.
 
 use crate::support::{LIMITS, RETENTION_MICROS, completed, entry, intent, log_with};
 use madderbay::time::{Duration, Timestamp};
@@ -9,10 +10,10 @@
 const DISK_LIMIT_BYTES: u64 = 10_000;
 const MEMORY_LIMIT_BYTES: usize = 10;
 const ATTEMPT: &[u8; 16] = &[b'a'; 16];
-/// The hash that [`intent`] gives to a key.
+/// The request hash that [`intent`] uses for key 1.
 const HASH_OF_KEY_1: u64 = 8;
 
-/// Returns the table after a restart, with these entries in the log.
+/// Returns a table that has recovered these log entries after a restart.
 fn table_after_restart(entries: &[LogEntry]) -> DurableResults {
     let storage = log_with(entries).storage().clone();
     let (_, recovery) = WriteAheadLog::open(storage, 3, LIMITS).expect("read");
@@ -21,6 +22,7 @@
     results
 }
 
+/// Takes the next batch and reports it as committed.
 fn commit_next_batch(results: &mut DurableResults) {
     let batch = results.take_batch().expect("records to commit");
     results.on_committed(batch.last, 0);
@@ -170,7 +172,8 @@
     assert_eq!((batch.last, batch.entries.len()), (3, 1));
 }
 
-/// A result that its record can't hold for want of disk is not answered from memory either.
+/// If the disk limit does not allow a result to be recorded, lookups must not return it from memory
+/// either: it would be lost at the next restart.
 #[test]
 fn returns_no_result_that_did_not_fit_on_disk() {
     let storage = log_with(&[intent(1, RETENTION_MICROS)]).storage().clone();
@@ -178,14 +181,14 @@
     let mut results = DurableResults::new(MEMORY_LIMIT_BYTES, 10);
     results.load_recovery(recovery);
     assert!(results.complete_recovered_run(ATTEMPT, Some(b"result")));
-    let batch = results.take_batch().expect("the end of the run");
+    let batch = results.take_batch().expect("record of the end of the run");
     assert_eq!(batch.entries[0].record, Record::NoResult { key: 1 });
     results.on_committed(batch.last, 0);
     assert_eq!(results.lookup(1, HASH_OF_KEY_1), Lookup::NoResult);
 }
 
-/// Bytes that are on their way to the disk count against its limit until their commit is reported, whatever becomes of
-/// other batches.
+/// The bytes of a batch count against the disk limit until its own commit is reported, regardless
+/// of the outcome of other batches.
 #[test]
 fn counts_batches_in_flight_against_disk_limit() {
     let mut results = DurableResults::new(MEMORY_LIMIT_BYTES, DISK_LIMIT_BYTES);
--- a/crates/idempotency-store/tests/store/foreign_files.rs
+++ b/crates/idempotency-store/tests/store/foreign_files.rs
@@ -1,4 +1,4 @@
-//! Files of newer versions and of other programs.
+//! Tests with segments of a newer format version and with files of other programs.
 
 use crate::support::{LIMITS, open, storage_with_file};
 use madderbay_idempotency_store::segment::write_segment_header_of_version;
@@ -7,10 +7,13 @@
 
 const SEGMENT: &str = "kept-0000000000000000";
 
-/// Returns the line that an operator is shown.
+/// Opens a log with one segment of this content, and returns the error message for the operator.
 fn open_error(bytes: &[u8]) -> String {
     let opened = WriteAheadLog::open(storage_with_file(SEGMENT, bytes), 1, LIMITS);
-    opened.map(|_| ()).expect_err("is rejected").to_string()
+    opened
+        .map(|_| ())
+        .expect_err("opening the log must fail")
+        .to_string()
 }
 
 fn defects(name: &str, bytes: &[u8]) -> Vec<String> {
--- a/crates/idempotency-store/tests/store/main.rs
+++ b/crates/idempotency-store/tests/store/main.rs
@@ -1,4 +1,5 @@
-//! Tests of the store as a whole, on a storage that crashes and on the file system.
+//! Integration tests of the store, on an in-memory storage with simulated crashes and on the file
+//! system.
 
 mod commit_failures;
 mod crash_recovery;
--- a/crates/idempotency-store/tests/store/record_codec.rs
+++ b/crates/idempotency-store/tests/store/record_codec.rs
@@ -1,4 +1,4 @@
-//! The encoding of single records.
+//! Tests of the encoding of single records.
 
 use madderbay_idempotency_store::record::{
     DecodeError, INTENT_BYTES, KEY_RECORD_BYTES, MAX_BODY_BYTES, Record,
--- a/crates/idempotency-store/tests/store/restart_histories.rs
+++ b/crates/idempotency-store/tests/store/restart_histories.rs
@@ -1,4 +1,5 @@
-//! Random histories of commits, failures and crashes against a reference model.
+//! Property test: compares random histories of commits, storage failures and crashes with a
+//! reference model.
 
 use crate::support::{ExpectedRuns, RETENTION_MICROS, Runs, completed, entry, intent, open};
 use madderbay_idempotency_store::record::{IdempotencyKey, Record};
@@ -50,11 +51,11 @@
 #[derive(Clone, Debug)]
 enum Event {
     Commit(Vec<Write>),
-    /// The storage fails after this many operations.
+    /// The storage fails after this many more writing operations.
     FailAfter(u8),
-    /// A restart after a crash with this effect on unsynced bytes.
+    /// The process crashes with this effect on unsynced bytes, and is restarted.
     Crash(CrashEffect),
-    /// This many microseconds pass.
+    /// The clock advances by this many microseconds.
     AdvanceClock(u32),
 }
 
@@ -78,19 +79,19 @@
     ]
 }
 
-/// What was acknowledged for a key.
+/// The state of a key that successful commits have acknowledged.
 #[derive(Default)]
 struct Acknowledged {
     expected: ExpectedRuns,
     expires_at: u64,
 }
 
-/// A log and the reference model of what it must recover.
+/// A log, and a reference model of the runs that it must recover.
 struct History {
     log: WriteAheadLog<MemoryStorage>,
     now: u64,
     acknowledged: HashMap<IdempotencyKey, Acknowledged>,
-    /// For each key with a failed commit, the records since then.
+    /// For each key with a failed commit, the records written in that commit and since.
     unacknowledged: HashMap<IdempotencyKey, Vec<Record>>,
 }
 
@@ -153,8 +154,8 @@
 }
 
 impl Acknowledged {
-    /// A state within its retention is as acknowledged. Records that were not acknowledged may
-    /// have been applied, each of them or not.
+    /// Checks the recovered state of a key that has not expired. It must be the acknowledged state
+    /// with any subset of the unacknowledged records applied.
     fn check(
         &self,
         key: IdempotencyKey,
@@ -167,7 +168,7 @@
             let possible = self.possible_states(key, &records);
             prop_assert!(
                 now >= self.expires_at || possible.contains(&recovered),
-                "{:?} is none of {:?}",
+                "recovered {:?}, expected one of {:?}",
                 recovered,
                 possible
             );
@@ -177,6 +178,8 @@
         Ok(())
     }
 
+    /// Returns the states that result from each subset of the unacknowledged records. With more
+    /// than ten records, only subsets of the first ten are tried.
     fn possible_states(
         &self,
         key: IdempotencyKey,
@@ -195,7 +198,7 @@
         possible
     }
 
-    /// The recovered state is expected from now on.
+    /// Makes the recovered state the acknowledged one from now on.
     fn reset_to_recovered(&mut self, key: IdempotencyKey, runs: &Runs, now: u64) {
         self.expected.0.clear();
         self.expected
@@ -205,7 +208,7 @@
     }
 }
 
-/// The same cases in each run.
+/// Returns a configuration with a fixed seed, so that every run tests the same cases.
 fn fixed_seed_config(cases: u32) -> ProptestConfig {
     let rng_seed = proptest::test_runner::RngSeed::Fixed(7);
     ProptestConfig {
--- a/crates/idempotency-store/tests/store/segment_expiry.rs
+++ b/crates/idempotency-store/tests/store/segment_expiry.rs
@@ -1,4 +1,4 @@
-//! When segments are removed.
+//! Tests of the removal of expired segments.
 
 use crate::support::{RETENTION_MICROS, completed, intent, open};
 use madderbay_idempotency_store::record::IdempotencyKey;
@@ -26,12 +26,15 @@
             let runs = recover(log.storage()).expect("read").runs;
             for k in n.saturating_sub(RETENTION_MICROS / COMMIT_INTERVAL_MICROS - 1)..=n {
                 let key = IdempotencyKey::from(k);
-                assert!(runs.contains_key(&key), "{k} has not expired at {n}");
+                assert!(
+                    runs.contains_key(&key),
+                    "run {k} must still be stored at commit {n}"
+                );
             }
         }
     }
-    // A retention has 150 pairs. At most one more retention of pairs waits for its segment to
-    // expire.
+    // 150 pairs of records are committed within one retention period. At most as many again have
+    // expired but wait for the rest of their segment to expire.
     let pair_bytes =
         (intent(0, 0).record.size_bytes() + completed(0, "result", 0).record.size_bytes()) as u64;
     assert!(max_bytes < 320 * pair_bytes, "{max_bytes} bytes");
--- a/crates/idempotency-store/tests/store/stored_data.rs
+++ b/crates/idempotency-store/tests/store/stored_data.rs
@@ -1,8 +1,9 @@
-//! Directories that were written by the first release of the format must read the same for ever.
+//! Compatibility with stored data: directories written by the first release of the format must
+//! always be read in the same way.
 //!
-//! `data/complete` has two segments with each kind of record. `data/torn` has a segment that ends
-//! within a record, one that ends in zeros and one that ends within its header. The lines that
-//! `kept verify` printed for each are beside them.
+//! `data/complete` has two segments with records of each kind. `data/torn` has a segment that ends
+//! within a record, one that ends in zeros and one that ends within its header. The output of
+//! `kept verify` for each directory is stored next to it.
 
 use crate::support::{LIMITS, Runs, completed, entry};
 use madderbay_idempotency_store::record::{AttemptId, IdempotencyKey, Record};
@@ -22,13 +23,13 @@
 const NON_UTF8_RESULT: &[u8] = &[0x22, 0x00, 0xff, 0xfe, 0x0a, 0x5c, 0x22];
 const UTF8_RESULT: &str = "{\"line\": \"gr\u{fc}\u{df}e\"}";
 
-/// Opens stored data without writing to it, not even a lock file.
+/// Opens a stored directory read-only, so that not even a lock file is created in it.
 fn stored(name: &str) -> DirectoryStorage {
     let data = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data");
     DirectoryStorage::open_read_only(&data.join(name))
 }
 
-/// The attempt IDs in the data are 16 hexadecimal digits.
+/// Returns an attempt ID in the form used in the stored data: 16 hexadecimal digits.
 fn attempt_id(number: u64) -> AttemptId {
     let digits = format!("{number:016x}");
     digits.as_bytes().try_into().expect("16 digits")
@@ -112,13 +113,13 @@
     assert_eq!(lines("torn"), include_str!("../data/torn.verify.stdout"));
 }
 
-/// Entries of one commit and when it was made.
+/// The entries of one commit, and the time of the commit.
 struct Commit {
     at_micros: u64,
     entries: Vec<LogEntry>,
 }
 
-/// The commits of the first segment of `data/complete`.
+/// Returns the commits that wrote the first segment of `data/complete`.
 fn first_segment_commits() -> [Commit; 3] {
     let at_micros = START_MICROS + 1_000;
     let expires_at = at_micros + RETENTION_MICROS;
@@ -154,7 +155,8 @@
     ]
 }
 
-/// The commits of the second segment of `data/complete`, past the age limit of the first.
+/// Returns the commits that wrote the second segment of `data/complete`. They were made after the
+/// first segment had reached its age limit.
 fn second_segment_commits() -> [Commit; 2] {
     let at_micros = START_MICROS + 16_000_000;
     let expires_at = at_micros + RETENTION_MICROS;
--- a/crates/idempotency-store/tests/store/support.rs
+++ b/crates/idempotency-store/tests/store/support.rs
@@ -1,4 +1,4 @@
-//! Steps and the reference model that the tests share.
+//! Helper functions and the reference model shared by the tests.
 
 use madderbay_idempotency_store::record::{IdempotencyKey, Record};
 use madderbay_idempotency_store::recovery::{RecoveredRun, RunState};
@@ -14,7 +14,7 @@
 
 pub(crate) type Runs = HashMap<IdempotencyKey, RecoveredRun>;
 
-/// Opens a log on a storage, which must always succeed.
+/// Opens a log on a storage and returns it with the recovered runs. Panics if recovery fails.
 pub(crate) fn open(
     storage: MemoryStorage,
     now_micros: u64,
@@ -24,7 +24,7 @@
     (log, recovery.runs)
 }
 
-/// Opens an empty log with these entries committed at 2 µs.
+/// Opens an empty log at 1 µs and commits these entries at 2 µs.
 pub(crate) fn log_with(entries: &[LogEntry]) -> WriteAheadLog<MemoryStorage> {
     let (mut log, _) = open(MemoryStorage::default(), 1);
     log.commit(2, entries).expect("committed");
@@ -58,7 +58,7 @@
     )
 }
 
-/// Returns a storage with one durable file.
+/// Returns a storage that contains a single durable file.
 pub(crate) fn storage_with_file(name: &str, bytes: &[u8]) -> MemoryStorage {
     let mut storage = MemoryStorage::default();
     storage.append(name, bytes).expect("appended");
@@ -66,7 +66,7 @@
     storage
 }
 
-/// Reference model: the states that recovery must find after the records applied so far.
+/// Reference model: the run states that recovery must return after the records applied so far.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct ExpectedRuns(pub(crate) HashMap<IdempotencyKey, RunState>);
 
