--- a/crates/idempotency-store/src/recovery.rs
+++ b/crates/idempotency-store/src/recovery.rs
@@ -133,8 +133,9 @@
     }
 
     /// Replays an intent. If the last record of the key is also an intent, both belong to the same
-    /// run, and the later expiration time applies. If the run has already ended, the intent is
-    /// ignored, so that the recorded state of that run is not lost.
+    /// run: the new intent replaces the earlier one, except that the later expiration time applies.
+    /// If the run has already ended, the intent is ignored, so that the recorded state of that run
+    /// is not lost.
     fn replay_intent(&mut self, key: IdempotencyKey, run: RecoveredRun) {
         match self.runs.entry(key) {
             Entry::Vacant(entry) => {
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Forgets the run of an intent that never started. A run that has ended is not affected.
+    /// Removes the run of an intent that never started. A run that has ended is not affected.
     fn replay_not_run(&mut self, key: IdempotencyKey) {
         if self
             .runs
--- a/crates/idempotency-store/src/table.rs
+++ b/crates/idempotency-store/src/table.rs
@@ -382,7 +382,8 @@
         }
     }
 
-    /// Removes and returns the first pending result whose record is at most `up_to`.
+    /// Removes and returns the first pending result if the sequence number of its record is at most
+    /// `up_to`.
     fn pop_pending_result(&mut self, up_to: SequenceNumber) -> Option<PendingResult> {
         self.pending_results
             .pop_front_if(|pending| pending.sequence <= up_to)
--- a/crates/simulator-adapter/src/codec.rs
+++ b/crates/simulator-adapter/src/codec.rs
@@ -1,11 +1,12 @@
-//! The codec of the simulator's wire: frames and records, bytes in and bytes out.
+//! Codec of the simulator's wire protocol: decodes batches of events and encodes replies.
 //!
 //! A batch of events arrives as a [`BatchHeader`] followed by records. Each record is a
 //! [`RecordHeader`] followed by the fields of one [`Event`]. A [`Reply`] collects the records of
-//! [`Action`]s and gives the frame that answers the batch. All numbers are little-endian, without
-//! padding between fields.
+//! [`Action`]s and encodes the frame that answers the batch. All numbers are little-endian, and
+//! there is no padding between fields.
 //!
-//! The codec owns every code and layout of the wire. It performs no I/O and knows no instance.
+//! All codes and layouts of the protocol are defined here. The codec performs no I/O and keeps no
+//! state of instances.
 
 mod action;
 mod event;
--- a/crates/simulator-adapter/src/codec/action.rs
+++ b/crates/simulator-adapter/src/codec/action.rs
@@ -1,16 +1,18 @@
-//! The records of actions. The name that the wire's description gives to each stands beside it.
+//! Records of actions. The doc comment of each action gives its name in the protocol specification.
 
 use madderbay::time::Duration;
 
-/// Longest text of a [`Action::Fault`], in bytes. A longer one is cut before the character that exceeds it.
+/// Maximum length of the message of an [`Action::Fault`], in bytes. A longer message is truncated
+/// before the first character that does not fit.
 const MAX_FAULT_MESSAGE_BYTES: usize = 500;
-/// Health checks are answered from the stored state and do no work.
+/// Second field of `MARK_HEALTH`: health checks are answered from the stored state, without any
+/// work.
 const HEALTH_FROM_STORED_STATE: u8 = 1;
-/// Token of an instance's timer. An instance has one timer, so the token distinguishes nothing.
+/// Token of the timer of an instance. An instance has only one timer, so the token is constant.
 const TIMER_TOKEN: u64 = 0;
 
-/// One action of an instance. [`Actions`](madderbay::interface::Actions) describes what each
-/// does. Durations are sent as 32 bits of microseconds; a longer one is cut to the maximum.
+/// One action of an instance. [`Actions`](madderbay::interface::Actions) describes what each does.
+/// Durations are sent as microseconds in 32 bits; a longer duration is clamped to the maximum.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action<'a> {
     /// `TAKE`
@@ -22,9 +24,9 @@
     Reject {
         /// The request.
         request_id: u64,
-        /// Time for which the client is advised to stay away.
+        /// Time for which the client is advised not to retry (Retry-After).
         retry_after: Duration,
-        /// Whether the client is asked not to retry elsewhere.
+        /// Whether the client is asked not to retry on another server either.
         is_final: bool,
     },
     /// `SURRENDER`
@@ -68,17 +70,17 @@
     },
     /// `MARK_HEALTH`
     SetHealth {
-        /// What health checks are answered.
+        /// Whether health checks are answered as healthy.
         healthy: bool,
     },
     /// `ADVERTISE`
     SetLoadReport {
-        /// The load report; sent with 32 bits.
+        /// The load report, sent as a 32-bit floating-point number.
         value: f64,
     },
     /// `IDLE_LIMIT`
     SetIdleLimit {
-        /// Idle time after which connections are closed.
+        /// Time after which idle connections are closed.
         limit: Duration,
     },
     /// `SET_TIMER`
@@ -86,15 +88,15 @@
         /// Time until the timer fires.
         after: Duration,
     },
-    /// `FAULT`: the decision module panicked; the simulated day ends.
+    /// `FAULT`: the decision module panicked. The simulation ends.
     Fault {
-        /// Why; sent up to 500 bytes.
+        /// The panic message. At most its first 500 bytes are sent.
         message: &'a str,
     },
 }
 
 impl Action<'_> {
-    /// The code of the action's record.
+    /// Returns the code that identifies the action in its record.
     pub(super) fn code(&self) -> u8 {
         match self {
             Action::Start { .. } => 1,
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Appends the fields that follow the record's code and instance.
+    /// Appends the fields of the record that follow its code and instance.
     pub(super) fn encode_fields(&self, out: &mut Vec<u8>) {
         match *self {
             Action::Start { request_id }
--- a/crates/simulator-adapter/src/codec/event.rs
+++ b/crates/simulator-adapter/src/codec/event.rs
@@ -1,4 +1,5 @@
-//! The records of events. The name that the wire's description gives to each stands beside it.
+//! Records of events. The doc comment of each event code gives its name in the protocol
+//! specification.
 
 use super::field_reader::FieldReader;
 use crate::error::AdapterError;
@@ -6,12 +7,12 @@
 use madderbay::interface::{Arrival, HandlerId, Outcome, TenantId};
 use madderbay::time::Duration;
 
-/// Bit of a request's flags: the estimate of its work is valid.
+/// Bit in the flags of a request: the work hint, an estimate of its work, is valid.
 const FLAG_WORK_HINT: u8 = 1;
-/// Bit of a request's flags: the client marked it as a retry or hedge.
+/// Bit in the flags of a request: the client marked the request as a retry or a hedge.
 const FLAG_RETRY: u8 = 2;
 
-/// The kind of an event; the first byte of its record.
+/// The kind of an event. It is the first byte of the event's record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventCode {
     /// `BEGIN`
@@ -35,7 +36,7 @@
 }
 
 impl EventCode {
-    /// Every kind.
+    /// All kinds of events.
     const ALL: [EventCode; 9] = [
         EventCode::Start,
         EventCode::Arrival,
@@ -60,12 +61,12 @@
     }
 }
 
-/// What each record begins with.
+/// The fields that every record begins with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordHeader {
     /// The kind of the event.
     pub code: EventCode,
-    /// The instance that the event concerns.
+    /// The instance to which the event belongs.
     pub instance: InstanceId,
 }
 
@@ -74,7 +75,7 @@
     ///
     /// # Errors
     ///
-    /// [`AdapterError::TruncatedRecord`] or [`AdapterError::UnknownEventCode`].
+    /// Returns [`AdapterError::TruncatedRecord`] or [`AdapterError::UnknownEventCode`].
     pub fn decode(fields: &mut FieldReader) -> Result<RecordHeader, AdapterError> {
         let code = fields.read_u8()?;
         let instance = InstanceId(fields.read_u16()?);
@@ -88,20 +89,20 @@
 /// One event of an instance.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
-    /// The instance starts; a former one of its number is replaced.
+    /// The instance starts. It replaces a running instance with the same number.
     Start {
-        /// Seed of the instance's random numbers.
+        /// Seed of the instance's random number generator.
         seed: u64,
         /// The instance's settings, as JSON.
         settings: &'a [u8],
     },
-    /// A request was read.
+    /// A request arrived.
     Arrival(Arrival),
     /// A run ended.
     RunEnded(ResultRecord),
-    /// A run waits for a decision on its upstream call.
+    /// A run waits for the decision whether it may make its upstream call.
     CallNeeded {
-        /// The request that runs.
+        /// The request whose run needs the call.
         request_id: u64,
     },
     /// An upstream call ended.
@@ -111,17 +112,17 @@
         /// Time until the process is stopped.
         remaining: Duration,
     },
-    /// No client waits for the request any longer.
+    /// No client waits for the answer to the request any longer.
     ClientGone {
         /// The request.
         request_id: u64,
     },
     /// The instance's timer fired.
     Tick {
-        /// The instance's gauges, in the order of the settings.
+        /// The values of the instance's gauges, in the order in which the settings list them.
         gauges: Vec<f64>,
     },
-    /// The instance's process died.
+    /// The process of the instance was killed.
     Kill,
 }
 
@@ -130,7 +131,7 @@
     ///
     /// # Errors
     ///
-    /// [`AdapterError::TruncatedRecord`], [`AdapterError::NumberNotFinite`] or
+    /// Returns [`AdapterError::TruncatedRecord`], [`AdapterError::NumberNotFinite`] or
     /// [`AdapterError::UnknownOutcome`].
     pub fn decode(
         code: EventCode,
@@ -163,7 +164,7 @@
     }
 
     fn decode_tick(fields: &mut FieldReader<'a>) -> Result<Event<'a>, AdapterError> {
-        // An instance has one timer, so the timer's token is not needed.
+        // An instance has only one timer, so the token of the timer is not needed.
         let _token = fields.read_u64()?;
         let gauge_count = fields.read_u8()?;
         let gauges = (0..gauge_count)
@@ -172,7 +173,7 @@
         Ok(Event::Tick { gauges })
     }
 
-    /// A request as it was read. Whether handler and tenant exist is not checked yet.
+    /// Decodes a request. Whether its handler and its tenant exist is not checked here.
     fn decode_arrival(fields: &mut FieldReader<'a>) -> Result<Event<'a>, AdapterError> {
         let id = fields.read_u64()?;
         let handler = HandlerId::new(fields.read_u16()?.into());
@@ -203,12 +204,12 @@
     }
 }
 
-/// How a run or an upstream call ended.
+/// Record of the end of a run or an upstream call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResultRecord {
-    /// The request that ran or called.
+    /// The request that the run or call belongs to.
     pub request_id: u64,
-    /// How it ended.
+    /// How the run or call ended.
     pub outcome: Outcome,
     /// Time since the action that started the run or the call.
     pub elapsed: Duration,
--- a/crates/simulator-adapter/src/codec/frame.rs
+++ b/crates/simulator-adapter/src/codec/frame.rs
@@ -1,16 +1,16 @@
-//! The frame of a batch: a header of fixed length, then the records.
+//! The frame of a batch: a header of fixed length, followed by the records.
 
 use super::field_reader::FieldReader;
 use crate::error::AdapterError;
 use madderbay::time::Timestamp;
 
-/// Length of the count of records, in bytes. The length in a frame's header includes it.
+/// Size of the record count in bytes. The length field in the header of a frame includes it.
 pub(super) const RECORD_COUNT_BYTES: u32 = 4;
 
-/// The header of a batch.
+/// Header of a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BatchHeader {
-    /// When all events of the batch occur.
+    /// Time at which all events of the batch occur.
     pub clock: Timestamp,
     /// Length of the records, in bytes.
     pub body_length: u32,
@@ -26,8 +26,8 @@
     ///
     /// # Errors
     ///
-    /// [`AdapterError::TruncatedRecord`] where `bytes` is shorter than a header, and
-    /// [`AdapterError::LengthTooShort`] where the length leaves out the count of records.
+    /// Returns [`AdapterError::TruncatedRecord`] if `bytes` is shorter than a header, and
+    /// [`AdapterError::LengthTooShort`] if the length field does not cover the record count.
     pub fn decode(bytes: &[u8]) -> Result<BatchHeader, AdapterError> {
         let mut fields = FieldReader::new(bytes);
         let clock = Timestamp::from_micros(fields.read_u64()?);
@@ -44,7 +44,7 @@
     }
 }
 
-/// A batch as it arrived. Its records are not decoded yet.
+/// A batch with a decoded header and records that are still encoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch {
     /// The header.
--- a/crates/simulator-adapter/src/codec/reply.rs
+++ b/crates/simulator-adapter/src/codec/reply.rs
@@ -1,4 +1,4 @@
-//! The reply to a batch: the records of actions, framed.
+//! The reply to a batch: a frame with the records of actions.
 
 use super::action::Action;
 use super::frame::RECORD_COUNT_BYTES;
@@ -6,10 +6,10 @@
 use madderbay::interface::Actions;
 use madderbay::time::Duration;
 
-/// Length of a reply's header, in bytes.
+/// Size of the header of a reply, in bytes.
 const HEADER_BYTES: usize = 8;
 
-/// Collects the actions that answer one batch.
+/// Collects the actions that are the answer to one batch.
 #[derive(Default)]
 pub struct Reply {
     record_count: u32,
@@ -25,7 +25,7 @@
         action.encode_fields(&mut self.body);
     }
 
-    /// The sink for the decisions of one instance.
+    /// Returns a sink that appends the actions of one instance to the reply.
     pub fn actions_for(&mut self, instance: InstanceId) -> InstanceActions<'_> {
         InstanceActions {
             instance,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Gives the frame with all actions since the last one, and starts an empty reply.
+    /// Encodes all actions collected since the last frame as a frame, and clears the reply.
     pub fn take_frame(&mut self) -> Vec<u8> {
         let length = self.body.len() as u32 + RECORD_COUNT_BYTES;
         let mut frame = Vec::with_capacity(HEADER_BYTES + self.body.len());
@@ -45,7 +45,7 @@
     }
 }
 
-/// Writes the decisions of one instance into a [`Reply`].
+/// Appends the actions of one instance to a [`Reply`].
 pub struct InstanceActions<'a> {
     instance: InstanceId,
     reply: &'a mut Reply,
@@ -66,7 +66,8 @@
         self.push(&Action::Cancel { request_id });
     }
 
-    /// The wire has no word for it: whatever the simulator still reports of the request is passed over.
+    /// Sends nothing, because the protocol has no such action. Any event that the simulator still
+    /// sends for the request is ignored.
     fn abandon(&mut self, _request_id: u64) {}
 
     fn reject(&mut self, request_id: u64, retry_after: Duration, is_final: bool) {
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -5,7 +5,7 @@
 use std::io;
 use thiserror::Error;
 
-/// Why the adapter stops. The text is the one line that an operator sees.
+/// The reason why the adapter stops. It is displayed to the operator as a single line.
 #[derive(Debug, Error)]
 pub enum AdapterError {
     /// The input could not be read.
@@ -22,10 +22,10 @@
         /// Length of a batch header, in bytes.
         expected: usize,
     },
-    /// The length in a batch header does not cover the header's own last field.
+    /// The length in a batch header does not cover the last field of the header, the record count.
     #[error("frame: length {length} has no room for the count of records")]
     LengthTooShort {
-        /// The length as it was sent, in bytes.
+        /// The length that was sent, in bytes.
         length: u32,
     },
     /// The input ends within the records of a batch.
@@ -36,7 +36,7 @@
         /// Length of the records according to the header, in bytes.
         expected: u64,
     },
-    /// A batch is longer than its records.
+    /// The body of a batch has bytes after its last record.
     #[error("frame: {bytes} bytes left after {records} records")]
     TrailingBytes {
         /// Bytes after the last record.
@@ -47,18 +47,18 @@
     /// One record of a batch is invalid.
     #[error("record {number} of {count}: {cause}")]
     Record {
-        /// Position of the record in its batch; the first is 1.
+        /// Position of the record in its batch, starting at 1.
         number: u32,
         /// Number of records in the batch.
         count: u32,
-        /// What is invalid.
+        /// The error in the record.
         #[source]
         cause: Box<AdapterError>,
     },
     /// A record ends within a field.
     #[error("record cut short at byte {position}: {needed} wanted, {available} left")]
     TruncatedRecord {
-        /// Where the field begins, in bytes from the first record of the batch.
+        /// Offset of the start of the field from the first record of the batch, in bytes.
         position: usize,
         /// Length of the field, in bytes.
         needed: usize,
@@ -68,66 +68,66 @@
     /// A floating-point field is infinite or not a number.
     #[error("number before byte {position} is not finite")]
     NumberNotFinite {
-        /// Where the field ends, in bytes from the first record of the batch.
+        /// Offset of the end of the field from the first record of the batch, in bytes.
         position: usize,
     },
-    /// The code of a record is that of no event.
+    /// A record has an unknown event code.
     #[error("event code {code} is unknown")]
     UnknownEventCode {
-        /// The code as it was sent.
+        /// The code that was sent.
         code: u8,
     },
-    /// The outcome of a run or call is none of those defined.
+    /// The outcome code of a run or call is not defined.
     #[error("outcome {code} is unknown")]
     UnknownOutcome {
-        /// The outcome as it was sent.
+        /// The code of the outcome that was sent.
         code: u8,
     },
-    /// An event names an instance that is not running.
+    /// An event refers to an instance that is not running.
     #[error("instance {instance} was never begun")]
     UnknownInstance {
-        /// The instance that the event names.
+        /// The instance that the event refers to.
         instance: InstanceId,
     },
-    /// A request names a handler that the settings do not define.
+    /// A request refers to a handler that the settings do not define.
     #[error("request {request_id}: class {} of {handlers} classes", handler.index())]
     UnknownHandler {
         /// The request.
         request_id: u64,
-        /// Index of the handler as it was sent.
+        /// Index of the handler that was sent.
         handler: HandlerId,
         /// Number of handlers in the settings.
         handlers: usize,
     },
-    /// A request names a tenant that the settings do not define.
+    /// A request refers to a tenant that the settings do not define.
     #[error("request {request_id}: tenant {} of {tenants} tenants", tenant.index())]
     UnknownTenant {
         /// The request.
         request_id: u64,
-        /// Index of the tenant as it was sent.
+        /// Index of the tenant that was sent.
         tenant: TenantId,
         /// Number of tenants in the settings.
         tenants: usize,
     },
-    /// A request claims a negative amount of memory.
+    /// The memory size of a request is negative.
     #[error("request {request_id}: held_kb is under 0")]
     NegativeMemory {
         /// The request.
         request_id: u64,
     },
-    /// A request arrives under the identifier of one that has not ended.
+    /// A request arrives with the identifier of another one that has not ended.
     #[error("request {request_id}: read a second time")]
     DuplicateRequest {
         /// The request.
         request_id: u64,
     },
-    /// The settings of an instance are unknown or contradict themselves.
+    /// The settings of an instance cannot be read, or have unknown or contradictory values.
     #[error(transparent)]
     Settings(#[from] madderbay_settings::SettingsError),
 }
 
 impl AdapterError {
-    /// Whether the cause lies in an instance's settings and not on the wire.
+    /// Reports whether the settings of an instance caused the error, rather than malformed input.
     pub fn is_settings_error(&self) -> bool {
         match self {
             AdapterError::Settings(_) => true,
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,7 +1,7 @@
-//! The host of the instances: plays events on their decision modules and collects the actions.
+//! The host of the simulated instances: passes events to their decision modules and collects the
+//! resulting actions.
 //!
-//! The host owns every instance. It is given decoded frames and performs no I/O. It never lets one
-//! instance see another.
+//! The host holds all instances and keeps them independent of each other. It performs no I/O.
 
 mod instance;
 
@@ -16,7 +16,7 @@
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// All instances of one process.
+/// All instances that are simulated by this process.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<InstanceId, Instance>,
@@ -24,12 +24,12 @@
 }
 
 impl Host {
-    /// Plays one batch and gives the frame that answers it.
+    /// Processes one batch and returns the frame that answers it.
     ///
     /// # Errors
     ///
-    /// [`AdapterError::Record`] for the first record that is invalid, and
-    /// [`AdapterError::TrailingBytes`] for bytes after the last one.
+    /// Returns [`AdapterError::Record`] for the first invalid record, and
+    /// [`AdapterError::TrailingBytes`] if bytes are left after the last record.
     pub fn process_batch(&mut self, batch: &Batch) -> Result<Vec<u8>, AdapterError> {
         let now = batch.header.clock;
         let count = batch.header.record_count;
@@ -57,8 +57,9 @@
         Ok(self.reply.take_frame())
     }
 
-    /// Plays one record. `instances_to_settle` lists the running instances with an event in the batch, in the
-    /// order of their first one.
+    /// Decodes and processes one record. `instances_to_settle` collects the running instances that
+    /// have an event in the batch, in the order of their first event. A killed instance is removed
+    /// from it.
     fn process_record(
         &mut self,
         now: Timestamp,
@@ -67,7 +68,8 @@
     ) -> Result<(), AdapterError> {
         let RecordHeader { code, instance } = RecordHeader::decode(fields)?;
         if code == EventCode::Arrival {
-            // An unknown instance is reported before any defect in the request's fields.
+            // If the instance is unknown, that error is reported rather than one of the request's
+            // fields.
             self.instance(instance)?;
         }
         self.process_event(now, instance, Event::decode(code, fields)?)?;
@@ -79,6 +81,7 @@
         Ok(())
     }
 
+    /// Passes one event to the instance to which it belongs.
     fn process_event(
         &mut self,
         now: Timestamp,
@@ -120,6 +123,7 @@
         }
     }
 
+    /// Creates an instance with these settings. It replaces a running one with the same number.
     fn start(
         &mut self,
         now: Timestamp,
@@ -133,6 +137,7 @@
         self.call_instance(instance, |state, actions| state.decider.on_start(actions))
     }
 
+    /// Removes an instance whose process was killed.
     fn kill(&mut self, instance: InstanceId) -> Result<(), AdapterError> {
         match self.instances.remove(&instance) {
             Some(_) => Ok(()),
@@ -140,13 +145,15 @@
         }
     }
 
+    /// Returns a running instance, or an error if there is none with this number.
     fn instance(&self, instance: InstanceId) -> Result<&Instance, AdapterError> {
         self.instances
             .get(&instance)
             .ok_or(AdapterError::UnknownInstance { instance })
     }
 
-    /// Lets an instance decide. A panic of the decision module becomes a `FAULT` on the wire.
+    /// Runs `step` on an instance and collects the resulting actions. A panic of the decision
+    /// module is sent to the simulator as a `FAULT`.
     fn call_instance(
         &mut self,
         instance: InstanceId,
@@ -166,6 +173,7 @@
     }
 }
 
+/// Returns the message of a panic, or a general one if the panic has no text.
 fn panic_message(panic: &(dyn Any + Send)) -> &str {
     if let Some(text) = panic.downcast_ref::<String>() {
         text
--- a/crates/simulator-adapter/src/host/instance.rs
+++ b/crates/simulator-adapter/src/host/instance.rs
@@ -1,4 +1,4 @@
-//! One simulated server: its decision module, and what of its settings the adapter needs.
+//! One simulated server: its decision module and the settings that the adapter itself needs.
 
 use crate::error::AdapterError;
 use madderbay::decide::Decider;
@@ -6,15 +6,18 @@
 use madderbay::time::{Duration, Timestamp};
 use madderbay_settings::Settings;
 
-/// Name, in the settings, of the gauge that the decision module reads.
+/// Name in the settings of the only gauge that the decision module uses.
 const RUN_QUEUE_GAUGE: &str = "on_cores";
 
 /// One incarnation of a simulated server.
 pub(super) struct Instance {
     pub(super) decider: Decider,
+    /// Number of handlers in the settings.
     handlers: usize,
+    /// Number of tenants in the settings.
     tenants: usize,
     requests_carry_timeout: bool,
+    /// Index of the run queue gauge among the gauges of the settings, if they list it.
     run_queue_gauge: Option<usize>,
 }
 
@@ -29,7 +32,8 @@
         }
     }
 
-    /// Checks a request. Its timeout counts only where the settings say that requests carry one.
+    /// Checks a request and returns it. Its timeout is replaced by zero unless the settings say
+    /// that requests carry one.
     pub(super) fn validate(&self, arrival: Arrival) -> Result<Arrival, AdapterError> {
         self.check_indices(&arrival)?;
         let request_id = arrival.id;
@@ -47,6 +51,7 @@
         Ok(Arrival { timeout, ..arrival })
     }
 
+    /// Checks that the handler and the tenant of a request exist.
     fn check_indices(&self, arrival: &Arrival) -> Result<(), AdapterError> {
         if arrival.handler.index() >= self.handlers {
             return Err(AdapterError::UnknownHandler {
@@ -55,7 +60,7 @@
                 handlers: self.handlers,
             });
         }
-        // Where the settings define no tenants, all requests carry tenant 0.
+        // If the settings define no tenants, all requests carry tenant 0.
         if arrival.tenant.index() >= self.tenants.max(1) {
             return Err(AdapterError::UnknownTenant {
                 request_id: arrival.id,
@@ -66,7 +71,7 @@
         Ok(())
     }
 
-    /// The gauges that the decision module reads, out of all that were sent.
+    /// Selects the gauges that the decision module uses from the values of all gauges.
     pub(super) fn gauges(&self, values: &[f64]) -> Gauges {
         let run_queue = self.run_queue_gauge.and_then(|index| values.get(index));
         Gauges {
--- a/crates/simulator-adapter/src/instance_id.rs
+++ b/crates/simulator-adapter/src/instance_id.rs
@@ -1,8 +1,8 @@
-//! The identifier of an instance.
+//! Identifier of an instance.
 
 use std::fmt;
 
-/// The number of an instance, which is one incarnation of one simulated server.
+/// Number of an instance. An instance is one incarnation of one simulated server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct InstanceId(pub u16);
 
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,11 +1,11 @@
-//! Runs madderbay's decision module behind the simulator's wire.
+//! Runs madderbay's decision module behind the wire protocol of the simulator.
 //!
 //! The codec translates between bytes and typed records ([`Batch`], [`Event`], [`Action`],
-//! [`Reply`]) and performs no I/O. [`Host`] owns the simulated server instances and plays the
-//! events of a batch on them. [`serve`] is the loop that reads batches and writes replies.
+//! [`Reply`]) and performs no I/O. [`Host`] holds the simulated server instances and applies the
+//! events of a batch to them. [`serve`] is the loop that reads batches and writes replies.
 //!
-//! The crate takes no decision of its own. Time, random seeds and settings come from the wire
-//! alone, so equal input gives equal output. Instances share nothing.
+//! The crate makes no decisions of its own. Time, random seeds and settings come only from the
+//! simulator, so equal input gives equal output. Instances share no state.
 
 mod codec;
 mod error;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,16 +1,16 @@
-//! The program that plays madderbay's decisions on the simulator's wire: batches of events on
-//! standard input, one reply a batch on standard output.
+//! Program that runs madderbay's decision module for the simulator. It reads batches of events from
+//! standard input and writes one reply per batch to standard output.
 //!
-//! It ends with its input. An error is one line on standard error.
+//! The program exits at the end of its input. An error is reported as one line on standard error.
 
 use madderbay_simulator_adapter::{AdapterError, serve};
 use std::io::{BufReader, stdin, stdout};
 use std::process::ExitCode;
 
-/// Exit status where an instance's settings are unknown or contradict themselves. Every other
-/// error ends the program with status 1.
+/// Exit status if the settings of an instance have unknown or contradictory values. For all other
+/// errors the exit status is 1.
 const EXIT_INVALID_SETTINGS: u8 = 2;
-/// Size of the buffer before standard input, in bytes.
+/// Size of the buffer for standard input, in bytes.
 const INPUT_BUFFER_BYTES: usize = 64 * 1024;
 
 fn main() -> ExitCode {
--- a/crates/simulator-adapter/src/stdio.rs
+++ b/crates/simulator-adapter/src/stdio.rs
@@ -1,15 +1,17 @@
-//! The loop of the program: reads batches until the input ends and answers each at once.
+//! Main loop of the program: reads batches until the input ends, and answers each one before it
+//! reads the next.
 
 use crate::codec::{Batch, BatchHeader};
 use crate::error::AdapterError;
 use crate::host::Host;
 use std::io::{Read, Write};
 
-/// Answers every batch of the input on the output, in order. Returns at the end of the input.
+/// Reads batches from `input` and writes a reply to each to `output`, in order. Returns at the end
+/// of the input.
 ///
 /// # Errors
 ///
-/// The first [`AdapterError`]; the batch that it concerns gets no reply.
+/// Returns the first [`AdapterError`]. The batch that caused it gets no reply.
 pub fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     while let Some(batch) = read_batch(input)? {
@@ -20,12 +22,12 @@
     Ok(())
 }
 
-/// Reads the next batch; none at the end of the input.
+/// Reads the next batch. Returns `None` at the end of the input.
 ///
 /// # Errors
 ///
-/// [`AdapterError::Input`], [`AdapterError::TruncatedHeader`], [`AdapterError::TruncatedBody`] or
-/// [`AdapterError::LengthTooShort`].
+/// Returns [`AdapterError::Input`], [`AdapterError::TruncatedHeader`],
+/// [`AdapterError::TruncatedBody`] or [`AdapterError::LengthTooShort`].
 pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, AdapterError> {
     let expected = BatchHeader::ENCODED_LENGTH;
     let header = read_up_to(input, expected as u64)?;
@@ -48,7 +50,7 @@
     Ok(Some(Batch { header, body }))
 }
 
-/// Reads that many bytes, or fewer where the input ends before.
+/// Reads `length` bytes, or fewer if the input ends before.
 fn read_up_to(input: &mut impl Read, length: u64) -> Result<Vec<u8>, AdapterError> {
     let mut bytes = vec![];
     input
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter against the byte examples in the wire's description, and against malformed input.
+//! Tests the adapter with the byte examples of the protocol specification and with malformed input.
 
 use madderbay::interface::{Actions, Outcome};
 use madderbay::time::Duration;
@@ -15,7 +15,7 @@
  "passes_deadline": true, "meters": ["core_use", "on_cores"]},
  "permissions": {}, "rules": {"tip_multiple": 5.0}, "servers": 12}"#;
 
-/// The bytes that hexadecimal digits stand for; other characters are skipped.
+/// Parses bytes from hexadecimal digits. Other characters are skipped.
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex.bytes().filter(u8::is_ascii_hexdigit).collect();
     digits
@@ -24,7 +24,7 @@
         .collect()
 }
 
-/// A batch of events at a fixed time.
+/// Encodes a batch of events with a fixed time.
 fn batch(count: u32, body: &[u8]) -> Vec<u8> {
     let len = body.len() as u32 + 4;
     [
@@ -36,7 +36,7 @@
     .concat()
 }
 
-/// The event that starts instance 3.
+/// Encodes the event that starts instance 3.
 fn start_event(settings: &str) -> Vec<u8> {
     [
         &bytes("01 0300 6400000000000000")[..],
@@ -46,7 +46,7 @@
     .concat()
 }
 
-/// The arrival of a request at instance 3, as in the wire's description.
+/// Returns the arrival of a request at instance 3 from the protocol specification.
 fn arrival_event() -> Vec<u8> {
     bytes(
         "02 0300 c4913a5de3f90d00 0000 00000000 640ad2557c3bf091 80a90300 e02e0000 0000c441 0000203f 01 1100
@@ -54,14 +54,14 @@
     )
 }
 
-/// The arrival event with some bytes replaced, from the one at `position` of its record on.
+/// Returns the arrival event with some of its bytes replaced, starting at `position` of its record.
 fn arrival_with(replacement: &str, position: usize) -> Vec<u8> {
     let (mut event, replacement) = (arrival_event(), bytes(replacement));
     event[position..position + replacement.len()].copy_from_slice(&replacement);
     event
 }
 
-/// Plays frames one after the other and gives the replies, or the first error.
+/// Processes frames one after the other and returns the replies, or the first error.
 fn process_frames(frames: &[Vec<u8>]) -> Result<Vec<Vec<u8>>, AdapterError> {
     let (input, mut host, mut replies) = (frames.concat(), Host::default(), vec![]);
     let mut input = input.as_slice();
@@ -145,7 +145,8 @@
     assert!(replies[2].ends_with(&bytes("01 0300 c4913a5de3f90d00")));
 }
 
-/// Checks that an input ends with exactly that line, and that the cause is not in the settings.
+/// Asserts that an input is rejected with exactly this message, and that the error is not one of
+/// the settings.
 fn assert_reported(frames: &[Vec<u8>], expected: &str) {
     let error = process_frames(frames).expect_err(expected);
     assert_eq!(error.to_string(), expected);
@@ -224,7 +225,7 @@
     assert_reported(&[batch(1, &start_event(SETTINGS)), two_arrivals], expected);
 }
 
-/// The instance is named even where the rest of the record is cut short.
+/// An unknown instance is reported even if the rest of the record is truncated.
 #[test]
 fn reports_events_of_unknown_instance() {
     let truncated_arrival = arrival_event()[..20].to_vec();
@@ -262,7 +263,8 @@
     }
 }
 
-/// A text that is cut inside a character is none that the simulator can read.
+/// A message that is truncated within a character is not valid UTF-8, so the simulator cannot read
+/// it.
 #[test]
 fn truncates_fault_message_at_character_boundary() {
     let message = format!("{}é", "x".repeat(499));
@@ -288,7 +290,7 @@
     assert_eq!(
         reply.take_frame(),
         bytes("04000000 00000000"),
-        "the reply begins anew"
+        "taking a frame clears the reply"
     );
 }
 
@@ -306,24 +308,26 @@
     .unwrap();
     assert!(
         replies[1].len() > 8,
-        "a request without time left is answered"
+        "a request without time left must be answered"
     );
 }
 
-/// Runs the program on an input and gives its exit status and standard error.
+/// Runs the program with an input and returns its exit status and its standard error.
 fn run_program(input: &[u8]) -> (Option<i32>, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_madderbay-drill"))
         .stdin(Stdio::piped())
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the program starts");
-    let mut stdin = child.stdin.take().expect("standard input is piped");
-    // The program may end before it has read all.
+        .expect("failed to start the program");
+    let mut stdin = child.stdin.take().expect("standard input must be piped");
+    // Writing fails if the program ends before it has read the whole input.
     let _ = stdin.write_all(input);
     drop(stdin);
-    let output = child.wait_with_output().expect("the program ends");
-    let stderr = String::from_utf8(output.stderr).expect("standard error is text");
+    let output = child
+        .wait_with_output()
+        .expect("failed to wait for the program");
+    let stderr = String::from_utf8(output.stderr).expect("standard error must be UTF-8");
     (output.status.code(), stderr)
 }
 
