--- a/crates/idempotency-store/src/error.rs
+++ b/crates/idempotency-store/src/error.rs
@@ -16,7 +16,7 @@
         source: io::Error,
     },
     /// The path exists but is not a directory.
-    #[error("{}: is no folder", directory.display())]
+    #[error("{}: not a directory", directory.display())]
     NotADirectory {
         /// The path that was to be opened.
         directory: PathBuf,
@@ -55,7 +55,7 @@
         version: u16,
     },
     /// A file has the name of a segment, but its content is not a segment.
-    #[error("{segment}: is no segment of kept results")]
+    #[error("{segment}: not a segment of durable results")]
     ForeignFile {
         /// Name of the file.
         segment: String,
--- a/crates/idempotency-store/src/verify.rs
+++ b/crates/idempotency-store/src/verify.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Defect {
     /// The file does not have the name of a segment.
-    #[error("{file}: is no file of kept results")]
+    #[error("{file}: not a segment file of durable results")]
     UnknownFile {
         /// Name of the file.
         file: String,
@@ -32,7 +32,7 @@
         segment: String,
     },
     /// The format version of the segment is newer than this program supports.
-    #[error("{segment}: is of the newer version {version}")]
+    #[error("{segment}: format version {version} is newer than this program supports")]
     NewerVersion {
         /// File name of the segment.
         segment: String,
@@ -40,7 +40,7 @@
         version: u16,
     },
     /// The file has the name of a segment, but its content is not a segment.
-    #[error("{segment}: is no segment of kept results")]
+    #[error("{segment}: not a segment of durable results")]
     ForeignFile {
         /// Name of the file.
         segment: String,
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -23,7 +23,7 @@
         expected: usize,
     },
     /// The length in a batch header does not cover the last field of the header, the record count.
-    #[error("frame: length {length} has no room for the count of records")]
+    #[error("frame: length {length} is too short for the record count")]
     LengthTooShort {
         /// The length that was sent, in bytes.
         length: u32,
@@ -56,7 +56,7 @@
         cause: Box<AdapterError>,
     },
     /// A record ends within a field.
-    #[error("record cut short at byte {position}: {needed} wanted, {available} left")]
+    #[error("record truncated at byte {position}: expected {needed} bytes, {available} left")]
     TruncatedRecord {
         /// Offset of the start of the field from the first record of the batch, in bytes.
         position: usize,
@@ -84,13 +84,16 @@
         code: u8,
     },
     /// An event refers to an instance that is not running.
-    #[error("instance {instance} was never begun")]
+    #[error("instance {instance} is not running")]
     UnknownInstance {
         /// The instance that the event refers to.
         instance: InstanceId,
     },
     /// A request refers to a handler that the settings do not define.
-    #[error("request {request_id}: class {} of {handlers} classes", handler.index())]
+    #[error(
+        "request {request_id}: class index {} is out of range: {handlers} classes are defined",
+        handler.index()
+    )]
     UnknownHandler {
         /// The request.
         request_id: u64,
@@ -100,7 +103,10 @@
         handlers: usize,
     },
     /// A request refers to a tenant that the settings do not define.
-    #[error("request {request_id}: tenant {} of {tenants} tenants", tenant.index())]
+    #[error(
+        "request {request_id}: tenant index {} is out of range: {tenants} tenants are defined",
+        tenant.index()
+    )]
     UnknownTenant {
         /// The request.
         request_id: u64,
@@ -110,13 +116,13 @@
         tenants: usize,
     },
     /// The memory size of a request is negative.
-    #[error("request {request_id}: held_kb is under 0")]
+    #[error("request {request_id}: held_kb is negative")]
     NegativeMemory {
         /// The request.
         request_id: u64,
     },
     /// A request arrives with the identifier of another one that has not ended.
-    #[error("request {request_id}: read a second time")]
+    #[error("request {request_id}: arrived again before it had ended")]
     DuplicateRequest {
         /// The request.
         request_id: u64,
