--- a/crates/idempotency-store/src/storage/memory.rs
+++ b/crates/idempotency-store/src/storage/memory.rs
@@ -88,7 +88,7 @@
     /// unsynced bytes of each file, in ascending order of names.
     #[must_use]
     pub fn after_crash(&self, mut effect: impl FnMut(&str, &[u8]) -> CrashEffect) -> MemoryStorage {
-        let mut survivors = MemoryStorage::default();
+        let mut remaining = MemoryStorage::default();
         for (name, file) in &self.files {
             let effect = effect(name, &file.unsynced);
             if matches!(effect, CrashEffect::Lost) && !file.entry_is_durable {
@@ -100,9 +100,9 @@
                 unsynced: vec![],
                 entry_is_durable: true,
             };
-            survivors.files.insert(name.clone(), file);
+            remaining.files.insert(name.clone(), file);
         }
-        survivors
+        remaining
     }
 
     /// Truncates the durable content of a file to `length` bytes, as a damaged disk might.
--- a/crates/idempotency-store/tests/store/durable_results.rs
+++ b/crates/idempotency-store/tests/store/durable_results.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn answers_attempts_of_earlier_incarnation_runs() {
+fn answers_attempts_of_runs_from_earlier_incarnations() {
     let mut results = table_after_restart(&[
         intent(1, RETENTION_MICROS),
         completed(1, "one", RETENTION_MICROS),
--- a/crates/simulator-adapter/src/codec/action.rs
+++ b/crates/simulator-adapter/src/codec/action.rs
@@ -7,7 +7,7 @@
 const MAX_FAULT_MESSAGE_BYTES: usize = 500;
 /// Second field of `MARK_HEALTH`: health checks are answered from the stored state, without any
 /// work.
-const HEALTH_FROM_STORED_STATE: u8 = 1;
+const HEALTH_FROM_STORE: u8 = 1;
 /// Token of the timer of an instance. An instance has only one timer, so the token is constant.
 const TIMER_TOKEN: u64 = 0;
 
@@ -145,9 +145,7 @@
                 put_u64(out, request_id);
                 put_duration(out, duration);
             }
-            Action::SetHealth { healthy } => {
-                out.extend([u8::from(healthy), HEALTH_FROM_STORED_STATE])
-            }
+            Action::SetHealth { healthy } => out.extend([u8::from(healthy), HEALTH_FROM_STORE]),
             Action::SetLoadReport { value } => out.extend((value as f32).to_le_bytes()),
             Action::SetIdleLimit { limit } => put_duration(out, limit),
             Action::SetTimer { after } => {
