--- a/crates/idempotency-store/tests/store/commit_failures.rs
+++ b/crates/idempotency-store/tests/store/commit_failures.rs
@@ -1,4 +1,4 @@
-//! Commits on a full or failing storage.
+//! Tests of commits to a storage that is full or fails.
 
 use crate::support::{RETENTION_MICROS, completed, intent, log_with, open};
 use madderbay_idempotency_store::storage::{CrashEffect, Storage};
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn keeps_committed_records_while_storage_is_full_or_failing() {
+fn retains_committed_records_while_storage_is_full_or_failing() {
     let mut log = log_with(&[intent(1, RETENTION_MICROS)]);
     let second = [
         intent(2, RETENTION_MICROS),
