--- a/crates/testkit/examples/backends/real.rs
+++ b/crates/testkit/examples/backends/real.rs
@@ -23,18 +23,19 @@
 const RATE: f64 = 10.0;
 const LATENCY_OBJECTIVE: Duration = Duration::from_secs(2);
 /// When the fault begins, when it ends, and the end of the load, in milliseconds.
-const CALM_MS: u64 = 5_000;
-const OVER_MS: u64 = 13_000;
-const END_MS: u64 = 25_000;
-const FAULT: Range<Duration> = Duration::from_millis(CALM_MS)..Duration::from_millis(OVER_MS);
+const FAULT_START_MS: u64 = 5_000;
+const FAULT_END_MS: u64 = 13_000;
+const LOAD_END_MS: u64 = 25_000;
+const FAULT: Range<Duration> =
+    Duration::from_millis(FAULT_START_MS)..Duration::from_millis(FAULT_END_MS);
 /// The time between two samples of the faulty backend's calls, in milliseconds.
 const SAMPLE_MS: u64 = 100;
 /// The time over which its traffic is averaged, in milliseconds.
-const SECOND_MS: u64 = 1_000;
+const TRAFFIC_WINDOW_MS: u64 = 1_000;
 /// With less than this part of its traffic without the fault, a backend is avoided.
-const AVOIDED_PART: f64 = 0.4;
+const AVOIDED_FRACTION: f64 = 0.4;
 /// With more than this part of its traffic without the fault, a backend has returned.
-const BACK_PART: f64 = 0.5;
+const RETURNED_FRACTION: f64 = 0.5;
 /// A server's quota upstream, in calls, so large that it never matters.
 const QUOTA: f64 = 60.0;
 /// The time that clients wait for an answer, in milliseconds.
@@ -57,7 +58,7 @@
 
 /// Prints the table of all faults and variants.
 pub(crate) fn measure() {
-    let heads = [
+    let headings = [
         "processes, fault",
         "variant",
         "success: search, book",
@@ -67,7 +68,7 @@
         "CPU a request, ms",
         "invariants violated",
     ];
-    println!("{}", table_head(&heads));
+    println!("{}", table_head(&headings));
     for servers in [5, 12] {
         for (fault, behavior) in FAULTS {
             for (variant, keys) in VARIANTS {
@@ -144,12 +145,15 @@
 
     /// The row of the table from the third column on.
     fn row(&self) -> String {
-        let fair = f64::from(self.calls_until(CALM_MS - SAMPLE_MS) - self.calls_until(SECOND_MS))
-            / ((CALM_MS - SECOND_MS) as f64 / 1e3);
-        let off = self.first_second(CALM_MS..OVER_MS - 1_000, |calls| {
-            calls < AVOIDED_PART * fair
+        let normal_rate = f64::from(
+            self.calls_until(FAULT_START_MS - SAMPLE_MS) - self.calls_until(TRAFFIC_WINDOW_MS),
+        ) / ((FAULT_START_MS - TRAFFIC_WINDOW_MS) as f64 / 1e3);
+        let avoided_after = self.first_window(FAULT_START_MS..FAULT_END_MS - 1_000, |calls| {
+            calls < AVOIDED_FRACTION * normal_rate
+        });
+        let returned_after = self.first_window(FAULT_END_MS..LOAD_END_MS - 1_500, |calls| {
+            calls > RETURNED_FRACTION * normal_rate
         });
-        let back = self.first_second(OVER_MS..END_MS - 1_500, |calls| calls > BACK_PART * fair);
         let secs =
             |ms: Option<u64>| ms.map_or("never".into(), |ms| format!("{:.1}", ms as f64 / 1e3));
         format!(
@@ -157,8 +161,8 @@
             goodput(&self.load.records, &kinds(), KindId::new(0), FAULT),
             goodput(&self.load.records, &kinds(), KindId::new(1), FAULT),
             self.p99_of_searches_ms(),
-            secs(off),
-            secs(back),
+            secs(avoided_after),
+            secs(returned_after),
             self.cpu_ms,
             self.load.violations
         )
@@ -178,15 +182,15 @@
         sample.or(self.calls.last()).copied().unwrap_or(0)
     }
 
-    /// After how many milliseconds of a time the calls of one second are as wanted.
-    fn first_second(&self, time: Range<u64>, wanted: impl Fn(f64) -> bool) -> Option<u64> {
-        let begin = time.start;
+    /// After how many milliseconds of a time the calls of one second are as is_reached.
+    fn first_window(&self, time: Range<u64>, is_reached: impl Fn(f64) -> bool) -> Option<u64> {
+        let window_start = time.start;
         let mut starts = time.step_by(SAMPLE_MS as usize);
         let found = starts.find(|ms| {
-            let calls = self.calls_until(ms + SECOND_MS) - self.calls_until(*ms);
-            wanted(f64::from(calls))
+            let calls = self.calls_until(ms + TRAFFIC_WINDOW_MS) - self.calls_until(*ms);
+            is_reached(f64::from(calls))
         });
-        found.map(|ms| ms - begin)
+        found.map(|ms| ms - window_start)
     }
 }
 
@@ -194,7 +198,7 @@
     Load {
         kinds: kinds(),
         rates: vec![(Duration::ZERO, RATE)],
-        length: Duration::from_millis(END_MS),
+        length: Duration::from_millis(LOAD_END_MS),
         seed: server as u64,
         timeout_ms: REQUEST_TIMEOUT_MS,
     }
@@ -205,9 +209,9 @@
     let began = Instant::now();
     let mut calls = vec![];
     let mut faulty = false;
-    while began.elapsed() < Duration::from_millis(END_MS) {
+    while began.elapsed() < Duration::from_millis(LOAD_END_MS) {
         let now_ms = began.elapsed().as_millis() as u64;
-        if (CALM_MS..OVER_MS).contains(&now_ms) != faulty {
+        if (FAULT_START_MS..FAULT_END_MS).contains(&now_ms) != faulty {
             faulty = !faulty;
             backend.set_behavior(if faulty { fault } else { Behavior::Slow(1.0) });
         }
--- a/crates/testkit/examples/backends/simulated.rs
+++ b/crates/testkit/examples/backends/simulated.rs
@@ -13,15 +13,15 @@
     (RoutingPolicy::RoundRobin, "round robin"),
 ];
 /// When the fault begins, when it is over, and the end, in milliseconds.
-const CALM_MS: u64 = 5_000;
-const OVER_MS: u64 = 15_000;
-const END_MS: u64 = 40_000;
+const FAULT_START_MS: u64 = 5_000;
+const FAULT_END_MS: u64 = 15_000;
+const SIMULATION_END_MS: u64 = 40_000;
 /// The time over which a backend's traffic is averaged, in milliseconds.
-const SECOND_MS: u64 = 1_000;
+const TRAFFIC_WINDOW_MS: u64 = 1_000;
 /// With less than this part of its traffic without the fault, a backend is avoided.
-const AVOIDED_PART: f64 = 0.25;
+const AVOIDED_FRACTION: f64 = 0.25;
 /// With more than this part of its traffic without the fault, a backend has returned.
-const BACK_PART: f64 = 0.5;
+const RETURNED_FRACTION: f64 = 0.5;
 
 /// What one run has shown.
 struct RunResult {
@@ -30,8 +30,8 @@
     /// The time within which 99% of them did, in milliseconds.
     slowest_ms: f64,
     /// The seconds until the faulty backend was avoided, and until it was back.
-    off_secs: f64,
-    back_secs: f64,
+    avoided_after_secs: f64,
+    returned_after_secs: f64,
     /// Attempts for each first attempt.
     attempts: f64,
     /// Server-seconds for which other backends were ejected.
@@ -46,7 +46,7 @@
     println!(
         "\n{servers} servers, {backends} backends, {each:.2} calls a second of each to each\n"
     );
-    let heads = [
+    let headings = [
         "case",
         "variant",
         "success",
@@ -57,7 +57,7 @@
         "wrongly ejected, server-seconds",
         "peak at the returning one, of its part",
     ];
-    println!("{}", table_head(&heads));
+    println!("{}", table_head(&headings));
     for (case, set_fault) in CASES.into_iter().filter(|case| case.0.contains(only)) {
         for (policy, name) in POLICIES {
             let results = run_seeds(0..seeds, seeds as usize, |seed| {
@@ -78,8 +78,8 @@
     let mut returned = String::from("-");
     let mut peak = String::from("-");
     if is_about_one_backend(case) {
-        ejected = secs_or_never(median_of(|result| result.off_secs));
-        returned = secs_or_never(median_of(|result| result.back_secs));
+        ejected = secs_or_never(median_of(|result| result.avoided_after_secs));
+        returned = secs_or_never(median_of(|result| result.returned_after_secs));
         peak = format!("{:.1}", median_of(|result| result.peak));
     }
     let slowest_ms = median_of(|result| result.slowest_ms);
@@ -128,31 +128,39 @@
         ..BackendFleetSetup::new(servers, backends)
     };
     let mut simulation = BackendSimulation::new(setup, seed);
-    simulation.run(Duration::from_millis(CALM_MS));
+    simulation.run(Duration::from_millis(FAULT_START_MS));
     simulation.clear_latencies();
     set_fault(&mut simulation, true);
-    simulation.run(Duration::from_millis(OVER_MS - CALM_MS));
+    simulation.run(Duration::from_millis(FAULT_END_MS - FAULT_START_MS));
     let slowest_ms = simulation.slowest_ms();
     set_fault(&mut simulation, false);
-    simulation.run(Duration::from_millis(END_MS - OVER_MS));
+    simulation.run(Duration::from_millis(SIMULATION_END_MS - FAULT_END_MS));
     // The traffic without the fault is the measure; with few calls it is chance what a second has.
-    let fair = simulation.traffic_fraction(FAULTY, SECOND_MS..CALM_MS);
+    let normal_fraction = simulation.traffic_fraction(FAULTY, TRAFFIC_WINDOW_MS..FAULT_START_MS);
     let secs = |ms: Option<u64>| ms.map_or(f64::INFINITY, |ms| ms as f64 / 1e3);
-    let off = simulation.millis_until_traffic_below(FAULTY, CALM_MS, fair * AVOIDED_PART);
-    let back = simulation.millis_until_traffic_reaches(FAULTY, OVER_MS, fair * BACK_PART);
+    let avoided_after = simulation.millis_until_traffic_below(
+        FAULTY,
+        FAULT_START_MS,
+        normal_fraction * AVOIDED_FRACTION,
+    );
+    let returned_after = simulation.millis_until_traffic_reaches(
+        FAULTY,
+        FAULT_END_MS,
+        normal_fraction * RETURNED_FRACTION,
+    );
     let others = simulation.backends().filter(|backend| *backend != FAULTY);
-    let peak = (OVER_MS..END_MS - SECOND_MS)
+    let peak = (FAULT_END_MS..SIMULATION_END_MS - TRAFFIC_WINDOW_MS)
         .step_by(100)
-        .map(|ms| simulation.traffic_fraction(FAULTY, ms..ms + SECOND_MS) / fair)
+        .map(|ms| simulation.traffic_fraction(FAULTY, ms..ms + TRAFFIC_WINDOW_MS) / normal_fraction)
         .fold(0.0, f64::max);
     RunResult {
-        success: simulation.success_rate(CALM_MS..OVER_MS),
+        success: simulation.success_rate(FAULT_START_MS..FAULT_END_MS),
         slowest_ms,
-        off_secs: secs(off),
-        back_secs: secs(back),
-        attempts: simulation.attempts_per_call(CALM_MS + SECOND_MS..OVER_MS),
+        avoided_after_secs: secs(avoided_after),
+        returned_after_secs: secs(returned_after),
+        attempts: simulation.attempts_per_call(FAULT_START_MS + TRAFFIC_WINDOW_MS..FAULT_END_MS),
         wrongly_ejected: others
-            .map(|backend| simulation.ejected_seconds(backend, CALM_MS..OVER_MS))
+            .map(|backend| simulation.ejected_seconds(backend, FAULT_START_MS..FAULT_END_MS))
             .sum(),
         peak,
     }
@@ -165,17 +173,17 @@
         .find(|(name, _)| name.contains(case))
         .unwrap_or(CASES[0]);
     let mut simulation = BackendSimulation::new(BackendFleetSetup::new(12, 10), seed);
-    simulation.run(Duration::from_millis(CALM_MS));
+    simulation.run(Duration::from_millis(FAULT_START_MS));
     set_fault(&mut simulation, true);
-    simulation.run(Duration::from_millis(OVER_MS - CALM_MS));
+    simulation.run(Duration::from_millis(FAULT_END_MS - FAULT_START_MS));
     set_fault(&mut simulation, false);
-    simulation.run(Duration::from_millis(END_MS - OVER_MS));
+    simulation.run(Duration::from_millis(SIMULATION_END_MS - FAULT_END_MS));
     println!("{case}");
-    for from in (0..END_MS).step_by(SECOND_MS as usize) {
-        let to = from + SECOND_MS;
+    for from in (0..SIMULATION_END_MS).step_by(TRAFFIC_WINDOW_MS as usize) {
+        let to = from + TRAFFIC_WINDOW_MS;
         println!(
             "{:3} s: success {:.3}, its part of the traffic {:.3}, ejected by {:.1}, attempts per call {:.2}",
-            from / SECOND_MS,
+            from / TRAFFIC_WINDOW_MS,
             simulation.success_rate(from..to),
             simulation.traffic_fraction(FAULTY, from..to),
             simulation.ejected_seconds(FAULTY, from..to),
--- a/crates/testkit/examples/membership/heartbeats.rs
+++ b/crates/testkit/examples/membership/heartbeats.rs
@@ -14,7 +14,7 @@
 /// Upper bound on the time that a fleet takes to settle, in seconds.
 const SETTLE_TERM_SECS: f64 = 30.0;
 /// The time over which bytes are measured, in seconds.
-const CALM_SECS: f64 = 5.0;
+const MEASURED_SECS: f64 = 5.0;
 const HEARTBEAT_BYTES: u64 = 60;
 
 /// A simulated fleet that has nothing but heartbeats.
@@ -29,7 +29,7 @@
     /// The group of the partition that each server is in.
     partition: Vec<usize>,
     /// By receiver and sender when the last heartbeat arrived.
-    received: Vec<f64>,
+    last_received: Vec<f64>,
     /// By server the seconds until its next heartbeat.
     until_next: Vec<f64>,
     bytes_sent: u64,
@@ -48,7 +48,7 @@
             running: vec![true; servers],
             paused_until: vec![0.0; servers],
             partition: vec![0; servers],
-            received: vec![f64::MIN; servers * servers],
+            last_received: vec![f64::MIN; servers * servers],
             until_next,
             bytes_sent: 0,
         }
@@ -72,27 +72,27 @@
             self.until_next[server] -= STEP_SECS;
             if self.until_next[server] <= 0.0 && self.running[server] && !self.is_paused(server) {
                 self.until_next[server] = HEARTBEAT_SECS;
-                self.send_from(server);
+                self.send_heartbeats(server);
             }
         }
     }
 
-    fn send_from(&mut self, from: usize) {
+    fn send_heartbeats(&mut self, from: usize) {
         for to in (0..self.servers).filter(|to| *to != from) {
             self.bytes_sent += HEARTBEAT_BYTES;
             let connected = self.running[to] && self.partition[from] == self.partition[to];
             if connected && self.random.rand_float() >= self.loss {
-                self.received[to * self.servers + from] = self.now;
+                self.last_received[to * self.servers + from] = self.now;
             }
         }
     }
 
     /// Whether another server is up in a server's view.
     pub(crate) fn is_up(&self, server: usize, other: usize) -> bool {
-        self.now - self.received[server * self.servers + other] <= TIMEOUT_SECS
+        self.now - self.last_received[server * self.servers + other] <= TIMEOUT_SECS
     }
 
-    fn settled(&self) -> bool {
+    fn is_settled(&self) -> bool {
         let mut running = (0..self.servers).filter(|server| self.running[*server]);
         running.all(|server| {
             let mut others = (0..self.servers).filter(|other| *other != server);
@@ -107,7 +107,7 @@
     /// longer than the term.
     pub(crate) fn settle(&mut self) -> f64 {
         let began = self.now;
-        while !self.settled() {
+        while !self.is_settled() {
             if self.now - began > SETTLE_TERM_SECS {
                 return f64::INFINITY;
             }
@@ -126,11 +126,11 @@
     }
     let sent_before = fleet.bytes_sent;
     let began = fleet.now;
-    while fleet.now - began < CALM_SECS {
+    while fleet.now - began < MEASURED_SECS {
         fleet.step();
     }
     let bytes = (fleet.bytes_sent - sent_before) as f64;
-    row.bytes.push(bytes / CALM_SECS / servers as f64);
+    row.bytes.push(bytes / MEASURED_SECS / servers as f64);
     fleet.running[servers - 1] = true;
     row.join.push(fleet.settle());
     fleet.running[servers / 2] = false;
--- a/crates/testkit/examples/membership/histories.rs
+++ b/crates/testkit/examples/membership/histories.rs
@@ -86,11 +86,11 @@
     let mut random = Rand64::new(u128::from(seed) + 77);
     let mut running = [true; SERVERS];
     for _ in 0..FAULTS {
-        let (who, action) = draw_fault(&mut random, &running);
-        running[who] = match action {
+        let (server, action) = draw_fault(&mut random, &running);
+        running[server] = match action {
             Action::Kill(_) | Action::Drain(_) => false,
             Action::Start { .. } => true,
-            _ => running[who],
+            _ => running[server],
         };
         act(fleet, action);
         let pause = random.rand_float() * MAX_PAUSE_SECS;
@@ -102,20 +102,20 @@
 
 /// A server and something that is done to it or to the network.
 fn draw_fault(random: &mut Rand64, running: &[bool; SERVERS]) -> (usize, Action) {
-    let who = 1 + (random.rand_float() * (SERVERS - 1) as f64) as usize;
+    let server = 1 + (random.rand_float() * (SERVERS - 1) as f64) as usize;
     let fraction = random.rand_float() * MAX_FAULT_FRACTION;
     let action = match (random.rand_float() * FAULT_KINDS) as usize {
-        0 if running[who] => Action::Kill(who),
-        1 if running[who] => Action::Drain(who),
+        0 if running[server] => Action::Kill(server),
+        1 if running[server] => Action::Drain(server),
         2 => {
-            let others = (1..SERVERS).filter(|server| *server != who).collect();
-            Action::Cut(vec![vec![0, who], others])
+            let others = (1..SERVERS).filter(|other| *other != server).collect();
+            Action::Cut(vec![vec![0, server], others])
         }
-        3 => Action::OneWay(who, vec![0, 1, 2]),
+        3 => Action::OneWay(server, vec![0, 1, 2]),
         4 => Action::Heal,
         5 => lossy_network(fraction),
         6 => Action::Replay(0),
-        _ if !running[who] => Action::start(who),
+        _ if !running[server] => Action::start(server),
         _ => Action::Network {
             loss: None,
             double: Some(fraction),
@@ -123,5 +123,5 @@
             delay: None,
         },
     };
-    (who, action)
+    (server, action)
 }
--- a/crates/testkit/examples/membership/processes.rs
+++ b/crates/testkit/examples/membership/processes.rs
@@ -1,7 +1,7 @@
 //! Real processes: the faults of a row, what membership costs, and a flood of datagrams that are
 //! rejected.
 
-use crate::row::{Row, print_head, settle};
+use crate::row::{Row, print_table_head, settle};
 use madderbay_testkit::engine::{Engine, HandlerWork};
 use madderbay_testkit::fleet::processes::ProcessFleet;
 use madderbay_testkit::fleet::script::{Action, FleetSetup};
@@ -17,7 +17,7 @@
 use std::time::{Duration, Instant};
 
 /// The time over which the processor time of a row is measured.
-const CALM: Duration = Duration::from_secs(5);
+const MEASURED_TIME: Duration = Duration::from_secs(5);
 /// The time over which the processor time of idle servers is measured.
 const IDLE_TIME: Duration = Duration::from_secs(20);
 /// The load under a flood: its length in seconds, its requests a second and its seed.
@@ -74,7 +74,7 @@
 
 /// Prints the table of the faults.
 pub(crate) fn measure(seeds: u64) {
-    print_head("processes, loss");
+    print_table_head("processes, loss");
     for servers in [5, 12, 40] {
         for loss in [0.0, 0.1, 0.3] {
             let mut row = Row::default();
@@ -86,7 +86,7 @@
                 row.play(&mut fleet, servers, |fleet, row| {
                     let cpu_before = fleet.cpu();
                     let began = Instant::now();
-                    std::thread::sleep(CALM);
+                    std::thread::sleep(MEASURED_TIME);
                     let server_secs = began.elapsed().as_secs_f64() * (servers - 1) as f64;
                     row.cpu
                         .push((fleet.cpu() - cpu_before) / server_secs * 100.0);
@@ -99,13 +99,13 @@
 
 /// Prints what requests cost and take while foreign datagrams arrive.
 pub(crate) fn measure_flood() {
-    let heads = [
+    let headings = [
         "rejected datagrams a second",
         "p50, p99 of requests, ms",
         "CPU a request, ms",
         "CPU, % of a core",
     ];
-    println!("{}", table_head(&heads));
+    println!("{}", table_head(&headings));
     for datagrams_per_second in [0, 10_000] {
         let (fleet, _) = started_fleet(FleetSetup::of(3), 1);
         let server = fleet.server(0).expect("runs");
--- a/crates/testkit/examples/membership/row.rs
+++ b/crates/testkit/examples/membership/row.rs
@@ -35,9 +35,9 @@
     }
 
     /// Prints the row; `head` is what stands in its first columns.
-    pub(crate) fn print_line(&mut self, head: &str) {
+    pub(crate) fn print_line(&mut self, first_columns: &str) {
         println!(
-            "| {head} | {} | {} | {} | {} | {} | {} | {} |",
+            "| {first_columns} | {} | {} | {} | {} | {} | {} | {} |",
             median_and_worst(&mut self.join, 1),
             median_and_worst(&mut self.crash, 1),
             median_and_worst(&mut self.partition, 1),
@@ -54,14 +54,14 @@
         &mut self,
         fleet: &mut F,
         servers: usize,
-        calm: impl FnOnce(&mut F, &mut Row),
+        measure_settled: impl FnOnce(&mut F, &mut Row),
     ) {
         let last = servers - 1;
         start_all(fleet, 0..last);
         if settle(fleet).is_infinite() {
             return self.join.push(f64::INFINITY);
         }
-        calm(fleet, self);
+        measure_settled(fleet, self);
         act(fleet, Action::start(last));
         self.join.push(settle(fleet));
         act(fleet, Action::Kill(servers / 2));
@@ -75,9 +75,9 @@
     }
 }
 
-/// Prints the beginning of a table whose first columns have these heads.
-pub(crate) fn print_head(first: &str) {
-    let heads = [
+/// Prints the beginning of a table whose first columns have these headings.
+pub(crate) fn print_table_head(first: &str) {
+    let headings = [
         first,
         "join, s",
         "crash, s",
@@ -87,7 +87,7 @@
         "CPU, % of a core",
         "held down",
     ];
-    println!("{}", table_head(&heads));
+    println!("{}", table_head(&headings));
 }
 
 /// The time that a fleet takes to settle, in seconds; infinite if it does not.
--- a/crates/testkit/examples/membership/simulated.rs
+++ b/crates/testkit/examples/membership/simulated.rs
@@ -1,7 +1,7 @@
 //! Simulated fleets under the faults of a row.
 
 use crate::heartbeats;
-use crate::row::{Row, lossy_network, print_head};
+use crate::row::{Row, lossy_network, print_table_head};
 use madderbay::time::Duration;
 use madderbay_testkit::fleet::script::FleetSetup;
 use madderbay_testkit::fleet::simulated::SimulatedFleet;
@@ -11,7 +11,7 @@
 use std::time::Instant;
 
 /// The time over which bytes and processor time are measured.
-const CALM: Duration = Duration::from_millis(20_000);
+const MEASURED_TIME: Duration = Duration::from_millis(20_000);
 /// Runs at a time.
 const THREADS: usize = 5;
 /// From this many members on a fleet is large.
@@ -25,7 +25,7 @@
 
 /// Prints the table, or its rows of one number of members and one loss.
 pub(crate) fn measure(seeds: u64, only_members: Option<usize>, only_loss: Option<f64>) {
-    print_head("variant, members, loss");
+    print_table_head("variant, members, loss");
     let members = MEMBERS
         .into_iter()
         .filter(|members| only_members.is_none_or(|only| only == *members));
@@ -72,7 +72,7 @@
         let mut row = Row::default();
         act(&mut fleet, lossy_network(loss));
         row.play(&mut fleet, members, |fleet, row| {
-            measure_calm(fleet, members - 1, row);
+            measure_settled(fleet, members - 1, row);
         });
         row.wrongly_down = fleet.wrongly_down;
         row
@@ -83,7 +83,7 @@
 }
 
 /// What each of these servers sends and costs while nothing happens.
-fn measure_calm(fleet: &mut SimulatedFleet, servers: usize, row: &mut Row) {
+fn measure_settled(fleet: &mut SimulatedFleet, servers: usize, row: &mut Row) {
     let bytes_sent = |fleet: &SimulatedFleet| {
         let running = fleet.running();
         let each = running.map(|(_, membership)| membership.counters().bytes_out);
@@ -91,8 +91,8 @@
     };
     let bytes_before = bytes_sent(fleet);
     let began = Instant::now();
-    fleet.run(CALM);
-    let server_secs = CALM.as_secs_f64() * servers as f64;
+    fleet.run(MEASURED_TIME);
+    let server_secs = MEASURED_TIME.as_secs_f64() * servers as f64;
     let bytes = bytes_sent(fleet) - bytes_before;
     row.bytes.push(bytes as f64 / server_secs);
     row.cpu
--- a/crates/testkit/examples/pools/limits.rs
+++ b/crates/testkit/examples/pools/limits.rs
@@ -14,7 +14,7 @@
 
 const DEFAULT_SEEDS: u64 = 5;
 /// Seeds without the fault.
-const CALM_SEEDS: u64 = 2;
+const FAULTLESS_SEEDS: u64 = 2;
 /// Runs at a time: each needs a core or two for its fakes.
 const RUNS_AT_A_TIME: usize = 2;
 /// The limit of the calls in flight before it is changed.
@@ -91,15 +91,15 @@
     }
     print_calls(&results);
     // One at a time, since their processor time is compared.
-    let calm = run_seeds(1..CALM_SEEDS + 1, 1, |seed| {
+    let without_fault = run_seeds(1..FAULTLESS_SEEDS + 1, 1, |seed| {
         Measured::new(operator, false, seed)
     });
     println!(
         "calm only: goodput {}, CPU a request {} ms",
-        range(&calm, Measured::total_goodput),
-        range(&calm, |measured| measured.run.cpu_ms),
+        range(&without_fault, Measured::total_goodput),
+        range(&without_fault, |measured| measured.run.cpu_ms),
     );
-    for measured in results.into_iter().chain(calm) {
+    for measured in results.into_iter().chain(without_fault) {
         violations.add(measured.seed, measured.run.violations);
     }
 }
@@ -115,8 +115,9 @@
         goodput(FAULT.start..FAULT.start + FIRST_SECOND),
         goodput(AFTER_FAULT),
     );
-    let answered =
-        |is_like: fn(&Answer) -> bool| range(results, |measured| measured.answered(kind, is_like));
+    let answered = |is_expected: fn(&Answer) -> bool| {
+        range(results, |measured| measured.answered(kind, is_expected))
+    };
     println!(
         "{:12} during the fault completed {}, rejected {}, failed {}",
         "",
@@ -222,13 +223,13 @@
     }
 
     /// A handler's requests during the fault whose first answer is like this.
-    fn answered(&self, kind: KindId, is_like: fn(&Answer) -> bool) -> f64 {
+    fn answered(&self, kind: KindId, is_expected: fn(&Answer) -> bool) -> f64 {
         let records = self.run.records.iter();
         let during_fault =
             records.filter(|record| record.kind == kind && FAULT.contains(&record.sent));
         let answered = during_fault.filter(|record| {
             let first = record.answers.first();
-            first.is_some_and(|(answer, _)| is_like(answer))
+            first.is_some_and(|(answer, _)| is_expected(answer))
         });
         answered.count() as f64
     }
--- a/crates/testkit/examples/quotas/central_lessor.rs
+++ b/crates/testkit/examples/quotas/central_lessor.rs
@@ -90,12 +90,12 @@
             .map(|grant| grant.demand)
             .filter(|demand| *demand > 0)
             .collect();
-        let even_part = self.capacity / (1 + other_demands.len() as u32);
-        let idle: u32 = other_demands
+        let fair_share = self.capacity / (1 + other_demands.len() as u32);
+        let unused_by_others: u32 = other_demands
             .iter()
-            .map(|demand| even_part.saturating_sub(*demand))
+            .map(|demand| fair_share.saturating_sub(*demand))
             .sum();
-        let units = demand.min(free).min(even_part + idle);
+        let units = demand.min(free).min(fair_share + unused_by_others);
         let until = now + LEASE_SECS;
         grants.push(Grant {
             lessee,
@@ -134,7 +134,7 @@
     secs: f64,
 ) -> CentralResult {
     let middle = demands.len() / 2;
-    let partitioned = |one: usize, other: usize| halved && (one < middle) != (other < middle);
+    let partitioned = |a: usize, b: usize| halved && (a < middle) != (b < middle);
     let mut lessor = CentralLessor::new(demands.len(), capacity);
     for _ in 0..(secs / STEP_SECS) as usize {
         fleet.run(Duration::from_secs_f64(STEP_SECS));
--- a/crates/testkit/examples/quotas/counters.rs
+++ b/crates/testkit/examples/quotas/counters.rs
@@ -39,14 +39,14 @@
 
 /// Prints the table, and the line about many tenants.
 pub(crate) fn measure() {
-    let heads = [
+    let headings = [
         "servers, loss",
         "value, truth, bound (median sample)",
         "servers not received",
         "outside the bound",
         "bytes a second a server",
     ];
-    println!("{}", table_head(&heads));
+    println!("{}", table_head(&headings));
     for (servers, loss) in [(5, 0.0), (5, 0.1), (12, 0.0), (12, 0.1), (100, 0.0)] {
         print_row(servers, loss);
     }
--- a/crates/testkit/examples/quotas/histories.rs
+++ b/crates/testkit/examples/quotas/histories.rs
@@ -39,16 +39,16 @@
 /// Plays a number of histories in simulated time.
 pub(crate) fn simulate(count: u64) {
     let peaks = run_seeds(0..count, SIMULATED_THREADS, simulate_one);
-    let mut highest: f64 = 0.0;
-    let mut over = 0;
-    let mut reached = 0;
+    let mut max_fraction: f64 = 0.0;
+    let mut above_capacity = 0;
+    let mut at_capacity = 0;
     for SimulatedPeak { peak, capacity } in peaks {
-        highest = highest.max(f64::from(peak) / f64::from(capacity));
-        over += u64::from(peak > capacity);
-        reached += u64::from(peak == capacity);
+        max_fraction = max_fraction.max(f64::from(peak) / f64::from(capacity));
+        above_capacity += u64::from(peak > capacity);
+        at_capacity += u64::from(peak == capacity);
     }
     println!(
-        "{count} simulated histories of 3 to 6 servers, {SIMULATED_ACTIONS} faults and shifts each: peak {highest:.2} of the quota; over it {over}, at it {reached}"
+        "{count} simulated histories of 3 to 6 servers, {SIMULATED_ACTIONS} faults and shifts each: peak {max_fraction:.2} of the quota; over it {above_capacity}, at it {at_capacity}"
     );
 }
 
@@ -85,16 +85,16 @@
     let results = run_seeds(0..count, REAL_THREADS, run_one);
     let mut peak = 0;
     let mut requests = 0;
-    let mut over = 0;
+    let mut above_capacity = 0;
     let mut violations = Violations::default();
     for (seed, result) in (0..).zip(results) {
         peak = peak.max(result.peak);
         requests += result.requests;
-        over += u64::from(result.peak > capacity() as usize);
+        above_capacity += u64::from(result.peak > capacity() as usize);
         violations.add(seed, result.violations);
     }
     println!(
-        "{count} histories of {REAL_SERVERS} real processes, {REAL_ACTIONS} faults and shifts each, {requests} requests: peak {peak} of {}, over it {over}; {} invariants violated",
+        "{count} histories of {REAL_SERVERS} real processes, {REAL_ACTIONS} faults and shifts each, {requests} requests: peak {peak} of {}, over it {above_capacity}; {} invariants violated",
         capacity(),
         violations.count()
     );
--- a/crates/testkit/examples/quotas/processes.rs
+++ b/crates/testkit/examples/quotas/processes.rs
@@ -22,14 +22,14 @@
 
 /// Prints the table.
 pub(crate) fn measure() {
-    let heads = [
+    let headings = [
         "processes, demand",
         "use of the quota",
         "follows within, s",
         "peak of the quota",
         "CPU a request, ms",
     ];
-    println!("{}", table_head(&heads));
+    println!("{}", table_head(&headings));
     for servers in [5, 12] {
         let capacity = servers as u32 * BASE_QUOTA;
         let setup = setup(servers, capacity, CALL_MS);
--- a/crates/testkit/examples/quotas/simulated.rs
+++ b/crates/testkit/examples/quotas/simulated.rs
@@ -11,7 +11,7 @@
 
 const SERVERS: [usize; 3] = [10, 100, 1_000];
 /// The largest fleet that is partitioned and compared with a central lessor.
-const MAX_SERVERS_FOR_ALL: usize = 100;
+const MAX_SERVERS_FOR_COMPARISON: usize = 100;
 const CALL_MS: u64 = 50;
 /// The time without demand before each case, after a demand is followed, and to be measured.
 const IDLE_TIME: Duration = Duration::from_millis(3_000);
@@ -19,11 +19,11 @@
 const MEASURED_TIME: Duration = Duration::from_millis(5_000);
 /// The seconds for which the central lessor is measured, and under a partition.
 const CENTRAL_SECS: f64 = 5.0;
-const CENTRAL_PARTITION_SECS: f64 = 15.0;
+const PARTITIONED_CENTRAL_SECS: f64 = 15.0;
 
 /// Prints the table, or the rows of one number of servers.
 pub(crate) fn measure(only: Option<usize>) {
-    let heads = [
+    let headings = [
         "servers, demand",
         "variant",
         "use of the quota",
@@ -31,7 +31,7 @@
         "peak of the quota",
         "bytes a second a server",
     ];
-    println!("{}", table_head(&heads));
+    println!("{}", table_head(&headings));
     let servers = SERVERS
         .into_iter()
         .filter(|servers| only.is_none_or(|only| only == *servers));
@@ -40,14 +40,14 @@
         for shape in DemandShape::ALL {
             measured.print_case(shape);
         }
-        if servers <= MAX_SERVERS_FOR_ALL {
+        if servers <= MAX_SERVERS_FOR_COMPARISON {
             measured.print_partitions();
         }
     }
 }
 
 /// What a demand has come to.
-struct Played {
+struct DemandResult {
     /// Calls in flight as a fraction of the capacity: the mean and the most.
     used: f64,
     peak: f64,
@@ -79,13 +79,13 @@
     /// Prints the rows of a shape of demand.
     fn print_case(&mut self, shape: DemandShape) {
         let demands = shape.demands(self.servers, self.capacity);
-        self.print_played(shape.name(), &demands);
-        let fixed: u32 = demands.iter().map(|demand| (*demand).min(BASE_QUOTA)).sum();
+        self.print_leases(shape.name(), &demands);
+        let fixed_quota_use: u32 = demands.iter().map(|demand| (*demand).min(BASE_QUOTA)).sum();
         println!(
             "| | fixed parts | {:.2} | - | 1.00 at most | 0 |",
-            f64::from(fixed) / f64::from(self.capacity)
+            f64::from(fixed_quota_use) / f64::from(self.capacity)
         );
-        if self.servers <= MAX_SERVERS_FOR_ALL {
+        if self.servers <= MAX_SERVERS_FOR_COMPARISON {
             self.print_central(&demands, false, CENTRAL_SECS);
         }
     }
@@ -97,18 +97,18 @@
         let demands = vec![self.capacity; self.servers];
         let halves = vec![(0..middle).collect(), (middle..self.servers).collect()];
         act(&mut self.fleet, Action::Cut(halves));
-        self.print_played("partitioned into halves", &demands);
-        self.print_central(&demands, true, CENTRAL_PARTITION_SECS);
+        self.print_leases("partitioned into halves", &demands);
+        self.print_central(&demands, true, PARTITIONED_CENTRAL_SECS);
         act(&mut self.fleet, Action::Heal);
         act(&mut self.fleet, Action::loss(1.0));
-        self.print_played("all isolated", &demands);
+        self.print_leases("all isolated", &demands);
     }
 
-    fn print_played(&mut self, case: &str, demands: &[u32]) {
-        let played = self.play(demands);
+    fn print_leases(&mut self, case: &str, demands: &[u32]) {
+        let result = self.measure(demands);
         println!(
             "| {}, {case} | leases | {:.2} | {:.1} | {:.2} | {:.0} |",
-            self.servers, played.used, played.follow_secs, played.peak, played.bytes_per_second
+            self.servers, result.used, result.follow_secs, result.peak, result.bytes_per_second
         );
     }
 
@@ -124,7 +124,7 @@
     }
 
     /// Ends all demand, sets this one, and measures the fleet once it follows.
-    fn play(&mut self, demands: &[u32]) -> Played {
+    fn measure(&mut self, demands: &[u32]) -> DemandResult {
         end_demands(&mut self.fleet, self.servers);
         self.fleet.run(IDLE_TIME);
         self.fleet.peak = 0;
@@ -136,7 +136,7 @@
         let secs = MEASURED_TIME.as_secs_f64();
         let used = self.fleet.used() - used_before;
         let bytes = (bytes_sent(&self.fleet) - bytes_before) as f64;
-        Played {
+        DemandResult {
             used: used / secs / f64::from(self.capacity),
             peak: f64::from(self.fleet.peak) / f64::from(self.capacity),
             follow_secs,
--- a/crates/testkit/examples/quotas/slow_catalogue.rs
+++ b/crates/testkit/examples/quotas/slow_catalogue.rs
@@ -31,7 +31,7 @@
 
 /// Prints the table.
 pub(crate) fn measure() {
-    let heads = [
+    let headings = [
         "variant",
         "goodput during the fault: trip-search, fare-quote, seat-book",
         "after it",
@@ -39,7 +39,7 @@
         "invariants violated",
         "CPU a request, ms",
     ];
-    println!("{}", table_head(&heads));
+    println!("{}", table_head(&headings));
     for (variant, leases) in [("fixed parts", false), ("leases", true)] {
         print_row(variant, leases);
     }
--- a/crates/testkit/src/catalogue.rs
+++ b/crates/testkit/src/catalogue.rs
@@ -77,19 +77,19 @@
 }
 
 impl Catalogue {
-    /// Starts a catalogue with a number of slots on a free loopback port. A call takes `call` in
+    /// Starts a catalogue with a number of slots on a free loopback port. A call takes `call_duration` in
     /// its slot.
     ///
     /// # Panics
     ///
     /// If no port is free.
-    pub fn start(slots: usize, call: Duration) -> Catalogue {
+    pub fn start(slots: usize, call_duration: Duration) -> Catalogue {
         let listener = loopback_listener();
         let address = listener.local_addr().expect("an address");
         let (events, received) = channel();
         let accepted = events.clone();
         std::thread::spawn(move || accept(&listener, &accepted));
-        std::thread::spawn(move || Slots::new(slots, call).run(&received));
+        std::thread::spawn(move || Slots::new(slots, call_duration).run(&received));
         Catalogue { address, events }
     }
 
@@ -194,13 +194,13 @@
         let started = Instant::now();
         let mut worked = started;
         loop {
-            let event = received.recv_timeout(self.next_finish());
+            let event = received.recv_timeout(self.time_to_next_completion());
             self.sample(started);
             // The time up to the event is that of the calls before it.
             let passed = worked.elapsed();
             if passed >= TIME_SLICE || self.calls.is_empty() {
                 worked = Instant::now();
-                self.work(passed.as_secs_f64());
+                self.apply_behavior(passed.as_secs_f64());
             }
             match event {
                 Ok(event) => self.handle(event),
@@ -212,17 +212,17 @@
 
     /// The time until a call is finished, if no event comes before: the thread sleeps until then, so that many
     /// catalogues leave the machine to the servers.
-    fn next_finish(&self) -> Duration {
-        let times = match self.behavior {
+    fn time_to_next_completion(&self) -> Duration {
+        let slowdown = match self.behavior {
             _ if self.calls.is_empty() => return IDLE_WAIT,
             Behavior::Silent => return IDLE_WAIT,
             Behavior::Fails | Behavior::TurnsAway | Behavior::Resets => return TIME_SLICE,
-            Behavior::Slow(times) => times,
+            Behavior::Slow(slowdown) => slowdown,
             Behavior::Dribbles => 1.0,
         };
         let in_slots = self.calls.iter().take(self.slots);
         let remaining = in_slots.map(|call| call.remaining).fold(1.0, f64::min);
-        let wait = self.call_duration.mul_f64(remaining.max(0.0) * times);
+        let wait = self.call_duration.mul_f64(remaining.max(0.0) * slowdown);
         wait.clamp(TIME_SLICE, IDLE_WAIT)
     }
 
@@ -234,10 +234,10 @@
         }
     }
 
-    fn work(&mut self, secs: f64) {
+    fn apply_behavior(&mut self, secs: f64) {
         match self.behavior {
-            Behavior::Slow(times) => self.progress(secs, times),
-            Behavior::Dribbles => self.progress(secs, 1.0),
+            Behavior::Slow(slowdown) => self.advance_calls(secs, slowdown),
+            Behavior::Dribbles => self.advance_calls(secs, 1.0),
             Behavior::Silent => {}
             Behavior::Fails => self.reject_all("FAULT"),
             Behavior::TurnsAway => self.reject_all("LATER"),
@@ -246,8 +246,8 @@
     }
 
     /// The calls with a slot progress, and those that are finished are answered.
-    fn progress(&mut self, secs: f64, times: f64) {
-        let done = secs / (self.call_duration.as_secs_f64() * times);
+    fn advance_calls(&mut self, secs: f64, slowdown: f64) {
+        let done = secs / (self.call_duration.as_secs_f64() * slowdown);
         for call in self.calls.iter_mut().take(self.slots) {
             call.remaining -= done;
         }
@@ -283,12 +283,12 @@
         let Some(stream) = self.connections.get_mut(&connection) else {
             return;
         };
-        let piece = if self.behavior == Behavior::Dribbles {
+        let chunk_bytes = if self.behavior == Behavior::Dribbles {
             1
         } else {
             text.len()
         };
-        for bytes in text.as_bytes().chunks(piece) {
+        for bytes in text.as_bytes().chunks(chunk_bytes) {
             let _ = stream.write_all(bytes);
         }
     }
--- a/crates/testkit/src/engine/core_pool.rs
+++ b/crates/testkit/src/engine/core_pool.rs
@@ -49,10 +49,10 @@
     random: oorandom::Rand64,
     runs: BTreeMap<String, Run>,
     /// Requests that are over: no run of theirs begins any more.
-    over: HashSet<String>,
+    answered_requests: HashSet<String>,
     connection: Option<TcpStream>,
     /// The number of the newest connection.
-    connections: u64,
+    newest_connection: u64,
     /// Whether that one is read.
     is_reading: bool,
     /// Whether the server has said on that one which notices it has. None is sent before.
@@ -71,9 +71,9 @@
             works,
             random: oorandom::Rand64::new(u128::from(seed)),
             runs: BTreeMap::new(),
-            over: HashSet::new(),
+            answered_requests: HashSet::new(),
             connection: None,
-            connections: 0,
+            newest_connection: 0,
             is_reading: true,
             is_attached: false,
             began: Instant::now(),
@@ -87,12 +87,12 @@
     pub(super) fn run(mut self, received: &Receiver<Event>, lines: &Sender<Event>) {
         let mut worked = Instant::now();
         loop {
-            let event = received.recv_timeout(self.next_step());
+            let event = received.recv_timeout(self.time_to_next_transition());
             // The time up to the event is that of the runs before it.
             let passed = worked.elapsed();
             if passed >= TIME_SLICE || self.working_runs() == 0 {
                 worked = Instant::now();
-                self.work(passed.as_secs_f64() * 1e3);
+                self.advance_runs(passed.as_secs_f64() * 1e3);
             }
             match event {
                 Ok(event) => self.handle(event, lines),
@@ -104,15 +104,15 @@
 
     /// The time until a run makes its call or ends, if no event comes before: the thread sleeps until then, so that
     /// many engines leave the machine to the servers.
-    fn next_step(&self) -> Duration {
+    fn time_to_next_transition(&self) -> Duration {
         let working = self.runs.values().filter(|r| r.state == RunState::Working);
-        let least_ms = working
+        let min_ms = working
             .map(|run| run.remaining_ms - run.call_at_remaining_ms.unwrap_or(0.0))
             .min_by(f64::total_cmp);
-        let Some(least_ms) = least_ms else {
+        let Some(min_ms) = min_ms else {
             return IDLE_WAIT;
         };
-        let wait_ms = least_ms.max(0.0) / self.cores_per_run();
+        let wait_ms = min_ms.max(0.0) / self.cores_per_run();
         Duration::from_secs_f64(wait_ms / 1e3).clamp(TIME_SLICE, IDLE_WAIT)
     }
 
@@ -130,14 +130,14 @@
     }
 
     /// Gives each working run its even part of the cores, one core at most.
-    fn work(&mut self, ms: f64) {
-        let each_ms = ms * self.cores_per_run();
+    fn advance_runs(&mut self, ms: f64) {
+        let ms_per_run = ms * self.cores_per_run();
         let (mut finished, mut calling) = (vec![], vec![]);
         for (name, run) in &mut self.runs {
             if run.state != RunState::Working {
                 continue;
             }
-            run.remaining_ms -= each_ms;
+            run.remaining_ms -= ms_per_run;
             if run
                 .call_at_remaining_ms
                 .is_some_and(|call_at| run.remaining_ms <= call_at)
@@ -170,20 +170,20 @@
     }
 
     /// Ends a run; `how` is the protocol's word for its outcome.
-    fn end(&mut self, name: &str, how: &str) {
+    fn end(&mut self, name: &str, outcome: &str) {
         if let Some(run) = self.runs.remove(name) {
-            self.run_over(name, how, run.started.elapsed());
+            self.report_run_ended(name, outcome, run.started.elapsed());
         }
     }
 
     /// Sends the notice of a run that is over.
-    fn run_over(&mut self, name: &str, how: &str, elapsed: Duration) {
-        self.record(name, &format!("DONE {how}"));
+    fn report_run_ended(&mut self, name: &str, outcome: &str, elapsed: Duration) {
+        self.record(name, &format!("DONE {outcome}"));
         let ms = elapsed.as_millis();
         let blob = BASE64.encode(name);
         self.notify(|serial| {
             format!(
-                "\"msg\":\"DONE\",\"serial\":{serial},\"call\":\"{name}\",\"how\":\"{how}\",\
+                "\"msg\":\"DONE\",\"serial\":{serial},\"call\":\"{name}\",\"how\":\"{outcome}\",\
                  \"duration\":{ms},\"blob\":\"{blob}\""
             )
         });
@@ -225,14 +225,14 @@
 
     fn handle(&mut self, event: Event, lines: &Sender<Event>) {
         match event {
-            Event::Connected(stream) => self.connected(stream, lines),
+            Event::Connected(stream) => self.handle_connected(stream, lines),
             Event::Line { connection, line }
-                if connection == self.connections && self.is_reading =>
+                if connection == self.newest_connection && self.is_reading =>
             {
-                self.command(&line);
+                self.handle_command(&line);
             }
             Event::Line { .. } => {}
-            Event::RequestAnswered(name) => self.request_answered(&name),
+            Event::RequestAnswered(name) => self.handle_request_answered(&name),
             Event::Stats(reply) => {
                 let _ = reply.send(self.stats.clone());
             }
@@ -263,19 +263,19 @@
     }
 
     /// A new connection replaces the former one.
-    fn connected(&mut self, stream: TcpStream, lines: &Sender<Event>) {
+    fn handle_connected(&mut self, stream: TcpStream, lines: &Sender<Event>) {
         let _ = stream.set_nodelay(true);
-        self.connections += 1;
+        self.newest_connection += 1;
         self.is_reading = true;
         self.is_attached = false;
-        let (connection, events) = (self.connections, lines.clone());
+        let (connection, events) = (self.newest_connection, lines.clone());
         let reader = stream.try_clone().expect("a second handle");
         std::thread::spawn(move || read_lines(connection, reader, &events));
         self.connection = Some(stream);
     }
 
-    fn request_answered(&mut self, name: &str) {
-        self.over.insert(name.into());
+    fn handle_request_answered(&mut self, name: &str) {
+        self.answered_requests.insert(name.into());
         let Some(run) = self.runs.get_mut(name) else {
             return;
         };
@@ -286,7 +286,7 @@
     }
 
     /// Handles one line of a server; lines that are no JSON are ignored.
-    fn command(&mut self, line: &str) {
+    fn handle_command(&mut self, line: &str) {
         let Ok(message) = serde_json::from_str::<Value>(line) else {
             return;
         };
@@ -346,11 +346,11 @@
                 "{{\"msg\":\"NO\",\"how\":\"RUN\",\"call\":\"{name}\"}}\n"
             ));
         };
-        let (least_ms, most_ms) = work.ms;
-        if self.over.contains(name) {
-            return self.run_over(name, "gone", Duration::ZERO);
+        let (min_ms, max_ms) = work.ms;
+        if self.answered_requests.contains(name) {
+            return self.report_run_ended(name, "gone", Duration::ZERO);
         }
-        let total_ms = least_ms + (most_ms - least_ms) * self.random.rand_float();
+        let total_ms = min_ms + (max_ms - min_ms) * self.random.rand_float();
         let run = Run {
             remaining_ms: total_ms,
             call_at_remaining_ms: work.calls.then_some(total_ms * WORK_BEFORE_CALL),
--- a/crates/testkit/src/load_balancer.rs
+++ b/crates/testkit/src/load_balancer.rs
@@ -35,7 +35,7 @@
 /// The time between two attempts to connect with a server that is gone.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(50);
 /// Requests in flight on one connection, as the protocol limits them.
-const MAX_OPEN_REQUESTS: usize = 32;
+const MAX_IN_FLIGHT: usize = 32;
 /// The error code of a request that was rejected and never ran.
 const REJECTED: i64 = -32002;
 /// The shortest time for which answers are awaited between two sendings.
@@ -89,19 +89,19 @@
 
 impl RequestRecord {
     /// Whether it has exactly one answer, a result within the latency objective.
-    pub fn in_time(&self, target: Duration) -> bool {
-        matches!(self.answers[..], [(Answer::Completed, at)] if at.saturating_sub(self.sent) <= target)
+    pub fn in_time(&self, latency_objective: Duration) -> bool {
+        matches!(self.answers[..], [(Answer::Completed, at)] if at.saturating_sub(self.sent) <= latency_objective)
     }
 }
 
 struct Connection {
     stream: TcpStream,
     /// Requests in flight.
-    open: usize,
+    in_flight: usize,
     /// The id of the last request.
     last_id: u64,
     /// The server has announced that it closes it.
-    leaving: bool,
+    is_draining: bool,
 }
 
 /// What the thread of a connection has read.
@@ -130,15 +130,15 @@
 
 impl Load {
     /// Sends all requests and waits for the answers. `answered` is called with the name of each
-    /// request that gets its first answer, `at` with the time since the beginning, a few hundred
+    /// request that gets its first answer, `tick` with the time since the beginning, a few hundred
     /// times a second.
     pub fn run(
         &self,
         server: SocketAddr,
         answered: impl FnMut(&str),
-        at: impl FnMut(Duration),
+        tick: impl FnMut(Duration),
     ) -> Vec<RequestRecord> {
-        self.run_while(server, answered, at, || true)
+        self.run_while(server, answered, tick, || true)
     }
 
     /// The same, but sends nothing more once `on` is false.
@@ -146,23 +146,27 @@
         &self,
         server: SocketAddr,
         mut answered: impl FnMut(&str),
-        mut at: impl FnMut(Duration),
-        on: impl Fn() -> bool,
+        mut tick: impl FnMut(Duration),
+        keep_sending: impl Fn() -> bool,
     ) -> Vec<RequestRecord> {
         let mut run = Run::new(self, server);
         let mut length = self.length;
         let mut wait = AnswerWait::default();
         loop {
             let now = run.began.elapsed();
-            at(now);
-            if !on() {
+            tick(now);
+            if !keep_sending() {
                 length = length.min(now);
             }
             wait.step(now, length);
             run.send_until(now, length);
             run.receive(&mut answered);
-            let owed = run.records.iter().rev().any(|f| f.answers.is_empty());
-            if (now >= length && !owed) || wait.exceeds(self.timeout_ms) {
+            let has_unanswered = run
+                .records
+                .iter()
+                .rev()
+                .any(|record| record.answers.is_empty());
+            if (now >= length && !has_unanswered) || wait.exceeds(self.timeout_ms) {
                 return run.records;
             }
         }
@@ -185,7 +189,7 @@
     }
 
     /// A request as it is sent.
-    fn line(&self, id: u64, kind: KindId, name: &str, body: &str) -> String {
+    fn request_line(&self, id: u64, kind: KindId, name: &str, body: &str) -> String {
         let kind = &self.kinds[kind.index()];
         let key = if kind.idempotency_key {
             format!("\"replay\":\"{name}{name}\",")
@@ -237,10 +241,10 @@
     received: Receiver<Received>,
     records: Vec<RequestRecord>,
     /// The index of each record by its connection and id.
-    by_id: HashMap<(usize, u64), usize>,
+    record_by_id: HashMap<(usize, u64), usize>,
     began: Instant,
     /// When the next request is to be sent.
-    next: Duration,
+    next_send: Duration,
 }
 
 impl Run<'_> {
@@ -254,31 +258,32 @@
             sender,
             received,
             records: vec![],
-            by_id: HashMap::new(),
+            record_by_id: HashMap::new(),
             began: Instant::now(),
-            next: Duration::ZERO,
+            next_send: Duration::ZERO,
         }
     }
 
     /// Sends the requests that are due by now, but for those after the end of the load.
     fn send_until(&mut self, now: Duration, length: Duration) {
-        while self.next <= now && self.next < length {
-            let rate = self.load.rate_at(self.next);
+        while self.next_send <= now && self.next_send < length {
+            let rate = self.load.rate_at(self.next_send);
             let Some(connection) = self.free_connection() else {
                 // The server is gone: what can't be sent is not counted.
-                self.next = now + RECONNECT_INTERVAL;
+                self.next_send = now + RECONNECT_INTERVAL;
                 return;
             };
-            self.send_on(connection);
+            self.send_request(connection);
             let gap = -(1.0 - self.random.rand_float()).ln() / rate;
-            self.next += Duration::from_secs_f64(gap);
+            self.next_send += Duration::from_secs_f64(gap);
         }
     }
 
     /// A connection that may have one more request; `None` if no more can be opened.
     fn free_connection(&mut self) -> Option<usize> {
-        let is_free =
-            |connection: &Connection| !connection.leaving && connection.open < MAX_OPEN_REQUESTS;
+        let is_free = |connection: &Connection| {
+            !connection.is_draining && connection.in_flight < MAX_IN_FLIGHT
+        };
         if let Some(index) = self.connections.iter().position(is_free) {
             return Some(index);
         }
@@ -290,25 +295,25 @@
         std::thread::spawn(move || read_lines(index, reader, &sender));
         self.connections.push(Connection {
             stream,
-            open: 0,
+            in_flight: 0,
             last_id: 0,
-            leaving: false,
+            is_draining: false,
         });
         Some(index)
     }
 
     /// Draws a request and sends it.
-    fn send_on(&mut self, index: usize) {
+    fn send_request(&mut self, index: usize) {
         let connection = &mut self.connections[index];
-        connection.open += 1;
+        connection.in_flight += 1;
         connection.last_id += 1;
         let id = connection.last_id;
         let kind = self.load.draw_kind(self.random.rand_float());
         let name = format!("{:016x}", self.random.rand_u64());
         let body = BASE64.encode(&name);
-        let line = self.load.line(id, kind, &name, &body);
+        let line = self.load.request_line(id, kind, &name, &body);
         let _ = connection.stream.write_all(line.as_bytes());
-        self.by_id.insert((index, id), self.records.len());
+        self.record_by_id.insert((index, id), self.records.len());
         self.records.push(RequestRecord {
             kind,
             name,
@@ -320,7 +325,7 @@
 
     /// Takes in what the server has sent; waits for it until the next request is due, but a short time at most.
     fn receive(&mut self, answered: &mut impl FnMut(&str)) {
-        let until_next = self.next.saturating_sub(self.began.elapsed());
+        let until_next = self.next_send.saturating_sub(self.began.elapsed());
         let mut wait = until_next.clamp(MIN_RECEIVE_TIME, MAX_RECEIVE_TIME);
         while let Ok(received) = self.received.recv_timeout(wait) {
             wait = Duration::ZERO;
@@ -330,13 +335,13 @@
                 at,
             } = received
             {
-                self.take_in(connection, &line, at, answered);
+                self.handle_line(connection, &line, at, answered);
             }
         }
     }
 
     /// Takes in one line; lines that are no JSON are ignored.
-    fn take_in(
+    fn handle_line(
         &mut self,
         connection: usize,
         line: &str,
@@ -347,17 +352,17 @@
             return;
         };
         if message["method"] == "leaving" {
-            self.connections[connection].leaving = true;
+            self.connections[connection].is_draining = true;
         }
         let record = message["id"]
             .as_u64()
-            .and_then(|id| self.by_id.get(&(connection, id)));
+            .and_then(|id| self.record_by_id.get(&(connection, id)));
         let Some(record) = record.map(|index| &mut self.records[*index]) else {
             return;
         };
         if record.answers.is_empty() {
             answered(&record.name);
-            self.connections[connection].open -= 1;
+            self.connections[connection].in_flight -= 1;
         }
         let after = at.saturating_duration_since(self.began);
         record.answers.push((answer_in(&message), after));
--- a/crates/testkit/src/load_balancer/outcomes.rs
+++ b/crates/testkit/src/load_balancer/outcomes.rs
@@ -26,13 +26,13 @@
 
 /// The times, in milliseconds, after which requests of a kind had their results.
 pub fn latencies(records: &[RequestRecord], kind: KindId) -> Histogram<u64> {
-    let mut found = Histogram::new(3).expect("three digits");
+    let mut latencies = Histogram::new(3).expect("three digits");
     for record in records.iter().filter(|record| record.kind == kind) {
         if let [(Answer::Completed, at)] = record.answers[..] {
-            let _ = found.record(at.saturating_sub(record.sent).as_millis() as u64);
+            let _ = latencies.record(at.saturating_sub(record.sent).as_millis() as u64);
         }
     }
-    found
+    latencies
 }
 
 /// Checks the rules as far as clients and the engine can tell: exactly one answer each, nothing
@@ -43,22 +43,22 @@
     kinds: &[RequestKind],
     bodies: &HashMap<String, u32>,
 ) -> Vec<String> {
-    let mut found = vec![];
+    let mut violations = vec![];
     for record in records {
         let name = &record.name;
         if record.answers.len() != 1 {
-            found.push(format!("{name} got {} answers", record.answers.len()));
+            violations.push(format!("{name} got {} answers", record.answers.len()));
         }
         if !kinds[record.kind.index()].idempotency_key {
             continue;
         }
         let runs = bodies.get(&record.body).copied().unwrap_or(0);
         if runs > 1 {
-            found.push(format!("{name} ran {runs} times"));
+            violations.push(format!("{name} ran {runs} times"));
         }
         if runs > 0 && matches!(record.answers[..], [(Answer::Rejected(_), _)]) {
-            found.push(format!("{name} was shed although it ran"));
+            violations.push(format!("{name} was shed although it ran"));
         }
     }
-    found
+    violations
 }
--- a/crates/testkit/src/measurement/report.rs
+++ b/crates/testkit/src/measurement/report.rs
@@ -14,11 +14,11 @@
 }
 
 /// The two lines that begin a Markdown table.
-pub fn table_head(heads: &[&str]) -> String {
+pub fn table_head(headings: &[&str]) -> String {
     format!(
         "| {} |\n|{}",
-        heads.join(" | "),
-        " --- |".repeat(heads.len())
+        headings.join(" | "),
+        " --- |".repeat(headings.len())
     )
 }
 
