--- a/crates/server/tests/routes/support.rs
+++ b/crates/server/tests/routes/support.rs
@@ -268,7 +268,7 @@
 fn assert_called_once(backends: &[Catalogue], records: &[RequestRecord]) {
     let mut calls: HashMap<String, u32> = HashMap::new();
     for backend in backends {
-        for (name, n) in backend.stats().names {
+        for (name, n) in backend.stats().done_by_name {
             *calls.entry(name).or_default() += n;
         }
     }
--- a/crates/testkit/src/catalogue.rs
+++ b/crates/testkit/src/catalogue.rs
@@ -34,13 +34,13 @@
     /// Calls are answered `FAULT` at once.
     Fails,
     /// Calls are answered `LATER` at once.
-    TurnsAway,
+    Rejects,
     /// Calls are never answered.
     Silent,
     /// The connection is closed in place of a reply.
     Resets,
     /// Replies are written byte by byte.
-    Dribbles,
+    ByteByByte,
 }
 
 /// What the catalogue has seen since its start.
@@ -55,7 +55,7 @@
     /// Calls that arrived, whatever their outcome.
     pub received: u32,
     /// Finished calls by the request that they were made for.
-    pub names: HashMap<String, u32>,
+    pub done_by_name: HashMap<String, u32>,
 }
 
 enum Event {
@@ -216,9 +216,9 @@
         let slowdown = match self.behavior {
             _ if self.calls.is_empty() => return IDLE_WAIT,
             Behavior::Silent => return IDLE_WAIT,
-            Behavior::Fails | Behavior::TurnsAway | Behavior::Resets => return TIME_SLICE,
+            Behavior::Fails | Behavior::Rejects | Behavior::Resets => return TIME_SLICE,
             Behavior::Slow(slowdown) => slowdown,
-            Behavior::Dribbles => 1.0,
+            Behavior::ByteByByte => 1.0,
         };
         let in_slots = self.calls.iter().take(self.slots);
         let remaining = in_slots.map(|call| call.remaining).fold(1.0, f64::min);
@@ -237,10 +237,10 @@
     fn apply_behavior(&mut self, secs: f64) {
         match self.behavior {
             Behavior::Slow(slowdown) => self.advance_calls(secs, slowdown),
-            Behavior::Dribbles => self.advance_calls(secs, 1.0),
+            Behavior::ByteByByte => self.advance_calls(secs, 1.0),
             Behavior::Silent => {}
             Behavior::Fails => self.reject_all("FAULT"),
-            Behavior::TurnsAway => self.reject_all("LATER"),
+            Behavior::Rejects => self.reject_all("LATER"),
             Behavior::Resets => self.reset_all(),
         }
     }
@@ -257,7 +257,11 @@
         self.calls = waiting.into();
         for call in finished {
             self.stats.done += 1;
-            *self.stats.names.entry(call.name.clone()).or_default() += 1;
+            *self
+                .stats
+                .done_by_name
+                .entry(call.name.clone())
+                .or_default() += 1;
             self.reply(call.connection, &format!("{} DATA 2\r\nok\r\n", call.name));
         }
     }
@@ -283,7 +287,7 @@
         let Some(stream) = self.connections.get_mut(&connection) else {
             return;
         };
-        let chunk_bytes = if self.behavior == Behavior::Dribbles {
+        let chunk_bytes = if self.behavior == Behavior::ByteByByte {
             1
         } else {
             text.len()
--- a/crates/testkit/src/engine.rs
+++ b/crates/testkit/src/engine.rs
@@ -55,7 +55,7 @@
     /// The number of runs by the body that they were started with, in base64.
     pub bodies: HashMap<String, u32>,
     /// The most runs at any time.
-    pub most_at_once: usize,
+    pub peak_runs: usize,
     /// What happened to each run, by its name, in order.
     pub runs: HashMap<String, Vec<RunEvent>>,
 }
--- a/crates/testkit/src/engine/core_pool.rs
+++ b/crates/testkit/src/engine/core_pool.rs
@@ -360,6 +360,6 @@
         };
         *self.stats.bodies.entry(body.into()).or_default() += 1;
         self.runs.insert(name.into(), run);
-        self.stats.most_at_once = self.stats.most_at_once.max(self.runs.len());
+        self.stats.peak_runs = self.stats.peak_runs.max(self.runs.len());
     }
 }
