--- a/crates/testkit/examples/backends/simulated.rs
+++ b/crates/testkit/examples/backends/simulated.rs
@@ -41,7 +41,7 @@
 }
 
 /// Prints a table of all cases whose name contains a text.
-pub(crate) fn measure(servers: usize, backends: usize, only: &str, seeds: u64) {
+pub(crate) fn measure(servers: usize, backends: usize, case_filter: &str, seeds: u64) {
     let each = rate(servers, backends) / backends as f64;
     println!(
         "\n{servers} servers, {backends} backends, {each:.2} calls a second of each to each\n"
@@ -58,7 +58,10 @@
         "peak at the returning one, of its part",
     ];
     println!("{}", table_head(&headings));
-    for (case, set_fault) in CASES.into_iter().filter(|case| case.0.contains(only)) {
+    for (case, set_fault) in CASES
+        .into_iter()
+        .filter(|case| case.0.contains(case_filter))
+    {
         for (policy, name) in POLICIES {
             let results = run_seeds(0..seeds, seeds as usize, |seed| {
                 run(servers, backends, policy, set_fault, seed)
--- a/crates/testkit/examples/membership/heartbeats.rs
+++ b/crates/testkit/examples/membership/heartbeats.rs
@@ -12,7 +12,7 @@
 /// The time that a step simulates, in seconds.
 const STEP_SECS: f64 = 0.05;
 /// Upper bound on the time that a fleet takes to settle, in seconds.
-const SETTLE_TERM_SECS: f64 = 30.0;
+const SETTLE_TIMEOUT_SECS: f64 = 30.0;
 /// The time over which bytes are measured, in seconds.
 const MEASURED_SECS: f64 = 5.0;
 const HEARTBEAT_BYTES: u64 = 60;
@@ -108,7 +108,7 @@
     pub(crate) fn settle(&mut self) -> f64 {
         let began = self.now;
         while !self.is_settled() {
-            if self.now - began > SETTLE_TERM_SECS {
+            if self.now - began > SETTLE_TIMEOUT_SECS {
                 return f64::INFINITY;
             }
             self.step();
--- a/crates/testkit/examples/membership/hour.rs
+++ b/crates/testkit/examples/membership/hour.rs
@@ -104,8 +104,8 @@
     for observer in (0..MEMBERS).filter(|observer| !fleet.is_paused(*observer)) {
         for member in (0..MEMBERS).filter(|member| *member != observer) {
             let is_up = fleet.is_up(observer, member);
-            let before = std::mem::replace(&mut was_up[observer * MEMBERS + member], is_up);
-            downs += u64::from(before && !is_up);
+            let was_up_before = std::mem::replace(&mut was_up[observer * MEMBERS + member], is_up);
+            downs += u64::from(was_up_before && !is_up);
         }
     }
     downs
--- a/crates/testkit/examples/membership/processes.rs
+++ b/crates/testkit/examples/membership/processes.rs
@@ -129,21 +129,21 @@
 fn load_under_flood(fleet: &ProcessFleet, datagrams_per_second: u32) -> Vec<RequestRecord> {
     let address = fleet.datagram_address(0).expect("it receives datagrams");
     let target = LoadTarget::of(fleet, 0);
-    let on = AtomicBool::new(true);
+    let keep_sending = AtomicBool::new(true);
     std::thread::scope(|scope| {
-        scope.spawn(|| flood(address, datagrams_per_second, &on));
+        scope.spawn(|| flood(address, datagrams_per_second, &keep_sending));
         let records = target.send(&load(FLOOD_SEED, FLOOD_SECS, FLOOD_RATE), |_| ());
-        on.store(false, Ordering::Relaxed);
+        keep_sending.store(false, Ordering::Relaxed);
         records
     })
 }
 
 /// Sends datagrams that belong to no fleet, while it is on.
-fn flood(to: SocketAddr, datagrams_per_second: u32, on: &AtomicBool) {
+fn flood(to: SocketAddr, datagrams_per_second: u32, keep_sending: &AtomicBool) {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let began = Instant::now();
     let mut sent: u64 = 0;
-    while on.load(Ordering::Relaxed) {
+    while keep_sending.load(Ordering::Relaxed) {
         let due = began.elapsed().as_secs_f64() * f64::from(datagrams_per_second);
         while sent < due as u64 {
             let _ = socket.send_to(&[sent as u8; FLOOD_DATAGRAM_BYTES], to);
--- a/crates/testkit/examples/membership/row.rs
+++ b/crates/testkit/examples/membership/row.rs
@@ -6,7 +6,7 @@
 use madderbay_testkit::measurement::report::{median, table_head};
 
 /// Upper bound on the time that a fleet takes to settle.
-const SETTLE_TERM: Duration = Duration::from_millis(120_000);
+const SETTLE_TIMEOUT: Duration = Duration::from_millis(120_000);
 
 /// What the runs of one row have shown: seconds, infinite where a fleet did not settle; bytes a
 /// second and member; processor time in percent of a core.
@@ -92,7 +92,7 @@
 
 /// The time that a fleet takes to settle, in seconds; infinite if it does not.
 pub(crate) fn settle(fleet: &mut impl Fleet) -> f64 {
-    wait_until(fleet, &Condition::Settled, SETTLE_TERM)
+    wait_until(fleet, &Condition::Settled, SETTLE_TIMEOUT)
 }
 
 /// Loses a fraction of all datagrams and delays the others by up to 5 ms.
--- a/crates/testkit/examples/quotas/counters.rs
+++ b/crates/testkit/examples/quotas/counters.rs
@@ -13,7 +13,7 @@
 use std::time::Instant;
 
 const WINDOW: Duration = Duration::from_millis(10_000);
-const SETTLE_TERM: Duration = Duration::from_millis(60_000);
+const SETTLE_TIMEOUT: Duration = Duration::from_millis(60_000);
 /// The time after which the window of all counters is full.
 const START_TIME: Duration = Duration::from_millis(20_000);
 /// Checks of the estimates, and the time before each.
@@ -60,7 +60,7 @@
     };
     let mut fleet = SimulatedFleet::new(setup, 1);
     start_all(&mut fleet, 0..servers);
-    wait_until(&mut fleet, &Condition::Settled, SETTLE_TERM);
+    wait_until(&mut fleet, &Condition::Settled, SETTLE_TIMEOUT);
     act(&mut fleet, Action::loss(loss));
     let key = name_hash("acme");
     for server in 0..servers {
--- a/crates/testkit/examples/quotas/demand.rs
+++ b/crates/testkit/examples/quotas/demand.rs
@@ -10,11 +10,11 @@
 /// followed.
 const FOLLOWED_PERCENT: u32 = 80;
 /// Upper bound on the time to settle.
-const SETTLE_TERM: Duration = Duration::from_millis(60_000);
+const SETTLE_TIMEOUT: Duration = Duration::from_millis(60_000);
 /// Upper bound on the time until all servers have their base quotas.
-const QUOTA_TERM: Duration = Duration::from_millis(30_000);
+const QUOTA_TIMEOUT: Duration = Duration::from_millis(30_000);
 /// Upper bound on the time to follow a demand.
-const FOLLOW_TERM: Duration = Duration::from_millis(20_000);
+const FOLLOW_TIMEOUT: Duration = Duration::from_millis(20_000);
 
 /// A fleet with a quota of this capacity, whose calls take this long.
 pub(crate) fn setup(servers: usize, capacity: u32, call_ms: u64) -> FleetSetup {
@@ -24,10 +24,10 @@
 /// Starts all servers and waits until each has its base quota.
 pub(crate) fn start(fleet: &mut impl Fleet, servers: usize) {
     start_all(fleet, 0..servers);
-    let settled = wait_until(fleet, &Condition::Settled, SETTLE_TERM);
+    let settled = wait_until(fleet, &Condition::Settled, SETTLE_TIMEOUT);
     assert!(settled.is_finite(), "settled");
     let quotas = min_quota(servers, BASE_QUOTA);
-    let has_quotas = wait_until(fleet, &quotas, QUOTA_TERM);
+    let has_quotas = wait_until(fleet, &quotas, QUOTA_TIMEOUT);
     assert!(has_quotas.is_finite(), "each has its base quota");
 }
 
@@ -95,5 +95,5 @@
         who: (0..demands.len()).collect(),
         least: possible * FOLLOWED_PERCENT / 100,
     };
-    wait_until(fleet, &uses, FOLLOW_TERM)
+    wait_until(fleet, &uses, FOLLOW_TIMEOUT)
 }
--- a/crates/testkit/examples/quotas/slow_catalogue.rs
+++ b/crates/testkit/examples/quotas/slow_catalogue.rs
@@ -22,7 +22,7 @@
 const SERVERS: usize = TRAFFIC_FRACTIONS.len();
 /// The capacity of the quota, and the sum of the fixed parts.
 const CAPACITY: u32 = 12;
-const START_TERM: Duration = Duration::from_millis(30_000);
+const START_TIMEOUT: Duration = Duration::from_millis(30_000);
 /// The longest time of a call under the quota.
 const MAX_CALL: Duration = Duration::from_millis(4_000);
 
@@ -86,10 +86,10 @@
     let mut fleet = ProcessFleet::with_catalogue(catalogue, setup, &binary, &settings, &works(), 1);
     fleet.operator = POOLS.into();
     start_all(&mut fleet, 0..SERVERS);
-    wait_until(&mut fleet, &Condition::Settled, START_TERM);
+    wait_until(&mut fleet, &Condition::Settled, START_TIMEOUT);
     if leases {
         let quotas = min_quota(SERVERS, CAPACITY / SERVERS as u32);
-        wait_until(&mut fleet, &quotas, START_TERM);
+        wait_until(&mut fleet, &quotas, START_TIMEOUT);
     }
     fleet
 }
--- a/crates/testkit/src/measurement/fleets.rs
+++ b/crates/testkit/src/measurement/fleets.rs
@@ -42,10 +42,10 @@
 
 /// Waits until a condition holds. Gives the time that it took in seconds, infinite if it does not
 /// hold within the term.
-pub fn wait_until(fleet: &mut impl Fleet, condition: &Condition, term: Duration) -> f64 {
+pub fn wait_until(fleet: &mut impl Fleet, condition: &Condition, timeout: Duration) -> f64 {
     let began = fleet.at();
     while fleet.unmet(condition).is_some() {
-        if fleet.at().saturating_sub(began) > term {
+        if fleet.at().saturating_sub(began) > timeout {
             return f64::INFINITY;
         }
         fleet.pass();
--- a/crates/testkit/src/measurement/trips.rs
+++ b/crates/testkit/src/measurement/trips.rs
@@ -40,7 +40,7 @@
 /// The time for which requests arrive at the peak rate.
 const PEAK: Duration = Duration::from_secs(5);
 /// How many times slower the catalogue is.
-const SLOW_DOWN: f64 = 20.0;
+const SLOWDOWN_FACTOR: f64 = 20.0;
 /// The time between two samples of the calls in flight, in milliseconds.
 const SAMPLE_MS: usize = 10;
 /// Upper bound on the wait for a server's first report, and for each line of its log.
@@ -103,7 +103,7 @@
     pub fn tick(&mut self, now: Duration) {
         let slow = FAULT.contains(&now);
         if std::mem::replace(&mut self.slow, slow) != slow {
-            let factor = if slow { SLOW_DOWN } else { 1.0 };
+            let factor = if slow { SLOWDOWN_FACTOR } else { 1.0 };
             self.catalogue.set_behavior(Behavior::Slow(factor));
         }
     }
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 /// The environment variables that the program reads.
-const ENVIRONMENT: [&str; 5] = [
+const ENVIRONMENT_VARIABLES: [&str; 5] = [
     "RELAY_CONFIG",
     "RELAY_NAME",
     "RELAY_LISTEN",
@@ -22,7 +22,7 @@
 /// Time between two checks whether the process has ended.
 const END_CHECK_INTERVAL: Duration = Duration::from_millis(2);
 /// The text of the log line that ends with the address on which the program listens.
-const LISTENS: &str = "server: listening";
+const LISTENING_EVENT: &str = "server: listening";
 
 /// Where a server finds what it calls.
 #[derive(Clone, Copy)]
@@ -53,7 +53,7 @@
 /// platform's settings.
 pub fn configuration(
     listen: &str,
-    others: Dependencies,
+    dependencies: Dependencies,
     sockets: usize,
     stop_ms: u64,
     settings: &str,
@@ -62,7 +62,7 @@
         engine,
         registry,
         catalogue,
-    } = others;
+    } = dependencies;
     format!(
         "{{\"name\":\"n1\",\"listen\":\"{listen}\",\"engine\":\"{engine}\",\"registry\":\"{registry}\",\
          \"catalog\":\"{catalogue}\",\"seed\":\"8c1f30d27a5be964\",\"stop_ms\":{stop_ms},\
@@ -74,7 +74,7 @@
 /// that it reads.
 pub fn command(binary: &Path, config: Option<&Path>) -> Command {
     let mut command = Command::new(binary);
-    for name in ENVIRONMENT {
+    for name in ENVIRONMENT_VARIABLES {
         command.env_remove(name);
     }
     command
@@ -221,14 +221,14 @@
     /// # Panics
     ///
     /// If the log ends before, or is followed.
-    pub fn log_at(&mut self, part: &str) -> String {
+    pub fn log_at(&mut self, text: &str) -> String {
         let mut line = String::new();
-        while !line.contains(part) {
+        while !line.contains(text) {
             line.clear();
             let log = self.log.as_mut().expect("not followed");
             assert!(
                 log.read_line(&mut line).expect("a line") > 0,
-                "the log ends before '{part}'"
+                "the log ends before '{text}'"
             );
         }
         line
@@ -310,7 +310,7 @@
 fn wait_until_it_listens(log: &mut impl BufRead) -> (Vec<String>, SocketAddr) {
     let mut line = String::new();
     let mut before = vec![];
-    while !line.contains(LISTENS) {
+    while !line.contains(LISTENING_EVENT) {
         before.extend((!line.is_empty()).then(|| std::mem::take(&mut line)));
         assert!(
             log.read_line(&mut line).expect("a line") > 0,
