--- a/crates/testkit/src/backend_simulation/backends.rs
+++ b/crates/testkit/src/backend_simulation/backends.rs
@@ -1,7 +1,7 @@
-//! What backends do with the attempts that reach them.
+//! How simulated backends handle the attempts that reach them.
 //!
-//! [`SimulatedBackend`] owns its queue and the slots in use. It never selects a backend and knows no
-//! retries.
+//! A [`SimulatedBackend`] owns its queue and the slots in use. It does not select backends and does
+//! not retry.
 
 use super::ids::SimulatedBackendId;
 use super::{BACKEND_DELAY, BackendFault, BackendSimulation, Event, ZoneCut};
@@ -9,15 +9,16 @@
 use madderbay_upstream::AttemptOutcome;
 use std::collections::VecDeque;
 
-/// The part of a call's mean time that each call takes at least; the rest is drawn.
+/// Fraction of the mean call time that each call takes at least; the rest is drawn from an
+/// exponential distribution.
 const FIXED_WORK_FRACTION: f64 = 0.5;
 
-/// One backend.
+/// State of one simulated backend.
 pub(super) struct SimulatedBackend {
     pub(super) fault: BackendFault,
     /// Attempts that wait for a slot.
     queue: VecDeque<u64>,
-    /// Slots in use. An attempt that was given up keeps its slot until its work is done.
+    /// Number of slots in use. An attempt that was given up keeps its slot until its work is done.
     slots_in_use: usize,
 }
 
@@ -32,7 +33,8 @@
 }
 
 impl BackendSimulation {
-    /// An attempt reaches its backend, unless it was given up or a fault is in between.
+    /// Handles the arrival of an attempt at its backend. Drops it if it was given up or a fault
+    /// cuts the connection.
     pub(super) fn attempt_arrives(&mut self, id: u64) {
         let Some(attempt) = self.attempts.get(&id) else {
             return;
@@ -62,13 +64,14 @@
         }
     }
 
-    /// The server will learn of an outcome.
+    /// Schedules the arrival of an attempt's outcome at its server.
     fn reply(&mut self, attempt: u64, outcome: AttemptOutcome) {
         let at = self.now + BACKEND_DELAY;
         self.push(at, Event::AttemptEnds { attempt, outcome });
     }
 
-    /// A backend begins to work on an attempt, and takes `factor` times as long as usual.
+    /// Starts the work on an attempt and schedules its end; the work takes `factor` times as long
+    /// as usual.
     fn begin_work(&mut self, id: u64, factor: f64) {
         let mean_seconds = self.setup.mean_call_time.as_secs_f64() * factor;
         let drawn_seconds = self.draw_exponential(mean_seconds * (1.0 - FIXED_WORK_FRACTION));
@@ -82,7 +85,7 @@
         }
     }
 
-    /// The work on an attempt is done, and its slot is free for the next one.
+    /// Finishes the work on an attempt: replies if it was not given up, and passes its slot on.
     pub(super) fn work_ends(&mut self, id: u64, backend: SimulatedBackendId) {
         let BackendFault::Slow { factor } = self.backends[backend.index()].fault else {
             return;
@@ -93,7 +96,7 @@
         self.begin_next(backend, factor);
     }
 
-    /// Frees a slot, and gives it to the next attempt in the queue that was not given up.
+    /// Frees a slot and gives it to the next queued attempt that was not given up.
     fn begin_next(&mut self, backend: SimulatedBackendId, factor: f64) {
         let backend = &mut self.backends[backend.index()];
         backend.slots_in_use = backend.slots_in_use.saturating_sub(1);
@@ -106,7 +109,7 @@
         }
     }
 
-    /// All attempts at a backend are disconnected.
+    /// Disconnects all attempts at a backend and clears its queue.
     pub(super) fn disconnect(&mut self, backend: SimulatedBackendId) {
         let at_backend = self
             .attempts
--- a/crates/testkit/src/backend_simulation/calls.rs
+++ b/crates/testkit/src/backend_simulation/calls.rs
@@ -1,7 +1,8 @@
-//! The calls of the servers: their attempts, retries and hedges, until they succeed or end.
+//! Calls of the simulated servers with their attempts, retries and hedges, until they succeed or
+//! end.
 //!
-//! Which backend an attempt goes to, and whether there is a retry, is asked of
-//! [`routing`](super::routing) and of the server's upstream manager.
+//! [`routing`](super::routing) and the server's upstream manager decide which backend an attempt
+//! goes to and whether a call is retried.
 
 use super::ids::{SimulatedBackendId, SimulatedServerId};
 use super::routing::Target;
@@ -14,7 +15,7 @@
     call: u64,
     pub(super) server: SimulatedServerId,
     pub(super) backend: SimulatedBackendId,
-    /// The attempt as the server's upstream manager knows it, if that picked the backend.
+    /// The attempt as known to the server's upstream manager, if that selected the backend.
     pub(super) upstream_attempt: Option<UpstreamAttempt>,
 }
 
@@ -22,13 +23,14 @@
 pub(super) struct Call {
     server: SimulatedServerId,
     started_at: Timestamp,
-    /// Its attempts in flight.
+    /// Ids of its attempts in flight.
     attempts: Vec<u64>,
     retries: u32,
 }
 
 impl BackendSimulation {
-    /// A call arrives at a server, which makes its first attempt.
+    /// Handles the arrival of a call at a server: sends its first attempt and schedules its timeout
+    /// and its hedge.
     pub(super) fn call_arrives(&mut self, server: SimulatedServerId) {
         let id = self.new_id();
         let call = Call {
@@ -49,7 +51,8 @@
         }
     }
 
-    /// The time after which the first attempt of a call is hedged, if it is.
+    /// Returns the time after which the first attempt of a call is hedged; `None` if it is not
+    /// hedged.
     fn hedge_delay(&mut self, server: SimulatedServerId, first: &Target) -> Option<Duration> {
         let first = first.upstream_attempt.as_ref()?;
         let call = HedgeCandidate {
@@ -78,7 +81,8 @@
         self.push(self.now + BACKEND_DELAY, arrives);
     }
 
-    /// The server lets go of an attempt and reports its outcome to the upstream manager.
+    /// Removes an attempt from its server and its call, and reports its outcome to the upstream
+    /// manager.
     fn finish_attempt(&mut self, id: u64, outcome: AttemptOutcome) -> Option<Attempt> {
         let attempt = self.attempts.remove(&id)?;
         let server = &mut self.servers[attempt.server.index()];
@@ -93,7 +97,8 @@
         Some(attempt)
     }
 
-    /// The outcome of an attempt reaches the server, unless that has given it up.
+    /// Handles the arrival of an attempt's outcome at its server. Does nothing if the server has
+    /// given the attempt up.
     pub(super) fn attempt_ends(&mut self, id: u64, outcome: AttemptOutcome) {
         let Some(attempt) = self.finish_attempt(id, outcome) else {
             return;
@@ -108,8 +113,8 @@
         }
     }
 
-    /// A call has no attempt in flight since one failed: retries it if the policy allows that, else
-    /// ends it.
+    /// Retries a call whose last attempt in flight has failed if the policy allows it; ends the
+    /// call otherwise.
     fn retry_or_end(&mut self, former: &Attempt, outcome: AttemptOutcome) {
         let Some(call) = self.calls.get(&former.call) else {
             return;
@@ -131,12 +136,12 @@
         }
     }
 
-    /// The time until the deadline of a call.
+    /// Returns the time until the deadline of a call.
     fn time_left(&self, call: &Call) -> Duration {
         (call.started_at + self.setup.timeout) - self.now
     }
 
-    /// A call succeeds by one of its attempts; earlier ones have lost to that one.
+    /// Records the success of a call by one of its attempts; earlier attempts have lost to a hedge.
     fn call_succeeds(&mut self, id: u64, attempt: u64) {
         let call = &self.calls[&id];
         let others = call.attempts.iter().copied();
@@ -151,8 +156,8 @@
         self.call_ends(id);
     }
 
-    /// The hedge of a call is due: sends it if only the first attempt is in flight and the upstream
-    /// manager allows it.
+    /// Sends the hedge of a call if only its first attempt is in flight and the upstream manager
+    /// allows it.
     pub(super) fn hedge_due(&mut self, id: u64) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -173,7 +178,7 @@
         }
     }
 
-    /// A call that is still in flight at its timeout ends.
+    /// Ends a call that is still in flight at its timeout.
     pub(super) fn call_times_out(&mut self, id: u64) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -184,7 +189,7 @@
         self.call_ends(id);
     }
 
-    /// A call ends and counts in the row in which it began; attempts that are left are cancelled.
+    /// Ends a call, counts it in the row in which it began, and cancels the attempts that are left.
     fn call_ends(&mut self, id: u64) {
         let Some(call) = self.calls.remove(&id) else {
             return;
--- a/crates/testkit/src/backend_simulation/faults.rs
+++ b/crates/testkit/src/backend_simulation/faults.rs
@@ -1,19 +1,19 @@
-//! The faults of a simulation, and what an operator does to it. Each holds until it is set anew.
+//! Faults of a simulation and actions of its operator. Each holds until it is set again.
 
 use super::BackendSimulation;
 use super::ids::{SimulatedBackendId, SimulatedServerId};
 use super::setup::{server_name, zone_name};
 use madderbay_upstream::UpstreamManager;
 
-/// What a backend does with its calls.
+/// How a backend handles its calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BackendFault {
-    /// Calls take `factor` times as long as usual; with 1 the backend is healthy.
+    /// Calls take `factor` times as long as usual; a backend with factor 1 is healthy.
     Slow {
-        /// The multiple of the usual time.
+        /// Multiple of the usual time.
         factor: f64,
     },
-    /// Calls are answered at once as failed.
+    /// Calls fail at once.
     Failing,
     /// Calls are accepted and never answered.
     Silent,
@@ -26,30 +26,30 @@
     pub const HEALTHY: BackendFault = BackendFault::Slow { factor: 1.0 };
 }
 
-/// A zone whose servers do not reach a backend.
+/// A cut connection between a zone and a backend: the servers of the zone do not reach the backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ZoneCut {
     /// Index of the zone.
     pub zone: usize,
-    /// The backend that is not reached from there.
+    /// The backend that the zone does not reach.
     pub backend: SimulatedBackendId,
 }
 
-/// Which servers receive no gossip from each other.
+/// Partition of the gossip between servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum GossipPartition {
-    /// All receive it.
+    /// All servers receive gossip from each other.
     #[default]
     None,
-    /// The servers of the first half and the others receive none from each other.
+    /// Gossip does not pass between the first half of the servers and the others.
     Halves,
-    /// No server receives any.
+    /// No server receives gossip.
     Isolated,
 }
 
 impl BackendSimulation {
-    /// Sets what a backend does from now on. Calls in flight at one that is down or fails are
-    /// disconnected.
+    /// Sets how a backend handles calls from now on. If it is down or failing, its calls in flight
+    /// are disconnected.
     pub fn set_backend_fault(&mut self, backend: SimulatedBackendId, fault: BackendFault) {
         self.backends[backend.index()].fault = fault;
         if matches!(fault, BackendFault::Down | BackendFault::Failing) {
@@ -57,22 +57,22 @@
         }
     }
 
-    /// Sets whether nothing that a server sends reaches any backend.
+    /// Sets whether a server is cut off from all backends.
     pub fn set_cut_off(&mut self, server: SimulatedServerId, is_cut_off: bool) {
         self.servers[server.index()].is_cut_off = is_cut_off;
     }
 
-    /// Sets which zones do not reach which backends.
+    /// Sets the zones that do not reach certain backends.
     pub fn set_zone_cuts(&mut self, cuts: Vec<ZoneCut>) {
         self.zone_cuts = cuts;
     }
 
-    /// Sets which servers receive no gossip from each other.
+    /// Sets the partition of the gossip between servers.
     pub fn set_gossip_partition(&mut self, partition: GossipPartition) {
         self.gossip_partition = partition;
     }
 
-    /// Sets the backends of which a server falsely reports to the others that all calls fail.
+    /// Sets the backends for which a server falsely reports to the others that all calls fail.
     pub fn set_falsely_reported(
         &mut self,
         server: SimulatedServerId,
@@ -81,12 +81,12 @@
         self.servers[server.index()].falsely_reported = backends;
     }
 
-    /// Sets how many calls arrive at each server in a second from now on.
+    /// Sets the number of calls per second that arrive at each server from now on.
     pub fn set_calls_per_second(&mut self, calls: f64) {
         self.setup.calls_per_second = calls;
     }
 
-    /// A server begins another incarnation without any knowledge of the backends.
+    /// Restarts a server: it begins another incarnation without any knowledge of the backends.
     pub fn restart(&mut self, restarted: SimulatedServerId) {
         let seed = self.random.rand_u64();
         let zone = self.servers[restarted.index()].zone;
@@ -109,7 +109,7 @@
         self.introduce(restarted);
     }
 
-    /// All servers reload with these backends.
+    /// Reloads all servers with this list of backends.
     pub fn reload(&mut self, backends: &[SimulatedBackendId]) {
         for server in &mut self.servers {
             let listed = self.setup.backend_settings(backends.iter().copied());
--- a/crates/testkit/src/backend_simulation/gossip.rs
+++ b/crates/testkit/src/backend_simulation/gossip.rs
@@ -1,4 +1,4 @@
-//! The timers of the servers, and what they report to each other about backends.
+//! Timers of the simulated servers, and the gossip about backends that they exchange.
 
 use super::ids::SimulatedServerId;
 use super::setup::{backend_name, server_name, server_of_name};
@@ -7,21 +7,21 @@
 use madderbay_upstream::{BackendEvent, BackendReport, GossipMessage, name_hash};
 use std::fmt;
 
-/// Entries that the log holds at most.
+/// Maximum number of entries in the log.
 const MAX_LOG_ENTRIES: usize = 10_000;
-/// The probability that a server sends its false reports at one of its timers.
+/// Probability that a server with false reports sends them when its timer fires.
 const FALSE_REPORT_PROBABILITY: f64 = 0.1;
-/// Failures in a false report, in eighths of a call.
+/// Number of failures in a false report, in eighths of a call.
 const FALSELY_REPORTED_FAILURES: u16 = 8_000;
 
-/// What one server's upstream manager did. `Display` gives a line with the time in seconds.
+/// An event of one server's upstream manager. `Display` writes one line with the time in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogEntry {
-    /// The simulated time since the start.
+    /// Simulated time since the start.
     pub at: Duration,
-    /// The server.
+    /// The server of the upstream manager.
     pub server: SimulatedServerId,
-    /// What its upstream manager did.
+    /// The event of the upstream manager.
     pub event: BackendEvent,
 }
 
@@ -37,14 +37,14 @@
     }
 }
 
-/// A payload on its way to a server.
+/// A payload and the server that it is sent to.
 struct Datagram {
     to: SimulatedServerId,
     bytes: Vec<u8>,
 }
 
 impl BackendSimulation {
-    /// A server's upstream manager has its timeout; what it sends is on its way.
+    /// Handles the timeout of a server's upstream manager, and sends the resulting datagrams.
     pub(super) fn timer_fired(&mut self, id: SimulatedServerId) {
         let upstream = &mut self.servers[id.index()].upstream;
         upstream.handle_timeout(self.now);
@@ -66,7 +66,7 @@
         }
     }
 
-    /// What a server that sends false reports sends at this timer.
+    /// Returns the false reports that a server sends when its timer fires, if any.
     fn draw_false_reports(&mut self, from: SimulatedServerId) -> Vec<Datagram> {
         let reports_falsely = !self.servers[from.index()].falsely_reported.is_empty();
         if !reports_falsely || self.random.rand_float() >= FALSE_REPORT_PROBABILITY {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Whether datagrams from one server to another are lost.
+    /// Reports whether datagrams from one server to another are lost.
     fn is_partitioned(&self, from: SimulatedServerId, to: SimulatedServerId) -> bool {
         let middle = self.setup.servers / 2;
         match self.gossip_partition {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// A report that all calls to certain backends fail.
+    /// Returns a report that all calls to the falsely reported backends of a server fail.
     fn false_report(&self, from: SimulatedServerId) -> GossipMessage {
         let backends = self.servers[from.index()].falsely_reported.iter();
         let reports: Vec<BackendReport> = backends
--- a/crates/testkit/src/backend_simulation/mod.rs
+++ b/crates/testkit/src/backend_simulation/mod.rs
@@ -1,21 +1,22 @@
-//! Many servers before many backends in simulated time.
+//! Simulation of many servers that call many backends, in simulated time.
 //!
-//! [`BackendSimulation`](crate::backend_simulation::BackendSimulation) owns the servers' upstream
-//! managers, the backends, the calls and the events to come. It is given a setup and a seed, which
-//! together with the calls of its methods determine everything. Nothing is sent and nothing waits.
+//! [`BackendSimulation`](crate::backend_simulation::BackendSimulation) owns the upstream managers
+//! of the servers, the backends, the calls and the scheduled events. A setup, a seed and the calls
+//! of its methods determine everything that happens. It sends nothing over a network and does not
+//! wait in real time.
 //!
 //! # What is simulated
 //!
-//! Calls arrive at each server at random with a given rate. The server picks a backend by its
-//! [`RoutingPolicy`](crate::backend_simulation::RoutingPolicy), and retries and hedges as that
-//! says. A backend works on a limited number of calls at a time. The servers gossip about the
+//! Calls arrive at each server at random with a given rate. The server selects a backend by its
+//! [`RoutingPolicy`](crate::backend_simulation::RoutingPolicy), which also determines retries and
+//! hedges. A backend works on a limited number of calls at a time. The servers gossip about the
 //! backends.
 //!
 //! # Faults
 //!
-//! A backend has a [`BackendFault`](crate::backend_simulation::BackendFault); a zone or a server
-//! may be cut off from backends; servers may be partitioned from each other; a server may send
-//! false reports, or restart without any knowledge.
+//! A backend has a [`BackendFault`](crate::backend_simulation::BackendFault). A zone or a server
+//! may be cut off from backends, and servers may be partitioned from each other. A server may send
+//! false reports, or restart without any knowledge of the backends.
 
 mod backends;
 mod calls;
@@ -44,16 +45,16 @@
 use oorandom::Rand64;
 use std::collections::HashMap;
 
-/// The simulated time at the start.
+/// Simulated time at the start.
 const START: Timestamp = Timestamp::from_micros(10_000_000);
-/// What a message between a server and a backend takes in each direction.
+/// Delay of a message between a server and a backend, in each direction.
 const BACKEND_DELAY: Duration = Duration::from_millis(1);
-/// What a datagram between two servers takes.
+/// Delay of a datagram between two servers.
 const GOSSIP_DELAY: Duration = Duration::from_millis(2);
-/// The time between two timeouts of a server's upstream manager.
+/// Interval between timeouts of a server's upstream manager.
 const TIMER_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What happens at a point in simulated time.
+/// An event at a point in simulated time.
 enum Event {
     CallArrives {
         server: SimulatedServerId,
@@ -81,15 +82,15 @@
     Gossip {
         from: SimulatedServerId,
         to: SimulatedServerId,
-        /// The sender's.
+        /// Incarnation of the sender.
         incarnation: u64,
         bytes: Vec<u8>,
     },
 }
 
-/// Simulated servers before simulated backends, with faults.
+/// Simulated servers that call simulated backends, with faults.
 pub struct BackendSimulation {
-    /// How it is set up; the rate of calls may change while it runs.
+    /// Setup of the simulation; the rate of calls may change while it runs.
     setup: BackendFleetSetup,
     now: Timestamp,
     random: Rand64,
@@ -99,21 +100,21 @@
     attempts: HashMap<u64, Attempt>,
     /// Calls in flight, by id.
     calls: HashMap<u64, Call>,
-    /// The last id that a call or an attempt got.
+    /// Last id that was given to a call or an attempt.
     last_id: u64,
     events: EventQueue<Timestamp, Event>,
     zone_cuts: Vec<ZoneCut>,
     gossip_partition: GossipPartition,
-    /// What was seen, a row for each [`ROW`] of time.
+    /// Observations, one row for each [`ROW`] of time.
     rows: Vec<Row>,
-    /// The latencies of successful calls since this was last cleared, in milliseconds.
+    /// Latencies of successful calls since the list was last cleared, in milliseconds.
     latencies_ms: Vec<f64>,
     ejections: u64,
     log: Vec<LogEntry>,
 }
 
 impl BackendSimulation {
-    /// A simulation whose servers know each other and to which calls arrive from the start.
+    /// Creates a simulation whose servers know each other and receive calls from the start.
     pub fn new(setup: BackendFleetSetup, seed: u64) -> BackendSimulation {
         let mut random = Rand64::new(u128::from(seed) + 1);
         let servers = SimulatedServerId::first(setup.servers)
@@ -154,7 +155,7 @@
         self.push(START + first_timer, Event::Timer { server });
     }
 
-    /// Draws from the exponential distribution with this mean.
+    /// Draws a value from the exponential distribution with this mean.
     fn draw_exponential(&mut self, mean: f64) -> f64 {
         -(1.0 - self.random.rand_float()).ln() * mean
     }
@@ -169,13 +170,13 @@
         self.events.push(at, event);
     }
 
-    /// An id for a call or an attempt, larger than all before.
+    /// Returns a new id for a call or an attempt, larger than all earlier ones.
     fn new_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
     }
 
-    /// Lets simulated time pass.
+    /// Advances simulated time by `duration` and handles all events that are due.
     pub fn run(&mut self, duration: Duration) {
         let end = self.now + duration;
         while let Some((at, event)) = self.events.pop_until(end) {
@@ -188,22 +189,22 @@
         self.now = end;
     }
 
-    /// The simulated time since the start.
+    /// Returns the simulated time since the start.
     pub fn elapsed(&self) -> Duration {
         self.now - START
     }
 
-    /// All backends.
+    /// Returns the ids of all backends.
     pub fn backends(&self) -> impl Iterator<Item = SimulatedBackendId> + use<> {
         SimulatedBackendId::first(self.setup.backends)
     }
 
-    /// Ejections of backends so far, of all servers together.
+    /// Returns the number of ejections of backends so far, summed over all servers.
     pub fn ejections(&self) -> u64 {
         self.ejections
     }
 
-    /// What the servers' upstream managers did: the first 10,000 entries.
+    /// Returns the first 10,000 events of the servers' upstream managers.
     pub fn log(&self) -> &[LogEntry] {
         &self.log
     }
@@ -230,7 +231,7 @@
                 incarnation,
                 bytes,
             } => {
-                // What a former incarnation of the sender has sent is lost.
+                // Datagrams from an earlier incarnation of the sender are lost.
                 if self.servers[from.index()].incarnation == incarnation {
                     let upstream = &mut self.servers[to.index()].upstream;
                     upstream.handle_datagram(self.now, &server_name(from), &bytes);
--- a/crates/testkit/src/backend_simulation/routing.rs
+++ b/crates/testkit/src/backend_simulation/routing.rs
@@ -1,7 +1,7 @@
-//! Which backend an attempt goes to, by the routing policy of the simulation.
+//! Selection of the backend for an attempt, by the routing policy of the simulation.
 //!
-//! Asks the server's upstream manager where the policy is the program's, and chooses plainly
-//! otherwise. Never sends an attempt.
+//! The server's upstream manager selects the backend under the policies that use it; simple
+//! algorithms select it under the others. This module never sends an attempt.
 
 use super::calls::Attempt;
 use super::ids::{SimulatedBackendId, SimulatedServerId};
@@ -10,22 +10,22 @@
 use madderbay::time::Duration;
 use madderbay_upstream::{FailedCall, RetryPolicy, UpstreamAttempt};
 
-/// Retries of a call under [`RoutingPolicy::LeastInFlight`].
+/// Maximum number of retries of a call under [`RoutingPolicy::LeastInFlight`].
 const MAX_PLAIN_RETRIES: u32 = 2;
-/// The retry policy under [`RoutingPolicy::LeastInFlight`], which follows no latencies.
+/// Retry policy under [`RoutingPolicy::LeastInFlight`], which does not take latencies into account.
 const PLAIN_RETRY_POLICY: RetryPolicy = RetryPolicy {
     typical_latency: Duration::ZERO,
 };
 
-/// Where an attempt goes.
+/// The backend that was selected for an attempt.
 pub(super) struct Target {
     pub(super) backend: SimulatedBackendId,
-    /// The attempt as the server's upstream manager knows it, if that picked the backend.
+    /// The attempt as known to the server's upstream manager, if that selected the backend.
     pub(super) upstream_attempt: Option<UpstreamAttempt>,
 }
 
 impl Target {
-    /// A backend that an upstream manager picked.
+    /// Creates the target for a backend that an upstream manager selected.
     pub(super) fn picked(attempt: UpstreamAttempt) -> Target {
         Target {
             backend: backend_at(attempt.address),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// A backend that a plain policy picked.
+    /// Creates the target for a backend that was selected without an upstream manager.
     fn plain(backend: SimulatedBackendId) -> Target {
         Target {
             backend,
@@ -43,7 +43,7 @@
 }
 
 impl BackendSimulation {
-    /// Picks a backend for the first attempt of a call.
+    /// Selects a backend for the first attempt of a call.
     pub(super) fn pick_first(&mut self, server: SimulatedServerId) -> Target {
         match self.setup.routing {
             RoutingPolicy::ManagerWithGossip | RoutingPolicy::ManagerWithoutGossip => {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Picks a backend for a retry; `None` if the policy allows no retry.
+    /// Selects a backend for a retry; `None` if the policy allows no retry.
     pub(super) fn pick_for_retry(
         &mut self,
         former: &Attempt,
@@ -81,15 +81,15 @@
         }
     }
 
-    /// The backend after the one that a server has used last.
+    /// Selects the backend after the one that a server used last.
     fn pick_next(&mut self, server: SimulatedServerId) -> SimulatedBackendId {
         let server = &mut self.servers[server.index()];
         server.last_used = (server.last_used + 1) % self.setup.backends;
         SimulatedBackendId::new(server.last_used)
     }
 
-    /// The backend with the fewest attempts of a server in flight; of several, the first from a
-    /// drawn one on.
+    /// Selects the backend with the fewest attempts of a server in flight. Ties are broken by
+    /// order, starting at a randomly drawn backend.
     fn pick_least_in_flight(
         &mut self,
         server: SimulatedServerId,
--- a/crates/testkit/src/backend_simulation/rows.rs
+++ b/crates/testkit/src/backend_simulation/rows.rs
@@ -1,5 +1,5 @@
-//! What was seen of a simulation, in rows of equal time, and the figures that follow from the rows.
-//! All times are in milliseconds since the start.
+//! Observations of a simulation in rows of equal length, and the figures computed from them. All
+//! times are in milliseconds since the start.
 
 use super::ids::SimulatedBackendId;
 use super::{BackendFleetSetup, BackendSimulation, START};
@@ -7,28 +7,29 @@
 use madderbay_upstream::BackendState;
 use std::ops::Range;
 
-/// The time that a row is about.
+/// Length of time that a row covers.
 pub(super) const ROW: Duration = Duration::from_millis(100);
 const ROW_MS: u64 = ROW.as_micros() / 1_000;
-/// The time over which a backend's traffic is averaged, in milliseconds.
+/// Window over which a backend's traffic is averaged, in milliseconds.
 const TRAFFIC_WINDOW_MS: u64 = 1_000;
-/// The fraction of the successful calls that ended within [`BackendSimulation::slowest_ms`].
+/// Fraction of the successful calls that ended within [`BackendSimulation::slowest_ms`].
 const SLOWEST_PERCENTILE: f64 = 0.99;
 
-/// What was seen in a tenth of a second.
+/// Observations of a tenth of a second.
 #[derive(Clone, Debug, Default)]
 pub struct Row {
-    /// Calls that began in it and have ended since.
+    /// Number of calls that began in this row and have ended since.
     pub calls: u32,
-    /// Those of them that succeeded.
+    /// Number of these calls that succeeded.
     pub succeeded: u32,
-    /// First attempts.
+    /// Number of first attempts.
     pub first_attempts: u32,
-    /// Retries and hedges.
+    /// Number of retries and hedges.
     pub retries: u32,
-    /// The attempts that reached each backend, by the backend's index.
+    /// Number of attempts that reached each backend, by the backend's index.
     pub attempts_by_backend: Vec<u32>,
-    /// The servers that had each backend ejected at the beginning, by the backend's index.
+    /// Number of servers that had each backend ejected or probing at the beginning of the row, by
+    /// the backend's index.
     pub ejected_by_backend: Vec<u32>,
 }
 
@@ -61,32 +62,33 @@
         self.rows.last_mut().expect("one at the start")
     }
 
-    /// The index of the row of a point in time.
+    /// Returns the index of the row that contains a point in time, at most that of the last row.
     pub(super) fn row_at(&self, at: Timestamp) -> usize {
         let index = (at - START).as_micros() / ROW.as_micros();
         (index as usize).min(self.rows.len() - 1)
     }
 
-    /// The rows of a range of time.
+    /// Returns the rows of a time range.
     pub fn rows(&self, millis: Range<u64>) -> &[Row] {
         let end = ((millis.end / ROW_MS) as usize).min(self.rows.len());
         &self.rows[(millis.start / ROW_MS) as usize..end]
     }
 
-    /// The fraction of the calls of a range of time that succeeded, 0 to 1.
+    /// Returns the fraction of the calls begun in a time range that succeeded, 0 to 1.
     pub fn success_rate(&self, millis: Range<u64>) -> f64 {
         let rows = self.rows(millis);
         sum(rows, |row| row.succeeded) / sum(rows, |row| row.calls).max(1.0)
     }
 
-    /// Attempts for each first attempt in a range of time.
+    /// Returns the number of attempts per first attempt in a time range.
     pub fn attempts_per_call(&self, millis: Range<u64>) -> f64 {
         let rows = self.rows(millis);
         let first_attempts = sum(rows, |row| row.first_attempts);
         (first_attempts + sum(rows, |row| row.retries)) / first_attempts.max(1.0)
     }
 
-    /// The fraction of the attempts that reached any backend which reached this one, 0 to 1.
+    /// Returns the fraction, 0 to 1, of the attempts that reached any backend in a time range which
+    /// went to `backend`.
     pub fn traffic_fraction(&self, backend: SimulatedBackendId, millis: Range<u64>) -> f64 {
         let rows = self.rows(millis);
         let all: u32 = rows.iter().flat_map(|row| &row.attempts_by_backend).sum();
@@ -97,8 +99,9 @@
         f64::from(own) / f64::from(all.max(1))
     }
 
-    /// After how many milliseconds from a time on a backend's traffic fraction of a second is below
-    /// a bound. `None` if it never is.
+    /// Returns the time in milliseconds from `from_ms` until the start of the first one-second
+    /// window in which the backend's fraction of the traffic is below `bound`; `None` if there is
+    /// none.
     pub fn millis_until_traffic_below(
         &self,
         backend: SimulatedBackendId,
@@ -108,8 +111,9 @@
         self.millis_until_traffic(backend, from_ms, |traffic| traffic < bound)
     }
 
-    /// After how many milliseconds from a time on a backend's traffic fraction of a second is at
-    /// least a bound. `None` if it never is.
+    /// Returns the time in milliseconds from `from_ms` until the start of the first one-second
+    /// window in which the backend's fraction of the traffic is at least `bound`; `None` if there
+    /// is none.
     pub fn millis_until_traffic_reaches(
         &self,
         backend: SimulatedBackendId,
@@ -136,20 +140,21 @@
         Some(start - from_ms)
     }
 
-    /// For how many seconds a backend was ejected in a range of time, summed over the servers.
+    /// Returns the seconds for which a backend was ejected or probing in a time range, summed over
+    /// the servers.
     pub fn ejected_seconds(&self, backend: SimulatedBackendId, millis: Range<u64>) -> f64 {
         let rows = self.rows(millis).iter();
         let ejected = rows.map(|row| f64::from(row.ejected_by_backend[backend.index()]));
         ejected.sum::<f64>() * ROW.as_secs_f64()
     }
 
-    /// Forgets the latencies of the calls so far.
+    /// Discards the latencies recorded so far.
     pub fn clear_latencies(&mut self) {
         self.latencies_ms.clear();
     }
 
-    /// The time, in milliseconds, within which 99 of 100 successful calls ended since
-    /// [`clear_latencies`](Self::clear_latencies); not a number without any.
+    /// Returns the 99th percentile of the latencies of successful calls since
+    /// [`clear_latencies`](Self::clear_latencies), in milliseconds; NaN if there were none.
     pub fn slowest_ms(&mut self) -> f64 {
         self.latencies_ms.sort_by(f64::total_cmp);
         let index = (self.latencies_ms.len() as f64 * SLOWEST_PERCENTILE) as usize;
--- a/crates/testkit/src/backend_simulation/servers.rs
+++ b/crates/testkit/src/backend_simulation/servers.rs
@@ -1,28 +1,28 @@
-//! One simulated server, and what the others are told of it.
+//! A simulated server, and its introduction to the other servers.
 
 use super::ids::{SimulatedBackendId, SimulatedServerId};
 use super::setup::{server_name, zone_name};
 use super::{BackendFleetSetup, BackendSimulation, START};
 use madderbay_upstream::UpstreamManager;
 
-/// One server.
+/// State of one simulated server.
 pub(super) struct SimulatedServer {
     /// Index of its zone.
     pub(super) zone: usize,
     pub(super) upstream: UpstreamManager,
-    /// Attempts in flight to each backend, by the backend's index.
+    /// Number of attempts in flight to each backend, by the backend's index.
     pub(super) in_flight: Vec<u32>,
-    /// Index of the backend that round robin has used last.
+    /// Index of the backend that round robin used last.
     pub(super) last_used: usize,
-    /// Nothing that it sends reaches any backend.
+    /// Whether the server is cut off: nothing that it sends reaches any backend.
     pub(super) is_cut_off: bool,
-    /// Backends of which it falsely reports that all calls fail.
+    /// Backends for which the server falsely reports that all calls fail.
     pub(super) falsely_reported: Vec<SimulatedBackendId>,
     pub(super) incarnation: u64,
 }
 
 impl SimulatedServer {
-    /// A server in its first incarnation.
+    /// Creates a server in its first incarnation.
     pub(super) fn new(
         id: SimulatedServerId,
         setup: &BackendFleetSetup,
@@ -43,7 +43,7 @@
 }
 
 impl BackendSimulation {
-    /// All others hold a server to be active, in its present incarnation.
+    /// Makes all other servers regard a server as active, in its present incarnation.
     pub(super) fn introduce(&mut self, introduced: SimulatedServerId) {
         let server = &self.servers[introduced.index()];
         let incarnation = server.incarnation;
--- a/crates/testkit/src/backend_simulation/setup.rs
+++ b/crates/testkit/src/backend_simulation/setup.rs
@@ -1,4 +1,4 @@
-//! How a simulation is set up, and the names and addresses in it.
+//! Setup of a simulation, and the names and addresses that it uses.
 
 use super::ids::{SimulatedBackendId, SimulatedServerId};
 use compact_str::{CompactString, format_compact};
@@ -7,54 +7,54 @@
 use madderbay_upstream::{BackendSettings, Settings};
 use std::net::{IpAddr, SocketAddr};
 
-/// The handler of all calls.
+/// Handler of all calls.
 pub(super) const HANDLER: HandlerId = HandlerId::new(0);
-/// Backends for each third octet of the addresses.
+/// Number of backends that share the third octet of their addresses.
 const BACKENDS_PER_SUBNET: usize = 250;
-/// The port of every backend.
+/// Port of every backend.
 const PORT: u16 = 7_700;
 
 /// How servers select backends, and whether they retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoutingPolicy {
-    /// The program's upstream manager with gossip.
+    /// Select by the program's upstream manager with gossip.
     ManagerWithGossip,
-    /// The program's upstream manager without gossip.
+    /// Select by the program's upstream manager without gossip.
     ManagerWithoutGossip,
-    /// One backend after the other, without retries or ejections.
+    /// Select the backends in turn, without retries or ejections.
     RoundRobin,
-    /// The backend with the fewest attempts in flight, and up to two retries where they are
-    /// allowed.
+    /// Select the backend with the fewest attempts in flight, with up to two retries where the
+    /// retry policy allows them.
     LeastInFlight,
 }
 
-/// How a simulation is set up.
+/// Setup of a simulation.
 #[derive(Clone, Debug)]
 pub struct BackendFleetSetup {
-    /// The number of servers.
+    /// Number of servers.
     pub servers: usize,
-    /// The number of backends.
+    /// Number of backends.
     pub backends: usize,
-    /// The number of zones, over which servers and backends are spread evenly.
+    /// Number of zones, over which servers and backends are spread evenly.
     pub zones: usize,
-    /// Calls that arrive at each server in a second.
+    /// Calls per second that arrive at each server.
     pub calls_per_second: f64,
-    /// The mean time that a healthy backend takes for a call.
+    /// Mean time that a healthy backend takes for a call.
     pub mean_call_time: Duration,
-    /// Calls that a backend works on at a time; others queue there.
+    /// Number of calls that a backend works on at a time; others queue there.
     pub backend_concurrency: usize,
-    /// The timeout of a call with all its attempts.
+    /// Timeout of a call, which covers all its attempts.
     pub timeout: Duration,
     /// Whether calls are idempotent.
     pub is_idempotent: bool,
     /// How servers select backends.
     pub routing: RoutingPolicy,
-    /// The settings of the upstream managers, but for zone and gossip.
+    /// Settings of the upstream managers, except zone and gossip, which the simulation sets.
     pub settings: Settings,
 }
 
 impl BackendFleetSetup {
-    /// Servers and backends in one zone, with idempotent calls and the program's policy.
+    /// Creates a setup with one zone, idempotent calls and the program's policy with gossip.
     pub fn new(servers: usize, backends: usize) -> BackendFleetSetup {
         BackendFleetSetup {
             servers,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The settings of a server in a zone.
+    /// Returns the settings of a server in a zone.
     pub(super) fn settings_in(&self, zone: usize) -> Settings {
         let zone = if self.zones > 1 {
             zone_name(zone)
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The settings of some backends.
+    /// Returns the settings of the given backends.
     pub(super) fn backend_settings(
         &self,
         backends: impl IntoIterator<Item = SimulatedBackendId>,
@@ -95,7 +95,7 @@
             .collect()
     }
 
-    /// The settings of all backends.
+    /// Returns the settings of all backends.
     pub(super) fn all_backends(&self) -> Vec<BackendSettings> {
         self.backend_settings(SimulatedBackendId::first(self.backends))
     }
@@ -105,7 +105,7 @@
     format_compact!("n{}", server.index() + 1)
 }
 
-/// The server of a name.
+/// Returns the server with a name.
 pub(super) fn server_of_name(name: &str) -> SimulatedServerId {
     let number: usize = name.trim_start_matches('n').parse().unwrap_or(1);
     SimulatedServerId::new(number - 1)
@@ -131,7 +131,7 @@
     }
 }
 
-/// The backend that listens at an address.
+/// Returns the backend that listens on an address.
 pub(super) fn backend_at(address: SocketAddr) -> SimulatedBackendId {
     let index = match address.ip() {
         IpAddr::V4(ip) => {
--- a/crates/testkit/src/catalogue.rs
+++ b/crates/testkit/src/catalogue.rs
@@ -1,16 +1,17 @@
-//! A fake catalogue: calls take a slot each, in the order of their arrival.
+//! A fake catalogue with a fixed number of slots: each call occupies one slot, in the order of
+//! arrival.
 //!
 //! # What is simulated
 //!
-//! The catalogue accepts connections on loopback and reads `FETCH` commands. Of the calls in flight
-//! the first ones, one a slot, progress in real time; the others wait. A finished call is answered
-//! with `DATA`. A call whose connection closes is dropped.
+//! The catalogue accepts connections on loopback and reads `FETCH` commands. The oldest calls in
+//! flight, one per slot, progress in real time; the others wait. A finished call is answered with
+//! `DATA`. A call whose connection closes is dropped.
 //!
 //! # Faults
 //!
 //! [`Catalogue::set_behavior`](crate::catalogue::Catalogue::set_behavior) sets one
-//! [`Behavior`](crate::catalogue::Behavior) for all calls, those in flight included: slow, failing,
-//! rejecting, silent, resetting, or sending replies byte by byte.
+//! [`Behavior`](crate::catalogue::Behavior) for all calls, including those in flight: slow,
+//! failing, rejecting, silent, closing connections, or sending replies byte by byte.
 
 use crate::peer::loopback_listener;
 use std::collections::{HashMap, VecDeque};
@@ -19,42 +20,42 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
 use std::time::{Duration, Instant};
 
-/// The shortest time for which work is accounted.
+/// Minimum step of time in which calls are advanced.
 const TIME_SLICE: Duration = Duration::from_millis(1);
-/// The longest wait for an event.
+/// Maximum wait for an event.
 const IDLE_WAIT: Duration = Duration::from_millis(100);
-/// The time between two samples of the calls in flight, in milliseconds.
+/// Interval between samples of the calls in flight, in milliseconds.
 const SAMPLE_MS: u128 = 10;
 
-/// How the catalogue treats its calls.
+/// How the catalogue handles its calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Behavior {
-    /// Calls take this many times as long as usual; 1 is healthy.
+    /// Calls take this multiple of the usual time; 1 is healthy.
     Slow(f64),
-    /// Calls are answered `FAULT` at once.
+    /// Calls are answered with `FAULT` at once.
     Fails,
-    /// Calls are answered `LATER` at once.
+    /// Calls are answered with `LATER` at once.
     Rejects,
     /// Calls are never answered.
     Silent,
-    /// The connection is closed in place of a reply.
+    /// The connection is closed instead of sending a reply.
     Resets,
     /// Replies are written byte by byte.
     ByteByByte,
 }
 
-/// What the catalogue has seen since its start.
+/// Statistics of the catalogue since its start.
 #[derive(Clone, Debug, Default)]
 pub struct CatalogueStats {
-    /// The calls in flight, sampled every 10 ms.
+    /// Number of calls in flight, sampled every 10 ms.
     pub in_flight: Vec<usize>,
-    /// The most calls in flight at any time since [`Catalogue::peak`] was last called.
+    /// Largest number of calls in flight since [`Catalogue::peak`] was last called.
     pub peak: usize,
-    /// Calls that were finished.
+    /// Number of calls that were finished.
     pub done: u32,
-    /// Calls that arrived, whatever their outcome.
+    /// Number of calls that arrived, whatever their outcome.
     pub received: u32,
-    /// Finished calls by the request that they were made for.
+    /// Number of finished calls by the name of the request that they were made for.
     pub done_by_name: HashMap<String, u32>,
 }
 
@@ -67,18 +68,18 @@
     Peak(Sender<usize>),
 }
 
-/// A handle on a fake catalogue. It may be cloned; the catalogue's thread ends with the last handle
-/// and connection.
+/// Handle to a fake catalogue. Clones refer to the same catalogue; the catalogue's thread ends with
+/// the last handle and connection.
 #[derive(Clone)]
 pub struct Catalogue {
-    /// Where the catalogue listens.
+    /// Address that the catalogue listens on.
     pub address: SocketAddr,
     events: Sender<Event>,
 }
 
 impl Catalogue {
-    /// Starts a catalogue with a number of slots on a free loopback port. A call takes `call_duration` in
-    /// its slot.
+    /// Starts a catalogue with `slots` slots on a free loopback port. A call occupies its slot for
+    /// `call_duration`.
     ///
     /// # Panics
     ///
@@ -93,13 +94,13 @@
         Catalogue { address, events }
     }
 
-    /// Fault: from here on all calls are treated like this.
+    /// Fault: sets how all calls are handled from now on, including those in flight.
     pub fn set_behavior(&self, behavior: Behavior) {
         let _ = self.events.send(Event::SetBehavior(behavior));
     }
 
-    /// The most calls in flight at any time since the last call of this method; `usize::MAX` when
-    /// the catalogue doesn't answer in time.
+    /// Returns the largest number of calls in flight since this method was last called;
+    /// `usize::MAX` if the catalogue does not answer within [`WAIT_TIMEOUT`](crate::WAIT_TIMEOUT).
     pub fn peak(&self) -> usize {
         let (reply, received) = channel();
         let _ = self.events.send(Event::Peak(reply));
@@ -108,7 +109,8 @@
             .unwrap_or(usize::MAX)
     }
 
-    /// What the catalogue has seen since its start; empty when it doesn't answer in time.
+    /// Returns the statistics since the catalogue's start; empty if the catalogue does not answer
+    /// within [`WAIT_TIMEOUT`](crate::WAIT_TIMEOUT).
     pub fn stats(&self) -> CatalogueStats {
         let (reply, received) = channel();
         let _ = self.events.send(Event::Stats(reply));
@@ -118,7 +120,8 @@
     }
 }
 
-/// Passes on each connection, and starts a thread that reads it, until the catalogue is gone.
+/// Sends each accepted connection to the catalogue's thread and starts a thread that reads it,
+/// until the catalogue's thread has ended.
 fn accept(listener: &TcpListener, events: &Sender<Event>) {
     for (connection, stream) in (0u64..).zip(listener.incoming().map_while(Result::ok)) {
         let _ = stream.set_nodelay(true);
@@ -137,7 +140,8 @@
     }
 }
 
-/// Passes on each call of a connection until either end is gone.
+/// Sends each call of a connection to the catalogue's thread until the connection or that thread
+/// has ended.
 fn read_calls(connection: u64, stream: TcpStream, events: &Sender<Event>) -> std::io::Result<()> {
     let mut reader = BufReader::new(stream);
     loop {
@@ -162,16 +166,16 @@
 struct Call {
     connection: u64,
     name: String,
-    /// The part of its work that is not done, from 1 to 0.
+    /// Fraction of the call's work that is not done yet, from 1 to 0.
     remaining: f64,
 }
 
-/// The catalogue's state, owned by its thread.
+/// State of the catalogue, owned by its thread.
 struct Slots {
     slots: usize,
     call_duration: Duration,
     behavior: Behavior,
-    /// Calls in flight in the order of their arrival; the first ones have a slot each.
+    /// Calls in flight in the order of arrival; the first `slots` of them have a slot each.
     calls: VecDeque<Call>,
     connections: HashMap<u64, TcpStream>,
     stats: CatalogueStats,
@@ -189,14 +193,15 @@
         }
     }
 
-    /// Handles events and works in between, until all handles and connections are gone.
+    /// Handles events and advances the calls in between, until all handles and connections are
+    /// gone.
     fn run(mut self, received: &Receiver<Event>) {
         let started = Instant::now();
         let mut worked = started;
         loop {
             let event = received.recv_timeout(self.time_to_next_completion());
             self.sample(started);
-            // The time up to the event is that of the calls before it.
+            // Advances the calls up to the time of the event before the event changes them.
             let passed = worked.elapsed();
             if passed >= TIME_SLICE || self.calls.is_empty() {
                 worked = Instant::now();
@@ -210,8 +215,8 @@
         }
     }
 
-    /// The time until a call is finished, if no event comes before: the thread sleeps until then, so that many
-    /// catalogues leave the machine to the servers.
+    /// Returns the time until the next call is finished, if no event comes before. The thread
+    /// sleeps until then, so that many catalogues leave the machine's cores to the servers.
     fn time_to_next_completion(&self) -> Duration {
         let slowdown = match self.behavior {
             _ if self.calls.is_empty() => return IDLE_WAIT,
@@ -226,7 +231,7 @@
         wait.clamp(TIME_SLICE, IDLE_WAIT)
     }
 
-    /// Samples the calls in flight up to now.
+    /// Adds the samples of the calls in flight that are due by now.
     fn sample(&mut self, started: Instant) {
         let samples = (started.elapsed().as_millis() / SAMPLE_MS) as usize;
         if self.stats.in_flight.len() < samples {
@@ -245,7 +250,7 @@
         }
     }
 
-    /// The calls with a slot progress, and those that are finished are answered.
+    /// Advances the calls that have a slot, and answers those that are finished.
     fn advance_calls(&mut self, secs: f64, slowdown: f64) {
         let done = secs / (self.call_duration.as_secs_f64() * slowdown);
         for call in self.calls.iter_mut().take(self.slots) {
@@ -266,7 +271,7 @@
         }
     }
 
-    /// Answers all calls in flight with the protocol's word for a failure.
+    /// Answers all calls in flight with `word`, the protocol's word for a failure.
     fn reject_all(&mut self, word: &str) {
         for call in std::mem::take(&mut self.calls) {
             self.reply(call.connection, &format!("{} {word}\r\n", call.name));
--- a/crates/testkit/src/engine.rs
+++ b/crates/testkit/src/engine.rs
@@ -3,18 +3,23 @@
 //! # What is simulated
 //!
 //! The engine accepts connections on loopback and speaks the engine's line protocol. Only the
-//! newest connection is served; lines of former ones are ignored. A run works for a drawn time on
-//! one core. A run of a handler that makes calls asks for its call (`NEED`) at half of its work and
-//! waits until it gets `FEED` or `SKIP`. A run ends (`DONE`) as `good` when its work is done, and
-//! as `cut` when it is halted. A run that is to begin when its request is over already ends as `gone`. Notices are numbered and retained, so that a server that attaches
-//! again receives those that it has missed.
+//! newest connection is served; lines from earlier connections are ignored.
+//!
+//! Each run needs an amount of work on one core that is drawn at random. A run of a handler that
+//! makes calls asks for its call (`NEED`) at half of its work and waits for `FEED` or `SKIP`. A run
+//! ends (`DONE`) as `good` when its work is done, and as `cut` when it is halted. A run that is
+//! started after its request was answered ends at once as `gone`.
+//!
+//! Notices are numbered and retained, so that a server that attaches again receives those that it
+//! has missed.
 //!
 //! # Faults
 //!
-//! [`Engine::break_link`](crate::engine::Engine::break_link) closes the connection in use, and
-//! [`Engine::stop_reading`](crate::engine::Engine::stop_reading) leaves unread what comes on it from
-//! then on. [`Engine::hang_runs`](crate::engine::Engine::hang_runs) makes the runs that go on hang for good. A run whose handler the engine doesn't know is rejected with `NO`. A `HALT` of a run that
-//! it doesn't have is passed over in silence.
+//! [`Engine::break_link`](crate::engine::Engine::break_link) closes the current connection.
+//! [`Engine::stop_reading`](crate::engine::Engine::stop_reading) makes the engine read nothing more
+//! from it. [`Engine::hang_runs`](crate::engine::Engine::hang_runs) makes the runs in progress hang
+//! forever. A run whose handler the engine does not know is rejected with `NO`. A `HALT` of a run
+//! that the engine does not have is silently ignored.
 
 mod core_pool;
 
@@ -26,20 +31,21 @@
 use std::sync::mpsc::{Sender, channel};
 use std::time::Duration;
 
-/// What the runs of one handler do.
+/// Describes the work of the runs of one handler.
 #[derive(Clone, Debug)]
 pub struct HandlerWork {
-    /// The handler's name, as `RUN` has it.
+    /// Name of the handler, as given in `RUN`.
     pub handler: String,
-    /// The least and the most work of a run on one core, in milliseconds; drawn evenly between
-    /// them.
+    /// Minimum and maximum work of a run on one core, in milliseconds; the work is drawn uniformly
+    /// from this range.
     pub ms: (f64, f64),
-    /// Whether a run makes a call.
+    /// Whether a run makes an upstream call.
     pub calls: bool,
 }
 
 impl HandlerWork {
-    /// Runs of a handler with the least and the most work in milliseconds.
+    /// Creates the description of a handler's runs; `ms` is their minimum and maximum work in
+    /// milliseconds.
     pub fn new(handler: &str, ms: (f64, f64), calls: bool) -> HandlerWork {
         HandlerWork {
             handler: handler.into(),
@@ -49,23 +55,23 @@
     }
 }
 
-/// What the engine has seen since its start.
+/// Statistics of the engine since its start.
 #[derive(Clone, Debug, Default)]
 pub struct EngineStats {
-    /// The number of runs by the body that they were started with, in base64.
+    /// Number of runs for each request body, in base64, that runs were started with.
     pub bodies: HashMap<String, u32>,
-    /// The most runs at any time.
+    /// Largest number of runs that existed at the same time.
     pub peak_runs: usize,
-    /// What happened to each run, by its name, in order.
+    /// Events of each run in order, by the run's name.
     pub runs: HashMap<String, Vec<RunEvent>>,
 }
 
-/// What happened to a run.
+/// One event of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunEvent {
-    /// The time since the engine's start.
+    /// Time since the engine's start.
     pub at: Duration,
-    /// The kind of the command that was read, or of the notice that was sent.
+    /// Kind of the command that was read, or of the notice that was sent.
     pub kind: String,
 }
 
@@ -75,7 +81,8 @@
         connection: u64,
         line: String,
     },
-    /// A request is answered: its run ends when it waits for a call, or is not begun.
+    /// A request was answered: its run ends once it waits for a call, and does not begin if it has
+    /// not begun yet.
     RequestAnswered(String),
     Stats(Sender<EngineStats>),
     StopReading,
@@ -83,18 +90,18 @@
     HangRuns,
 }
 
-/// A handle on a fake engine. It may be cloned; the engine's thread ends with the last handle and
-/// connection.
+/// Handle to a fake engine. Clones refer to the same engine; the engine's thread ends with the last
+/// handle and connection.
 #[derive(Clone)]
 pub struct Engine {
-    /// Where the engine listens.
+    /// Address that the engine listens on.
     pub address: SocketAddr,
     events: Sender<Event>,
 }
 
 impl Engine {
-    /// Starts an engine with a number of cores on a free loopback port. The seed determines the
-    /// work of the runs.
+    /// Starts an engine with `cores` cores on a free loopback port. `seed` determines the work of
+    /// the runs.
     ///
     /// # Panics
     ///
@@ -110,28 +117,29 @@
         Engine { address, events }
     }
 
-    /// Reports that the request with this name is answered: its run ends when it waits for a call, and does not begin
-    /// if it has not begun yet.
+    /// Tells the engine that the request `name` was answered: its run ends once it waits for a
+    /// call, and does not begin if it has not begun yet.
     pub fn answered(&self, name: &str) {
         let _ = self.events.send(Event::RequestAnswered(name.into()));
     }
 
-    /// Fault: closes the connection in use.
+    /// Fault: closes the current connection.
     pub fn break_link(&self) {
         let _ = self.events.send(Event::BreakLink);
     }
 
-    /// Fault: the runs that go on never end, whatever is commanded, and leave the cores.
+    /// Fault: the runs in progress never end, whatever is commanded, and no longer use the cores.
     pub fn hang_runs(&self) {
         let _ = self.events.send(Event::HangRuns);
     }
 
-    /// Fault: reads nothing more on the connection in use; its notices are still sent.
+    /// Fault: reads nothing more from the current connection; notices are still sent on it.
     pub fn stop_reading(&self) {
         let _ = self.events.send(Event::StopReading);
     }
 
-    /// What the engine has seen since its start; empty when it doesn't answer in time.
+    /// Returns the statistics since the engine's start; empty if the engine does not answer within
+    /// [`WAIT_TIMEOUT`](crate::WAIT_TIMEOUT).
     pub fn stats(&self) -> EngineStats {
         let (reply, received) = channel();
         let _ = self.events.send(Event::Stats(reply));
@@ -141,7 +149,7 @@
     }
 }
 
-/// Passes on each connection until the engine is gone.
+/// Sends each accepted connection to the engine's thread until that thread has ended.
 fn accept(listener: &TcpListener, events: &Sender<Event>) {
     for stream in listener.incoming().map_while(Result::ok) {
         if events.send(Event::Connected(stream)).is_err() {
@@ -150,7 +158,8 @@
     }
 }
 
-/// Passes on each line of a connection until either end is gone.
+/// Sends each line of a connection to the engine's thread until the connection or the thread has
+/// ended.
 fn read_lines(connection: u64, stream: TcpStream, events: &Sender<Event>) {
     for line in BufReader::new(stream).lines().map_while(Result::ok) {
         if events.send(Event::Line { connection, line }).is_err() {
--- a/crates/testkit/src/engine/core_pool.rs
+++ b/crates/testkit/src/engine/core_pool.rs
@@ -1,4 +1,4 @@
-//! The state of the fake engine: runs on the cores, the connection in use and the retained notices.
+//! State of the fake engine: runs on the cores, the current connection and the retained notices.
 
 use super::{EngineStats, Event, HandlerWork, RunEvent, read_lines};
 use base64::Engine as _;
@@ -10,13 +10,13 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender};
 use std::time::{Duration, Instant};
 
-/// The shortest time for which work is accounted.
+/// Minimum step of time in which the work of runs is advanced.
 const TIME_SLICE: Duration = Duration::from_millis(1);
-/// The longest wait for an event.
+/// Maximum wait for an event.
 const IDLE_WAIT: Duration = Duration::from_millis(100);
-/// Notices that are retained for the next connection.
+/// Maximum number of notices that are retained for the next connection.
 const MAX_RETAINED_NOTICES: usize = 4_000;
-/// The part of a run's work after which it makes its call.
+/// Fraction of a run's work after which it makes its call.
 const WORK_BEFORE_CALL: f64 = 0.5;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -28,11 +28,11 @@
 
 struct Run {
     remaining_ms: f64,
-    /// The remaining work at which the run makes its call.
+    /// Remaining work at which the run makes its call, in milliseconds.
     call_at_remaining_ms: Option<f64>,
     state: RunState,
     started: Instant,
-    /// Its request is answered already.
+    /// Whether the run's request was answered already.
     answered: bool,
 }
 
@@ -42,23 +42,24 @@
     line: String,
 }
 
-/// The engine's state, owned by its thread.
+/// State of the engine, owned by its thread.
 pub(super) struct CorePool {
     cores: f64,
     works: Vec<HandlerWork>,
     random: oorandom::Rand64,
     runs: BTreeMap<String, Run>,
-    /// Requests that are over: no run of theirs begins any more.
+    /// Requests that were answered: a run that is started for one of them ends at once.
     answered_requests: HashSet<String>,
     connection: Option<TcpStream>,
-    /// The number of the newest connection.
+    /// Number of the newest connection.
     newest_connection: u64,
-    /// Whether that one is read.
+    /// Whether lines from the newest connection are handled.
     is_reading: bool,
-    /// Whether the server has said on that one which notices it has. None is sent before.
+    /// Whether the server has sent `ATTACH` on the newest connection, which says the notices it
+    /// has. No notices are sent before.
     is_attached: bool,
     began: Instant,
-    /// The number of the newest notice.
+    /// Number of the newest notice.
     serial: u64,
     retained: VecDeque<RetainedNotice>,
     stats: EngineStats,
@@ -83,12 +84,12 @@
         }
     }
 
-    /// Handles events and works in between, until all handles are gone.
+    /// Handles events and advances the runs in between, until all handles are dropped.
     pub(super) fn run(mut self, received: &Receiver<Event>, lines: &Sender<Event>) {
         let mut worked = Instant::now();
         loop {
             let event = received.recv_timeout(self.time_to_next_transition());
-            // The time up to the event is that of the runs before it.
+            // Advances the runs up to the time of the event before the event changes them.
             let passed = worked.elapsed();
             if passed >= TIME_SLICE || self.working_runs() == 0 {
                 worked = Instant::now();
@@ -102,8 +103,8 @@
         }
     }
 
-    /// The time until a run makes its call or ends, if no event comes before: the thread sleeps until then, so that
-    /// many engines leave the machine to the servers.
+    /// Returns the time until the next run makes its call or ends, if no event comes before. The
+    /// thread sleeps until then, so that many engines leave the machine's cores to the servers.
     fn time_to_next_transition(&self) -> Duration {
         let working = self.runs.values().filter(|r| r.state == RunState::Working);
         let min_ms = working
@@ -116,7 +117,8 @@
         Duration::from_secs_f64(wait_ms / 1e3).clamp(TIME_SLICE, IDLE_WAIT)
     }
 
-    /// The even part of the cores that each working run has, one core at most.
+    /// Returns the fraction of a core that each working run gets: an even share of the cores, one
+    /// core at most.
     fn cores_per_run(&self) -> f64 {
         let working = self.working_runs().max(1) as f64;
         (self.cores / working).min(1.0)
@@ -129,7 +131,7 @@
             .count()
     }
 
-    /// Gives each working run its even part of the cores, one core at most.
+    /// Advances all working runs by `ms` of real time, each by its even share of the cores.
     fn advance_runs(&mut self, ms: f64) {
         let ms_per_run = ms * self.cores_per_run();
         let (mut finished, mut calling) = (vec![], vec![]);
@@ -157,7 +159,8 @@
         }
     }
 
-    /// Asks for the call of a run, or ends the run when its request is answered already.
+    /// Sends the notice that a run needs its call, or ends the run if its request was answered
+    /// already.
     fn request_call(&mut self, name: &str) {
         if self.runs[name].answered {
             return self.end(name, "cut");
@@ -169,14 +172,14 @@
         });
     }
 
-    /// Ends a run; `how` is the protocol's word for its outcome.
+    /// Ends a run; `outcome` is the protocol's word for how it ended.
     fn end(&mut self, name: &str, outcome: &str) {
         if let Some(run) = self.runs.remove(name) {
             self.report_run_ended(name, outcome, run.started.elapsed());
         }
     }
 
-    /// Sends the notice of a run that is over.
+    /// Sends the notice that a run has ended.
     fn report_run_ended(&mut self, name: &str, outcome: &str, elapsed: Duration) {
         self.record(name, &format!("DONE {outcome}"));
         let ms = elapsed.as_millis();
@@ -189,7 +192,7 @@
         });
     }
 
-    /// Records what happened to a run.
+    /// Adds an event of a run to the statistics.
     fn record(&mut self, name: &str, kind: &str) {
         let event = RunEvent {
             at: self.began.elapsed(),
@@ -198,7 +201,8 @@
         self.stats.runs.entry(name.into()).or_default().push(event);
     }
 
-    /// Sends a notice, made of its members, and retains it.
+    /// Sends and retains a notice. `members` returns the members of its JSON object, given its
+    /// serial number.
     fn notify(&mut self, members: impl FnOnce(u64) -> String) {
         self.serial += 1;
         let serial = self.serial;
@@ -212,7 +216,7 @@
         }
     }
 
-    /// Writes to the connection in use, if there is one.
+    /// Writes to the current connection, if there is one.
     fn send(&mut self, line: &str) {
         if self
             .connection
@@ -256,13 +260,13 @@
         }
     }
 
-    /// Whether a run ends by no command.
+    /// Reports whether a run hangs, so that no command ends it.
     fn is_hung(&self, name: &str) -> bool {
         let run = self.runs.get(name);
         run.is_some_and(|run| run.state == RunState::Hung)
     }
 
-    /// A new connection replaces the former one.
+    /// Replaces the current connection with a new one, and starts a thread that reads it.
     fn handle_connected(&mut self, stream: TcpStream, lines: &Sender<Event>) {
         let _ = stream.set_nodelay(true);
         self.newest_connection += 1;
@@ -285,7 +289,7 @@
         }
     }
 
-    /// Handles one line of a server; lines that are no JSON are ignored.
+    /// Handles one line from the server; lines that are not JSON are ignored.
     fn handle_command(&mut self, line: &str) {
         let Ok(message) = serde_json::from_str::<Value>(line) else {
             return;
@@ -312,10 +316,11 @@
         }
     }
 
-    /// Sends the notices after the last one that the server has read.
+    /// Attaches the server: sends it the retained notices after the last one that it has read.
     fn attach(&mut self, last_read: u64) {
         if last_read == 0 {
-            // The server has just started: notices are numbered anew, runs continue.
+            // The server has just started: notices are numbered from the beginning again; runs
+            // continue.
             self.serial = 0;
             self.retained.clear();
         }
@@ -339,7 +344,7 @@
         ));
     }
 
-    /// Starts a run, or rejects it when its handler isn't known.
+    /// Starts a run, or rejects it if its handler is not known.
     fn start_run(&mut self, name: &str, handler: &str, body: &str) {
         let Some(work) = self.works.iter().find(|work| work.handler == handler) else {
             return self.send(&format!(
--- a/crates/testkit/src/event_queue.rs
+++ b/crates/testkit/src/event_queue.rs
@@ -1,12 +1,12 @@
-//! Events in the order of their times; events of the same time keep the order in which they were
+//! A queue of events ordered by time; events of the same time keep the order in which they were
 //! added.
 
 use std::collections::BTreeMap;
 
-/// Events that are due later. `T` is a point in time.
+/// Events ordered by the time at which they are due. `T` is a point in time.
 pub(crate) struct EventQueue<T, E> {
     events: BTreeMap<(T, u64), E>,
-    /// The number of events that were ever added; tells apart those of the same time.
+    /// Number of events added so far, which orders events of the same time.
     added: u64,
 }
 
@@ -23,12 +23,12 @@
         self.events.insert((at, self.added), event);
     }
 
-    /// The time of the next event.
+    /// Returns the time of the next event.
     pub(crate) fn next_time(&self) -> Option<T> {
         self.events.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// Takes the next event that is due by then, with its time.
+    /// Removes the next event that is due by `until`, and returns it with its time.
     pub(crate) fn pop_until(&mut self, until: T) -> Option<(T, E)> {
         self.next_time().filter(|at| *at <= until)?;
         let ((at, _), event) = self.events.pop_first()?;
--- a/crates/testkit/src/gate.rs
+++ b/crates/testkit/src/gate.rs
@@ -1,6 +1,6 @@
-//! A TCP relay to a backend that can be interrupted: meanwhile bytes are held back in both
-//! directions and connections stay open. It owns its connections and reads nothing of what they
-//! carry.
+//! A TCP relay to a backend that can be interrupted. During an interruption, bytes are held back in
+//! both directions and connections stay open. The relay owns its connections and does not interpret
+//! the bytes that it carries.
 
 use crate::peer::loopback_listener;
 use std::io::{Read, Write};
@@ -9,21 +9,21 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// The time between two checks whether an interruption is over.
+/// Interval between checks whether an interruption has ended.
 const CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// Bytes that are carried at a time.
+/// Number of bytes that are relayed at a time.
 const BUFFER_BYTES: usize = 4_096;
 
-/// A relay to an address, with threads of its own for each connection.
+/// Relay to an address, with two threads for each connection.
 #[derive(Clone)]
 pub struct Gate {
-    /// Where it listens.
+    /// Address that the relay listens on.
     pub address: SocketAddr,
     cut: Arc<AtomicBool>,
 }
 
 impl Gate {
-    /// Starts a relay to an address, on a free loopback port.
+    /// Starts a relay to `address` on a free loopback port.
     ///
     /// # Panics
     ///
@@ -39,13 +39,13 @@
         gate
     }
 
-    /// Fault: interrupts the relay, or ends the interruption.
+    /// Fault: interrupts the relay if `cut` is true, and ends the interruption otherwise.
     pub fn cut(&self, cut: bool) {
         self.cut.store(cut, Ordering::Relaxed);
     }
 }
 
-/// Connects each client with the address; one that can't be connected is dropped.
+/// Connects each client to `address`; a client that can't be connected is dropped.
 fn accept(listener: &TcpListener, address: SocketAddr, cut: &Arc<AtomicBool>) {
     for client in listener.incoming().map_while(Result::ok) {
         let Ok(backend) = TcpStream::connect(address) else {
@@ -61,7 +61,7 @@
     }
 }
 
-/// Carries the bytes of one direction, and holds them back while the relay is interrupted.
+/// Relays the bytes of one direction, and holds them back while the relay is interrupted.
 fn carry(mut from: TcpStream, mut to: TcpStream, cut: &AtomicBool) {
     let mut bytes = [0; BUFFER_BYTES];
     while let Ok(length) = from.read(&mut bytes) {
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,23 +1,23 @@
-//! Fakes of everything that a server talks with, on loopback, with faults; and fleets of servers
-//! under faults.
+//! Test doubles for everything that a server communicates with, on loopback and with fault
+//! injection, and fleets of servers under faults.
 //!
-//! The fakes have one shape. `start` begins serving on a free port, `address` says where; what a
-//! fake simulates and which faults it has is on its module's page. [`engine::Engine`],
-//! [`catalogue::Catalogue`] and [`registry::Registry`] are what a server calls,
-//! [`load_balancer::Load`] is what calls a server. [`peer::Peer`] is one end of a connection that a
-//! test plays itself, [`gate::Gate`] a relay that can be interrupted.
+//! All fakes are used in the same way: `start` begins to serve on a free port, and `address` is the
+//! address that it serves on. The documentation of each module says what its fake simulates and
+//! which faults it can inject. A server calls [`engine::Engine`], [`catalogue::Catalogue`] and
+//! [`registry::Registry`]; [`load_balancer::Load`] calls a server. [`peer::Peer`] is one end of a
+//! connection that a test drives by hand, and [`gate::Gate`] is a relay that can be interrupted.
 //!
-//! [`server::Server`] is the real program between fakes. [`fleet`] has many servers that talk with
-//! each other, as real processes or simulated, under faults that a script or a seed determines.
-//! [`backend_simulation`] has many simulated servers before many simulated backends.
+//! [`server::Server`] runs the real program against fakes. [`fleet`] runs many servers that
+//! communicate with each other, as real processes or simulated, under faults that a script or a
+//! seed determines. [`backend_simulation`] simulates many servers that call many backends.
 //!
-//! [`soak`] plays one real server under troubles that a seed determines.
+//! [`soak`] runs one real server under faults that a seed determines.
 //!
-//! [`measurement`] is what the examples that measure share.
+//! [`measurement`] holds the code that the measuring examples share.
 //!
-//! The crate is for tests and measurements. It sends nothing beyond loopback.
+//! This crate is for tests and measurements only. It sends nothing beyond loopback.
 
-/// Many simulated servers before many simulated backends.
+/// Simulation of many servers that call many backends.
 pub mod backend_simulation;
 /// A fake catalogue.
 pub mod catalogue;
@@ -28,26 +28,26 @@
 pub mod fleet;
 /// A TCP relay to a backend that can be interrupted.
 pub mod gate;
-/// Fake load balancers: a seeded open load.
+/// Fake load balancers that send a seeded open-loop load.
 pub mod load_balancer;
-/// What the examples that measure share.
+/// Code that the measuring examples share.
 pub mod measurement;
-/// One end of a connection that a test plays.
+/// One end of a connection that a test drives by hand.
 pub mod peer;
 /// A fake registry.
 pub mod registry;
-/// The real program between fakes.
+/// The real program, run against fakes.
 pub mod server;
-/// Plays of one real server under drawn troubles.
+/// Runs of one real server under faults drawn from a seed.
 pub mod soak;
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Upper bound on any wait for a server or a fake, far longer than it takes: a hang fails instead
-/// of lasting.
+/// Upper bound on any wait for a server or a fake. It is far longer than any wait takes, so a hang
+/// fails the test instead of blocking it.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Unix time in milliseconds, as requests have it.
+/// Returns the Unix time in milliseconds, the format used in requests.
 pub fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/testkit/src/load_balancer.rs
+++ b/crates/testkit/src/load_balancer.rs
@@ -1,17 +1,17 @@
-//! Fake load balancers: a seeded open load of requests over a few connections, and what became of
-//! each request.
+//! Fake load balancers: they send a seeded open-loop load of requests over a few connections and
+//! record the outcome of each request.
 //!
 //! # What is simulated
 //!
-//! Requests are sent at random times with a given mean rate, however fast they are answered. A
-//! connection is opened when all others have as many requests in flight as the protocol allows, or
-//! are announced to close. Answers are matched with requests by connection and id; each request has
-//! to get exactly one.
+//! Requests are sent at random times with a given mean rate, regardless of how fast they are
+//! answered. A new connection is opened when each of the others has as many requests in flight as
+//! the protocol allows, or was announced by the server to be closing. Answers are matched to
+//! requests by connection and id; each request must get exactly one.
 //!
 //! # Faults
 //!
-//! None. A load may be ended early; a server that does not answer is waited for as long as the
-//! clients wait.
+//! None. A load may be ended early. If the server does not answer, the load waits for as long as
+//! the clients would wait.
 
 mod kind_id;
 mod outcomes;
@@ -29,66 +29,69 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-/// What one step of the loop counts at most towards the wait for answers, so that a stall of this process is no wait.
-/// A step without an event takes [`MAX_RECEIVE_TIME`].
+/// Upper bound on what one step of the loop counts towards the wait for answers, so that a stall of
+/// this process does not count as waiting. A step without an event takes [`MAX_RECEIVE_TIME`].
 const MAX_WAIT_PER_STEP: Duration = Duration::from_millis(10);
-/// The time between two attempts to connect with a server that is gone.
+/// Interval between attempts to connect to a server that is gone.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(50);
-/// Requests in flight on one connection, as the protocol limits them.
+/// Maximum number of requests in flight on one connection, given by the protocol.
 const MAX_IN_FLIGHT: usize = 32;
-/// The error code of a request that was rejected and never ran.
+/// Error code of a request that was rejected and never ran.
 const REJECTED: i64 = -32002;
-/// The shortest time for which answers are awaited between two sendings.
+/// Minimum time to wait for answers between two sends.
 const MIN_RECEIVE_TIME: Duration = Duration::from_millis(1);
-/// The longest time for which answers are awaited in one step, so that a caller is called a few hundred times a second.
+/// Maximum time to wait for answers in one step, so that `tick` is called a few hundred times a
+/// second.
 const MAX_RECEIVE_TIME: Duration = Duration::from_millis(4);
 
-/// Requests of one handler.
+/// A kind of request: all its requests go to one handler.
 #[derive(Clone, Debug)]
 pub struct RequestKind {
-    /// The handler's name.
+    /// Name of the handler.
     pub handler: String,
-    /// The weight with which this kind is drawn.
+    /// Relative weight with which this kind is drawn.
     pub weight: f64,
-    /// The latency objective.
+    /// Latency objective of the handler.
     pub latency_objective: Duration,
-    /// Whether its requests have idempotency keys.
+    /// Whether the requests have idempotency keys.
     pub idempotency_key: bool,
-    /// The tenant.
+    /// Tenant of the requests.
     pub tenant: &'static str,
 }
 
-/// The requests a second from each time on.
+/// Send rates: the time since the start of the load from which a rate applies, and the rate in
+/// requests per second.
 pub type Rates = Vec<(Duration, f64)>;
 
-/// What a request was answered.
+/// An answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// It has a result.
+    /// The request has a result.
     Completed,
-    /// It was rejected, with a Retry-After in milliseconds.
+    /// The request was rejected, with a Retry-After in milliseconds.
     Rejected(u64),
-    /// It has an error.
+    /// The request failed with an error.
     Failed,
 }
 
-/// One request and what became of it.
+/// One request and its answers.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
-    /// Its kind.
+    /// Kind of the request.
     pub kind: KindId,
-    /// The name by which the engine learns of its answer.
+    /// Name by which the engine is told that the request was answered.
     pub name: String,
-    /// The body of its run, base64; no other request has the same.
+    /// Body of the request's run, in base64; unique to the request.
     pub body: String,
-    /// When it was sent, since the beginning of the load.
+    /// Time at which the request was sent, since the start of the load.
     pub sent: Duration,
-    /// All answers to it, with their times since the beginning of the load.
+    /// All answers to the request, with their times since the start of the load.
     pub answers: Vec<(Answer, Duration)>,
 }
 
 impl RequestRecord {
-    /// Whether it has exactly one answer, a result within the latency objective.
+    /// Reports whether the request has exactly one answer, and this is a result within the latency
+    /// objective.
     pub fn in_time(&self, latency_objective: Duration) -> bool {
         matches!(self.answers[..], [(Answer::Completed, at)] if at.saturating_sub(self.sent) <= latency_objective)
     }
@@ -96,15 +99,15 @@
 
 struct Connection {
     stream: TcpStream,
-    /// Requests in flight.
+    /// Number of requests in flight.
     in_flight: usize,
-    /// The id of the last request.
+    /// JSON-RPC id of the last request.
     last_id: u64,
-    /// The server has announced that it closes it.
+    /// Whether the server has announced that it is closing the connection.
     is_draining: bool,
 }
 
-/// What the thread of a connection has read.
+/// What a connection's thread reports.
 enum Received {
     Line {
         connection: usize,
@@ -114,24 +117,24 @@
     ConnectionLost,
 }
 
-/// A load on one server.
+/// Description of a load on one server.
 pub struct Load {
-    /// What is sent.
+    /// Kinds of requests that are sent.
     pub kinds: Vec<RequestKind>,
-    /// How much is sent from when on.
+    /// Send rates over time.
     pub rates: Rates,
-    /// For how long requests are sent.
+    /// Time for which requests are sent.
     pub length: Duration,
-    /// Determines the times, the kinds and the names of the requests.
+    /// Seed that determines the times, kinds and names of the requests.
     pub seed: u64,
-    /// The timeout of each request in milliseconds, which it also carries.
+    /// Timeout of each request in milliseconds, which is also sent with it.
     pub timeout_ms: u64,
 }
 
 impl Load {
-    /// Sends all requests and waits for the answers. `answered` is called with the name of each
-    /// request that gets its first answer, `tick` with the time since the beginning, a few hundred
-    /// times a second.
+    /// Sends all requests, waits for the answers and returns the records of all requests.
+    /// `answered` is called with the name of each request that gets its first answer, and `tick`
+    /// with the time since the start of the load, a few hundred times a second.
     pub fn run(
         &self,
         server: SocketAddr,
@@ -141,7 +144,7 @@
         self.run_while(server, answered, tick, || true)
     }
 
-    /// The same, but sends nothing more once `on` is false.
+    /// Like [`run`](Load::run), but sends nothing more once `keep_sending` returns false.
     pub fn run_while(
         &self,
         server: SocketAddr,
@@ -172,13 +175,14 @@
         }
     }
 
-    /// The rate at a time since the beginning.
+    /// Returns the rate in requests per second at a time since the start of the load; 1 before the
+    /// first entry of the rates.
     fn rate_at(&self, at: Duration) -> f64 {
         let mut rates = self.rates.iter().rev();
         rates.find(|rate| rate.0 <= at).map_or(1.0, |rate| rate.1)
     }
 
-    /// The kind that a number from 0 to 1 draws.
+    /// Returns the kind of request that a random number from 0 to 1 selects.
     fn draw_kind(&self, drawn: f64) -> KindId {
         let mut rest = drawn * self.kinds.iter().map(|kind| kind.weight).sum::<f64>();
         let kind = self.kinds.iter().position(|kind| {
@@ -188,7 +192,7 @@
         KindId::new(kind.unwrap_or(self.kinds.len() - 1))
     }
 
-    /// A request as it is sent.
+    /// Returns the JSON-RPC line of a request.
     fn request_line(&self, id: u64, kind: KindId, name: &str, body: &str) -> String {
         let kind = &self.kinds[kind.index()];
         let key = if kind.idempotency_key {
@@ -208,7 +212,8 @@
     }
 }
 
-/// How long the last answers have been waited for since all was sent, in steps of the loop that were not held up.
+/// Time spent waiting for the last answers after all requests were sent. A step of the loop that
+/// was held up counts at most [`MAX_WAIT_PER_STEP`].
 #[derive(Default)]
 struct AnswerWait {
     waited: Duration,
@@ -216,7 +221,7 @@
 }
 
 impl AnswerWait {
-    /// Counts the time since the step before; all is sent at `length`.
+    /// Adds the time since the previous step; `length` is the time at which all requests are sent.
     fn step(&mut self, now: Duration, length: Duration) {
         if now >= length {
             self.waited += (now - self.last_step.max(length)).min(MAX_WAIT_PER_STEP);
@@ -224,7 +229,7 @@
         self.last_step = now;
     }
 
-    /// Whether that is longer than a timeout in milliseconds.
+    /// Reports whether the wait is longer than a timeout in milliseconds.
     fn exceeds(&self, timeout_ms: u64) -> bool {
         self.waited > Duration::from_millis(timeout_ms)
     }
@@ -236,14 +241,14 @@
     server: SocketAddr,
     random: oorandom::Rand64,
     connections: Vec<Connection>,
-    /// For the threads of the connections.
+    /// Sender that is cloned for the threads of the connections.
     sender: Sender<Received>,
     received: Receiver<Received>,
     records: Vec<RequestRecord>,
-    /// The index of each record by its connection and id.
+    /// Index of each request's record by the request's connection and id.
     record_by_id: HashMap<(usize, u64), usize>,
     began: Instant,
-    /// When the next request is to be sent.
+    /// Time at which the next request is due, since the start of the load.
     next_send: Duration,
 }
 
@@ -264,12 +269,12 @@
         }
     }
 
-    /// Sends the requests that are due by now, but for those after the end of the load.
+    /// Sends the requests that are due by `now`, except those after the end of the load.
     fn send_until(&mut self, now: Duration, length: Duration) {
         while self.next_send <= now && self.next_send < length {
             let rate = self.load.rate_at(self.next_send);
             let Some(connection) = self.free_connection() else {
-                // The server is gone: what can't be sent is not counted.
+                // The server is gone; requests that can't be sent are not counted.
                 self.next_send = now + RECONNECT_INTERVAL;
                 return;
             };
@@ -279,7 +284,8 @@
         }
     }
 
-    /// A connection that may have one more request; `None` if no more can be opened.
+    /// Returns a connection on which one more request may be sent; `None` if all are full and no
+    /// other can be opened.
     fn free_connection(&mut self) -> Option<usize> {
         let is_free = |connection: &Connection| {
             !connection.is_draining && connection.in_flight < MAX_IN_FLIGHT
@@ -323,7 +329,8 @@
         });
     }
 
-    /// Takes in what the server has sent; waits for it until the next request is due, but a short time at most.
+    /// Handles what the server has sent. Waits for it until the next request is due, but at least
+    /// [`MIN_RECEIVE_TIME`] and at most [`MAX_RECEIVE_TIME`].
     fn receive(&mut self, answered: &mut impl FnMut(&str)) {
         let until_next = self.next_send.saturating_sub(self.began.elapsed());
         let mut wait = until_next.clamp(MIN_RECEIVE_TIME, MAX_RECEIVE_TIME);
@@ -340,7 +347,7 @@
         }
     }
 
-    /// Takes in one line; lines that are no JSON are ignored.
+    /// Handles one line from the server; lines that are not JSON are ignored.
     fn handle_line(
         &mut self,
         connection: usize,
@@ -369,7 +376,7 @@
     }
 }
 
-/// Passes on each line of a connection, and its end.
+/// Sends each line of a connection, and then its end, to the load's thread.
 fn read_lines(connection: usize, stream: TcpStream, sender: &Sender<Received>) {
     for line in BufReader::new(stream).lines().map_while(Result::ok) {
         let at = Instant::now();
@@ -385,7 +392,7 @@
     let _ = sender.send(Received::ConnectionLost);
 }
 
-/// What a message that has an id answers.
+/// Returns the answer that a message with an id carries.
 fn answer_in(message: &Value) -> Answer {
     let error = &message["error"];
     match error["code"].as_i64() {
--- a/crates/testkit/src/load_balancer/outcomes.rs
+++ b/crates/testkit/src/load_balancer/outcomes.rs
@@ -1,4 +1,4 @@
-//! Figures and checks of what became of requests.
+//! Figures and checks computed from the outcomes of requests.
 
 use super::{Answer, KindId, RequestKind, RequestRecord};
 use hdrhistogram::Histogram;
@@ -6,8 +6,9 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// The goodput of a kind of request: the fraction of those sent in a time since the beginning of the load that got a
-/// result within their latency objective; 0 if none was sent.
+/// Returns the goodput of a kind of request: the fraction of the requests sent in a time range
+/// since the start of the load that got a result within their latency objective; 0 if none was
+/// sent.
 pub fn goodput(
     records: &[RequestRecord],
     kinds: &[RequestKind],
@@ -24,7 +25,7 @@
     in_time as f64 / sent.len().max(1) as f64
 }
 
-/// The times, in milliseconds, after which requests of a kind had their results.
+/// Returns the histogram of the response times of a kind's completed requests, in milliseconds.
 pub fn latencies(records: &[RequestRecord], kind: KindId) -> Histogram<u64> {
     let mut latencies = Histogram::new(3).expect("three digits");
     for record in records.iter().filter(|record| record.kind == kind) {
@@ -35,9 +36,10 @@
     latencies
 }
 
-/// Checks the rules as far as clients and the engine can tell: exactly one answer each, nothing
-/// with an idempotency key run twice, nothing rejected that was run. `bodies` is
-/// [`EngineStats::bodies`](crate::engine::EngineStats::bodies). Gives a line for each violation.
+/// Checks the rules that can be checked from the clients and the engine: each request gets exactly
+/// one answer, no request with an idempotency key runs twice, and none of these is rejected after
+/// it has run. `bodies` is [`EngineStats::bodies`](crate::engine::EngineStats::bodies). Returns one
+/// line for each violation.
 pub fn rule_violations(
     records: &[RequestRecord],
     kinds: &[RequestKind],
@@ -47,17 +49,20 @@
     for record in records {
         let name = &record.name;
         if record.answers.len() != 1 {
-            violations.push(format!("{name} got {} answers", record.answers.len()));
+            violations.push(format!(
+                "request {name} got {} answers",
+                record.answers.len()
+            ));
         }
         if !kinds[record.kind.index()].idempotency_key {
             continue;
         }
         let runs = bodies.get(&record.body).copied().unwrap_or(0);
         if runs > 1 {
-            violations.push(format!("{name} ran {runs} times"));
+            violations.push(format!("request {name} ran {runs} times"));
         }
         if runs > 0 && matches!(record.answers[..], [(Answer::Rejected(_), _)]) {
-            violations.push(format!("{name} was shed although it ran"));
+            violations.push(format!("request {name} was rejected although it ran"));
         }
     }
     violations
--- a/crates/testkit/src/measurement/fleets.rs
+++ b/crates/testkit/src/measurement/fleets.rs
@@ -1,20 +1,20 @@
-//! Fleets that are measured, real and simulated ones alike.
+//! Helpers for measured fleets, real and simulated alike.
 
 use crate::fleet::script::{Action, Condition, Fleet};
 use madderbay::time::Duration;
 use std::path::PathBuf;
 
-/// The environment variable that names another program than the release build.
+/// Environment variable that names a program to measure instead of the release build.
 const PROGRAM_VARIABLE: &str = "MADDERBAY";
-/// The release build of the program, from the root of the repository.
+/// Path of the program's release build, relative to the root of the repository.
 const RELEASE_BINARY: &str = "target/release/madderbay";
 
-/// The program that is measured: the release build, unless the environment variable `MADDERBAY`
-/// names another one.
+/// Returns the path of the program to measure: the release build, unless the environment variable
+/// `MADDERBAY` names another one.
 ///
 /// # Panics
 ///
-/// If it isn't built.
+/// If the program does not exist.
 pub fn release_binary() -> PathBuf {
     let path = std::env::var(PROGRAM_VARIABLE).unwrap_or_else(|_| RELEASE_BINARY.into());
     let binary = PathBuf::from(path);
@@ -22,7 +22,7 @@
     binary
 }
 
-/// Carries out an action that can't fail.
+/// Carries out an action that is expected to succeed.
 ///
 /// # Panics
 ///
@@ -40,8 +40,8 @@
     servers.for_each(|server| act(fleet, Action::start(server)));
 }
 
-/// Waits until a condition holds. Gives the time that it took in seconds, infinite if it does not
-/// hold within the term.
+/// Waits until a condition holds. Returns the time that it took in seconds, infinite if the
+/// condition does not hold within `timeout`.
 pub fn wait_until(fleet: &mut impl Fleet, condition: &Condition, timeout: Duration) -> f64 {
     let began = fleet.at();
     while fleet.unmet(condition).is_some() {
--- a/crates/testkit/src/measurement/loads.rs
+++ b/crates/testkit/src/measurement/loads.rs
@@ -1,4 +1,4 @@
-//! Loads on real servers, and what became of their requests. It owns no server.
+//! Loads on real servers, and the outcomes of their requests. This module owns no server.
 
 use crate::engine::Engine;
 use crate::fleet::processes::ProcessFleet;
@@ -7,8 +7,8 @@
 use std::thread::ScopedJoinHandle;
 use std::time::Duration;
 
-/// A kind of request of the only tenant: the weight with which it is drawn, its latency objective,
-/// and whether its requests have idempotency keys.
+/// Creates a kind of request of the only tenant, with the weight with which it is drawn, its
+/// latency objective, and whether its requests have idempotency keys.
 pub fn request_kind(
     handler: &str,
     weight: f64,
@@ -24,30 +24,30 @@
     }
 }
 
-/// What became of a load or of several.
+/// Results of one load or of several.
 #[derive(Default)]
 pub struct LoadResult {
-    /// All requests.
+    /// Records of all requests.
     pub records: Vec<RequestRecord>,
-    /// The number of violated rules.
+    /// Number of violations of the rules.
     pub violations: usize,
 }
 
-/// A server to load, with the engine that has to learn of its answers.
+/// A server under load, with the engine that has to be told of its answers.
 #[derive(Clone)]
 pub struct LoadTarget {
-    /// Where the server listens.
+    /// Address that the server listens on.
     pub server: SocketAddr,
-    /// Its engine.
+    /// Engine of the server.
     pub engine: Engine,
 }
 
 impl LoadTarget {
-    /// A server of a fleet.
+    /// Returns the target for a server of a fleet.
     ///
     /// # Panics
     ///
-    /// If it does not run.
+    /// If the server is not running.
     pub fn of(fleet: &ProcessFleet, server: usize) -> LoadTarget {
         LoadTarget {
             server: fleet.server(server).expect("runs").address,
@@ -55,13 +55,13 @@
         }
     }
 
-    /// Sends a load and waits for the answers; `tick` is given the time since the beginning, a few
-    /// hundred times a second.
+    /// Sends a load and waits for the answers. `tick` is called with the time since the start of
+    /// the load, a few hundred times a second.
     pub fn send(&self, load: &Load, tick: impl FnMut(Duration)) -> Vec<RequestRecord> {
         load.run(self.server, |name| self.engine.answered(name), tick)
     }
 
-    /// The violated rules of a load that was sent, a line each.
+    /// Checks the rules for a load that was sent, and returns one line for each violation.
     pub fn violations(&self, load: &Load, records: &[RequestRecord]) -> Vec<String> {
         rule_violations(records, &load.kinds, &self.engine.stats().bodies)
     }
@@ -77,11 +77,11 @@
     }
 }
 
-/// Waits for the loads of several servers and adds them up.
+/// Waits for the loads of several servers and combines their results.
 ///
 /// # Panics
 ///
-/// If one has panicked.
+/// If the thread of a load has panicked.
 pub fn join_loads(loads: Vec<ScopedJoinHandle<'_, LoadResult>>) -> LoadResult {
     let mut all = LoadResult::default();
     for load in loads {
--- a/crates/testkit/src/measurement/seeds.rs
+++ b/crates/testkit/src/measurement/seeds.rs
@@ -1,11 +1,11 @@
-//! Runs of one measurement with several seeds, some of them at a time.
+//! Runs of one measurement with several seeds, some of them in parallel.
 
 use std::collections::VecDeque;
 use std::ops::Range;
 use std::sync::Mutex;
 
-/// The results of a run with each seed of a range, in their order. Up to `threads` of them run at a
-/// time.
+/// Runs a measurement with each seed of a range, up to `threads` of them in parallel, and returns
+/// the results in the order of the seeds.
 ///
 /// # Panics
 ///
@@ -19,8 +19,8 @@
     run_seed_list(&seeds, threads, run)
 }
 
-/// The results of a run with each of these seeds, in the order of the list. Up to `threads` of them
-/// run at a time.
+/// Runs a measurement with each seed of a list, up to `threads` of them in parallel, and returns
+/// the results in the order of the list.
 ///
 /// # Panics
 ///
--- a/crates/testkit/src/measurement/trips.rs
+++ b/crates/testkit/src/measurement/trips.rs
@@ -1,8 +1,9 @@
-//! The scenario of the examples `pools` and `quotas`: a catalogue with few slots that is 20 times
-//! slower for some seconds, while more requests arrive for the first of these.
+//! The scenario of the examples `pools` and `quotas`: a catalogue with few slots becomes 20 times
+//! slower for 8 s, and during the first 5 s of this fault more requests arrive.
 //!
-//! [`Scenario`](crate::measurement::trips::Scenario) is the whole of it against one server, and
-//! owns that server with its fakes while it runs. Fleets take the parts that they need.
+//! [`Scenario`](crate::measurement::trips::Scenario) runs the whole scenario against one server,
+//! and owns that server and its fakes while it runs. Measurements of fleets use the parts that they
+//! need.
 
 use super::fleets::release_binary;
 use super::loads::{LoadTarget, request_kind};
@@ -16,43 +17,43 @@
 use std::sync::mpsc::Receiver;
 use std::time::{Duration, Instant};
 
-/// The time before the fault, since the beginning of the load.
+/// Time before the fault, since the start of the load.
 pub const BEFORE_FAULT: Range<Duration> = Duration::ZERO..FAULT_START;
-/// The time of the fault since the beginning of the load.
+/// Time of the fault, since the start of the load.
 pub const FAULT: Range<Duration> = FAULT_START..FAULT_END;
-/// The time from the end of the fault to the end of the load.
+/// Time from the end of the fault to the end of the load, since the start of the load.
 pub const AFTER_FAULT: Range<Duration> = FAULT_END..LOAD_LENGTH;
-/// The length of the load.
+/// Length of the load.
 pub const LOAD_LENGTH: Duration = Duration::from_secs(20);
-/// The time that clients wait for an answer, in milliseconds.
+/// Time that clients wait for an answer, in milliseconds.
 pub const REQUEST_TIMEOUT_MS: u64 = 8_000;
-/// The slots of the catalogue.
+/// Number of slots of the catalogue.
 pub const SLOTS: usize = 8;
-/// The time of a call.
+/// Time that a call takes in the healthy catalogue.
 pub const CALL: Duration = Duration::from_millis(25);
 
 const FAULT_START: Duration = Duration::from_secs(5);
 const FAULT_END: Duration = Duration::from_secs(13);
-/// Requests a second without the fault.
+/// Requests per second outside the peak.
 const RATE: f64 = 90.0;
-/// Requests a second at the beginning of the fault.
+/// Requests per second during the peak at the beginning of the fault.
 const PEAK_RATE: f64 = 144.0;
-/// The time for which requests arrive at the peak rate.
+/// Time for which requests arrive at the peak rate.
 const PEAK: Duration = Duration::from_secs(5);
-/// How many times slower the catalogue is.
+/// Multiple of the usual call time during the fault.
 const SLOWDOWN_FACTOR: f64 = 20.0;
-/// The time between two samples of the calls in flight, in milliseconds.
+/// Interval between samples of the calls in flight, in milliseconds.
 const SAMPLE_MS: usize = 10;
 /// Upper bound on the wait for a server's first report, and for each line of its log.
 const SERVER_TIMEOUT: Duration = Duration::from_secs(10);
-/// The time that a server's shutdown may take, in milliseconds.
+/// Maximum time of a server's shutdown, in milliseconds.
 const SHUTDOWN_MS: u64 = 3_000;
-/// Connections that a server may have.
+/// Maximum number of connections of a server.
 const MAX_SOCKETS: usize = 256;
-/// The cores of the engine.
+/// Number of cores of the engine.
 const ENGINE_CORES: f64 = 4.0;
 
-/// Trip searches, fare quotes and seat bookings.
+/// Returns the kinds of requests of the scenario: trip searches, fare quotes and seat bookings.
 pub fn kinds() -> Vec<RequestKind> {
     let ms = Duration::from_millis;
     vec![
@@ -62,7 +63,7 @@
     ]
 }
 
-/// What the engine does for these.
+/// Returns the work of the engine for these kinds of requests.
 pub fn works() -> Vec<HandlerWork> {
     vec![
         HandlerWork::new("trip-search", (40.0, 40.0), true),
@@ -71,7 +72,7 @@
     ]
 }
 
-/// The rates of the load; without the fault there is no peak.
+/// Returns the send rates of the load; without the fault there is no peak.
 pub fn rates(fault: bool) -> Rates {
     if fault {
         vec![
@@ -91,7 +92,7 @@
 }
 
 impl SlowDown<'_> {
-    /// Begins with a healthy catalogue.
+    /// Creates the fault for a catalogue that is healthy at first.
     pub fn of(catalogue: &Catalogue) -> SlowDown<'_> {
         SlowDown {
             catalogue,
@@ -99,7 +100,8 @@
         }
     }
 
-    /// To be called with the time since the beginning, often.
+    /// Sets the catalogue's behavior for the time since the start of the load. Has to be called
+    /// often.
     pub fn tick(&mut self, now: Duration) {
         let slow = FAULT.contains(&now);
         if std::mem::replace(&mut self.slow, slow) != slow {
@@ -109,22 +111,23 @@
     }
 }
 
-/// What a run against one server has shown.
+/// Results of a run against one server.
 pub struct ServerRun {
-    /// All requests.
+    /// Records of all requests.
     pub records: Vec<RequestRecord>,
-    /// The violated rules, a line each.
+    /// Rule violations, one line each.
     pub violations: Vec<String>,
-    /// The log of the server, each line with the time since the beginning.
+    /// Log of the server, each line with the time since the start of the load.
     pub log: Vec<(Duration, String)>,
-    /// The processor time of the server for each request, in milliseconds.
+    /// Processor time of the server per request, in milliseconds.
     pub cpu_ms: f64,
-    /// Calls in flight at the catalogue, sampled since the beginning.
+    /// Number of calls in flight at the catalogue, sampled since the start of the load.
     in_flight: Vec<usize>,
 }
 
 impl ServerRun {
-    /// The most calls in flight at the catalogue during a time since the beginning of the load.
+    /// Returns the largest number of calls in flight at the catalogue during a time range since the
+    /// start of the load.
     pub fn peak(&self, time: Range<Duration>) -> usize {
         let sample = |at: Duration| (at.as_millis() as usize / SAMPLE_MS).min(self.in_flight.len());
         let samples = &self.in_flight[sample(time.start)..sample(time.end)];
@@ -132,24 +135,24 @@
     }
 }
 
-/// The scenario against one server.
+/// Parameters of the scenario against one server.
 pub struct Scenario<'a> {
-    /// The platform's settings of the server.
+    /// Platform settings of the server.
     pub settings: &'a str,
-    /// Its operator file, if it has one.
+    /// Operator file of the server, if it has one.
     pub operator: Option<&'a str>,
-    /// What arrives.
+    /// Kinds of requests that arrive.
     pub kinds: Vec<RequestKind>,
-    /// What the engine does for it.
+    /// Work of the engine for the requests.
     pub works: Vec<HandlerWork>,
     /// Whether the catalogue has its fault.
     pub fault: bool,
-    /// Determines the load and the fakes.
+    /// Seed that determines the load and the fakes.
     pub seed: u64,
 }
 
 impl Scenario<'_> {
-    /// Starts a server, sends the load and ends the server.
+    /// Starts a server, sends the load and shuts the server down.
     ///
     /// # Panics
     ///
@@ -167,7 +170,7 @@
     }
 }
 
-/// One server between fakes of its own.
+/// A server with fakes of its own.
 struct SingleServer {
     server: Server,
     engine: Engine,
@@ -177,7 +180,8 @@
 }
 
 impl SingleServer {
-    /// Starts a server, and waits until it has reported itself and is connected with the engine.
+    /// Starts a server, and waits until it has reported to the registry and is connected to the
+    /// engine.
     fn start(
         settings: &str,
         operator: Option<&str>,
@@ -208,7 +212,7 @@
         }
     }
 
-    /// Sends a load, with the fault or without it, and ends the server.
+    /// Sends a load with or without the fault, and shuts the server down.
     fn run(self, load: &Load, fault: bool) -> ServerRun {
         let target = LoadTarget {
             server: self.server.address,
--- a/crates/testkit/src/peer.rs
+++ b/crates/testkit/src/peer.rs
@@ -1,7 +1,7 @@
-//! One end of a connection, which a test plays line by line.
+//! One end of a connection, which a test drives line by line.
 //!
-//! What doesn't come within [`WAIT_TIMEOUT`](crate::WAIT_TIMEOUT), and each error of the
-//! connection, is a fault of the test: the methods panic.
+//! Data that does not arrive within [`WAIT_TIMEOUT`](crate::WAIT_TIMEOUT), and any error of the
+//! connection, fails the test: the methods panic.
 
 use crate::WAIT_TIMEOUT;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -9,20 +9,21 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Instant;
 
-/// What a query for the engine's load gauges begins with.
+/// Beginning of a query for the engine's load gauges.
 const GAUGES_QUERY: &str = "{\"msg\":\"STAT\",\"cookie\":";
 
-/// The first of the loopback addresses that listeners take, one each.
+/// Start of the range of loopback addresses for listeners; each listener gets an address of its
+/// own.
 const FIRST_LISTENER_ADDRESS: Ipv4Addr = Ipv4Addr::new(127, 64, 0, 0);
-/// Processes that have a range of such addresses of their own, by their process id.
+/// Number of address ranges; a process selects its range by its process id.
 const ADDRESS_RANGES: u32 = 64;
-/// Addresses of a range.
+/// Number of addresses in the range of one process.
 const ADDRESSES_OF_RANGE: u32 = 1 << 16;
 
-/// Listens on a free port of a loopback address that no other listener of this process has.
+/// Listens on a free port of a loopback address that no other listener of this process uses.
 ///
-/// The port of a listener that has ended is soon given to another. A program that still looks for the former one
-/// would then reach the fake of another test.
+/// The system soon reuses the port of a closed listener. On a shared address, a program that still
+/// tries to reach the closed listener would connect to the fake of another test.
 ///
 /// # Panics
 ///
@@ -38,14 +39,14 @@
     Ipv4Addr::from(u32::from(FIRST_LISTENER_ADDRESS) + range * ADDRESSES_OF_RANGE + number)
 }
 
-/// One end of a connection, with what was read ahead of it.
+/// One end of a connection, with a read buffer.
 pub struct Peer(
     /// The connection.
     pub BufReader<TcpStream>,
 );
 
 impl Peer {
-    /// Takes over a connection.
+    /// Takes over a connection and sets its read timeout.
     ///
     /// # Panics
     ///
@@ -57,7 +58,7 @@
         Peer(BufReader::new(stream))
     }
 
-    /// Waits for the next connection.
+    /// Waits for the next connection of a listener.
     ///
     /// # Panics
     ///
@@ -66,7 +67,7 @@
         Peer::new(listener.accept().expect("a connection").0)
     }
 
-    /// Writes a text.
+    /// Writes `text` to the connection.
     ///
     /// # Panics
     ///
@@ -78,19 +79,19 @@
             .expect("written");
     }
 
-    /// The next line without its end; empty at the end of the connection.
+    /// Returns the next line without its line ending; empty at the end of the connection.
     ///
     /// # Panics
     ///
-    /// If no line comes in time.
+    /// If no line arrives in time.
     pub fn line(&mut self) -> String {
         let mut line = String::new();
         self.0.read_line(&mut line).expect("a line in time");
         line.trim_end().to_string()
     }
 
-    /// The commands to an engine that have come so far, a line each. Queries for the load gauges
-    /// among them are answered and left out.
+    /// Returns the commands to an engine that have arrived so far, one per line. Queries for the
+    /// load gauges among them are answered and left out.
     ///
     /// # Panics
     ///
@@ -106,7 +107,7 @@
         found
     }
 
-    /// Whether some bytes have come that are not read yet.
+    /// Reports whether bytes have arrived that were not read yet.
     fn has_pending(&mut self) -> bool {
         if !self.0.buffer().is_empty() {
             return true;
@@ -117,7 +118,8 @@
         received.unwrap_or(0) > 0
     }
 
-    /// Answers a query for the load gauges; false where the line is something else.
+    /// Answers a query for the load gauges and returns true; returns false if the line is something
+    /// else.
     fn answer_gauges(&mut self, line: &str) -> bool {
         let Some(rest) = line.strip_prefix(GAUGES_QUERY) else {
             return false;
@@ -129,22 +131,22 @@
         true
     }
 
-    /// The next bytes.
+    /// Returns the next `len` bytes.
     ///
     /// # Panics
     ///
-    /// If they don't come in time.
+    /// If they don't arrive in time.
     pub fn bytes(&mut self, len: usize) -> Vec<u8> {
         let mut bytes = vec![0; len];
         self.0.read_exact(&mut bytes).expect("as many bytes");
         bytes
     }
 
-    /// The next command to an engine. Queries for the load gauges before it are answered.
+    /// Returns the next command to an engine. Queries for the load gauges before it are answered.
     ///
     /// # Panics
     ///
-    /// If no command comes in time.
+    /// If no command arrives in time.
     pub fn command(&mut self) -> String {
         let began = Instant::now();
         loop {
--- a/crates/testkit/src/registry.rs
+++ b/crates/testkit/src/registry.rs
@@ -1,24 +1,25 @@
-//! A fake registry: answers every load report and passes it on.
+//! A fake registry that answers every load report and hands it to the test.
 //!
 //! # What is simulated
 //!
-//! The registry accepts one connection after the other on loopback, reads HTTP requests with a
-//! `Content-Length` and answers each with `204 No Content`. It keeps no list of servers.
+//! The registry accepts one connection after the other on loopback, reads HTTP requests that have a
+//! `Content-Length`, and answers each with `204 No Content`. It keeps no list of servers.
 //!
 //! # Faults
 //!
-//! None. A test that needs a registry that fails plays it with a [`Peer`](crate::peer::Peer).
+//! None. A test that needs a failing registry acts as the registry itself with a
+//! [`Peer`](crate::peer::Peer).
 
 use crate::peer::{Peer, loopback_listener};
 use std::io::{BufRead, Read, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::mpsc::{Receiver, Sender, channel};
 
-/// A handle on a fake registry. Its thread ends with the first report after the handle is dropped.
+/// Handle to a fake registry. Its thread ends with the first report after the handle is dropped.
 pub struct Registry {
-    /// Where the registry listens.
+    /// Address that the registry listens on.
     pub address: SocketAddr,
-    /// Each report as it arrives: the request line, a space and the body.
+    /// Reports in the order of arrival, each as its request line, a space and its body.
     pub reports: Receiver<String>,
 }
 
@@ -37,13 +38,13 @@
     }
 }
 
-/// Starts a [`Registry`] and gives its parts: where it listens, and the reports.
+/// Starts a [`Registry`] and returns its address and the receiver of its reports.
 pub fn start() -> (SocketAddr, Receiver<String>) {
     let Registry { address, reports } = Registry::start();
     (address, reports)
 }
 
-/// Answers reports until nobody receives them.
+/// Answers reports until the receiver of the reports is dropped.
 fn serve(listener: &TcpListener, reports: &Sender<String>) {
     for stream in listener.incoming().map_while(Result::ok) {
         let mut peer = Peer::new(stream);
@@ -59,8 +60,8 @@
     }
 }
 
-/// The next report on a connection: its request line and its body. `None` once the connection is
-/// over, however it ended.
+/// Reads the next report of a connection and returns its request line and its body; `None` once the
+/// connection has ended for any reason.
 fn read_report(peer: &mut Peer) -> Option<String> {
     let mut head: Vec<String> = vec![];
     while head.last().is_none_or(|line| !line.is_empty()) {
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -1,7 +1,7 @@
-//! The real program, started between fakes.
+//! The real program, run as a process against fakes.
 //!
-//! [`Server`](crate::server::Server) owns the process and its configuration files. Whatever goes
-//! wrong on the way is a fault of the test: the functions panic.
+//! [`Server`](crate::server::Server) owns the process and its configuration files. Any failure
+//! along the way is a failure of the test: the functions panic.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-/// The environment variables that the program reads.
+/// Environment variables that the program reads.
 const ENVIRONMENT_VARIABLES: [&str; 5] = [
     "RELAY_CONFIG",
     "RELAY_NAME",
@@ -19,23 +19,23 @@
     "MADDERBAY_LOG",
     "MADDERBAY_OPERATOR",
 ];
-/// Time between two checks whether the process has ended.
+/// Interval between checks whether the process has ended.
 const END_CHECK_INTERVAL: Duration = Duration::from_millis(2);
-/// The text of the log line that ends with the address on which the program listens.
+/// Event of the log line that ends with the address on which the program listens.
 const LISTENING_EVENT: &str = "server: listening";
 
-/// Where a server finds what it calls.
+/// Addresses of the services that a server calls.
 #[derive(Clone, Copy)]
 pub struct Dependencies {
-    /// The engine.
+    /// Address of the engine.
     pub engine: SocketAddr,
-    /// The registry.
+    /// Address of the registry.
     pub registry: SocketAddr,
-    /// The catalogue.
+    /// Address of the catalogue.
     pub catalogue: SocketAddr,
 }
 
-/// Writes a file with this text under a name of its own.
+/// Writes `text` to a new file with a unique name in the temporary directory, and returns its path.
 ///
 /// # Panics
 ///
@@ -48,9 +48,9 @@
     path
 }
 
-/// A configuration of the program, JSON: the address to listen on, its dependencies, the
-/// connections that it may have, the time that a shutdown may take in milliseconds, and the
-/// platform's settings.
+/// Returns a configuration of the program as JSON: the address to listen on, the services that it
+/// calls, the maximum number of its connections, the maximum time of a shutdown in milliseconds,
+/// and the platform's settings.
 pub fn configuration(
     listen: &str,
     dependencies: Dependencies,
@@ -70,8 +70,8 @@
     )
 }
 
-/// A command that runs the program with this configuration file and nothing else in its environment
-/// that it reads.
+/// Returns a command that runs the program with this configuration file. All other environment
+/// variables that the program reads are removed.
 pub fn command(binary: &Path, config: Option<&Path>) -> Command {
     let mut command = Command::new(binary);
     for name in ENVIRONMENT_VARIABLES {
@@ -90,22 +90,22 @@
 /// A running server. Dropping it kills the process and removes its files.
 pub struct Server {
     child: Child,
-    /// The log, until it is followed.
+    /// The rest of the log, until [`follow`](Server::follow) takes it.
     log: Option<BufReader<ChildStderr>>,
-    /// The lines of the log from before the server listened.
+    /// Lines of the log from before the server listened.
     pub before: Vec<String>,
-    /// Where it listens.
+    /// Address that the server listens on.
     pub address: SocketAddr,
-    /// Its configuration file.
+    /// Path of the server's configuration file.
     pub path: PathBuf,
-    /// Its operator file, if it has one.
+    /// Path of the server's operator file, if it has one.
     pub operator: Option<PathBuf>,
     files: Vec<PathBuf>,
 }
 
 impl Server {
-    /// Starts a server with a configuration and an operator file, if one is given, and waits until
-    /// it listens.
+    /// Starts a server with a configuration and optionally an operator file, and waits until it
+    /// listens.
     ///
     /// # Panics
     ///
@@ -114,7 +114,7 @@
         Server::start_ahead(binary, configuration, operator, "0")
     }
 
-    /// The same with its log at the level `debug`.
+    /// Like [`start`](Server::start), with the log level `debug`.
     ///
     /// # Panics
     ///
@@ -131,8 +131,8 @@
         Server::spawn(command, path, operator)
     }
 
-    /// The same on a Unix clock that is ahead by a number of milliseconds, given as on the command
-    /// line.
+    /// Like [`start`](Server::start), with a Unix clock that is ahead by a number of milliseconds,
+    /// given as on the command line.
     ///
     /// # Panics
     ///
@@ -152,7 +152,7 @@
         Server::spawn(command, path, operator)
     }
 
-    /// Starts the process, and waits until it listens.
+    /// Starts the process and waits until it listens.
     fn spawn(mut command: Command, path: PathBuf, operator: Option<PathBuf>) -> Server {
         if let Some(file) = &operator {
             command.arg("--operator").arg(file);
@@ -171,12 +171,13 @@
         }
     }
 
-    /// The process's id.
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// The processor time that it has used, in seconds; 0 where the system doesn't say.
+    /// Returns the processor time that the process has used, in seconds; 0 if the system does not
+    /// report it.
     pub fn cpu(&self) -> f64 {
         let path = format!("/proc/{}/schedstat", self.pid());
         let text = std::fs::read_to_string(path).unwrap_or_default();
@@ -187,7 +188,7 @@
             / 1e9
     }
 
-    /// Its resident memory in KB; 0 where the system doesn't say.
+    /// Returns the resident memory of the process in KB; 0 if the system does not report it.
     pub fn memory_kb(&self) -> u64 {
         let path = format!("/proc/{}/status", self.pid());
         let text = std::fs::read_to_string(path).unwrap_or_default();
@@ -196,7 +197,7 @@
             .unwrap_or(0)
     }
 
-    /// Sends it a signal, by its name with a hyphen before it, as in `-TERM`.
+    /// Sends a signal to the process, given by its name with a leading hyphen, as in `-TERM`.
     ///
     /// # Panics
     ///
@@ -208,7 +209,8 @@
         assert!(done.expect("kill runs").success());
     }
 
-    /// Sends it a signal like [`signal`](Server::signal), and passes over that it has ended already.
+    /// Sends a signal like [`signal`](Server::signal), and ignores the failure if the process has
+    /// already ended.
     pub fn try_signal(&self, name: &str) {
         let _ = Command::new("kill")
             .args([name, &self.pid().to_string()])
@@ -216,11 +218,11 @@
             .status();
     }
 
-    /// Waits for a line of the log that contains a text; gives the line.
+    /// Waits for a line of the log that contains `text`, and returns the line.
     ///
     /// # Panics
     ///
-    /// If the log ends before, or is followed.
+    /// If the log ends before such a line, or if [`follow`](Server::follow) was called.
     pub fn log_at(&mut self, text: &str) -> String {
         let mut line = String::new();
         while !line.contains(text) {
@@ -228,18 +230,18 @@
             let log = self.log.as_mut().expect("not followed");
             assert!(
                 log.read_line(&mut line).expect("a line") > 0,
-                "the log ends before '{text}'"
+                "the log ended without a line that contains '{text}'"
             );
         }
         line
     }
 
-    /// From here on each line of the log as it is read, with the time. The channel ends with the
-    /// log.
+    /// Returns a channel that receives each further line of the log with the time at which it was
+    /// read. The channel ends with the log.
     ///
     /// # Panics
     ///
-    /// If the log is followed already.
+    /// If it was called before.
     pub fn follow(&mut self) -> Receiver<(Instant, String)> {
         let log = self.log.take().expect("followed once");
         let (lines, received) = channel();
@@ -253,11 +255,12 @@
         received
     }
 
-    /// Waits until it ends by itself, for `timeout` at most; the status with which it ended.
+    /// Waits until the process ends by itself, for at most `timeout`, and returns its exit status;
+    /// `None` if it is still running.
     ///
     /// # Panics
     ///
-    /// If the system does not say whether it has ended.
+    /// If the system does not report whether the process has ended.
     pub fn ended_within(&mut self, timeout: Duration) -> Option<ExitStatus> {
         let began = Instant::now();
         loop {
@@ -269,21 +272,21 @@
         }
     }
 
-    /// Waits until it ends by itself; the rest of a log that isn't followed is lost.
+    /// Waits until the process ends by itself. The rest of the log is lost unless it is followed.
     ///
     /// # Panics
     ///
-    /// If it ends with a failure.
+    /// If the process ends with a failure.
     pub fn over(mut self) {
         self.log = None;
         assert!(self.child.wait().expect("an end").success());
     }
 
-    /// Waits until it ends by itself; gives the rest of the log.
+    /// Waits until the process ends by itself, and returns the rest of the log.
     ///
     /// # Panics
     ///
-    /// If it ends with a failure, or if its log is followed.
+    /// If the process ends with a failure, or if [`follow`](Server::follow) was called.
     pub fn ended(mut self) -> String {
         let mut log = String::new();
         self.log
@@ -306,7 +309,7 @@
     }
 }
 
-/// Reads the log until the server listens; gives the lines before, and the address.
+/// Reads the log until the server listens; returns the earlier lines and the address.
 fn wait_until_it_listens(log: &mut impl BufRead) -> (Vec<String>, SocketAddr) {
     let mut line = String::new();
     let mut before = vec![];
@@ -314,7 +317,7 @@
         before.extend((!line.is_empty()).then(|| std::mem::take(&mut line)));
         assert!(
             log.read_line(&mut line).expect("a line") > 0,
-            "it does not listen: {before:?}"
+            "the server ended before it listened: {before:?}"
         );
     }
     let address = line
@@ -322,6 +325,6 @@
         .rsplit('=')
         .next()
         .and_then(|address| address.parse().ok());
-    let address = address.unwrap_or_else(|| panic!("no address in '{line}'"));
+    let address = address.unwrap_or_else(|| panic!("no address in the log line '{line}'"));
     (before, address)
 }
