--- a/crates/testkit/examples/backends/cases.rs
+++ b/crates/testkit/examples/backends/cases.rs
@@ -1,15 +1,15 @@
-//! The faults that are simulated.
+//! Faults of the simulated cases.
 
 use madderbay_testkit::backend_simulation::{
     BackendFault, BackendSimulation, SimulatedBackendId, SimulatedServerId, ZoneCut,
 };
 
-/// Begins a fault, or ends it.
+/// Begins a fault if the argument is true, and ends it otherwise.
 pub(crate) type SetFault = fn(&mut BackendSimulation, bool);
 
-/// The backend with the fault, where one of them has it.
+/// The faulty backend, in cases in which a single one is faulty.
 pub(crate) const FAULTY: SimulatedBackendId = SimulatedBackendId::new(1);
-/// The server with a fault, where one of them has it.
+/// The faulty server, in cases in which a single one is faulty.
 const FAULTY_SERVER: SimulatedServerId = SimulatedServerId::new(0);
 const TEN_TIMES_SLOWER: BackendFault = BackendFault::Slow { factor: 10.0 };
 
@@ -52,7 +52,8 @@
     }),
 ];
 
-/// Whether a case is about the one faulty backend, so that times until it is avoided make sense.
+/// Reports whether only the backend [`FAULTY`] is faulty in a case, so that the times until it is
+/// avoided are meaningful.
 pub(crate) fn is_about_one_backend(case: &str) -> bool {
     case.starts_with("one ") && !case.contains("server") && !case.contains("lies")
 }
--- a/crates/testkit/examples/backends/main.rs
+++ b/crates/testkit/examples/backends/main.rs
@@ -1,5 +1,5 @@
-//! Measures the selection of backends beside the same without shared observations, least in flight
-//! with plain retries, and round robin without ejection.
+//! Measures the selection of backends in comparison with the same selection without shared
+//! observations, least in flight with simple retries, and round robin without ejection.
 //!
 //!     cargo run --release -p madderbay-testkit --example backends simulated [SERVERS BACKENDS [CASE [SEEDS]]]
 //!     cargo build --release && cargo run --release -p madderbay-testkit --example backends real
@@ -9,9 +9,9 @@
 mod real;
 mod simulated;
 
-/// Seeds of each case, unless the command line says otherwise.
+/// Number of seeds for each case, unless the command line gives another one.
 const SEEDS: u64 = 3;
-/// Servers and backends of the fleets, unless the command line says otherwise.
+/// Numbers of servers and backends of the fleets, unless the command line gives others.
 const FLEETS: [(usize, usize); 4] = [(5, 10), (12, 100), (300, 10), (300, 100)];
 
 fn main() {
@@ -40,6 +40,6 @@
             simulated::trace(case, number(1).unwrap_or(0) as u64);
         }
         "real" => real::measure(),
-        _ => eprintln!("simulated, real or trace"),
+        _ => eprintln!("backends: first argument must be simulated, real or trace"),
     }
 }
--- a/crates/testkit/examples/backends/real.rs
+++ b/crates/testkit/examples/backends/real.rs
@@ -1,5 +1,5 @@
-//! Real processes over ten fake backends, one of which has a fault for some seconds: with all of the
-//! selection, without gossip, and without ejections and retries.
+//! Measurements of real processes with ten fake backends, one of which is faulty for some seconds:
+//! with the complete selection of backends, without gossip, and without ejections and retries.
 
 use crate::cases::FAULTY;
 use madderbay_testkit::catalogue::{Behavior, Catalogue};
@@ -19,34 +19,36 @@
 const BACKENDS: usize = 10;
 const BACKEND_SLOTS: usize = 100;
 const BACKEND_CALL: Duration = Duration::from_millis(20);
-/// Requests a second at each server.
+/// Requests per second at each server.
 const RATE: f64 = 10.0;
 const LATENCY_OBJECTIVE: Duration = Duration::from_secs(2);
-/// When the fault begins, when it ends, and the end of the load, in milliseconds.
+/// Start of the fault, in milliseconds since the start of the load.
 const FAULT_START_MS: u64 = 5_000;
+/// End of the fault, in milliseconds since the start of the load.
 const FAULT_END_MS: u64 = 13_000;
+/// End of the load, in milliseconds since its start.
 const LOAD_END_MS: u64 = 25_000;
 const FAULT: Range<Duration> =
     Duration::from_millis(FAULT_START_MS)..Duration::from_millis(FAULT_END_MS);
-/// The time between two samples of the faulty backend's calls, in milliseconds.
+/// Interval between samples of the faulty backend's calls, in milliseconds.
 const SAMPLE_MS: u64 = 100;
-/// The time over which its traffic is averaged, in milliseconds.
+/// Window over which the faulty backend's traffic is averaged, in milliseconds.
 const TRAFFIC_WINDOW_MS: u64 = 1_000;
-/// With less than this part of its traffic without the fault, a backend is avoided.
+/// Below this fraction of its traffic without the fault, a backend counts as avoided.
 const AVOIDED_FRACTION: f64 = 0.4;
-/// With more than this part of its traffic without the fault, a backend has returned.
+/// Above this fraction of its traffic without the fault, a backend counts as returned.
 const RETURNED_FRACTION: f64 = 0.5;
-/// A server's quota upstream, in calls, so large that it never matters.
+/// Upstream quota of a server, in calls; so large that it never limits the calls.
 const QUOTA: f64 = 60.0;
-/// The time that clients wait for an answer, in milliseconds.
+/// Time that clients wait for an answer, in milliseconds.
 const REQUEST_TIMEOUT_MS: u64 = 3_000;
-/// The faults, and their names in the table.
+/// Faults with their names in the table.
 const FAULTS: [(&str, Behavior); 3] = [
     ("10 times slower", Behavior::Slow(10.0)),
     ("fails at once", Behavior::Fails),
     ("never answers", Behavior::Silent),
 ];
-/// The variants, and their keys in the operator file.
+/// Variants with their keys in the operator file.
 const VARIANTS: [(&str, &str); 3] = [
     ("shared observations", ""),
     ("own observations", "shares = off\n"),
@@ -86,7 +88,7 @@
     ]
 }
 
-/// Starts servers that have these backends, and these keys for them in the operator file.
+/// Starts servers with these backends and these additional keys in the operator file.
 fn start_fleet(servers: usize, backends: &[Catalogue], keys: &str) -> ProcessFleet {
     let work = |handler| HandlerWork::new(handler, (1.0, 2.0), true);
     let works = [work("search"), work("book")];
@@ -110,12 +112,12 @@
     fleet
 }
 
-/// What one run has shown.
+/// Results of one run.
 struct Measured {
     load: LoadResult,
-    /// Calls that have reached the faulty backend, sampled every [`SAMPLE_MS`].
+    /// Number of calls that have reached the faulty backend, sampled every [`SAMPLE_MS`].
     calls: Vec<u32>,
-    /// The processor time for each request, in milliseconds.
+    /// Processor time per request, in milliseconds.
     cpu_ms: f64,
 }
 
@@ -143,7 +145,7 @@
         }
     }
 
-    /// The row of the table from the third column on.
+    /// Returns the row of the table from the third column on.
     fn row(&self) -> String {
         let normal_rate = f64::from(
             self.calls_until(FAULT_START_MS - SAMPLE_MS) - self.calls_until(TRAFFIC_WINDOW_MS),
@@ -168,7 +170,8 @@
         )
     }
 
-    /// The 99th percentile of the response times of searches during the fault, in milliseconds.
+    /// Returns the 99th percentile of the response times of searches during the fault, in
+    /// milliseconds.
     fn p99_of_searches_ms(&self) -> u64 {
         let during_fault = self.load.records.iter();
         let during_fault = during_fault.filter(|record| FAULT.contains(&record.sent));
@@ -176,13 +179,14 @@
         latencies(&records, KindId::new(0)).value_at_quantile(0.99)
     }
 
-    /// Calls that have reached the faulty backend by a time.
+    /// Returns the number of calls that have reached the faulty backend by a time.
     fn calls_until(&self, ms: u64) -> u32 {
         let sample = self.calls.get((ms / SAMPLE_MS) as usize);
         sample.or(self.calls.last()).copied().unwrap_or(0)
     }
 
-    /// After how many milliseconds of a time the calls of one second are as is_reached.
+    /// Returns the time in milliseconds from the start of `time` until the start of the first
+    /// one-second window whose number of calls satisfies `is_reached`; `None` if there is none.
     fn first_window(&self, time: Range<u64>, is_reached: impl Fn(f64) -> bool) -> Option<u64> {
         let window_start = time.start;
         let mut starts = time.step_by(SAMPLE_MS as usize);
@@ -204,7 +208,8 @@
     }
 }
 
-/// Sets the fault of a backend while it is time, and samples the calls that have reached it.
+/// Makes a backend faulty during the time of the fault, and returns samples of the number of calls
+/// that have reached it.
 fn play_fault(backend: &Catalogue, fault: Behavior) -> Vec<u32> {
     let began = Instant::now();
     let mut calls = vec![];
--- a/crates/testkit/examples/backends/simulated.rs
+++ b/crates/testkit/examples/backends/simulated.rs
@@ -1,4 +1,4 @@
-//! Simulated fleets: each case under each policy, over several seeds.
+//! Measurements of simulated fleets: each case under each policy, with several seeds.
 
 use crate::cases::{CASES, FAULTY, SetFault, is_about_one_backend};
 use madderbay::time::Duration;
@@ -12,35 +12,38 @@
     (RoutingPolicy::LeastInFlight, "least in flight, retries"),
     (RoutingPolicy::RoundRobin, "round robin"),
 ];
-/// When the fault begins, when it is over, and the end, in milliseconds.
+/// Start of the fault, in milliseconds of simulated time.
 const FAULT_START_MS: u64 = 5_000;
+/// End of the fault, in milliseconds of simulated time.
 const FAULT_END_MS: u64 = 15_000;
+/// End of the simulation, in milliseconds of simulated time.
 const SIMULATION_END_MS: u64 = 40_000;
-/// The time over which a backend's traffic is averaged, in milliseconds.
+/// Window over which a backend's traffic is averaged, in milliseconds.
 const TRAFFIC_WINDOW_MS: u64 = 1_000;
-/// With less than this part of its traffic without the fault, a backend is avoided.
+/// Below this fraction of its traffic without the fault, a backend counts as avoided.
 const AVOIDED_FRACTION: f64 = 0.25;
-/// With more than this part of its traffic without the fault, a backend has returned.
+/// Above this fraction of its traffic without the fault, a backend counts as returned.
 const RETURNED_FRACTION: f64 = 0.5;
 
-/// What one run has shown.
+/// Results of one run.
 struct RunResult {
-    /// The fraction of the calls that succeeded during the fault.
+    /// Fraction of the calls that succeeded during the fault.
     success: f64,
-    /// The time within which 99% of them did, in milliseconds.
+    /// 99th percentile of the latencies of successful calls during the fault, in milliseconds.
     slowest_ms: f64,
-    /// The seconds until the faulty backend was avoided, and until it was back.
+    /// Time until the faulty backend was avoided, in seconds.
     avoided_after_secs: f64,
+    /// Time from the end of the fault until the backend had returned, in seconds.
     returned_after_secs: f64,
-    /// Attempts for each first attempt.
+    /// Number of attempts per first attempt.
     attempts: f64,
     /// Server-seconds for which other backends were ejected.
     wrongly_ejected: f64,
-    /// The most traffic of the backend after its fault, of what it has without.
+    /// Largest traffic of the backend after its fault, relative to its traffic without the fault.
     peak: f64,
 }
 
-/// Prints a table of all cases whose name contains a text.
+/// Prints a table of all cases whose name contains `case_filter`.
 pub(crate) fn measure(servers: usize, backends: usize, case_filter: &str, seeds: u64) {
     let each = rate(servers, backends) / backends as f64;
     println!(
@@ -71,7 +74,7 @@
     }
 }
 
-/// Prints the medians of several runs.
+/// Prints a row with the medians of several runs.
 fn print_row(case: &str, policy: &str, results: &[RunResult]) {
     let median_of = |figure: fn(&RunResult) -> f64| {
         let mut values: Vec<f64> = results.iter().map(figure).collect();
@@ -99,7 +102,7 @@
     );
 }
 
-/// A time in seconds, which is infinite where it was never reached.
+/// Formats a time in seconds; an infinite time is printed as `never`.
 fn secs_or_never(secs: f64) -> String {
     if secs.is_finite() {
         format!("{secs:.1}")
@@ -138,7 +141,8 @@
     let slowest_ms = simulation.slowest_ms();
     set_fault(&mut simulation, false);
     simulation.run(Duration::from_millis(SIMULATION_END_MS - FAULT_END_MS));
-    // The traffic without the fault is the measure; with few calls it is chance what a second has.
+    // The traffic without the fault is the reference; with few calls, the traffic in one second
+    // varies by chance.
     let normal_fraction = simulation.traffic_fraction(FAULTY, TRAFFIC_WINDOW_MS..FAULT_START_MS);
     let secs = |ms: Option<u64>| ms.map_or(f64::INFINITY, |ms| ms as f64 / 1e3);
     let avoided_after = simulation.millis_until_traffic_below(
@@ -169,7 +173,7 @@
     }
 }
 
-/// Prints one case second by second, and what the servers have logged.
+/// Prints the figures of one case for each second, and the log of the servers.
 pub(crate) fn trace(case: &str, seed: u64) {
     let mut cases = CASES.into_iter();
     let (case, set_fault) = cases
--- a/crates/testkit/examples/durable_results/cost.rs
+++ b/crates/testkit/examples/durable_results/cost.rs
@@ -1,4 +1,4 @@
-//! What durable results cost at several rates: response times, writes and processor time.
+//! Cost of durable results at several request rates: response times, writes and processor time.
 
 use crate::site::Site;
 use madderbay_testkit::load_balancer::{Answer, KindId, Load, RequestRecord, latencies};
@@ -7,20 +7,21 @@
 use std::sync::mpsc::Receiver;
 use std::time::{Duration, Instant};
 
-/// Requests a second.
+/// Requests per second.
 const RATES: [f64; 3] = [50.0, 200.0, 1_000.0];
-/// The least and the most work of a booking, in milliseconds.
+/// Minimum and maximum work of a booking, in milliseconds.
 const WORK_MS: (f64, f64) = (0.5, 1.0);
 const LOAD_LENGTH: Duration = Duration::from_secs(4);
 const LATENCY_OBJECTIVE: Duration = Duration::from_secs(3);
-/// The time that clients wait for an answer, in milliseconds.
+/// Time that clients wait for an answer, in milliseconds.
 const REQUEST_TIMEOUT_MS: u64 = 8_000;
 /// Upper bound on the wait for a line of the log.
 const LOG_TIMEOUT: Duration = Duration::from_secs(5);
-/// The beginning of the line that the server prints of its writes in the end.
+/// Beginning of the log line in which the server reports its writes at the end.
 const WRITES_LINE: &str = "counter kept.writes ";
 
-/// Prints a line for each rate and for each choice of when records are synced.
+/// Prints a line for each rate and each `sync` setting, which determines when records are synced to
+/// disk.
 pub(crate) fn measure() {
     for rate in RATES {
         for sync in [None, Some("grouped"), Some("each")] {
@@ -77,7 +78,7 @@
     completed.count()
 }
 
-/// The writes that the rest of a server's log reports.
+/// Returns the number of writes that is reported in the rest of a server's log.
 fn writes(log: &Receiver<(Instant, String)>) -> f64 {
     let mut writes = 0.0;
     while let Ok((_, line)) = log.recv_timeout(LOG_TIMEOUT) {
--- a/crates/testkit/examples/durable_results/histories.rs
+++ b/crates/testkit/examples/durable_results/histories.rs
@@ -1,4 +1,5 @@
-//! Seeded histories: a server is killed while it books, restarted, and sent each request again.
+//! Seeded histories: a server is killed while it handles bookings, restarted, and sent each request
+//! again.
 
 use crate::site::Site;
 use base64::Engine as _;
@@ -13,20 +14,20 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// Histories at a time.
+/// Number of histories that run in parallel.
 const THREADS: usize = 4;
-/// Requests of a history, each with a key of its own.
+/// Number of requests of a history, each with an idempotency key of its own.
 const KEYS: usize = 6;
-/// Incarnations of the server that are killed; one more is not.
+/// Number of incarnations of the server that are killed; one more incarnation is not killed.
 const KILLS: u32 = 2;
-/// The latest time of a kill after the requests were sent, in microseconds.
+/// Maximum time from the sending of the requests to a kill, in microseconds.
 const MAX_KILL_DELAY_MICROS: u64 = 45_000;
-/// The least and the most work of a booking, in milliseconds.
+/// Minimum and maximum work of a booking, in milliseconds.
 const WORK_MS: (f64, f64) = (2.0, 12.0);
-/// The error code of a request that was rejected and never ran.
+/// Error code of a request that was rejected and never ran.
 const REJECTED: i64 = -32002;
 
-/// Plays a number of histories and prints what came of all of them.
+/// Plays `count` histories and prints the totals and the violations.
 pub(crate) fn measure(count: u64) {
     let tallies = run_seeds(1..count + 1, THREADS, |seed| History::new(seed).play());
     let mut total = Tally::default();
@@ -48,7 +49,7 @@
     violations.print_first();
 }
 
-/// What the attempts of one or more histories were answered.
+/// Number of answers of each kind to the attempts of one or more histories.
 #[derive(Default)]
 struct Tally {
     first_answered: u32,
@@ -61,7 +62,7 @@
 }
 
 impl Tally {
-    /// Adds the counts of another one.
+    /// Adds the counts of another tally.
     fn add(&mut self, other: &Tally) {
         self.first_answered += other.first_answered;
         self.first_unanswered += other.first_unanswered;
@@ -76,7 +77,7 @@
     seed: u64,
     random: Rand64,
     keys: Vec<u64>,
-    /// Whether the request of each key has had a result.
+    /// Whether the request of each key has received a result.
     completed: Vec<bool>,
     next_id: u64,
     tally: Tally,
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Plays the incarnations that are killed, and the one that is not.
+    /// Plays the incarnations that are killed and the last one, which is not.
     fn play(mut self) -> Tally {
         for incarnation in 0..=KILLS {
             self.play_incarnation(incarnation);
@@ -167,7 +168,7 @@
     }
 }
 
-/// One attempt of a booking as the load balancers send it.
+/// Returns the JSON-RPC line of one attempt of a booking, as load balancers send it.
 fn request_line(id: u64, attempt: u64, key: u64) -> String {
     let body = BASE64.encode(format!("{key:016x}"));
     let since = unix_ms();
--- a/crates/testkit/examples/durable_results/main.rs
+++ b/crates/testkit/examples/durable_results/main.rs
@@ -1,23 +1,24 @@
-//! Measures durable results on the real program, between fakes on loopback:
+//! Measures durable results on the real program, run against fakes on loopback:
 //!
 //!     cargo build --release && cargo run --release -p madderbay-testkit --example durable_results [HISTORIES]
 //!
-//! First the cost: response times, writes and processor time at several rates, and the time of a
-//! recovery. Then histories: a server is killed at a random moment while it books, restarted, and
-//! sent each request again. A booking is a run in the engine, and no request may be booked twice.
+//! The first part is the cost: response times, writes and processor time at several rates, and the
+//! time of a recovery. The second part plays histories: a server is killed at a random moment while
+//! it handles bookings, restarted, and sent each request again. A booking is a run in the engine,
+//! and no request may be booked twice.
 
 mod cost;
 mod histories;
 mod recovery;
 mod site;
 
-/// Histories that are played, unless the command line says otherwise.
+/// Number of histories, unless the command line gives another one.
 const DEFAULT_HISTORIES: u64 = 500;
 
 fn main() {
     let histories = std::env::args().nth(1);
     let histories = histories.and_then(|histories| histories.parse().ok());
-    // The cost comes first, because the fakes of the histories stay until the end.
+    // The cost is measured first, because the fakes of the histories keep running until the end.
     cost::measure();
     recovery::measure();
     histories::measure(histories.unwrap_or(DEFAULT_HISTORIES));
--- a/crates/testkit/examples/durable_results/recovery.rs
+++ b/crates/testkit/examples/durable_results/recovery.rs
@@ -1,4 +1,4 @@
-//! The time of a recovery, and the memory of the server after it.
+//! Time of a recovery, and memory of the server after it.
 
 use crate::site::Site;
 use madderbay_idempotency_store::record::Record;
@@ -6,23 +6,23 @@
 use madderbay_idempotency_store::write_ahead_log::{LogEntry, LogLimits, WriteAheadLog};
 use std::path::Path;
 
-/// Keys whose results are recovered.
+/// Numbers of keys whose results are recovered.
 const KEYS: [u128; 3] = [1_000, 10_000, 100_000];
-/// Keys whose records are committed at a time.
+/// Number of keys whose records are committed together.
 const KEYS_PER_COMMIT: u128 = 1_000;
 const RESULT_BYTES: usize = 100;
 const MAX_LOG_BYTES: u64 = 64 << 20;
 const RETENTION_MICROS: u64 = 30_000_000;
-/// The time at which the log is written.
+/// Time at which the log is written, in microseconds.
 const NOW_MICROS: u64 = 1;
-/// The least and the most work of a booking, in milliseconds.
+/// Minimum and maximum work of a booking, in milliseconds.
 const WORK_MS: (f64, f64) = (1.0, 2.0);
 
 /// Prints a line for each number of keys.
 pub(crate) fn measure() {
     for keys in KEYS {
         let site = Site::new(Some("grouped"), WORK_MS, 1);
-        write_log(&site.folder, keys);
+        write_log(&site.directory, keys);
         let server = site.start_server();
         println!(
             "{}; resident {} KB",
@@ -32,9 +32,9 @@
     }
 }
 
-/// Writes a log with the results of this many keys.
-fn write_log(folder: &Path, keys: u128) {
-    let storage = DirectoryStorage::open(folder).expect("opened");
+/// Writes a log with the results of `keys` keys.
+fn write_log(directory: &Path, keys: u128) {
+    let storage = DirectoryStorage::open(directory).expect("opened");
     let limits = LogLimits {
         disk_bytes: MAX_LOG_BYTES,
         retention_micros: RETENTION_MICROS,
@@ -52,7 +52,7 @@
     }
 }
 
-/// What is on disk of a key whose request has completed.
+/// Returns the records that are on disk for a key whose request has completed.
 fn records(key: u128) -> [Record; 2] {
     let intent = Record::Intent {
         key,
--- a/crates/testkit/examples/durable_results/site.rs
+++ b/crates/testkit/examples/durable_results/site.rs
@@ -1,5 +1,5 @@
-//! A server's surroundings: its fakes, its configuration and the folder of its durable results.
-//! They outlive the server, which may be started in them again.
+//! The environment of a server: its fakes, its configuration and the directory of its durable
+//! results. It outlives the server, which may be restarted in it.
 
 use madderbay_testkit::catalogue::Catalogue;
 use madderbay_testkit::engine::{Engine, HandlerWork};
@@ -10,29 +10,31 @@
 use std::time::Duration;
 
 const SETTINGS: &str = include_str!("settings.json");
-/// The cores of the engine.
+/// Number of cores of the engine.
 const ENGINE_CORES: f64 = 4.0;
-/// Slots of the catalogue, and the time of a call there.
+/// Number of slots of the catalogue.
 const CATALOGUE_SLOTS: usize = 64;
+/// Time that a call takes in the catalogue.
 const CALL: Duration = Duration::from_millis(5);
-/// Connections that the server may have.
+/// Maximum number of connections of the server.
 const MAX_SOCKETS: usize = 256;
-/// The time that a shutdown may take, in milliseconds.
+/// Maximum time of a shutdown, in milliseconds.
 const SHUTDOWN_MS: u64 = 3_000;
 
 pub(crate) struct Site {
     pub(crate) engine: Engine,
-    /// Holds the durable results; removed in the end.
-    pub(crate) folder: PathBuf,
+    /// Directory of the durable results; removed when the site is dropped.
+    pub(crate) directory: PathBuf,
     operator: Option<String>,
     configuration: String,
 }
 
 impl Site {
-    /// A site without a server. `sync` is the operator's choice of when records are synced; without
-    /// it results are not durable. `work_ms` is the least and the most work of a booking.
+    /// Creates a site without a server. `sync` is the operator's setting of when records are
+    /// synced; without it results are not durable. `work_ms` is the minimum and maximum work of a
+    /// booking.
     pub(crate) fn new(sync: Option<&str>, work_ms: (f64, f64), seed: u64) -> Site {
-        let folder = make_folder();
+        let directory = create_directory();
         let engine = Engine::start(
             ENGINE_CORES,
             vec![HandlerWork::new("book", work_ms, true)],
@@ -47,19 +49,19 @@
             catalogue: catalogue.address,
         };
         let operator = sync.map(|sync| {
-            let folder = folder.display();
-            format!("[kept-results]\nenabled = on\ndirectory = {folder}\nsync = {sync}\n")
+            let directory = directory.display();
+            format!("[kept-results]\nenabled = on\ndirectory = {directory}\nsync = {sync}\n")
         });
         let listen = "127.0.0.1:0";
         Site {
             engine,
-            folder,
+            directory,
             operator,
             configuration: configuration(listen, dependencies, MAX_SOCKETS, SHUTDOWN_MS, SETTINGS),
         }
     }
 
-    /// Starts a server and waits until it is connected with the engine.
+    /// Starts a server and waits until it is connected to the engine.
     pub(crate) fn start_server(&self) -> Server {
         let operator = self.operator.as_deref();
         let mut server = Server::start(&release_binary(), &self.configuration, operator);
@@ -70,12 +72,12 @@
 
 impl Drop for Site {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
-/// Makes a folder under a name that no other file has.
-fn make_folder() -> PathBuf {
+/// Creates a directory with a unique name.
+fn create_directory() -> PathBuf {
     let path = write_config("");
     std::fs::remove_file(&path).expect("removed");
     std::fs::create_dir(&path).expect("made");
--- a/crates/testkit/examples/membership/heartbeats.rs
+++ b/crates/testkit/examples/membership/heartbeats.rs
@@ -1,36 +1,37 @@
-//! All-to-all heartbeats, for comparison: each server sends 60 bytes to each other every half
-//! second, and holds down each of which it has received nothing for 3 s. Every address is known to
-//! all from the beginning, which flatters them.
+//! All-to-all heartbeats, for comparison: each server sends 60 bytes to each other server every
+//! half second, and holds down each server from which it has received nothing for 3 s. All servers
+//! know every address from the beginning, which makes the heartbeats look better than they would in
+//! practice.
 
 use crate::row::Row;
 use oorandom::Rand64;
 
-/// The time between two heartbeats of a server, in seconds.
+/// Interval between heartbeats of a server, in seconds.
 const HEARTBEAT_SECS: f64 = 0.5;
-/// The time without a heartbeat after which a server is down, in seconds.
+/// Time without a heartbeat after which a server is held down, in seconds.
 const TIMEOUT_SECS: f64 = 3.0;
-/// The time that a step simulates, in seconds.
+/// Simulated time of one step, in seconds.
 const STEP_SECS: f64 = 0.05;
 /// Upper bound on the time that a fleet takes to settle, in seconds.
 const SETTLE_TIMEOUT_SECS: f64 = 30.0;
-/// The time over which bytes are measured, in seconds.
+/// Time over which bytes are measured, in seconds.
 const MEASURED_SECS: f64 = 5.0;
 const HEARTBEAT_BYTES: u64 = 60;
 
-/// A simulated fleet that has nothing but heartbeats.
+/// A simulated fleet whose servers only exchange heartbeats.
 pub(crate) struct Heartbeats {
     servers: usize,
     loss: f64,
     random: Rand64,
     now: f64,
     running: Vec<bool>,
-    /// By server until when it is paused.
+    /// Time until which each server is paused, in seconds.
     paused_until: Vec<f64>,
-    /// The group of the partition that each server is in.
+    /// Group of the partition to which each server belongs.
     partition: Vec<usize>,
-    /// By receiver and sender when the last heartbeat arrived.
+    /// Time of the last heartbeat that arrived, by receiver and sender, in seconds.
     last_received: Vec<f64>,
-    /// By server the seconds until its next heartbeat.
+    /// Time until the next heartbeat of each server, in seconds.
     until_next: Vec<f64>,
     bytes_sent: u64,
 }
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Whether another server is up in a server's view.
+    /// Reports whether `other` is up in the view of `server`.
     pub(crate) fn is_up(&self, server: usize, other: usize) -> bool {
         self.now - self.last_received[server * self.servers + other] <= TIMEOUT_SECS
     }
@@ -103,8 +104,8 @@
         })
     }
 
-    /// Steps until all views are right. Gives the time that it took in seconds, infinite if that is
-    /// longer than the term.
+    /// Advances the simulation until the views of all servers are right. Returns the time that it
+    /// took in seconds, infinite if it exceeds the timeout.
     pub(crate) fn settle(&mut self) -> f64 {
         let began = self.now;
         while !self.is_settled() {
@@ -117,7 +118,7 @@
     }
 }
 
-/// The faults of a row with one seed.
+/// Plays the faults of a table row with one seed, and adds the results to the row.
 pub(crate) fn play(servers: usize, loss: f64, seed: u64, row: &mut Row) {
     let mut fleet = Heartbeats::new(servers, loss, seed);
     fleet.running[servers - 1] = false;
--- a/crates/testkit/examples/membership/histories.rs
+++ b/crates/testkit/examples/membership/histories.rs
@@ -1,5 +1,5 @@
-//! Seeded histories of five real processes: drawn faults one after the other, a load on the first
-//! server meanwhile. In the end all views have to settle, and no rule may be broken.
+//! Seeded histories of five real processes: faults drawn from a seed, one after the other, while
+//! the first server is under load. At the end all views have to settle, and no rule may be broken.
 
 use crate::processes::{load, started_fleet};
 use crate::row::{lossy_network, settle};
@@ -14,29 +14,31 @@
 use std::time::Duration as StdDuration;
 
 const SERVERS: usize = 5;
-/// Histories at a time.
+/// Number of histories that run in parallel.
 const THREADS: usize = 8;
-/// Faults of a history, and the number of their kinds, which are drawn evenly.
+/// Number of faults of a history.
 const FAULTS: usize = 8;
+/// Number of kinds of faults, which are drawn with equal probability.
 const FAULT_KINDS: f64 = 8.0;
-/// The largest fraction of all datagrams that a fault of the network hits.
+/// Maximum fraction of all datagrams that a network fault affects.
 const MAX_FAULT_FRACTION: f64 = 0.3;
-/// Requests a second, and the length of the load in seconds.
+/// Requests per second of the load.
 const REQUESTS_PER_SECOND: f64 = 60.0;
+/// Length of the load, in seconds.
 const LOAD_SECS: u64 = 3;
-/// The longest pause between two faults, in seconds.
+/// Maximum pause between two faults, in seconds.
 const MAX_PAUSE_SECS: f64 = 0.5;
 
-/// What one history has shown.
+/// Results of one history.
 struct HistoryResult {
     requests: usize,
-    /// The time that the views took to settle in the end, in seconds.
+    /// Time that the views took to settle at the end, in seconds.
     settle_secs: f64,
-    /// A line for each violated rule, and one if the views did not settle.
+    /// One line for each violation of a rule, and one if the views did not settle.
     violations: Vec<String>,
 }
 
-/// Plays a number of histories and prints what was violated.
+/// Plays `count` histories and prints the violations.
 pub(crate) fn measure(count: u64) {
     let results = run_seeds(0..count, THREADS, play);
     let faults = FAULTS * results.len();
@@ -81,7 +83,7 @@
     }
 }
 
-/// Draws faults for all servers but the first, and ends those of the network.
+/// Carries out faults on all servers but the first, and ends the network faults at the end.
 fn play_faults(fleet: &mut ProcessFleet, seed: u64) {
     let mut random = Rand64::new(u128::from(seed) + 77);
     let mut running = [true; SERVERS];
@@ -100,7 +102,7 @@
     act(fleet, Action::CALM);
 }
 
-/// A server and something that is done to it or to the network.
+/// Draws a server and an action on it or on the network.
 fn draw_fault(random: &mut Rand64, running: &[bool; SERVERS]) -> (usize, Action) {
     let server = 1 + (random.rand_float() * (SERVERS - 1) as f64) as usize;
     let fraction = random.rand_float() * MAX_FAULT_FRACTION;
--- a/crates/testkit/examples/membership/hour.rs
+++ b/crates/testkit/examples/membership/hour.rs
@@ -1,5 +1,5 @@
-//! An hour in which one datagram in ten is lost and one server in twenty is paused for 2 s each
-//! minute: how many servers that run are declared down.
+//! One simulated hour in which one datagram in ten is lost and, each minute, one server in twenty
+//! is paused for 2 s. Counts the running servers that are declared down.
 
 use crate::heartbeats::Heartbeats;
 use crate::row::{lossy_network, settle};
@@ -12,12 +12,12 @@
 const MEMBERS: usize = 100;
 const LOSS: f64 = 0.1;
 const MINUTES: usize = 60;
-/// The fraction of the servers that are paused in a minute.
+/// Fraction of the servers that are paused in a minute.
 const PAUSED_FRACTION: f64 = 0.05;
 const PAUSE_MS: u64 = 2_000;
 const MINUTE_MS: u64 = 60_000;
 const FLEET_SEED: u64 = 1;
-/// The seed that determines who is paused.
+/// Seed that determines the servers that are paused.
 const PAUSE_SEED: u128 = 5;
 
 /// Prints a line for each variant.
@@ -38,14 +38,14 @@
     );
 }
 
-/// The servers that are paused in the next minute.
+/// Draws the servers that are paused in the next minute.
 fn draw_paused(random: &mut Rand64) -> Vec<usize> {
     (0..MEMBERS)
         .filter(|_| random.rand_float() < PAUSED_FRACTION)
         .collect()
 }
 
-/// Declarations as down, and suspicions.
+/// Returns the number of down declarations and of suspicions of the membership protocol.
 fn swim(local_health_aware: bool) -> (u64, u64) {
     let setup = FleetSetup {
         local_health_aware,
@@ -76,12 +76,12 @@
     })
 }
 
-/// Changes of a server's view of another from up to down.
+/// Returns how often a server's view of another one changed from up to down under heartbeats.
 fn heartbeats() -> u64 {
     let mut fleet = Heartbeats::new(MEMBERS, LOSS, FLEET_SEED);
     let mut random = Rand64::new(PAUSE_SEED);
     let mut downs = 0;
-    // By observer and member whether the member was up in its view before.
+    // Whether each member was up in each observer's view before, by observer and member.
     let mut was_up = vec![true; MEMBERS * MEMBERS];
     fleet.settle();
     for _ in 0..MINUTES {
@@ -97,8 +97,8 @@
     downs
 }
 
-/// Counts the members that went down in the view of a server that is not paused, and updates what
-/// was up before.
+/// Counts the members that went down in the view of a server that is not paused, and updates
+/// `was_up`.
 fn new_downs(fleet: &Heartbeats, was_up: &mut [bool]) -> u64 {
     let mut downs = 0;
     for observer in (0..MEMBERS).filter(|observer| !fleet.is_paused(*observer)) {
--- a/crates/testkit/examples/membership/main.rs
+++ b/crates/testkit/examples/membership/main.rs
@@ -1,4 +1,5 @@
-//! Measures membership beside all-to-all heartbeats and beside the protocol without local health.
+//! Measures membership in comparison with all-to-all heartbeats and with the protocol without local
+//! health.
 //!
 //!     cargo run --release -p madderbay-testkit --example membership simulated [SEEDS [MEMBERS [LOSS]]]
 //!     cargo run --release -p madderbay-testkit --example membership hour
@@ -30,6 +31,8 @@
         "cost" => processes::measure_idle_cost(),
         "hour" => hour::measure(),
         "real" => processes::measure(seeds),
-        _ => eprintln!("simulated, hour, real, histories, flood or cost"),
+        _ => eprintln!(
+            "membership: first argument must be simulated, hour, real, histories, flood or cost"
+        ),
     }
 }
--- a/crates/testkit/examples/membership/processes.rs
+++ b/crates/testkit/examples/membership/processes.rs
@@ -1,5 +1,5 @@
-//! Real processes: the faults of a row, what membership costs, and a flood of datagrams that are
-//! rejected.
+//! Measurements of real processes: the faults of a table row, the cost of membership, and a flood
+//! of datagrams that are rejected.
 
 use crate::row::{Row, print_table_head, settle};
 use madderbay_testkit::engine::{Engine, HandlerWork};
@@ -16,24 +16,28 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// The time over which the processor time of a row is measured.
+/// Time over which the processor time of a row is measured.
 const MEASURED_TIME: Duration = Duration::from_secs(5);
-/// The time over which the processor time of idle servers is measured.
+/// Time over which the processor time of idle servers is measured.
 const IDLE_TIME: Duration = Duration::from_secs(20);
-/// The load under a flood: its length in seconds, its requests a second and its seed.
+/// Length of the load under a flood, in seconds.
 const FLOOD_SECS: u64 = 10;
+/// Requests per second of the load under a flood.
 const FLOOD_RATE: f64 = 200.0;
+/// Seed of the load under a flood.
 const FLOOD_SEED: u64 = 3;
-/// The size of a datagram of a flood, and the time between two bursts of them.
+/// Size of a datagram of a flood, in bytes.
 const FLOOD_DATAGRAM_BYTES: usize = 200;
+/// Time between two bursts of datagrams of a flood.
 const FLOOD_PAUSE: Duration = Duration::from_millis(1);
 const LATENCY_OBJECTIVE: Duration = Duration::from_secs(2);
-/// The time that clients wait for an answer, in milliseconds.
+/// Time that clients wait for an answer, in milliseconds.
 const REQUEST_TIMEOUT_MS: u64 = 5_000;
-/// A server without a fleet: the cores of its engine, its connections, and the time of its shutdown
-/// in milliseconds.
+/// Number of cores of the engine of a server without a fleet.
 const ENGINE_CORES: f64 = 2.0;
+/// Maximum number of connections of a server without a fleet.
 const MAX_SOCKETS: usize = 128;
+/// Maximum time of the shutdown of a server without a fleet, in milliseconds.
 const SHUTDOWN_MS: u64 = 500;
 
 fn works() -> Vec<HandlerWork> {
@@ -45,7 +49,7 @@
     ]
 }
 
-/// A load of all three handlers for some seconds, of so many requests a second.
+/// Returns a load of all three handlers for `secs` seconds, with `rate` requests per second.
 pub(crate) fn load(seed: u64, secs: u64, rate: f64) -> Load {
     let kind = |handler, weight, idempotency_key| {
         request_kind(handler, weight, LATENCY_OBJECTIVE, idempotency_key)
@@ -63,7 +67,8 @@
     }
 }
 
-/// A fleet that has started and settled; and how long the latter took in seconds.
+/// Starts a fleet and waits until it has settled. Returns the fleet and the time that it took to
+/// settle, in seconds.
 pub(crate) fn started_fleet(setup: FleetSetup, seed: u64) -> (ProcessFleet, f64) {
     let servers = setup.servers;
     let mut fleet = ProcessFleet::new(setup, &release_binary(), settings::FLEET, &works(), seed);
@@ -97,7 +102,8 @@
     }
 }
 
-/// Prints what requests cost and take while foreign datagrams arrive.
+/// Prints the processor time and the response times of requests while datagrams arrive that are not
+/// of the fleet.
 pub(crate) fn measure_flood() {
     let headings = [
         "rejected datagrams a second",
@@ -138,7 +144,7 @@
     })
 }
 
-/// Sends datagrams that belong to no fleet, while it is on.
+/// Sends datagrams that are not of the fleet, while `keep_sending` is true.
 fn flood(to: SocketAddr, datagrams_per_second: u32, keep_sending: &AtomicBool) {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let began = Instant::now();
@@ -169,7 +175,7 @@
     }
 }
 
-/// A server without a fleet.
+/// Starts a server without a fleet.
 fn start_alone(seed: usize) -> (Server, Registry) {
     let engine = Engine::start(ENGINE_CORES, works(), seed as u64).address;
     let registry = Registry::start();
@@ -189,7 +195,7 @@
     (Server::start(&release_binary(), &text, None), registry)
 }
 
-/// The processor time of each server while nothing happens, in percent of a core.
+/// Returns the mean processor time of the servers while they are idle, in percent of a core.
 fn idle_cpu(servers: &[&Server]) -> f64 {
     let cpu = || servers.iter().map(|server| server.cpu()).sum::<f64>();
     let cpu_before = cpu();
--- a/crates/testkit/examples/membership/row.rs
+++ b/crates/testkit/examples/membership/row.rs
@@ -1,4 +1,4 @@
-//! One row of a table, and the faults that all rows are about.
+//! One row of a table, and the faults that each row measures.
 
 use madderbay::time::Duration;
 use madderbay_testkit::fleet::script::{Action, Condition, Fleet};
@@ -8,8 +8,8 @@
 /// Upper bound on the time that a fleet takes to settle.
 const SETTLE_TIMEOUT: Duration = Duration::from_millis(120_000);
 
-/// What the runs of one row have shown: seconds, infinite where a fleet did not settle; bytes a
-/// second and member; processor time in percent of a core.
+/// Results of the runs of one row. Times are in seconds, infinite if a fleet did not settle;
+/// traffic is in bytes per second and member; processor time is in percent of a core.
 #[derive(Default)]
 pub(crate) struct Row {
     pub(crate) join: Vec<f64>,
@@ -18,12 +18,12 @@
     pub(crate) heal: Vec<f64>,
     pub(crate) bytes: Vec<f64>,
     pub(crate) cpu: Vec<f64>,
-    /// Members that were declared down while they ran and were connected.
+    /// Number of members that were declared down while they were running and connected.
     pub(crate) wrongly_down: usize,
 }
 
 impl Row {
-    /// Adds what other runs have shown.
+    /// Adds the results of other runs.
     pub(crate) fn add(&mut self, other: Row) {
         self.join.extend(other.join);
         self.crash.extend(other.crash);
@@ -34,7 +34,7 @@
         self.wrongly_down += other.wrongly_down;
     }
 
-    /// Prints the row; `head` is what stands in its first columns.
+    /// Prints the row; `first_columns` is the text of its first columns.
     pub(crate) fn print_line(&mut self, first_columns: &str) {
         println!(
             "| {first_columns} | {} | {} | {} | {} | {} | {} | {} |",
@@ -48,8 +48,9 @@
         );
     }
 
-    /// All but the last of the servers start, and settle; it joins, one crashes, a third is
-    /// partitioned off, the partition heals. `calm` measures what a settled fleet costs.
+    /// Plays the faults: all servers but the last start and settle, the last one joins, one
+    /// crashes, a third of them is partitioned off, and the partition heals. `measure_settled`
+    /// measures the cost of the settled fleet before the join.
     pub(crate) fn play<F: Fleet>(
         &mut self,
         fleet: &mut F,
@@ -75,7 +76,7 @@
     }
 }
 
-/// Prints the beginning of a table whose first columns have these headings.
+/// Prints the header of a table; `first` is the heading of its first columns.
 pub(crate) fn print_table_head(first: &str) {
     let headings = [
         first,
@@ -90,12 +91,14 @@
     println!("{}", table_head(&headings));
 }
 
-/// The time that a fleet takes to settle, in seconds; infinite if it does not.
+/// Waits until a fleet has settled, and returns the time that it took in seconds; infinite if it
+/// does not settle.
 pub(crate) fn settle(fleet: &mut impl Fleet) -> f64 {
     wait_until(fleet, &Condition::Settled, SETTLE_TIMEOUT)
 }
 
-/// Loses a fraction of all datagrams and delays the others by up to 5 ms.
+/// Returns an action that makes the network lose a fraction of all datagrams and delay the others
+/// by up to 5 ms.
 pub(crate) fn lossy_network(loss: f64) -> Action {
     let delay = Some((Duration::from_micros(200), Duration::from_millis(5)));
     Action::Network {
@@ -106,7 +109,7 @@
     }
 }
 
-/// The median, and the largest in brackets; a hyphen without any.
+/// Formats the median and, in brackets, the largest value; a hyphen if there are no values.
 fn median_and_worst(values: &mut [f64], digits: usize) -> String {
     if values.is_empty() {
         return "-".into();
--- a/crates/testkit/examples/membership/simulated.rs
+++ b/crates/testkit/examples/membership/simulated.rs
@@ -1,4 +1,4 @@
-//! Simulated fleets under the faults of a row.
+//! Measurements of simulated fleets under the faults of a table row.
 
 use crate::heartbeats;
 use crate::row::{Row, lossy_network, print_table_head};
@@ -10,20 +10,21 @@
 use madderbay_testkit::measurement::seeds::run_seeds;
 use std::time::Instant;
 
-/// The time over which bytes and processor time are measured.
+/// Time over which bytes and processor time are measured.
 const MEASURED_TIME: Duration = Duration::from_millis(20_000);
-/// Runs at a time.
+/// Number of runs in parallel.
 const THREADS: usize = 5;
-/// From this many members on a fleet is large.
+/// Number of members from which a fleet is considered large.
 const LARGE_FLEET: usize = 101;
-/// The most seeds of a large fleet, and those of its heartbeats.
+/// Maximum number of seeds for a large fleet.
 const MAX_SEEDS_OF_LARGE_FLEET: u64 = 5;
+/// Number of seeds for the heartbeats of a large fleet.
 const HEARTBEAT_SEEDS_OF_LARGE_FLEET: u64 = 1;
 
 const MEMBERS: [usize; 3] = [10, 100, 1_000];
 const LOSSES: [f64; 3] = [0.0, 0.1, 0.3];
 
-/// Prints the table, or its rows of one number of members and one loss.
+/// Prints the table, or only the rows of one number of members and one loss.
 pub(crate) fn measure(seeds: u64, only_members: Option<usize>, only_loss: Option<f64>) {
     print_table_head("variant, members, loss");
     let members = MEMBERS
@@ -61,7 +62,7 @@
     row.print_line(&format!("all-to-all heartbeats, {members}, {loss}"));
 }
 
-/// The faults of a row over several seeds, with the observers' local health or without.
+/// Plays the faults of a row with several seeds, with or without local health of the observers.
 fn swim(members: usize, loss: f64, seeds: u64, local_health_aware: bool) -> Row {
     let rows = run_seeds(0..seeds, THREADS, |seed| {
         let setup = FleetSetup {
@@ -82,7 +83,8 @@
     all
 }
 
-/// What each of these servers sends and costs while nothing happens.
+/// Measures the bytes that each server sends and the processor time that it uses while nothing
+/// happens.
 fn measure_settled(fleet: &mut SimulatedFleet, servers: usize, row: &mut Row) {
     let bytes_sent = |fleet: &SimulatedFleet| {
         let running = fleet.running();
--- a/crates/testkit/examples/pools/limits.rs
+++ b/crates/testkit/examples/pools/limits.rs
@@ -1,5 +1,5 @@
-//! Pools with adaptive limits beside fixed ones and beside none: goodput of each handler, calls in
-//! flight upstream, and how far the limit swings. Work takes 20 to 40 ms.
+//! Compares pools with adaptive limits, with fixed limits, and no pools: goodput of each handler,
+//! calls in flight upstream, and the variation of the limit. The work of a run takes 20 to 40 ms.
 
 use madderbay_testkit::engine::HandlerWork;
 use madderbay_testkit::load_balancer::{Answer, KindId, RequestKind, goodput, latencies};
@@ -13,17 +13,17 @@
 use std::time::Duration;
 
 const DEFAULT_SEEDS: u64 = 5;
-/// Seeds without the fault.
+/// Number of seeds without the fault.
 const FAULTLESS_SEEDS: u64 = 2;
-/// Runs at a time: each needs a core or two for its fakes.
+/// Number of runs in parallel: each needs a core or two for its fakes.
 const RUNS_AT_A_TIME: usize = 2;
-/// The limit of the calls in flight before it is changed.
+/// Limit of the calls in flight before its first change.
 const INITIAL_LIMIT: f64 = 12.0;
-/// The time that the limit gets to settle after the fault has begun or ended.
+/// Time that the limit is given to settle after the fault has begun or ended.
 const SETTLING_TIME: Duration = Duration::from_secs(3);
-/// The time at the beginning of the fault that is reported by itself.
+/// Time at the beginning of the fault that is reported separately.
 const FIRST_SECOND: Duration = Duration::from_secs(1);
-/// The beginning of a line of the log about the limit.
+/// Beginning of a log line about the limit.
 const LIMIT_LINE: &str = "INFO concurrency: limit ";
 
 const SETTINGS: &str = include_str!("settings.json");
@@ -132,7 +132,7 @@
     );
 }
 
-/// Prints the figures of the calls and of their limit.
+/// Prints the figures of the upstream calls and of their limit.
 fn print_calls(results: &[Measured]) {
     let peak = |time: Range<Duration>| range(results, |measured| measured.peak(time.clone()));
     println!(
@@ -153,7 +153,7 @@
     );
 }
 
-/// The median, the least and the most of a figure.
+/// Formats the median, the minimum and the maximum of a figure.
 fn range(results: &[Measured], figure: impl Fn(&Measured) -> f64) -> String {
     let mut values: Vec<f64> = results.iter().map(figure).collect();
     let median = median(&mut values);
@@ -169,7 +169,7 @@
 }
 
 impl LimitChange {
-    /// Reads it from a line of the log; `None` if the line is about something else.
+    /// Parses a log line; `None` if the line is not about the limit.
     fn read(at: Duration, line: &str) -> Option<LimitChange> {
         let rest = line.strip_prefix(LIMIT_LINE)?;
         let limit = rest.split(", to=").nth(1);
@@ -181,7 +181,7 @@
     }
 }
 
-/// What one run has shown.
+/// Results of one run.
 struct Measured {
     seed: u64,
     run: ServerRun,
@@ -212,7 +212,7 @@
         goodput(&self.run.records, &kinds(), kind, time)
     }
 
-    /// The goodput of all handlers over the whole run.
+    /// Returns the goodput of all handlers over the whole run.
     fn total_goodput(&self) -> f64 {
         let records = &self.run.records;
         let kinds = kinds();
@@ -222,7 +222,8 @@
         in_time.count() as f64 / records.len() as f64
     }
 
-    /// A handler's requests during the fault whose first answer is like this.
+    /// Returns the number of a handler's requests during the fault whose first answer satisfies
+    /// `is_expected`.
     fn answered(&self, kind: KindId, is_expected: fn(&Answer) -> bool) -> f64 {
         let records = self.run.records.iter();
         let during_fault =
@@ -234,17 +235,18 @@
         answered.count() as f64
     }
 
-    /// The 99th percentile of a handler's response times, in milliseconds.
+    /// Returns the 99th percentile of a handler's response times, in milliseconds.
     fn p99_ms(&self, kind: KindId) -> f64 {
         latencies(&self.run.records, kind).value_at_quantile(0.99) as f64
     }
 
-    /// The most calls in flight during a time.
+    /// Returns the largest number of calls in flight during a time range.
     fn peak(&self, time: Range<Duration>) -> f64 {
         self.run.peak(time) as f64
     }
 
-    /// The widest swing of the limit during a time, as a fraction of its mean there.
+    /// Returns the difference between the largest and the smallest limit during a time range, as a
+    /// fraction of the mean of its values there.
     fn swing(&self, time: Range<Duration>) -> f64 {
         let mut earlier = self.limit_changes.iter().rev();
         let initial = earlier
--- a/crates/testkit/examples/pools/main.rs
+++ b/crates/testkit/examples/pools/main.rs
@@ -1,11 +1,11 @@
-//! Measures pools against the program without them, between fakes on loopback:
+//! Compares the program with and without pools, run against fakes on loopback:
 //!
 //!     cargo build --release && cargo run --release -p madderbay-testkit --example pools limits [SEEDS [VARIANT]]
 //!     ... pools quotas [SEEDS [QUOTA]]
 //!
-//! An engine of 4 cores, a catalogue of 8 slots (25 ms a call), 90 requests a second. From the 5th
-//! to the 13th second the catalogue is 20 times slower; for the first 5 of these 1.6 times as many
-//! requests arrive.
+//! The engine has 4 cores, the catalogue has 8 slots (25 ms a call), and 90 requests arrive per
+//! second. From the 5th to the 13th second the catalogue is 20 times slower; for the first 5 of
+//! these seconds 1.6 times as many requests arrive.
 
 mod limits;
 mod quotas;
@@ -18,6 +18,6 @@
     match mode.as_str() {
         "limits" => limits::measure(seeds, only.as_deref()),
         "quotas" => quotas::measure(seeds, only.and_then(|quota| quota.parse().ok())),
-        _ => eprintln!("limits or quotas"),
+        _ => eprintln!("pools: first argument must be limits or quotas"),
     }
 }
--- a/crates/testkit/examples/pools/quotas.rs
+++ b/crates/testkit/examples/pools/quotas.rs
@@ -1,5 +1,5 @@
-//! Pools with quotas upstream from too small to ten times too large. 30 trip-searches, 40
-//! fare-quotes and 20 seat-books arrive in a second.
+//! Pools with upstream quotas from too small to ten times too large. 30 trip-searches, 40
+//! fare-quotes and 20 seat-books arrive per second.
 
 use madderbay_testkit::load_balancer::{KindId, goodput};
 use madderbay_testkit::measurement::report::median;
@@ -10,17 +10,17 @@
 use std::time::Duration;
 
 const DEFAULT_SEEDS: u64 = 3;
-/// The server's quota at the catalogue, in calls.
+/// Quotas of the server at the catalogue, in calls.
 const QUOTAS: [f64; 5] = [2.0, 6.0, 12.0, 40.0, 80.0];
-/// The text of the log lines about the limit of the calls.
+/// Text of the log lines about the limit of the calls.
 const LIMIT_LINE: &str = "concurrency: limit ";
 
 const POOLS: &str = "[pools]\nenabled = on\nlimits = adaptive\n[pool seats]\nhandlers = seat-book\n\
                      [pool searches]\nhandlers = trip-search\ncalls_weight = 0\n\
                      [reserve]\nhandlers = fare-quote\npart = 0.1\n";
 
-/// Prints a row for each quota without pools and with them, or the rows of one quota with the log
-/// lines about its limit.
+/// Prints a row for each quota without pools and one with them; given one quota, prints only its
+/// rows and the log lines about its limit.
 pub(crate) fn measure(seeds: Option<u64>, only: Option<f64>) {
     let seeds = seeds.unwrap_or(DEFAULT_SEEDS);
     println!(
@@ -63,14 +63,15 @@
     );
 }
 
-/// What one run has shown.
+/// Results of one run.
 struct Measured {
-    /// By handler.
+    /// Goodput of each handler during the fault.
     goodput_during_fault: [f64; 3],
+    /// Goodput of each handler after the fault.
     goodput_after_fault: [f64; 3],
-    /// The most calls in flight during the fault.
+    /// Largest number of calls in flight during the fault.
     peak: usize,
-    /// Lines of the log about the limit, with their times.
+    /// Log lines about the limit, with their times.
     limit_lines: Vec<(Duration, String)>,
     violations: usize,
 }
--- a/crates/testkit/examples/quotas/central_lessor.rs
+++ b/crates/testkit/examples/quotas/central_lessor.rs
@@ -1,42 +1,43 @@
-//! A central lessor, for comparison: in the view of each server it is the first member. It grants
-//! the whole capacity by leases of a second to whoever asks, and a new one waits for nothing.
+//! A central lessor, for comparison: each server regards the first member in its view as the
+//! lessor. The lessor grants leases of the whole capacity for a second to every server that asks. A
+//! new lessor grants at once, without waiting for leases of the former one to end.
 
 use madderbay::time::Duration;
 use madderbay_membership::MemberState;
 use madderbay_testkit::fleet::script::name;
 use madderbay_testkit::fleet::simulated::SimulatedFleet;
 
-/// The time that a step simulates, in seconds.
+/// Simulated time of one step, in seconds.
 const STEP_SECS: f64 = 0.1;
 const LEASE_SECS: f64 = 1.0;
 
-/// What a lessor has granted.
+/// A lease from the view of its lessor.
 #[derive(Clone)]
 struct Grant {
     lessee: usize,
     units: u32,
     until: f64,
-    /// What the lessee had demand for.
+    /// Demand of the lessee when the lease was granted, in units.
     demand: u32,
 }
 
-/// What a lessee holds.
+/// A lease from the view of its lessee.
 #[derive(Clone, Default)]
 struct Lease {
     units: u32,
     until: f64,
 }
 
-/// The leases of all servers, each of which may believe that it is the lessor.
+/// Leases of all servers, each of which may regard itself as the lessor.
 struct CentralLessor {
     capacity: u32,
-    /// By lessor.
+    /// Grants of each lessor.
     grants: Vec<Vec<Grant>>,
-    /// By lessee.
+    /// Lease of each lessee.
     leases: Vec<Lease>,
     now: f64,
     peak: u32,
-    /// Calls in flight, summed over time.
+    /// Number of calls in flight, integrated over time in seconds.
     call_secs: f64,
 }
 
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Lets all lessees renew their leases, and sums up the calls that they then have in flight.
+    /// Renews the leases of all lessees, and adds up the calls that they then have in flight.
     fn step(
         &mut self,
         fleet: &SimulatedFleet,
@@ -77,8 +78,8 @@
         self.call_secs += f64::from(used) * STEP_SECS;
     }
 
-    /// Grants a lessee as much as is free and as its even part allows. None has more than that while
-    /// others have demand for theirs.
+    /// Grants a lessee as much as is free and as its fair share allows. A lessee gets more than its
+    /// share only as far as others do not use theirs.
     fn renew(&mut self, lessor: usize, lessee: usize, demand: u32) {
         let now = self.now;
         let grants = &mut self.grants[lessor];
@@ -107,7 +108,8 @@
     }
 }
 
-/// The first server in the view of another; `None` if that one does not run.
+/// Returns the lessor in the view of a server: the first member that is up, or the server itself.
+/// `None` if the server is not running.
 fn lessor_of(fleet: &SimulatedFleet, server: usize, servers: usize) -> Option<usize> {
     let members = fleet.members(server)?;
     let is_up = |other: usize| {
@@ -118,14 +120,16 @@
     Some(first.unwrap_or(server))
 }
 
-/// What a central lessor makes of a demand.
+/// Results of a demand under a central lessor.
 pub(crate) struct CentralResult {
-    /// Calls in flight as a fraction of the capacity: the mean and the most.
+    /// Mean number of calls in flight, as a fraction of the capacity.
     pub(crate) used: f64,
+    /// Largest number of calls in flight, as a fraction of the capacity.
     pub(crate) peak: f64,
 }
 
-/// Plays a demand for some seconds. `halved` says that the two halves of the servers are partitioned.
+/// Plays a demand for `secs` seconds. `halved` says whether the two halves of the servers are
+/// partitioned from each other.
 pub(crate) fn play(
     fleet: &mut SimulatedFleet,
     capacity: u32,
--- a/crates/testkit/examples/quotas/counters.rs
+++ b/crates/testkit/examples/quotas/counters.rs
@@ -1,5 +1,5 @@
-//! Errors of replicated counters against the truth and against the advertised bound; time and memory
-//! with many tenants.
+//! Errors of replicated counters compared with the true counts and with the advertised bound, and
+//! time and memory with many tenants.
 
 use crate::simulated::bytes_sent;
 use madderbay::time::{Duration, Timestamp};
@@ -14,22 +14,24 @@
 
 const WINDOW: Duration = Duration::from_millis(10_000);
 const SETTLE_TIMEOUT: Duration = Duration::from_millis(60_000);
-/// The time after which the window of all counters is full.
+/// Time after which the window of all counters is full.
 const START_TIME: Duration = Duration::from_millis(20_000);
-/// Checks of the estimates, and the time before each.
+/// Number of checks of the estimates.
 const CHECKS: usize = 40;
+/// Time before each check of the estimates.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// The servers that are checked at most.
+/// Maximum number of servers that are checked.
 const MAX_CHECKED_SERVERS: usize = 12;
-/// The fair rate that estimates are asked with, in requests a second.
+/// Fair rate that is passed to the queries for estimates, in requests per second.
 const FAIR_RATE: f64 = 2.0;
-/// The requests of many tenants, and the time between two of them.
+/// Number of requests in the measurement with many tenants.
 const REQUESTS: u64 = 1_000_000;
 const TENANTS: u64 = 100_000;
+/// Time between two requests in the measurement with many tenants.
 const ARRIVAL_INTERVAL: Duration = Duration::from_micros(20);
 const MAX_REQUESTS_PER_SECOND: f64 = 1_000.0;
 
-/// An estimate beside the truth.
+/// An estimate and the true count.
 struct Check {
     bound: f64,
     value: f64,
@@ -105,7 +107,8 @@
     checks
 }
 
-/// Counts the requests of many tenants with one counter.
+/// Counts the requests of many tenants with one counter, and prints the time and the memory that it
+/// takes.
 fn print_many_tenants() {
     let settings = CounterSettings {
         name: "tenants".into(),
--- a/crates/testkit/examples/quotas/demand.rs
+++ b/crates/testkit/examples/quotas/demand.rs
@@ -1,22 +1,21 @@
-//! A fleet with a quota, and the demand of its servers.
+//! Setup of a fleet with a quota, and the demand of its servers.
 
 use madderbay::time::Duration;
 use madderbay_testkit::fleet::script::{Action, Condition, Fleet, FleetSetup};
 use madderbay_testkit::measurement::fleets::{act, start_all, wait_until};
 
-/// The base quota of each server, in calls.
+/// Base quota of each server, in calls.
 pub(crate) const BASE_QUOTA: u32 = 6;
-/// Of the calls that are possible, the percentage that has to be in flight before a demand counts as
-/// followed.
+/// Percentage of the possible calls that has to be in flight before a demand counts as followed.
 const FOLLOWED_PERCENT: u32 = 80;
-/// Upper bound on the time to settle.
+/// Upper bound on the time that a fleet takes to settle.
 const SETTLE_TIMEOUT: Duration = Duration::from_millis(60_000);
 /// Upper bound on the time until all servers have their base quotas.
 const QUOTA_TIMEOUT: Duration = Duration::from_millis(30_000);
-/// Upper bound on the time to follow a demand.
+/// Upper bound on the time that a fleet takes to follow a demand.
 const FOLLOW_TIMEOUT: Duration = Duration::from_millis(20_000);
 
-/// A fleet with a quota of this capacity, whose calls take this long.
+/// Returns the setup of a fleet with a quota of this capacity, whose calls take `call_ms` each.
 pub(crate) fn setup(servers: usize, capacity: u32, call_ms: u64) -> FleetSetup {
     FleetSetup::with_budget(servers, capacity, Duration::from_millis(call_ms))
 }
@@ -31,7 +30,7 @@
     assert!(has_quotas.is_finite(), "each has its base quota");
 }
 
-/// Each of the servers may use at least this many calls.
+/// Returns the condition that each server may use at least `calls` calls.
 pub(crate) fn min_quota(servers: usize, calls: u32) -> Condition {
     Condition::Has {
         who: (0..servers).collect(),
@@ -40,14 +39,14 @@
     }
 }
 
-/// How demand is spread over the servers. There is more of it than the capacity.
+/// Distribution of demand over the servers. The total demand exceeds the capacity.
 #[derive(Clone, Copy)]
 pub(crate) enum DemandShape {
-    /// All have the same.
+    /// All servers have the same demand.
     Even,
-    /// A third of the servers have nearly all of it.
+    /// A third of the servers have nearly all of the demand.
     Skewed,
-    /// One server has all of it.
+    /// One server has all of the demand.
     AtOneServer,
 }
 
@@ -58,7 +57,7 @@
         DemandShape::AtOneServer,
     ];
 
-    /// Its name in tables.
+    /// Returns the name of the shape in tables.
     pub(crate) fn name(self) -> &'static str {
         match self {
             DemandShape::Even => "even",
@@ -67,7 +66,7 @@
         }
     }
 
-    /// The demand of each server, in calls at a time.
+    /// Returns the demand of each server, in concurrent calls.
     pub(crate) fn demands(self, servers: usize, capacity: u32) -> Vec<u32> {
         let of_server = |server: usize| match self {
             DemandShape::Even => capacity * 13 / 10 / servers as u32,
@@ -80,12 +79,12 @@
     }
 }
 
-/// Ends all demand.
+/// Sets the demand of all servers to 0.
 pub(crate) fn end_demands(fleet: &mut impl Fleet, servers: usize) {
     (0..servers).for_each(|server| act(fleet, Action::Demand(server, 0)));
 }
 
-/// Sets the demand of the servers. Gives the time until most of it is followed, in seconds.
+/// Sets the demand of the servers. Returns the time in seconds until most of it is followed.
 pub(crate) fn follow(fleet: &mut impl Fleet, capacity: u32, demands: &[u32]) -> f64 {
     for (server, demand) in demands.iter().enumerate() {
         act(fleet, Action::Demand(server, *demand));
--- a/crates/testkit/examples/quotas/histories.rs
+++ b/crates/testkit/examples/quotas/histories.rs
@@ -1,5 +1,5 @@
-//! Seeded histories: drawn faults and shifts of demand one after the other, and the most calls in
-//! flight against the capacity.
+//! Seeded histories: faults and shifts of demand drawn from a seed, one after the other. Compares
+//! the largest number of calls in flight with the capacity.
 
 use crate::demand::{BASE_QUOTA, setup, start};
 use crate::processes::works;
@@ -14,29 +14,34 @@
 use madderbay_testkit::measurement::settings;
 use std::time::Duration as StdDuration;
 
-/// Simulated and real histories at a time.
+/// Number of simulated histories that run in parallel.
 const SIMULATED_THREADS: usize = 6;
+/// Number of histories of real processes that run in parallel.
 const REAL_THREADS: usize = 12;
-/// Actions of a simulated history, and the longest time after each in seconds.
+/// Number of actions of a simulated history.
 const SIMULATED_ACTIONS: usize = 25;
+/// Maximum time after each action of a simulated history, in seconds.
 const MAX_SIMULATED_PAUSE_SECS: f64 = 0.8;
-/// The time after which simulated servers have their base quotas.
+/// Time after which simulated servers have their base quotas.
 const START_TIME: Duration = Duration::from_millis(4_500);
-/// Servers of a real history, its actions, and the longest time after each in seconds.
+/// Number of servers of a history of real processes.
 const REAL_SERVERS: usize = 4;
+/// Number of actions of a history of real processes.
 const REAL_ACTIONS: usize = 10;
+/// Maximum time after each action of a history of real processes, in seconds.
 const MAX_REAL_PAUSE_SECS: f64 = 0.6;
-/// The mean time of a call, in milliseconds.
+/// Mean time of a call in a simulated history, in milliseconds.
 const SIMULATED_CALL_MS: u64 = 200;
+/// Mean time of a call in a history of real processes, in milliseconds.
 const REAL_CALL_MS: u64 = 300;
 
-/// The most calls in flight of a simulated history, beside its capacity.
+/// Largest number of calls in flight in a simulated history, and its capacity.
 struct SimulatedPeak {
     peak: u32,
     capacity: u32,
 }
 
-/// Plays a number of histories in simulated time.
+/// Plays `count` histories in simulated time.
 pub(crate) fn simulate(count: u64) {
     let peaks = run_seeds(0..count, SIMULATED_THREADS, simulate_one);
     let mut max_fraction: f64 = 0.0;
@@ -71,16 +76,16 @@
     }
 }
 
-/// What one history of real processes has shown.
+/// Results of one history of real processes.
 struct RealResult {
-    /// The most calls in flight.
+    /// Largest number of calls in flight.
     peak: usize,
     requests: usize,
-    /// The violated rules, a line each.
+    /// Rule violations, one line each.
     violations: Vec<String>,
 }
 
-/// Plays a number of histories on real processes, with load and all rules of each request.
+/// Plays `count` histories on real processes under load, and checks all rules for each request.
 pub(crate) fn run_processes(count: u64) {
     let results = run_seeds(0..count, REAL_THREADS, run_one);
     let mut peak = 0;
@@ -101,7 +106,7 @@
     violations.print_first();
 }
 
-/// The capacity of the real fleets.
+/// Returns the capacity of the quota in fleets of real processes.
 fn capacity() -> u32 {
     REAL_SERVERS as u32 * BASE_QUOTA
 }
--- a/crates/testkit/examples/quotas/main.rs
+++ b/crates/testkit/examples/quotas/main.rs
@@ -1,5 +1,5 @@
-//! Measures quotas of a fleet beside fixed parts and beside one central lessor, and replicated
-//! counters against the truth.
+//! Measures the quotas of a fleet in comparison with fixed parts of the capacity and with one
+//! central lessor, and compares replicated counters with the true counts.
 //!
 //!     cargo run --release -p madderbay-testkit --example quotas simulated [SERVERS]
 //!     ... quotas simulated-histories [COUNT]      ... quotas counters
@@ -14,8 +14,9 @@
 mod simulated;
 mod slow_catalogue;
 
-/// Histories that are played, unless the command line says otherwise.
+/// Number of simulated histories, unless the command line gives another one.
 const SIMULATED_HISTORIES: u64 = 10_000;
+/// Number of histories of real processes, unless the command line gives another one.
 const REAL_HISTORIES: u64 = 200;
 
 fn main() {
--- a/crates/testkit/examples/quotas/processes.rs
+++ b/crates/testkit/examples/quotas/processes.rs
@@ -1,4 +1,4 @@
-//! Real processes under demands of several shapes.
+//! Measurements of real processes under demands of several shapes.
 
 use crate::demand::{BASE_QUOTA, DemandShape, end_demands, follow, setup, start};
 use madderbay_testkit::engine::HandlerWork;
@@ -9,11 +9,13 @@
 use std::time::{Duration, Instant};
 
 const CALL_MS: u64 = 300;
-/// The time without demand before each case, after a demand is followed, and to be measured.
+/// Time without demand before each case.
 const IDLE_TIME: Duration = Duration::from_secs(3);
+/// Time between a demand being followed and the measurement.
 const SETTLING_TIME: Duration = Duration::from_secs(2);
+/// Time over which a case is measured.
 const MEASURED_TIME: Duration = Duration::from_secs(5);
-/// The time between two samples of the calls in flight.
+/// Interval between samples of the calls in flight.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 
 pub(crate) fn works() -> Vec<HandlerWork> {
@@ -69,7 +71,7 @@
     );
 }
 
-/// The mean of the calls in flight of all servers together, as they report them.
+/// Returns the mean number of calls in flight of all servers together, as the servers report them.
 fn mean_in_flight(fleet: &ProcessFleet) -> f64 {
     let began = Instant::now();
     let mut sum = 0.0;
--- a/crates/testkit/examples/quotas/simulated.rs
+++ b/crates/testkit/examples/quotas/simulated.rs
@@ -1,5 +1,5 @@
-//! Simulated fleets under demands of several shapes: leases beside fixed parts and beside a central
-//! lessor.
+//! Measurements of simulated fleets under demands of several shapes: leases in comparison with
+//! fixed parts of the capacity and with a central lessor.
 
 use crate::central_lessor;
 use crate::demand::{BASE_QUOTA, DemandShape, end_demands, follow, setup, start};
@@ -10,18 +10,22 @@
 use madderbay_testkit::measurement::report::table_head;
 
 const SERVERS: [usize; 3] = [10, 100, 1_000];
-/// The largest fleet that is partitioned and compared with a central lessor.
+/// Maximum number of servers of a fleet that is also partitioned and compared with a central
+/// lessor.
 const MAX_SERVERS_FOR_COMPARISON: usize = 100;
 const CALL_MS: u64 = 50;
-/// The time without demand before each case, after a demand is followed, and to be measured.
+/// Time without demand before each case.
 const IDLE_TIME: Duration = Duration::from_millis(3_000);
+/// Time between a demand being followed and the measurement.
 const SETTLING_TIME: Duration = Duration::from_millis(2_000);
+/// Time over which a case is measured.
 const MEASURED_TIME: Duration = Duration::from_millis(5_000);
-/// The seconds for which the central lessor is measured, and under a partition.
+/// Time for which the central lessor is measured, in seconds.
 const CENTRAL_SECS: f64 = 5.0;
+/// Time for which the central lessor is measured under a partition, in seconds.
 const PARTITIONED_CENTRAL_SECS: f64 = 15.0;
 
-/// Prints the table, or the rows of one number of servers.
+/// Prints the table, or only the rows of one number of servers.
 pub(crate) fn measure(only: Option<usize>) {
     let headings = [
         "servers, demand",
@@ -46,18 +50,19 @@
     }
 }
 
-/// What a demand has come to.
+/// Results of one demand.
 struct DemandResult {
-    /// Calls in flight as a fraction of the capacity: the mean and the most.
+    /// Mean number of calls in flight, as a fraction of the capacity.
     used: f64,
+    /// Largest number of calls in flight, as a fraction of the capacity.
     peak: f64,
-    /// Seconds until most of the demand was followed.
+    /// Time until most of the demand was followed, in seconds.
     follow_secs: f64,
-    /// Bytes that a server sends in a second.
+    /// Bytes per second that each server sends on average.
     bytes_per_second: f64,
 }
 
-/// A fleet that has started, with the capacity of its quota.
+/// A started fleet, with the capacity of its quota.
 struct MeasuredFleet {
     fleet: SimulatedFleet,
     servers: usize,
@@ -76,7 +81,7 @@
         }
     }
 
-    /// Prints the rows of a shape of demand.
+    /// Prints the rows of one shape of demand.
     fn print_case(&mut self, shape: DemandShape) {
         let demands = shape.demands(self.servers, self.capacity);
         self.print_leases(shape.name(), &demands);
@@ -90,8 +95,8 @@
         }
     }
 
-    /// Prints the rows of a fleet that is partitioned into halves, and of one in which no datagram
-    /// arrives, while every server has demand for the whole capacity.
+    /// Prints the rows of a fleet that is partitioned into halves, and of one in which all
+    /// datagrams are lost, while every server has demand for the whole capacity.
     fn print_partitions(&mut self) {
         let middle = self.servers / 2;
         let demands = vec![self.capacity; self.servers];
@@ -112,7 +117,7 @@
         );
     }
 
-    /// Prints the row of the central lessor; `halved` says that the fleet is partitioned into
+    /// Prints the row of the central lessor; `halved` says whether the fleet is partitioned into
     /// halves.
     fn print_central(&mut self, demands: &[u32], halved: bool, secs: f64) {
         let fleet = &mut self.fleet;
@@ -123,7 +128,7 @@
         );
     }
 
-    /// Ends all demand, sets this one, and measures the fleet once it follows.
+    /// Ends all demand, sets the given demand, and measures the fleet once it follows.
     fn measure(&mut self, demands: &[u32]) -> DemandResult {
         end_demands(&mut self.fleet, self.servers);
         self.fleet.run(IDLE_TIME);
@@ -145,7 +150,7 @@
     }
 }
 
-/// Bytes that the quotas and counters of all servers have sent.
+/// Returns the bytes that the quotas and counters of all servers have sent.
 pub(crate) fn bytes_sent(fleet: &SimulatedFleet) -> u64 {
     let servers = fleet.running().map(|(server, _)| server);
     servers
--- a/crates/testkit/examples/quotas/slow_catalogue.rs
+++ b/crates/testkit/examples/quotas/slow_catalogue.rs
@@ -1,5 +1,6 @@
-//! The scenario of a slow catalogue over five servers, with three in five requests at one of them:
-//! pools with a fixed part of the capacity for each server, and with leases of a quota.
+//! The scenario of a slow catalogue with five servers, of which one receives three in five
+//! requests. Compares pools with a fixed part of the capacity for each server and pools with leases
+//! of a quota.
 
 use crate::demand::{min_quota, setup};
 use madderbay::time::Duration;
@@ -17,13 +18,13 @@
 use std::ops::Range;
 use std::time::Duration as StdDuration;
 
-/// The fraction of all requests that arrives at each server.
+/// Fraction of all requests that arrives at each server.
 const TRAFFIC_FRACTIONS: [f64; 5] = [0.6, 0.1, 0.1, 0.1, 0.1];
 const SERVERS: usize = TRAFFIC_FRACTIONS.len();
-/// The capacity of the quota, and the sum of the fixed parts.
+/// Capacity of the quota, and also the sum of the fixed parts.
 const CAPACITY: u32 = 12;
 const START_TIMEOUT: Duration = Duration::from_millis(30_000);
-/// The longest time of a call under the quota.
+/// Maximum time of a call under the quota.
 const MAX_CALL: Duration = Duration::from_millis(4_000);
 
 const POOLS: &str = "[pools]\nenabled = on\n[pool seats]\nhandlers = seat-book\n[pool searches]\n\
@@ -68,7 +69,8 @@
     );
 }
 
-/// Servers over one catalogue, with leases of a quota or with a fixed part of the capacity each.
+/// Starts servers that share one catalogue, with leases of a quota or with a fixed part of the
+/// capacity each.
 fn start_fleet(catalogue: &Catalogue, leases: bool) -> ProcessFleet {
     let mut setup = setup(SERVERS, CAPACITY, CALL.as_millis() as u64);
     if let Some(quota) = &mut setup.budget {
@@ -94,7 +96,8 @@
     fleet
 }
 
-/// Loads all servers; the thread of the first one sets the fault of the catalogue.
+/// Sends the loads to all servers; the thread of the first server's load sets the fault of the
+/// catalogue.
 fn run_loads(fleet: &ProcessFleet, catalogue: &Catalogue) -> LoadResult {
     std::thread::scope(|scope| {
         let loads = (0..SERVERS).map(|server| {
--- a/crates/testkit/examples/sites.rs
+++ b/crates/testkit/examples/sites.rs
@@ -1,17 +1,18 @@
-//! Writes the variants of the kit's sites that `deploy/sites` describes:
+//! Writes the variants of the kit's sites that the files in `deploy/sites` describe:
 //!
 //!     cargo run --package madderbay-testkit --example sites -- KIT
 //!
-//! KIT is the kit's folder. A description is a text file of lines; `#` begins a comment line, and
-//! empty lines are ignored:
+//! KIT is the directory of the kit. A description is a text file of lines; `#` begins a comment
+//! line, and empty lines are ignored:
 //!
 //! | line | meaning |
 //! | --- | --- |
-//! | `from = FILE` | first of all: the site to begin with, relative to the kit |
-//! | `PATH = VALUE` | sets a key, TOML; a number in a path is an index of a list |
+//! | `from = FILE` | must come first: the site to start from, relative to the kit |
+//! | `PATH = VALUE` | sets a key to a TOML value; a number in a path is an index of a list |
 //! | `- PATH` | removes a key |
 //!
-//! What is written beside the descriptions belongs to the kit and is not committed.
+//! The variants, which are written beside the descriptions, belong to the kit and are not
+//! committed.
 
 use std::ffi::OsStr;
 use std::io;
@@ -20,19 +21,19 @@
 use thiserror::Error;
 use toml_edit::{DocumentMut, Item, TomlError, Value};
 
-/// The folder of the descriptions, which the variants are written to.
+/// Directory of the descriptions, to which the variants are also written.
 const DESCRIPTIONS: &str = "deploy/sites";
-/// The files that a site needs beside it.
+/// Files that a site needs in its directory.
 const COMPANIONS: [&str; 3] = ["real.json", "wire.json", "unlock.txt"];
 
-/// Why the variants can't be written.
+/// Reason why the variants can't be written.
 #[derive(Debug, Error)]
 enum SiteError {
     #[error("{}: {error}", path.display())]
     File { path: PathBuf, error: io::Error },
     #[error("{}: {error}", path.display())]
     Toml { path: PathBuf, error: TomlError },
-    #[error("{}: the first line is not 'from = FILE'", description.display())]
+    #[error("{}: the first line must be 'from = FILE'", description.display())]
     NoBase { description: PathBuf },
     #[error("{}:{line}: {error}", description.display())]
     Change {
@@ -42,16 +43,16 @@
     },
 }
 
-/// Why a line can't change a site.
+/// Reason why a line can't be applied to a site.
 #[derive(Debug, Error)]
 enum ChangeError {
-    #[error("'{0}' is not in the site")]
+    #[error("key '{0}' is not in the site")]
     NoSuchKey(String),
-    #[error("'{0}' is in no table")]
+    #[error("key '{0}' is not in a table")]
     NotInTable(String),
-    #[error("'{0}' is no TOML value")]
+    #[error("'{0}' is not a TOML value")]
     NoValue(String),
-    #[error("is not PATH = VALUE")]
+    #[error("line is not of the form 'PATH = VALUE'")]
     NoAssignment,
 }
 
@@ -68,7 +69,7 @@
     SiteError::File { path, error }
 }
 
-/// The item that contains the last key of a path, and that key.
+/// Returns the item that contains the last key of a path, and that key.
 fn parent_item<'site, 'path>(
     site: &'site mut DocumentMut,
     path: &'path str,
@@ -84,7 +85,7 @@
     Some((item, last))
 }
 
-/// Carries out one line of a description.
+/// Applies one line of a description to a site.
 fn apply_line(site: &mut DocumentMut, line: &str) -> Result<(), ChangeError> {
     let no_such_key = |path: &str| ChangeError::NoSuchKey(path.into());
     if let Some(path) = line.strip_prefix("- ") {
@@ -109,13 +110,13 @@
 
 /// A variant of a site.
 struct Variant {
-    /// The file of the kit's site that it is made from.
+    /// File of the kit's site from which the variant is made.
     base: PathBuf,
     site: DocumentMut,
 }
 
 impl Variant {
-    /// Makes the variant that a description describes.
+    /// Reads a description and makes the variant that it describes.
     fn read(kit: &Path, description: &Path) -> Result<Variant, SiteError> {
         let text = read(description)?;
         let mut lines = text
@@ -144,7 +145,7 @@
         Ok(Variant { base, site })
     }
 
-    /// Writes it under a name, with the files that it needs beside it. Gives its path.
+    /// Writes the variant under a name, together with the files that it needs. Returns its path.
     fn write(&self, kit: &Path, name: &OsStr) -> Result<PathBuf, SiteError> {
         let folder = Path::new(DESCRIPTIONS);
         let path = folder.join(name).with_extension("toml");
@@ -179,7 +180,7 @@
     let kit = std::env::args().nth(1).unwrap_or_default();
     if !Path::new(&kit).join("sites").is_dir() {
         eprintln!(
-            "sites: no kit at '{kit}': the variants of {DESCRIPTIONS} are made from its sites"
+            "sites: no kit at '{kit}': the variants of {DESCRIPTIONS} are made from the kit's sites"
         );
         return ExitCode::from(2);
     }
--- a/crates/testkit/examples/soak/main.rs
+++ b/crates/testkit/examples/soak/main.rs
@@ -1,10 +1,10 @@
-//! Plays the real program under drawn troubles:
+//! Runs the real program under faults drawn from a seed:
 //!
 //!     cargo build --release && cargo run --release -p madderbay-testkit --example soak -- SEEDS [PROGRAM]
 //!
-//! SEEDS is a seed or a range such as `1..57`, the last not included. PROGRAM is the program to play, without which it
-//! is the release build of this workspace. Prints one line a seed, and the violations of each. Exits with 1 where a rule
-//! was broken, with 2 on wrong arguments.
+//! SEEDS is a seed or a range such as `1..57`, whose end is excluded. PROGRAM is the program to
+//! run; by default it is the release build of this workspace. Prints one line per seed, followed by
+//! its violations. Exits with 1 if a rule was broken, and with 2 on wrong arguments.
 
 use madderbay_testkit::measurement::seeds::run_seeds;
 use madderbay_testkit::soak::{Plan, Violation, play, violations};
@@ -13,12 +13,13 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Plays at a time: few enough that servers, fakes and clients find a core.
+/// Number of plays that run in parallel: few enough that servers, fakes and clients find a free
+/// core.
 const PLAYS_AT_A_TIME: usize = 4;
-/// Violations that are printed of one play.
+/// Maximum number of violations that are printed for one play.
 const MAX_PRINTED: usize = 5;
 
-/// What the command line asks for.
+/// Arguments of the command line.
 struct Arguments {
     seeds: Range<u64>,
     program: PathBuf,
@@ -48,7 +49,7 @@
     is_complete.then_some(Arguments { seeds, program })
 }
 
-/// A seed, or a range of them that is not empty.
+/// Parses a seed, or a range of seeds that is not empty.
 fn read_seeds(text: &str) -> Option<Range<u64>> {
     let seeds = match text.split_once("..") {
         Some((first, end)) => first.parse().ok()?..end.parse().ok()?,
@@ -60,7 +61,7 @@
     (!seeds.is_empty()).then_some(seeds)
 }
 
-/// Prints one play, and how to play it again where a rule was broken.
+/// Prints the violations of one play, and the command that repeats the play if there are any.
 fn print_play(seed: u64, program: &Path, found: &[Violation]) {
     println!("seed {seed}: {} violations", found.len());
     for violation in found.iter().take(MAX_PRINTED) {
@@ -74,7 +75,7 @@
     }
 }
 
-/// Prints how many plays broke which rule.
+/// Prints how many plays broke each rule.
 fn print_summary(plays: &[Vec<Violation>]) {
     let mut by_rule: BTreeMap<&str, usize> = BTreeMap::new();
     for play in plays {
--- a/crates/testkit/src/load_balancer.rs
+++ b/crates/testkit/src/load_balancer.rs
@@ -235,7 +235,7 @@
     }
 }
 
-/// A load that is being sent.
+/// State of a load that is being sent.
 struct Run<'a> {
     load: &'a Load,
     server: SocketAddr,
--- a/crates/testkit/src/peer.rs
+++ b/crates/testkit/src/peer.rs
@@ -41,7 +41,7 @@
 
 /// One end of a connection, with a read buffer.
 pub struct Peer(
-    /// The connection.
+    /// The connection, with its read buffer.
     pub BufReader<TcpStream>,
 );
 
--- a/crates/testkit/tests/measurement.rs
+++ b/crates/testkit/tests/measurement.rs
@@ -1,4 +1,4 @@
-//! What the examples that measure share: runs with several seeds, and settings.
+//! Helpers that the measuring examples share: runs with several seeds, and settings.
 
 use madderbay_testkit::measurement::seeds::run_seeds;
 use madderbay_testkit::measurement::settings;
--- a/crates/testkit/tests/script.rs
+++ b/crates/testkit/tests/script.rs
@@ -1,10 +1,10 @@
-//! Parsing of fault scripts: what each line makes, and what is reported of a line that is wrong.
+//! Parsing of fault scripts: the steps that each line yields, and the errors for wrong lines.
 
 use madderbay::time::Duration;
 use madderbay_membership::Connectivity;
 use madderbay_testkit::fleet::script::{Action, Condition, Expected, Script, ScriptError, Step};
 
-/// The steps of a line for three servers, of which `n3` is in the zone `south`.
+/// Returns the steps of a line in a script for three servers, of which `n3` is in the zone `south`.
 fn steps(line: &str) -> Vec<Step> {
     let text = format!("servers 3\nzone south n3\n{line}");
     let script = Script::read("test", &text).expect("a script");
@@ -112,7 +112,7 @@
     );
 }
 
-/// What a line has to be that begins with `quota-at-least`.
+/// The form that a line beginning with `quota-at-least` must have.
 const FORM_OF_QUOTA: Expected = Expected::Line("quota-at-least GROUP N TERM");
 
 #[test]
@@ -135,7 +135,8 @@
     }
 }
 
-/// A step about no server would do nothing, and a check after it would pass for the wrong reason.
+/// A step that names no server would do nothing, and a check after it would pass for the wrong
+/// reason.
 #[test]
 fn steps_about_no_server_are_errors() {
     for (line, form) in [
