--- a/crates/testkit/examples/durable_results/histories.rs
+++ b/crates/testkit/examples/durable_results/histories.rs
@@ -118,7 +118,8 @@
     /// answers that arrived.
     fn play_incarnation(&mut self, incarnation: u32) {
         let server = self.site.start_server();
-        let mut peer = Peer::new(TcpStream::connect(server.address).expect("a connection"));
+        let mut peer =
+            Peer::new(TcpStream::connect(server.address).expect("the server accepts a connection"));
         let first_id = self.next_id;
         for key in &self.keys {
             let attempt = self.next_id + self.seed * 1_000;
--- a/crates/testkit/examples/durable_results/recovery.rs
+++ b/crates/testkit/examples/durable_results/recovery.rs
@@ -34,12 +34,12 @@
 
 /// Writes a log with the results of `keys` keys.
 fn write_log(directory: &Path, keys: u128) {
-    let storage = DirectoryStorage::open(directory).expect("opened");
+    let storage = DirectoryStorage::open(directory).expect("the directory is opened");
     let limits = LogLimits {
         disk_bytes: MAX_LOG_BYTES,
         retention_micros: RETENTION_MICROS,
     };
-    let (mut log, _) = WriteAheadLog::open(storage, NOW_MICROS, limits).expect("read");
+    let (mut log, _) = WriteAheadLog::open(storage, NOW_MICROS, limits).expect("the log is read");
     for first in (0..keys).step_by(KEYS_PER_COMMIT as usize) {
         let entries: Vec<LogEntry> = (first..first + KEYS_PER_COMMIT)
             .flat_map(records)
@@ -48,7 +48,8 @@
                 expires_at_micros: NOW_MICROS + RETENTION_MICROS,
             })
             .collect();
-        log.commit(NOW_MICROS, &entries).expect("written");
+        log.commit(NOW_MICROS, &entries)
+            .expect("the entries are written");
     }
 }
 
--- a/crates/testkit/examples/durable_results/site.rs
+++ b/crates/testkit/examples/durable_results/site.rs
@@ -79,7 +79,7 @@
 /// Creates a directory with a unique name.
 fn create_directory() -> PathBuf {
     let path = write_config("");
-    std::fs::remove_file(&path).expect("removed");
-    std::fs::create_dir(&path).expect("made");
+    std::fs::remove_file(&path).expect("the file is removed");
+    std::fs::create_dir(&path).expect("the directory is created");
     path
 }
--- a/crates/testkit/examples/membership/histories.rs
+++ b/crates/testkit/examples/membership/histories.rs
@@ -69,7 +69,10 @@
         let sending = scope.spawn(|| target.send(&load, |_| ()));
         play_faults(&mut fleet, seed);
         let settle_secs = settle(&mut fleet);
-        (sending.join().expect("loaded"), settle_secs)
+        (
+            sending.join().expect("the load has not panicked"),
+            settle_secs,
+        )
     });
     let mut violations = target.violations(&load, &records);
     if first_settle_secs.is_infinite() || settle_secs.is_infinite() {
--- a/crates/testkit/examples/membership/processes.rs
+++ b/crates/testkit/examples/membership/processes.rs
@@ -114,13 +114,14 @@
     println!("{}", table_head(&headings));
     for datagrams_per_second in [0, 10_000] {
         let (fleet, _) = started_fleet(FleetSetup::of(3), 1);
-        let server = fleet.server(0).expect("runs");
+        let server = fleet.server(0).expect("the server is running");
         let cpu_before = server.cpu();
         let records = load_under_flood(&fleet, datagrams_per_second);
         let cpu = server.cpu() - cpu_before;
         let mut all = latencies(&records, KindId::new(0));
         for kind in (1..3).map(KindId::new) {
-            all.add(latencies(&records, kind)).expect("added");
+            all.add(latencies(&records, kind))
+                .expect("the histograms have the same range");
         }
         println!(
             "| {datagrams_per_second} | {}, {} | {:.2} | {:.1} |",
@@ -133,7 +134,9 @@
 }
 
 fn load_under_flood(fleet: &ProcessFleet, datagrams_per_second: u32) -> Vec<RequestRecord> {
-    let address = fleet.datagram_address(0).expect("it receives datagrams");
+    let address = fleet
+        .datagram_address(0)
+        .expect("the server receives datagrams");
     let target = LoadTarget::of(fleet, 0);
     let keep_sending = AtomicBool::new(true);
     std::thread::scope(|scope| {
@@ -146,7 +149,7 @@
 
 /// Sends datagrams that are not of the fleet, while `keep_sending` is true.
 fn flood(to: SocketAddr, datagrams_per_second: u32, keep_sending: &AtomicBool) {
-    let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
     let began = Instant::now();
     let mut sent: u64 = 0;
     while keep_sending.load(Ordering::Relaxed) {
--- a/crates/testkit/examples/pools/limits.rs
+++ b/crates/testkit/examples/pools/limits.rs
@@ -16,7 +16,7 @@
 /// Number of seeds without the fault.
 const FAULTLESS_SEEDS: u64 = 2;
 /// Number of runs in parallel: each needs a core or two for its fakes.
-const RUNS_AT_A_TIME: usize = 2;
+const RUNS_IN_PARALLEL: usize = 2;
 /// Limit of the calls in flight before its first change.
 const INITIAL_LIMIT: f64 = 12.0;
 /// Time that the limit is given to settle after the fault has begun or ended.
@@ -83,7 +83,7 @@
 
 fn measure_variant(variant: &str, operator: Option<&str>, seeds: u64, violations: &mut Violations) {
     println!("== pools {variant}");
-    let results = run_seeds(1..seeds + 1, RUNS_AT_A_TIME, |seed| {
+    let results = run_seeds(1..seeds + 1, RUNS_IN_PARALLEL, |seed| {
         Measured::new(operator, true, seed)
     });
     for (index, kind) in kinds().iter().enumerate() {
--- a/crates/testkit/examples/quotas/counters.rs
+++ b/crates/testkit/examples/quotas/counters.rs
@@ -95,7 +95,7 @@
         for server in 0..servers.min(MAX_CHECKED_SERVERS) {
             let estimate = fleet
                 .checked_estimate(server, key, FAIR_RATE)
-                .expect("counts");
+                .expect("the server counts requests");
             checks.push(Check {
                 bound: estimate.bound(),
                 value: estimate.value,
--- a/crates/testkit/examples/quotas/demand.rs
+++ b/crates/testkit/examples/quotas/demand.rs
@@ -24,10 +24,13 @@
 pub(crate) fn start(fleet: &mut impl Fleet, servers: usize) {
     start_all(fleet, 0..servers);
     let settled = wait_until(fleet, &Condition::Settled, SETTLE_TIMEOUT);
-    assert!(settled.is_finite(), "settled");
+    assert!(settled.is_finite(), "the fleet did not settle in time");
     let quotas = min_quota(servers, BASE_QUOTA);
     let has_quotas = wait_until(fleet, &quotas, QUOTA_TIMEOUT);
-    assert!(has_quotas.is_finite(), "each has its base quota");
+    assert!(
+        has_quotas.is_finite(),
+        "not every server got its base quota in time"
+    );
 }
 
 /// Returns the condition that each server may use at least `calls` calls.
--- a/crates/testkit/examples/soak/main.rs
+++ b/crates/testkit/examples/soak/main.rs
@@ -15,7 +15,7 @@
 
 /// Number of plays that run in parallel: few enough that servers, fakes and clients find a free
 /// core.
-const PLAYS_AT_A_TIME: usize = 4;
+const PLAYS_IN_PARALLEL: usize = 4;
 /// Maximum number of violations that are printed for one play.
 const MAX_PRINTED: usize = 5;
 
@@ -31,7 +31,7 @@
         return ExitCode::from(2);
     };
     let program = &arguments.program;
-    let plays = run_seeds(arguments.seeds, PLAYS_AT_A_TIME, |seed| {
+    let plays = run_seeds(arguments.seeds, PLAYS_IN_PARALLEL, |seed| {
         let found = violations(&play(program, &Plan::draw(seed)));
         print_play(seed, program, &found);
         found
--- a/crates/testkit/src/backend_simulation/calls.rs
+++ b/crates/testkit/src/backend_simulation/calls.rs
@@ -67,7 +67,7 @@
     /// Sends an attempt of a call.
     fn send_attempt(&mut self, call_id: u64, target: Target) {
         let id = self.new_id();
-        let call = self.calls.get_mut(&call_id).expect("in flight");
+        let call = self.calls.get_mut(&call_id).expect("the call is in flight");
         call.attempts.push(id);
         let attempt = Attempt {
             call: call_id,
@@ -128,7 +128,10 @@
         match self.pick_for_retry(former, failed, retries) {
             Some(target) => {
                 self.last_row().retries += 1;
-                let call = self.calls.get_mut(&former.call).expect("in flight");
+                let call = self
+                    .calls
+                    .get_mut(&former.call)
+                    .expect("the call is in flight");
                 call.retries += 1;
                 self.send_attempt(former.call, target);
             }
--- a/crates/testkit/src/backend_simulation/routing.rs
+++ b/crates/testkit/src/backend_simulation/routing.rs
@@ -49,7 +49,7 @@
             RoutingPolicy::ManagerWithGossip | RoutingPolicy::ManagerWithoutGossip => {
                 let upstream = &mut self.servers[server.index()].upstream;
                 let attempt = upstream.pick(self.now, HANDLER);
-                Target::picked(attempt.expect("there are backends"))
+                Target::picked(attempt.expect("the handler has backends"))
             }
             RoutingPolicy::RoundRobin => Target::plain(self.pick_next(server)),
             RoutingPolicy::LeastInFlight => Target::plain(self.pick_least_in_flight(server, None)),
--- a/crates/testkit/src/backend_simulation/rows.rs
+++ b/crates/testkit/src/backend_simulation/rows.rs
@@ -59,7 +59,7 @@
     }
 
     pub(super) fn last_row(&mut self) -> &mut Row {
-        self.rows.last_mut().expect("one at the start")
+        self.rows.last_mut().expect("a row is added at the start")
     }
 
     /// Returns the index of the row that contains a point in time, at most that of the last row.
--- a/crates/testkit/src/catalogue.rs
+++ b/crates/testkit/src/catalogue.rs
@@ -86,7 +86,7 @@
     /// If no port is free.
     pub fn start(slots: usize, call_duration: Duration) -> Catalogue {
         let listener = loopback_listener();
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("listener has a local address");
         let (events, received) = channel();
         let accepted = events.clone();
         std::thread::spawn(move || accept(&listener, &accepted));
@@ -125,7 +125,7 @@
 fn accept(listener: &TcpListener, events: &Sender<Event>) {
     for (connection, stream) in (0u64..).zip(listener.incoming().map_while(Result::ok)) {
         let _ = stream.set_nodelay(true);
-        let reader = stream.try_clone().expect("a second handle");
+        let reader = stream.try_clone().expect("stream can be cloned");
         if events
             .send(Event::Connected { connection, stream })
             .is_err()
--- a/crates/testkit/src/engine.rs
+++ b/crates/testkit/src/engine.rs
@@ -108,7 +108,7 @@
     /// If no port is free.
     pub fn start(cores: f64, works: Vec<HandlerWork>, seed: u64) -> Engine {
         let listener = loopback_listener();
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("listener has a local address");
         let (events, received) = channel();
         let accepted = events.clone();
         std::thread::spawn(move || accept(&listener, &accepted));
--- a/crates/testkit/src/engine/core_pool.rs
+++ b/crates/testkit/src/engine/core_pool.rs
@@ -273,7 +273,7 @@
         self.is_reading = true;
         self.is_attached = false;
         let (connection, events) = (self.newest_connection, lines.clone());
-        let reader = stream.try_clone().expect("a second handle");
+        let reader = stream.try_clone().expect("stream can be cloned");
         std::thread::spawn(move || read_lines(connection, reader, &events));
         self.connection = Some(stream);
     }
--- a/crates/testkit/src/gate.rs
+++ b/crates/testkit/src/gate.rs
@@ -31,7 +31,7 @@
     pub fn in_front_of(address: SocketAddr) -> Gate {
         let listener = loopback_listener();
         let gate = Gate {
-            address: listener.local_addr().expect("an address"),
+            address: listener.local_addr().expect("listener has a local address"),
             cut: Arc::default(),
         };
         let cut = gate.cut.clone();
--- a/crates/testkit/src/load_balancer.rs
+++ b/crates/testkit/src/load_balancer.rs
@@ -296,7 +296,7 @@
         let stream = TcpStream::connect(self.server).ok()?;
         let _ = stream.set_nodelay(true);
         let index = self.connections.len();
-        let reader = stream.try_clone().expect("a second handle");
+        let reader = stream.try_clone().expect("stream can be cloned");
         let sender = self.sender.clone();
         std::thread::spawn(move || read_lines(index, reader, &sender));
         self.connections.push(Connection {
--- a/crates/testkit/src/load_balancer/outcomes.rs
+++ b/crates/testkit/src/load_balancer/outcomes.rs
@@ -27,7 +27,7 @@
 
 /// Returns the histogram of the response times of a kind's completed requests, in milliseconds.
 pub fn latencies(records: &[RequestRecord], kind: KindId) -> Histogram<u64> {
-    let mut latencies = Histogram::new(3).expect("three digits");
+    let mut latencies = Histogram::new(3).expect("3 significant digits are valid");
     for record in records.iter().filter(|record| record.kind == kind) {
         if let [(Answer::Completed, at)] = record.answers[..] {
             let _ = latencies.record(at.saturating_sub(record.sent).as_millis() as u64);
--- a/crates/testkit/src/measurement/fleets.rs
+++ b/crates/testkit/src/measurement/fleets.rs
@@ -18,7 +18,11 @@
 pub fn release_binary() -> PathBuf {
     let path = std::env::var(PROGRAM_VARIABLE).unwrap_or_else(|_| RELEASE_BINARY.into());
     let binary = PathBuf::from(path);
-    assert!(binary.exists(), "build the release first");
+    assert!(
+        binary.exists(),
+        "{} does not exist; run cargo build --release first",
+        binary.display()
+    );
     binary
 }
 
@@ -28,7 +32,7 @@
 ///
 /// If it fails.
 pub fn act(fleet: &mut impl Fleet, action: Action) {
-    fleet.act(&action).expect("done");
+    fleet.act(&action).expect("the action succeeds");
 }
 
 /// Starts the servers with these indices under their own names.
--- a/crates/testkit/src/measurement/loads.rs
+++ b/crates/testkit/src/measurement/loads.rs
@@ -50,7 +50,7 @@
     /// If the server is not running.
     pub fn of(fleet: &ProcessFleet, server: usize) -> LoadTarget {
         LoadTarget {
-            server: fleet.server(server).expect("runs").address,
+            server: fleet.server(server).expect("the server is running").address,
             engine: fleet.engine(server).clone(),
         }
     }
@@ -85,7 +85,7 @@
 pub fn join_loads(loads: Vec<ScopedJoinHandle<'_, LoadResult>>) -> LoadResult {
     let mut all = LoadResult::default();
     for load in loads {
-        let result = load.join().expect("loaded");
+        let result = load.join().expect("the load has not panicked");
         all.records.extend(result.records);
         all.violations += result.violations;
     }
--- a/crates/testkit/src/measurement/seeds.rs
+++ b/crates/testkit/src/measurement/seeds.rs
@@ -34,9 +34,12 @@
     let waiting = Mutex::new(waiting);
     let results = Mutex::new(vec![]);
     let run_next = || {
-        let (position, seed) = waiting.lock().expect("seeds").pop_front()?;
+        let (position, seed) = waiting.lock().expect("no run has panicked").pop_front()?;
         let result = run(seed);
-        results.lock().expect("results").push((position, result));
+        results
+            .lock()
+            .expect("no run has panicked")
+            .push((position, result));
         Some(())
     };
     std::thread::scope(|scope| {
@@ -44,7 +47,7 @@
             scope.spawn(|| while run_next().is_some() {});
         }
     });
-    let mut results = results.into_inner().expect("results");
+    let mut results = results.into_inner().expect("no run has panicked");
     results.sort_by_key(|(position, _)| *position);
     results.into_iter().map(|(_, result)| result).collect()
 }
--- a/crates/testkit/src/measurement/settings.rs
+++ b/crates/testkit/src/measurement/settings.rs
@@ -20,7 +20,11 @@
 ///
 /// If the settings have no quota.
 pub fn with_quota(settings: &str, quota: f64) -> String {
-    let (before, rest) = settings.split_once(QUOTA_KEY).expect("a quota");
-    let (_, after) = rest.split_once(',').expect("other settings after it");
+    let (before, rest) = settings
+        .split_once(QUOTA_KEY)
+        .expect("the settings have a quota");
+    let (_, after) = rest
+        .split_once(',')
+        .expect("other settings follow the quota");
     format!("{before}{QUOTA_KEY}{quota:.1},{after}")
 }
--- a/crates/testkit/src/measurement/trips.rs
+++ b/crates/testkit/src/measurement/trips.rs
@@ -200,7 +200,7 @@
         let text = configuration(listen, dependencies, MAX_SOCKETS, SHUTDOWN_MS, settings);
         let mut server = Server::start(&release_binary(), &text, operator);
         let report = registry.reports.recv_timeout(SERVER_TIMEOUT);
-        report.expect("a report");
+        report.expect("the server reports to the registry");
         server.log_at("engine: up");
         let log = server.follow();
         SingleServer {
--- a/crates/testkit/src/peer.rs
+++ b/crates/testkit/src/peer.rs
@@ -29,7 +29,7 @@
 ///
 /// If no port is free.
 pub fn loopback_listener() -> TcpListener {
-    TcpListener::bind((next_listener_address(), 0)).expect("a free port")
+    TcpListener::bind((next_listener_address(), 0)).expect("a free loopback port")
 }
 
 fn next_listener_address() -> Ipv4Addr {
@@ -54,7 +54,7 @@
     pub fn new(stream: TcpStream) -> Peer {
         stream
             .set_read_timeout(Some(WAIT_TIMEOUT))
-            .expect("a time-out");
+            .expect("read timeout is set");
         Peer(BufReader::new(stream))
     }
 
@@ -64,7 +64,7 @@
     ///
     /// If the listener fails.
     pub fn accept(listener: &TcpListener) -> Peer {
-        Peer::new(listener.accept().expect("a connection").0)
+        Peer::new(listener.accept().expect("listener accepts a connection").0)
     }
 
     /// Writes `text` to the connection.
@@ -76,7 +76,7 @@
         self.0
             .get_mut()
             .write_all(text.as_bytes())
-            .expect("written");
+            .expect("text is written");
     }
 
     /// Returns the next line without its line ending; empty at the end of the connection.
@@ -86,7 +86,7 @@
     /// If no line arrives in time.
     pub fn line(&mut self) -> String {
         let mut line = String::new();
-        self.0.read_line(&mut line).expect("a line in time");
+        self.0.read_line(&mut line).expect("a line arrives in time");
         line.trim_end().to_string()
     }
 
@@ -112,9 +112,15 @@
         if !self.0.buffer().is_empty() {
             return true;
         }
-        self.0.get_ref().set_nonblocking(true).expect("set");
+        self.0
+            .get_ref()
+            .set_nonblocking(true)
+            .expect("blocking mode is set");
         let received = self.0.fill_buf().map(<[u8]>::len);
-        self.0.get_ref().set_nonblocking(false).expect("set");
+        self.0
+            .get_ref()
+            .set_nonblocking(false)
+            .expect("blocking mode is set");
         received.unwrap_or(0) > 0
     }
 
@@ -138,7 +144,9 @@
     /// If they don't arrive in time.
     pub fn bytes(&mut self, len: usize) -> Vec<u8> {
         let mut bytes = vec![0; len];
-        self.0.read_exact(&mut bytes).expect("as many bytes");
+        self.0
+            .read_exact(&mut bytes)
+            .expect("the bytes arrive in time");
         bytes
     }
 
@@ -151,7 +159,7 @@
         let began = Instant::now();
         loop {
             let line = self.line();
-            assert!(began.elapsed() < WAIT_TIMEOUT, "no command in time");
+            assert!(began.elapsed() < WAIT_TIMEOUT, "no command arrived in time");
             if !self.answer_gauges(&line) {
                 return line;
             }
--- a/crates/testkit/src/registry.rs
+++ b/crates/testkit/src/registry.rs
@@ -31,7 +31,7 @@
     /// If no port is free.
     pub fn start() -> Registry {
         let listener = loopback_listener();
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("listener has a local address");
         let (sender, reports) = channel();
         std::thread::spawn(move || serve(&listener, &sender));
         Registry { address, reports }
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -44,7 +44,7 @@
     static COUNT: AtomicU32 = AtomicU32::new(0);
     let number = COUNT.fetch_add(1, Ordering::Relaxed);
     let path = std::env::temp_dir().join(format!("madderbay-{}-{number}", std::process::id()));
-    std::fs::write(&path, text).expect("a file");
+    std::fs::write(&path, text).expect("configuration file is written");
     path
 }
 
@@ -157,8 +157,8 @@
         if let Some(file) = &operator {
             command.arg("--operator").arg(file);
         }
-        let mut child = command.spawn().expect("the binary starts");
-        let mut log = BufReader::new(child.stderr.take().expect("its log"));
+        let mut child = command.spawn().expect("the program starts");
+        let mut log = BufReader::new(child.stderr.take().expect("stderr is piped"));
         let (before, address) = wait_until_it_listens(&mut log);
         Server {
             child,
@@ -206,7 +206,7 @@
         let done = Command::new("kill")
             .args([name, &self.pid().to_string()])
             .status();
-        assert!(done.expect("kill runs").success());
+        assert!(done.expect("kill can be run").success());
     }
 
     /// Sends a signal like [`signal`](Server::signal), and ignores the failure if the process has
@@ -227,9 +227,9 @@
         let mut line = String::new();
         while !line.contains(text) {
             line.clear();
-            let log = self.log.as_mut().expect("not followed");
+            let log = self.log.as_mut().expect("the log is not followed");
             assert!(
-                log.read_line(&mut line).expect("a line") > 0,
+                log.read_line(&mut line).expect("the log can be read") > 0,
                 "the log ended without a line that contains '{text}'"
             );
         }
@@ -243,7 +243,7 @@
     ///
     /// If it was called before.
     pub fn follow(&mut self) -> Receiver<(Instant, String)> {
-        let log = self.log.take().expect("followed once");
+        let log = self.log.take().expect("the log is followed only once");
         let (lines, received) = channel();
         std::thread::spawn(move || {
             for line in log.lines().map_while(Result::ok) {
@@ -264,7 +264,10 @@
     pub fn ended_within(&mut self, timeout: Duration) -> Option<ExitStatus> {
         let began = Instant::now();
         loop {
-            let status = self.child.try_wait().expect("the process is known");
+            let status = self
+                .child
+                .try_wait()
+                .expect("the process status is available");
             if status.is_some() || began.elapsed() >= timeout {
                 return status;
             }
@@ -279,7 +282,12 @@
     /// If the process ends with a failure.
     pub fn over(mut self) {
         self.log = None;
-        assert!(self.child.wait().expect("an end").success());
+        assert!(
+            self.child
+                .wait()
+                .expect("the process can be waited for")
+                .success()
+        );
     }
 
     /// Waits until the process ends by itself, and returns the rest of the log.
@@ -291,10 +299,15 @@
         let mut log = String::new();
         self.log
             .take()
-            .expect("not followed")
+            .expect("the log is not followed")
             .read_to_string(&mut log)
-            .expect("the log");
-        assert!(self.child.wait().expect("an end").success());
+            .expect("the log can be read");
+        assert!(
+            self.child
+                .wait()
+                .expect("the process can be waited for")
+                .success()
+        );
         log
     }
 }
@@ -316,7 +329,7 @@
     while !line.contains(LISTENING_EVENT) {
         before.extend((!line.is_empty()).then(|| std::mem::take(&mut line)));
         assert!(
-            log.read_line(&mut line).expect("a line") > 0,
+            log.read_line(&mut line).expect("the log can be read") > 0,
             "the server ended before it listened: {before:?}"
         );
     }
--- a/crates/testkit/tests/measurement.rs
+++ b/crates/testkit/tests/measurement.rs
@@ -4,7 +4,7 @@
 use madderbay_testkit::measurement::settings;
 
 #[test]
-fn runs_each_seed_once_and_gives_the_results_in_order() {
+fn runs_each_seed_once_and_returns_results_in_seed_order() {
     for threads in [1, 3, 20] {
         let results = run_seeds(2..12, threads, |seed| seed * 10);
         let expected: Vec<u64> = (2..12).map(|seed| seed * 10).collect();
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn changes_nothing_but_the_quota() {
+fn with_quota_changes_only_the_quota() {
     for text in [settings::FLEET, settings::TRIPS] {
         let mut before: serde_json::Value = serde_json::from_str(text).expect("settings");
         let changed = settings::with_quota(text, 2.4);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn sets_wide_bounds_against_load_shedding() {
+fn settings_without_load_shedding_differ_only_in_two_bounds() {
     let mut before: serde_json::Value = serde_json::from_str(settings::FLEET).expect("settings");
     let changed = settings::fleet_without_load_shedding();
     let after: serde_json::Value = serde_json::from_str(&changed).expect("settings");
--- a/crates/testkit/tests/script.rs
+++ b/crates/testkit/tests/script.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn an_action_on_several_servers_is_a_step_for_each() {
+fn an_action_on_several_servers_yields_one_step_per_server() {
     let kill = |server| Step::Action(Action::Kill(server));
     assert_eq!(steps("kill n2 south"), [kill(1), kill(2)]);
     assert_eq!(steps("kill all"), [kill(0), kill(1), kill(2)]);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_start_may_have_another_clock_and_another_name() {
+fn start_accepts_a_clock_offset_and_a_server_name() {
     let start = |who, name, secs, back| {
         Step::Action(Action::Start {
             who,
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_condition_has_a_term() {
+fn conditions_have_a_term() {
     let within = |condition, ms| [Step::Within(condition, Duration::from_millis(ms))];
     assert_eq!(steps("settle 10s"), within(Condition::Settled, 10_000));
     let unknown = Condition::View {
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn an_error_has_the_place_the_word_and_what_was_expected() {
+fn an_error_names_the_line_the_word_and_the_expected_form() {
     let text = "servers 3\n\nkill n4";
     let expected = ScriptError {
         file: "test".into(),
@@ -113,17 +113,17 @@
 }
 
 /// The form that a line beginning with `quota-at-least` must have.
-const FORM_OF_QUOTA: Expected = Expected::Line("quota-at-least GROUP N TERM");
+const QUOTA_FORM: Expected = Expected::Line("quota-at-least GROUP N TERM");
 
 #[test]
-fn errors_tell_apart_what_is_wrong() {
+fn each_kind_of_invalid_word_has_its_own_error() {
     for (line, word, expected) in [
         ("jump n1", "jump", Expected::Keyword),
         ("heal n1", "heal", Expected::Line("heal")),
         ("settle 10", "10", Expected::Time),
         ("loss 2", "2", Expected::Fraction),
         ("peak many", "many", Expected::Number),
-        ("quota-at-least n1 2", "quota-at-least", FORM_OF_QUOTA),
+        ("quota-at-least n1 2", "quota-at-least", QUOTA_FORM),
         ("view n1 n1 gone 1s", "gone", Expected::State),
         ("connectivity n1 half 1s", "half", Expected::Connectivity),
         ("set memory", "memory", Expected::Assignment),
@@ -138,7 +138,7 @@
 /// A step that names no server would do nothing, and a check after it would pass for the wrong
 /// reason.
 #[test]
-fn steps_about_no_server_are_errors() {
+fn steps_without_servers_are_errors() {
     for (line, form) in [
         ("start", "start SERVERS"),
         ("kill", "kill SERVERS"),
