--- a/crates/testkit/examples/backends/cases.rs
+++ b/crates/testkit/examples/backends/cases.rs
@@ -14,41 +14,41 @@
 const TEN_TIMES_SLOWER: BackendFault = BackendFault::Slow { factor: 10.0 };
 
 pub(crate) const CASES: [(&str, SetFault); 10] = [
-    ("one 10 times slower", |simulation, on| {
-        set_one(simulation, TEN_TIMES_SLOWER, on);
+    ("one 10 times slower", |simulation, is_active| {
+        set_one(simulation, TEN_TIMES_SLOWER, is_active);
     }),
-    ("one fails at once", |simulation, on| {
-        set_one(simulation, BackendFault::Failing, on);
+    ("one fails at once", |simulation, is_active| {
+        set_one(simulation, BackendFault::Failing, is_active);
     }),
-    ("one never answers", |simulation, on| {
-        set_one(simulation, BackendFault::Silent, on);
+    ("one never answers", |simulation, is_active| {
+        set_one(simulation, BackendFault::Silent, is_active);
     }),
-    ("one refuses", |simulation, on| {
-        set_one(simulation, BackendFault::Down, on);
+    ("one refuses", |simulation, is_active| {
+        set_one(simulation, BackendFault::Down, is_active);
     }),
-    ("cut between a zone and one", |simulation, on| {
+    ("cut between a zone and one", |simulation, is_active| {
         let cut = ZoneCut {
             zone: 1,
             backend: FAULTY,
         };
-        simulation.set_zone_cuts(if on { vec![cut] } else { vec![] });
+        simulation.set_zone_cuts(if is_active { vec![cut] } else { vec![] });
     }),
-    ("one server finds all bad", |simulation, on| {
-        simulation.set_cut_off(FAULTY_SERVER, on);
+    ("one server finds all bad", |simulation, is_active| {
+        simulation.set_cut_off(FAULTY_SERVER, is_active);
     }),
-    ("one lies of three", |simulation, on| {
-        let reported: &[usize] = if on { &[1, 4, 7] } else { &[] };
+    ("one lies of three", |simulation, is_active| {
+        let reported: &[usize] = if is_active { &[1, 4, 7] } else { &[] };
         let reported = reported.iter().copied().map(SimulatedBackendId::new);
         simulation.set_falsely_reported(FAULTY_SERVER, reported.collect());
     }),
-    ("all 10 times slower", |simulation, on| {
-        set_all(simulation, TEN_TIMES_SLOWER, on);
+    ("all 10 times slower", |simulation, is_active| {
+        set_all(simulation, TEN_TIMES_SLOWER, is_active);
     }),
-    ("all fail", |simulation, on| {
-        set_all(simulation, BackendFault::Failing, on);
+    ("all fail", |simulation, is_active| {
+        set_all(simulation, BackendFault::Failing, is_active);
     }),
-    ("all never answer", |simulation, on| {
-        set_all(simulation, BackendFault::Silent, on);
+    ("all never answer", |simulation, is_active| {
+        set_all(simulation, BackendFault::Silent, is_active);
     }),
 ];
 
@@ -58,12 +58,26 @@
     case.starts_with("one ") && !case.contains("server") && !case.contains("lies")
 }
 
-fn set_one(simulation: &mut BackendSimulation, fault: BackendFault, on: bool) {
-    simulation.set_backend_fault(FAULTY, if on { fault } else { BackendFault::HEALTHY });
+fn set_one(simulation: &mut BackendSimulation, fault: BackendFault, is_active: bool) {
+    simulation.set_backend_fault(
+        FAULTY,
+        if is_active {
+            fault
+        } else {
+            BackendFault::HEALTHY
+        },
+    );
 }
 
-fn set_all(simulation: &mut BackendSimulation, fault: BackendFault, on: bool) {
+fn set_all(simulation: &mut BackendSimulation, fault: BackendFault, is_active: bool) {
     for backend in simulation.backends() {
-        simulation.set_backend_fault(backend, if on { fault } else { BackendFault::HEALTHY });
+        simulation.set_backend_fault(
+            backend,
+            if is_active {
+                fault
+            } else {
+                BackendFault::HEALTHY
+            },
+        );
     }
 }
--- a/crates/testkit/examples/backends/real.rs
+++ b/crates/testkit/examples/backends/real.rs
@@ -31,7 +31,7 @@
 const FAULT: Range<Duration> =
     Duration::from_millis(FAULT_START_MS)..Duration::from_millis(FAULT_END_MS);
 /// Interval between samples of the faulty backend's calls, in milliseconds.
-const SAMPLE_MS: u64 = 100;
+const SAMPLE_INTERVAL_MS: u64 = 100;
 /// Window over which the faulty backend's traffic is averaged, in milliseconds.
 const TRAFFIC_WINDOW_MS: u64 = 1_000;
 /// Below this fraction of its traffic without the fault, a backend counts as avoided.
@@ -74,7 +74,7 @@
     for servers in [5, 12] {
         for (fault, behavior) in FAULTS {
             for (variant, keys) in VARIANTS {
-                let row = Measured::run(servers, behavior, keys).row();
+                let row = Measurement::run(servers, behavior, keys).row();
                 println!("| {servers}, {fault} | {variant} | {row} |");
             }
         }
@@ -113,16 +113,16 @@
 }
 
 /// Results of one run.
-struct Measured {
+struct Measurement {
     load: LoadResult,
-    /// Number of calls that have reached the faulty backend, sampled every [`SAMPLE_MS`].
+    /// Number of calls that have reached the faulty backend, sampled every [`SAMPLE_INTERVAL_MS`].
     calls: Vec<u32>,
     /// Processor time per request, in milliseconds.
     cpu_ms: f64,
 }
 
-impl Measured {
-    fn run(servers: usize, fault: Behavior, keys: &str) -> Measured {
+impl Measurement {
+    fn run(servers: usize, fault: Behavior, keys: &str) -> Measurement {
         let backends: Vec<Catalogue> = (0..BACKENDS)
             .map(|_| Catalogue::start(BACKEND_SLOTS, BACKEND_CALL))
             .collect();
@@ -138,7 +138,7 @@
             (join_loads(loads), calls)
         });
         let cpu_ms = cpu_ms_per_request(fleet.cpu() - cpu_before, load.records.len());
-        Measured {
+        Measurement {
             load,
             calls,
             cpu_ms,
@@ -148,7 +148,8 @@
     /// Returns the row of the table from the third column on.
     fn row(&self) -> String {
         let normal_rate = f64::from(
-            self.calls_until(FAULT_START_MS - SAMPLE_MS) - self.calls_until(TRAFFIC_WINDOW_MS),
+            self.calls_until(FAULT_START_MS - SAMPLE_INTERVAL_MS)
+                - self.calls_until(TRAFFIC_WINDOW_MS),
         ) / ((FAULT_START_MS - TRAFFIC_WINDOW_MS) as f64 / 1e3);
         let avoided_after = self.first_window(FAULT_START_MS..FAULT_END_MS - 1_000, |calls| {
             calls < AVOIDED_FRACTION * normal_rate
@@ -181,7 +182,7 @@
 
     /// Returns the number of calls that have reached the faulty backend by a time.
     fn calls_until(&self, ms: u64) -> u32 {
-        let sample = self.calls.get((ms / SAMPLE_MS) as usize);
+        let sample = self.calls.get((ms / SAMPLE_INTERVAL_MS) as usize);
         sample.or(self.calls.last()).copied().unwrap_or(0)
     }
 
@@ -189,7 +190,7 @@
     /// one-second window whose number of calls satisfies `is_reached`; `None` if there is none.
     fn first_window(&self, time: Range<u64>, is_reached: impl Fn(f64) -> bool) -> Option<u64> {
         let window_start = time.start;
-        let mut starts = time.step_by(SAMPLE_MS as usize);
+        let mut starts = time.step_by(SAMPLE_INTERVAL_MS as usize);
         let found = starts.find(|ms| {
             let calls = self.calls_until(ms + TRAFFIC_WINDOW_MS) - self.calls_until(*ms);
             is_reached(f64::from(calls))
@@ -221,7 +222,9 @@
             backend.set_behavior(if faulty { fault } else { Behavior::Slow(1.0) });
         }
         calls.push(backend.stats().received);
-        std::thread::sleep(Duration::from_millis(SAMPLE_MS - now_ms % SAMPLE_MS));
+        std::thread::sleep(Duration::from_millis(
+            SAMPLE_INTERVAL_MS - now_ms % SAMPLE_INTERVAL_MS,
+        ));
     }
     calls
 }
--- a/crates/testkit/examples/backends/simulated.rs
+++ b/crates/testkit/examples/backends/simulated.rs
@@ -45,9 +45,9 @@
 
 /// Prints a table of all cases whose name contains `case_filter`.
 pub(crate) fn measure(servers: usize, backends: usize, case_filter: &str, seeds: u64) {
-    let each = rate(servers, backends) / backends as f64;
+    let calls_per_backend = rate(servers, backends) / backends as f64;
     println!(
-        "\n{servers} servers, {backends} backends, {each:.2} calls a second of each to each\n"
+        "\n{servers} servers, {backends} backends, {calls_per_backend:.2} calls a second of each to each\n"
     );
     let headings = [
         "case",
--- a/crates/testkit/examples/durable_results/site.rs
+++ b/crates/testkit/examples/durable_results/site.rs
@@ -15,7 +15,7 @@
 /// Number of slots of the catalogue.
 const CATALOGUE_SLOTS: usize = 64;
 /// Time that a call takes in the catalogue.
-const CALL: Duration = Duration::from_millis(5);
+const CALL_DURATION: Duration = Duration::from_millis(5);
 /// Maximum number of connections of the server.
 const MAX_SOCKETS: usize = 256;
 /// Maximum time of a shutdown, in milliseconds.
@@ -40,7 +40,7 @@
             vec![HandlerWork::new("book", work_ms, true)],
             seed,
         );
-        let catalogue = Catalogue::start(CATALOGUE_SLOTS, CALL);
+        let catalogue = Catalogue::start(CATALOGUE_SLOTS, CALL_DURATION);
         let Registry { address, reports } = Registry::start();
         std::thread::spawn(move || reports.iter().for_each(drop));
         let dependencies = Dependencies {
--- a/crates/testkit/examples/pools/limits.rs
+++ b/crates/testkit/examples/pools/limits.rs
@@ -62,7 +62,7 @@
 }
 
 /// Prints the figures of all variants, or of one.
-pub(crate) fn measure(seeds: Option<u64>, only: Option<&str>) {
+pub(crate) fn measure(seeds: Option<u64>, only_variant: Option<&str>) {
     let seeds = seeds.unwrap_or(DEFAULT_SEEDS);
     let fixed = POOLS.replace("adaptive", "fixed");
     let variants = [
@@ -73,7 +73,7 @@
     println!("{seeds} seeds; median (least to most)");
     let mut violations = Violations::default();
     for (variant, operator) in variants {
-        if only.is_none_or(|only| only == variant) {
+        if only_variant.is_none_or(|only_variant| only_variant == variant) {
             measure_variant(variant, operator, seeds, &mut violations);
         }
     }
@@ -84,7 +84,7 @@
 fn measure_variant(variant: &str, operator: Option<&str>, seeds: u64, violations: &mut Violations) {
     println!("== pools {variant}");
     let results = run_seeds(1..seeds + 1, RUNS_IN_PARALLEL, |seed| {
-        Measured::new(operator, true, seed)
+        Measurement::new(operator, true, seed)
     });
     for (index, kind) in kinds().iter().enumerate() {
         print_kind(KindId::new(index), &kind.handler, &results);
@@ -92,22 +92,25 @@
     print_calls(&results);
     // One at a time, since their processor time is compared.
     let without_fault = run_seeds(1..FAULTLESS_SEEDS + 1, 1, |seed| {
-        Measured::new(operator, false, seed)
+        Measurement::new(operator, false, seed)
     });
     println!(
         "calm only: goodput {}, CPU a request {} ms",
-        range(&without_fault, Measured::total_goodput),
-        range(&without_fault, |measured| measured.run.cpu_ms),
+        range(&without_fault, Measurement::total_goodput),
+        range(&without_fault, |measurement| measurement.run.cpu_ms),
     );
-    for measured in results.into_iter().chain(without_fault) {
-        violations.add(measured.seed, measured.run.violations);
+    for measurement in results.into_iter().chain(without_fault) {
+        violations.add(measurement.seed, measurement.run.violations);
     }
 }
 
 /// Prints the figures of one kind of request.
-fn print_kind(kind: KindId, name: &str, results: &[Measured]) {
-    let goodput =
-        |time: Range<Duration>| range(results, |measured| measured.goodput(kind, time.clone()));
+fn print_kind(kind: KindId, name: &str, results: &[Measurement]) {
+    let goodput = |time: Range<Duration>| {
+        range(results, |measurement| {
+            measurement.goodput(kind, time.clone())
+        })
+    };
     println!(
         "{name:12} goodput in calm {}, during the fault {}, in its first second {}, after it {}",
         goodput(BEFORE_FAULT),
@@ -116,7 +119,9 @@
         goodput(AFTER_FAULT),
     );
     let answered = |is_expected: fn(&Answer) -> bool| {
-        range(results, |measured| measured.answered(kind, is_expected))
+        range(results, |measurement| {
+            measurement.answered(kind, is_expected)
+        })
     };
     println!(
         "{:12} during the fault completed {}, rejected {}, failed {}",
@@ -128,20 +133,21 @@
     println!(
         "{:12} p99 of those completed {} ms",
         "",
-        range(results, |measured| measured.p99_ms(kind))
+        range(results, |measurement| measurement.p99_ms(kind))
     );
 }
 
 /// Prints the figures of the upstream calls and of their limit.
-fn print_calls(results: &[Measured]) {
-    let peak = |time: Range<Duration>| range(results, |measured| measured.peak(time.clone()));
+fn print_calls(results: &[Measurement]) {
+    let peak = |time: Range<Duration>| range(results, |measurement| measurement.peak(time.clone()));
     println!(
         "most calls in flight upstream: during the fault {}, after its first second {}, after it {}",
         peak(FAULT),
         peak(FAULT.start + FIRST_SECOND..FAULT.end),
         peak(AFTER_FAULT),
     );
-    let swing = |time: Range<Duration>| range(results, |measured| measured.swing(time.clone()));
+    let swing =
+        |time: Range<Duration>| range(results, |measurement| measurement.swing(time.clone()));
     println!(
         "swing of the limit from 3 s on: during the fault {}, after it {}",
         swing(FAULT.start + SETTLING_TIME..FAULT.end),
@@ -149,12 +155,12 @@
     );
     println!(
         "CPU a request in all {} ms",
-        range(results, |measured| measured.run.cpu_ms)
+        range(results, |measurement| measurement.run.cpu_ms)
     );
 }
 
 /// Formats the median, the minimum and the maximum of a figure.
-fn range(results: &[Measured], figure: impl Fn(&Measured) -> f64) -> String {
+fn range(results: &[Measurement], figure: impl Fn(&Measurement) -> f64) -> String {
     let mut values: Vec<f64> = results.iter().map(figure).collect();
     let median = median(&mut values);
     let least = values[0];
@@ -182,14 +188,14 @@
 }
 
 /// Results of one run.
-struct Measured {
+struct Measurement {
     seed: u64,
     run: ServerRun,
     limit_changes: Vec<LimitChange>,
 }
 
-impl Measured {
-    fn new(operator: Option<&str>, fault: bool, seed: u64) -> Measured {
+impl Measurement {
+    fn new(operator: Option<&str>, fault: bool, seed: u64) -> Measurement {
         let scenario = Scenario {
             settings: SETTINGS,
             operator,
@@ -201,7 +207,7 @@
         let run = scenario.run();
         let log = run.log.iter();
         let limit_changes = log.filter_map(|(at, line)| LimitChange::read(*at, line));
-        Measured {
+        Measurement {
             seed,
             limit_changes: limit_changes.collect(),
             run,
--- a/crates/testkit/examples/pools/quotas.rs
+++ b/crates/testkit/examples/pools/quotas.rs
@@ -21,21 +21,21 @@
 
 /// Prints a row for each quota without pools and one with them; given one quota, prints only its
 /// rows and the log lines about its limit.
-pub(crate) fn measure(seeds: Option<u64>, only: Option<f64>) {
+pub(crate) fn measure(seeds: Option<u64>, only_quota: Option<f64>) {
     let seeds = seeds.unwrap_or(DEFAULT_SEEDS);
     println!(
         "goodput during the fault, median of {seeds} seeds: trip-search, fare-quote, seat-book; most calls upstream; after it"
     );
     for quota in QUOTAS {
-        if only.is_some_and(|only| only != quota) {
+        if only_quota.is_some_and(|only_quota| only_quota != quota) {
             continue;
         }
         for (variant, operator) in [("off", None), ("adaptive", Some(POOLS))] {
             let results = run_seeds(1..seeds + 1, seeds as usize, |seed| {
-                Measured::new(operator, quota, seed)
+                Measurement::new(operator, quota, seed)
             });
             print_row(quota, variant, &results);
-            if only.is_some() {
+            if only_quota.is_some() {
                 let lines = results[0].limit_lines.iter();
                 lines.for_each(|(at, line)| println!("  {:6.2} {line}", at.as_secs_f64()));
             }
@@ -43,28 +43,31 @@
     }
 }
 
-fn print_row(quota: f64, variant: &str, results: &[Measured]) {
-    let median_of = |figure: &dyn Fn(&Measured) -> f64| {
+fn print_row(quota: f64, variant: &str, results: &[Measurement]) {
+    let median_of = |figure: &dyn Fn(&Measurement) -> f64| {
         let mut values: Vec<f64> = results.iter().map(figure).collect();
         median(&mut values)
     };
-    let of_handlers = |figures: fn(&Measured) -> [f64; 3]| {
+    let of_handlers = |figures: fn(&Measurement) -> [f64; 3]| {
         [0, 1, 2]
-            .map(|handler| median_of(&|measured| figures(measured)[handler]))
+            .map(|handler| median_of(&|measurement| figures(measurement)[handler]))
             .map(|median| format!("{median:.2}"))
             .join(", ")
     };
-    let violations: usize = results.iter().map(|measured| measured.violations).sum();
+    let violations: usize = results
+        .iter()
+        .map(|measurement| measurement.violations)
+        .sum();
     println!(
         "| {quota} | {variant} | {} | {} | {} | {violations} |",
-        of_handlers(|measured| measured.goodput_during_fault),
-        median_of(&|measured| measured.peak as f64),
-        of_handlers(|measured| measured.goodput_after_fault),
+        of_handlers(|measurement| measurement.goodput_during_fault),
+        median_of(&|measurement| measurement.peak as f64),
+        of_handlers(|measurement| measurement.goodput_after_fault),
     );
 }
 
 /// Results of one run.
-struct Measured {
+struct Measurement {
     /// Goodput of each handler during the fault.
     goodput_during_fault: [f64; 3],
     /// Goodput of each handler after the fault.
@@ -76,8 +79,8 @@
     violations: usize,
 }
 
-impl Measured {
-    fn new(operator: Option<&str>, quota: f64, seed: u64) -> Measured {
+impl Measurement {
+    fn new(operator: Option<&str>, quota: f64, seed: u64) -> Measurement {
         let scenario = Scenario {
             settings: &settings::with_quota(settings::TRIPS, quota),
             operator,
@@ -96,7 +99,7 @@
         let goodput_after_fault = goodput_of_handlers(AFTER_FAULT);
         let peak = run.peak(FAULT);
         let log = run.log.into_iter();
-        Measured {
+        Measurement {
             goodput_during_fault,
             goodput_after_fault,
             peak,
--- a/crates/testkit/examples/quotas/simulated.rs
+++ b/crates/testkit/examples/quotas/simulated.rs
@@ -26,7 +26,7 @@
 const PARTITIONED_CENTRAL_SECS: f64 = 15.0;
 
 /// Prints the table, or only the rows of one number of servers.
-pub(crate) fn measure(only: Option<usize>) {
+pub(crate) fn measure(only_servers: Option<usize>) {
     let headings = [
         "servers, demand",
         "variant",
@@ -38,7 +38,7 @@
     println!("{}", table_head(&headings));
     let servers = SERVERS
         .into_iter()
-        .filter(|servers| only.is_none_or(|only| only == *servers));
+        .filter(|servers| only_servers.is_none_or(|only_servers| only_servers == *servers));
     for servers in servers {
         let mut measured = MeasuredFleet::start(servers);
         for shape in DemandShape::ALL {
--- a/crates/testkit/examples/quotas/slow_catalogue.rs
+++ b/crates/testkit/examples/quotas/slow_catalogue.rs
@@ -13,7 +13,8 @@
 use madderbay_testkit::measurement::report::{cpu_ms_per_request, table_head};
 use madderbay_testkit::measurement::settings;
 use madderbay_testkit::measurement::trips::{
-    AFTER_FAULT, CALL, FAULT, LOAD_LENGTH, REQUEST_TIMEOUT_MS, SLOTS, SlowDown, kinds, rates, works,
+    AFTER_FAULT, CALL_DURATION, CATALOGUE_SLOTS, FAULT, LOAD_LENGTH, REQUEST_TIMEOUT_MS, SlowDown,
+    kinds, rates, works,
 };
 use std::ops::Range;
 use std::time::Duration as StdDuration;
@@ -25,7 +26,7 @@
 const CAPACITY: u32 = 12;
 const START_TIMEOUT: Duration = Duration::from_millis(30_000);
 /// Maximum time of a call under the quota.
-const MAX_CALL: Duration = Duration::from_millis(4_000);
+const MAX_CALL_DURATION: Duration = Duration::from_millis(4_000);
 
 const POOLS: &str = "[pools]\nenabled = on\n[pool seats]\nhandlers = seat-book\n[pool searches]\n\
      handlers = trip-search\ncalls_weight = 0\n[reserve]\nhandlers = fare-quote\npart = 0.1\n";
@@ -47,7 +48,7 @@
 }
 
 fn print_row(variant: &str, leases: bool) {
-    let catalogue = Catalogue::start(SLOTS, CALL);
+    let catalogue = Catalogue::start(CATALOGUE_SLOTS, CALL_DURATION);
     let fleet = start_fleet(&catalogue, leases);
     catalogue.peak();
     let cpu_before = fleet.cpu();
@@ -72,10 +73,10 @@
 /// Starts servers that share one catalogue, with leases of a quota or with a fixed part of the
 /// capacity each.
 fn start_fleet(catalogue: &Catalogue, leases: bool) -> ProcessFleet {
-    let mut setup = setup(SERVERS, CAPACITY, CALL.as_millis() as u64);
+    let mut setup = setup(SERVERS, CAPACITY, CALL_DURATION.as_millis() as u64);
     if let Some(quota) = &mut setup.budget {
         quota.handlers = "trip-search, seat-book";
-        quota.max_call = MAX_CALL;
+        quota.max_call = MAX_CALL_DURATION;
     }
     if !leases {
         setup.budget = None;
--- a/crates/testkit/src/backend_simulation/mod.rs
+++ b/crates/testkit/src/backend_simulation/mod.rs
@@ -36,7 +36,7 @@
 
 use self::backends::SimulatedBackend;
 use self::calls::{Attempt, Call};
-use self::rows::ROW;
+use self::rows::ROW_DURATION;
 use self::servers::SimulatedServer;
 use self::setup::server_name;
 use crate::event_queue::EventQueue;
@@ -105,7 +105,7 @@
     events: EventQueue<Timestamp, Event>,
     zone_cuts: Vec<ZoneCut>,
     gossip_partition: GossipPartition,
-    /// Observations, one row for each [`ROW`] of time.
+    /// Observations, one row for each [`ROW_DURATION`] of time.
     rows: Vec<Row>,
     /// Latencies of successful calls since the list was last cleared, in milliseconds.
     latencies_ms: Vec<f64>,
@@ -181,7 +181,7 @@
         let end = self.now + duration;
         while let Some((at, event)) = self.events.pop_until(end) {
             self.now = at;
-            while self.now >= START + ROW.mul_f64(self.rows.len() as f64) {
+            while self.now >= START + ROW_DURATION.mul_f64(self.rows.len() as f64) {
                 self.begin_row();
             }
             self.handle(event);
--- a/crates/testkit/src/backend_simulation/rows.rs
+++ b/crates/testkit/src/backend_simulation/rows.rs
@@ -8,8 +8,8 @@
 use std::ops::Range;
 
 /// Length of time that a row covers.
-pub(super) const ROW: Duration = Duration::from_millis(100);
-const ROW_MS: u64 = ROW.as_micros() / 1_000;
+pub(super) const ROW_DURATION: Duration = Duration::from_millis(100);
+const ROW_MS: u64 = ROW_DURATION.as_micros() / 1_000;
 /// Window over which a backend's traffic is averaged, in milliseconds.
 const TRAFFIC_WINDOW_MS: u64 = 1_000;
 /// Fraction of the successful calls that ended within [`BackendSimulation::slowest_ms`].
@@ -64,7 +64,7 @@
 
     /// Returns the index of the row that contains a point in time, at most that of the last row.
     pub(super) fn row_at(&self, at: Timestamp) -> usize {
-        let index = (at - START).as_micros() / ROW.as_micros();
+        let index = (at - START).as_micros() / ROW_DURATION.as_micros();
         (index as usize).min(self.rows.len() - 1)
     }
 
@@ -145,7 +145,7 @@
     pub fn ejected_seconds(&self, backend: SimulatedBackendId, millis: Range<u64>) -> f64 {
         let rows = self.rows(millis).iter();
         let ejected = rows.map(|row| f64::from(row.ejected_by_backend[backend.index()]));
-        ejected.sum::<f64>() * ROW.as_secs_f64()
+        ejected.sum::<f64>() * ROW_DURATION.as_secs_f64()
     }
 
     /// Discards the latencies recorded so far.
--- a/crates/testkit/src/catalogue.rs
+++ b/crates/testkit/src/catalogue.rs
@@ -25,7 +25,7 @@
 /// Maximum wait for an event.
 const IDLE_WAIT: Duration = Duration::from_millis(100);
 /// Interval between samples of the calls in flight, in milliseconds.
-const SAMPLE_MS: u128 = 10;
+const SAMPLE_INTERVAL_MS: u128 = 10;
 
 /// How the catalogue handles its calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -233,7 +233,7 @@
 
     /// Adds the samples of the calls in flight that are due by now.
     fn sample(&mut self, started: Instant) {
-        let samples = (started.elapsed().as_millis() / SAMPLE_MS) as usize;
+        let samples = (started.elapsed().as_millis() / SAMPLE_INTERVAL_MS) as usize;
         if self.stats.in_flight.len() < samples {
             self.stats.in_flight.resize(samples, self.calls.len());
         }
--- a/crates/testkit/src/measurement/trips.rs
+++ b/crates/testkit/src/measurement/trips.rs
@@ -28,9 +28,9 @@
 /// Time that clients wait for an answer, in milliseconds.
 pub const REQUEST_TIMEOUT_MS: u64 = 8_000;
 /// Number of slots of the catalogue.
-pub const SLOTS: usize = 8;
+pub const CATALOGUE_SLOTS: usize = 8;
 /// Time that a call takes in the healthy catalogue.
-pub const CALL: Duration = Duration::from_millis(25);
+pub const CALL_DURATION: Duration = Duration::from_millis(25);
 
 const FAULT_START: Duration = Duration::from_secs(5);
 const FAULT_END: Duration = Duration::from_secs(13);
@@ -39,11 +39,11 @@
 /// Requests per second during the peak at the beginning of the fault.
 const PEAK_RATE: f64 = 144.0;
 /// Time for which requests arrive at the peak rate.
-const PEAK: Duration = Duration::from_secs(5);
+const PEAK_DURATION: Duration = Duration::from_secs(5);
 /// Multiple of the usual call time during the fault.
 const SLOWDOWN_FACTOR: f64 = 20.0;
 /// Interval between samples of the calls in flight, in milliseconds.
-const SAMPLE_MS: usize = 10;
+const SAMPLE_INTERVAL_MS: usize = 10;
 /// Upper bound on the wait for a server's first report, and for each line of its log.
 const SERVER_TIMEOUT: Duration = Duration::from_secs(10);
 /// Maximum time of a server's shutdown, in milliseconds.
@@ -78,7 +78,7 @@
         vec![
             (Duration::ZERO, RATE),
             (FAULT_START, PEAK_RATE),
-            (FAULT_START + PEAK, RATE),
+            (FAULT_START + PEAK_DURATION, RATE),
         ]
     } else {
         vec![(Duration::ZERO, RATE)]
@@ -129,7 +129,8 @@
     /// Returns the largest number of calls in flight at the catalogue during a time range since the
     /// start of the load.
     pub fn peak(&self, time: Range<Duration>) -> usize {
-        let sample = |at: Duration| (at.as_millis() as usize / SAMPLE_MS).min(self.in_flight.len());
+        let sample =
+            |at: Duration| (at.as_millis() as usize / SAMPLE_INTERVAL_MS).min(self.in_flight.len());
         let samples = &self.in_flight[sample(time.start)..sample(time.end)];
         samples.iter().copied().max().unwrap_or(0)
     }
@@ -189,7 +190,7 @@
         seed: u64,
     ) -> SingleServer {
         let engine = Engine::start(ENGINE_CORES, works, seed);
-        let catalogue = Catalogue::start(SLOTS, CALL);
+        let catalogue = Catalogue::start(CATALOGUE_SLOTS, CALL_DURATION);
         let registry = Registry::start();
         let dependencies = Dependencies {
             engine: engine.address,
