--- a/crates/testkit/examples/backends/real.rs
+++ b/crates/testkit/examples/backends/real.rs
@@ -58,7 +58,7 @@
     ),
 ];
 
-/// Prints the table of all faults and variants.
+/// Measures each fault with each variant, and prints the table.
 pub(crate) fn measure() {
     let headings = [
         "processes, fault",
--- a/crates/testkit/examples/durable_results/histories.rs
+++ b/crates/testkit/examples/durable_results/histories.rs
@@ -57,7 +57,7 @@
     retries_completed: u32,
     retries_failed: u32,
     retries_rejected: u32,
-    /// One line for each violated guarantee.
+    /// One line for each violation of a guarantee.
     violations: Vec<String>,
 }
 
--- a/crates/testkit/examples/durable_results/recovery.rs
+++ b/crates/testkit/examples/durable_results/recovery.rs
@@ -18,7 +18,7 @@
 /// Minimum and maximum work of a booking, in milliseconds.
 const WORK_MS: (f64, f64) = (1.0, 2.0);
 
-/// Prints a line for each number of keys.
+/// Measures a recovery for each number of keys, and prints one line for each.
 pub(crate) fn measure() {
     for keys in KEYS {
         let site = Site::new(Some("grouped"), WORK_MS, 1);
--- a/crates/testkit/examples/membership/hour.rs
+++ b/crates/testkit/examples/membership/hour.rs
@@ -20,7 +20,7 @@
 /// Seed that determines the servers that are paused.
 const PAUSE_SEED: u128 = 5;
 
-/// Prints a line for each variant.
+/// Simulates the hour for each variant, and prints one line for each.
 pub(crate) fn measure() {
     let variants = [
         ("this protocol", true),
--- a/crates/testkit/examples/membership/processes.rs
+++ b/crates/testkit/examples/membership/processes.rs
@@ -77,7 +77,7 @@
     (fleet, settled)
 }
 
-/// Prints the table of the faults.
+/// Plays the faults in fleets of several sizes with several loss rates, and prints the table.
 pub(crate) fn measure(seeds: u64) {
     print_table_head("processes, loss");
     for servers in [5, 12, 40] {
@@ -162,7 +162,7 @@
     }
 }
 
-/// Prints the processor time of idle servers, with membership and without.
+/// Prints the processor time of idle servers with and without membership.
 pub(crate) fn measure_idle_cost() {
     for servers in [5, 12] {
         let (fleet, _) = started_fleet(FleetSetup::of(servers), 1);
--- a/crates/testkit/examples/pools/limits.rs
+++ b/crates/testkit/examples/pools/limits.rs
@@ -61,7 +61,7 @@
     ]
 }
 
-/// Prints the figures of all variants, or of one.
+/// Measures all variants or only one, and prints their figures.
 pub(crate) fn measure(seeds: Option<u64>, only_variant: Option<&str>) {
     let seeds = seeds.unwrap_or(DEFAULT_SEEDS);
     let fixed = POOLS.replace("adaptive", "fixed");
@@ -90,7 +90,7 @@
         print_kind(KindId::new(index), &kind.handler, &results);
     }
     print_calls(&results);
-    // One at a time, since their processor time is compared.
+    // These runs are made one at a time, since their processor time is compared.
     let without_fault = run_seeds(1..FAULTLESS_SEEDS + 1, 1, |seed| {
         Measurement::new(operator, false, seed)
     });
--- a/crates/testkit/examples/quotas/processes.rs
+++ b/crates/testkit/examples/quotas/processes.rs
@@ -22,7 +22,7 @@
     vec![HandlerWork::new("book", (1.0, 3.0), true)]
 }
 
-/// Prints the table.
+/// Measures all shapes of demand, and prints the table.
 pub(crate) fn measure() {
     let headings = [
         "processes, demand",
--- a/crates/testkit/examples/quotas/slow_catalogue.rs
+++ b/crates/testkit/examples/quotas/slow_catalogue.rs
@@ -31,7 +31,7 @@
 const POOLS: &str = "[pools]\nenabled = on\n[pool seats]\nhandlers = seat-book\n[pool searches]\n\
      handlers = trip-search\ncalls_weight = 0\n[reserve]\nhandlers = fare-quote\npart = 0.1\n";
 
-/// Prints the table.
+/// Runs the scenario with each variant, and prints the table.
 pub(crate) fn measure() {
     let headings = [
         "variant",
--- a/crates/testkit/src/backend_simulation/calls.rs
+++ b/crates/testkit/src/backend_simulation/calls.rs
@@ -144,7 +144,8 @@
         (call.started_at + self.setup.timeout) - self.now
     }
 
-    /// Records the success of a call by one of its attempts; earlier attempts have lost to a hedge.
+    /// Completes a call by one of its attempts; attempts that were sent earlier have lost to that
+    /// one.
     fn call_succeeds(&mut self, id: u64, attempt: u64) {
         let call = &self.calls[&id];
         let others = call.attempts.iter().copied();
