--- a/crates/testkit/examples/membership/row.rs
+++ b/crates/testkit/examples/membership/row.rs
@@ -49,8 +49,8 @@
     }
 
     /// Plays the faults: all servers but the last start and settle, the last one joins, one
-    /// crashes, a third of them is partitioned off, and the partition heals. `measure_settled`
-    /// measures the cost of the settled fleet before the join.
+    /// crashes, a third of the servers is partitioned off, and the partition heals.
+    /// `measure_settled` measures the cost of the settled fleet before the join.
     pub(crate) fn play<F: Fleet>(
         &mut self,
         fleet: &mut F,
