--- a/crates/testkit/examples/backends/real.rs
+++ b/crates/testkit/examples/backends/real.rs
@@ -1,5 +1,5 @@
-//! Real processes over ten fake backends, one of which has a fault for some seconds: with all of the
-//! selection, without gossip, and without ejections and retries.
+//! Measurements of real processes with ten fake backends, one of which is faulty for some seconds:
+//! with the complete selection of backends, without gossip, and without ejections and retries.
 
 use crate::cases::FAULTY;
 use madderbay_testkit::catalogue::{Behavior, Catalogue};
@@ -19,33 +19,36 @@
 const BACKENDS: usize = 10;
 const BACKEND_SLOTS: usize = 100;
 const BACKEND_CALL: Duration = Duration::from_millis(20);
-/// Requests a second at each server.
+/// Requests per second at each server.
 const RATE: f64 = 10.0;
 const LATENCY_OBJECTIVE: Duration = Duration::from_secs(2);
-/// When the fault begins, when it ends, and the end of the load, in milliseconds.
-const CALM_MS: u64 = 5_000;
-const OVER_MS: u64 = 13_000;
-const END_MS: u64 = 25_000;
-const FAULT: Range<Duration> = Duration::from_millis(CALM_MS)..Duration::from_millis(OVER_MS);
-/// The time between two samples of the faulty backend's calls, in milliseconds.
-const SAMPLE_MS: u64 = 100;
-/// The time over which its traffic is averaged, in milliseconds.
-const SECOND_MS: u64 = 1_000;
-/// With less than this part of its traffic without the fault, a backend is avoided.
-const AVOIDED_PART: f64 = 0.4;
-/// With more than this part of its traffic without the fault, a backend has returned.
-const BACK_PART: f64 = 0.5;
-/// A server's quota upstream, in calls, so large that it never matters.
+/// Start of the fault, in milliseconds since the start of the load.
+const FAULT_START_MS: u64 = 5_000;
+/// End of the fault, in milliseconds since the start of the load.
+const FAULT_END_MS: u64 = 13_000;
+/// End of the load, in milliseconds since its start.
+const LOAD_END_MS: u64 = 25_000;
+const FAULT: Range<Duration> =
+    Duration::from_millis(FAULT_START_MS)..Duration::from_millis(FAULT_END_MS);
+/// Interval between samples of the faulty backend's calls, in milliseconds.
+const SAMPLE_INTERVAL_MS: u64 = 100;
+/// Window over which the faulty backend's traffic is averaged, in milliseconds.
+const TRAFFIC_WINDOW_MS: u64 = 1_000;
+/// Below this fraction of its traffic without the fault, a backend counts as avoided.
+const AVOIDED_FRACTION: f64 = 0.4;
+/// Above this fraction of its traffic without the fault, a backend counts as returned.
+const RETURNED_FRACTION: f64 = 0.5;
+/// Upstream quota of a server, in calls; so large that it never limits the calls.
 const QUOTA: f64 = 60.0;
-/// The time that clients wait for an answer, in milliseconds.
+/// Time that clients wait for an answer, in milliseconds.
 const REQUEST_TIMEOUT_MS: u64 = 3_000;
-/// The faults, and their names in the table.
+/// Faults with their names in the table.
 const FAULTS: [(&str, Behavior); 3] = [
     ("10 times slower", Behavior::Slow(10.0)),
     ("fails at once", Behavior::Fails),
     ("never answers", Behavior::Silent),
 ];
-/// The variants, and their keys in the operator file.
+/// Variants with their keys in the operator file.
 const VARIANTS: [(&str, &str); 3] = [
     ("shared observations", ""),
     ("own observations", "shares = off\n"),
@@ -55,9 +58,9 @@
     ),
 ];
 
-/// Prints the table of all faults and variants.
+/// Measures each fault with each variant, and prints the table.
 pub(crate) fn measure() {
-    let heads = [
+    let headings = [
         "processes, fault",
         "variant",
         "success: search, book",
@@ -67,11 +70,11 @@
         "CPU a request, ms",
         "invariants violated",
     ];
-    println!("{}", table_head(&heads));
+    println!("{}", table_head(&headings));
     for servers in [5, 12] {
         for (fault, behavior) in FAULTS {
             for (variant, keys) in VARIANTS {
-                let row = Measured::run(servers, behavior, keys).row();
+                let row = Measurement::run(servers, behavior, keys).row();
                 println!("| {servers}, {fault} | {variant} | {row} |");
             }
         }
@@ -85,7 +88,7 @@
     ]
 }
 
-/// Starts servers that have these backends, and these keys for them in the operator file.
+/// Starts servers with these backends and these additional keys in the operator file.
 fn start_fleet(servers: usize, backends: &[Catalogue], keys: &str) -> ProcessFleet {
     let work = |handler| HandlerWork::new(handler, (1.0, 2.0), true);
     let works = [work("search"), work("book")];
@@ -109,17 +112,17 @@
     fleet
 }
 
-/// What one run has shown.
-struct Measured {
+/// Results of one run.
+struct Measurement {
     load: LoadResult,
-    /// Calls that have reached the faulty backend, sampled every [`SAMPLE_MS`].
+    /// Number of calls that have reached the faulty backend, sampled every [`SAMPLE_INTERVAL_MS`].
     calls: Vec<u32>,
-    /// The processor time for each request, in milliseconds.
+    /// Processor time per request, in milliseconds.
     cpu_ms: f64,
 }
 
-impl Measured {
-    fn run(servers: usize, fault: Behavior, keys: &str) -> Measured {
+impl Measurement {
+    fn run(servers: usize, fault: Behavior, keys: &str) -> Measurement {
         let backends: Vec<Catalogue> = (0..BACKENDS)
             .map(|_| Catalogue::start(BACKEND_SLOTS, BACKEND_CALL))
             .collect();
@@ -135,21 +138,25 @@
             (join_loads(loads), calls)
         });
         let cpu_ms = cpu_ms_per_request(fleet.cpu() - cpu_before, load.records.len());
-        Measured {
+        Measurement {
             load,
             calls,
             cpu_ms,
         }
     }
 
-    /// The row of the table from the third column on.
+    /// Returns the row of the table from the third column on.
     fn row(&self) -> String {
-        let fair = f64::from(self.calls_until(CALM_MS - SAMPLE_MS) - self.calls_until(SECOND_MS))
-            / ((CALM_MS - SECOND_MS) as f64 / 1e3);
-        let off = self.first_second(CALM_MS..OVER_MS - 1_000, |calls| {
-            calls < AVOIDED_PART * fair
+        let normal_rate = f64::from(
+            self.calls_until(FAULT_START_MS - SAMPLE_INTERVAL_MS)
+                - self.calls_until(TRAFFIC_WINDOW_MS),
+        ) / ((FAULT_START_MS - TRAFFIC_WINDOW_MS) as f64 / 1e3);
+        let avoided_after = self.first_window(FAULT_START_MS..FAULT_END_MS - 1_000, |calls| {
+            calls < AVOIDED_FRACTION * normal_rate
+        });
+        let returned_after = self.first_window(FAULT_END_MS..LOAD_END_MS - 1_500, |calls| {
+            calls > RETURNED_FRACTION * normal_rate
         });
-        let back = self.first_second(OVER_MS..END_MS - 1_500, |calls| calls > BACK_PART * fair);
         let secs =
             |ms: Option<u64>| ms.map_or("never".into(), |ms| format!("{:.1}", ms as f64 / 1e3));
         format!(
@@ -157,14 +164,15 @@
             goodput(&self.load.records, &kinds(), KindId::new(0), FAULT),
             goodput(&self.load.records, &kinds(), KindId::new(1), FAULT),
             self.p99_of_searches_ms(),
-            secs(off),
-            secs(back),
+            secs(avoided_after),
+            secs(returned_after),
             self.cpu_ms,
             self.load.violations
         )
     }
 
-    /// The 99th percentile of the response times of searches during the fault, in milliseconds.
+    /// Returns the 99th percentile of the response times of searches during the fault, in
+    /// milliseconds.
     fn p99_of_searches_ms(&self) -> u64 {
         let during_fault = self.load.records.iter();
         let during_fault = during_fault.filter(|record| FAULT.contains(&record.sent));
@@ -172,21 +180,22 @@
         latencies(&records, KindId::new(0)).value_at_quantile(0.99)
     }
 
-    /// Calls that have reached the faulty backend by a time.
+    /// Returns the number of calls that have reached the faulty backend by a time.
     fn calls_until(&self, ms: u64) -> u32 {
-        let sample = self.calls.get((ms / SAMPLE_MS) as usize);
+        let sample = self.calls.get((ms / SAMPLE_INTERVAL_MS) as usize);
         sample.or(self.calls.last()).copied().unwrap_or(0)
     }
 
-    /// After how many milliseconds of a time the calls of one second are as wanted.
-    fn first_second(&self, time: Range<u64>, wanted: impl Fn(f64) -> bool) -> Option<u64> {
-        let begin = time.start;
-        let mut starts = time.step_by(SAMPLE_MS as usize);
+    /// Returns the time in milliseconds from the start of `time` until the start of the first
+    /// one-second window whose number of calls satisfies `is_reached`; `None` if there is none.
+    fn first_window(&self, time: Range<u64>, is_reached: impl Fn(f64) -> bool) -> Option<u64> {
+        let window_start = time.start;
+        let mut starts = time.step_by(SAMPLE_INTERVAL_MS as usize);
         let found = starts.find(|ms| {
-            let calls = self.calls_until(ms + SECOND_MS) - self.calls_until(*ms);
-            wanted(f64::from(calls))
+            let calls = self.calls_until(ms + TRAFFIC_WINDOW_MS) - self.calls_until(*ms);
+            is_reached(f64::from(calls))
         });
-        found.map(|ms| ms - begin)
+        found.map(|ms| ms - window_start)
     }
 }
 
@@ -194,25 +203,28 @@
     Load {
         kinds: kinds(),
         rates: vec![(Duration::ZERO, RATE)],
-        length: Duration::from_millis(END_MS),
+        length: Duration::from_millis(LOAD_END_MS),
         seed: server as u64,
         timeout_ms: REQUEST_TIMEOUT_MS,
     }
 }
 
-/// Sets the fault of a backend while it is time, and samples the calls that have reached it.
+/// Makes a backend faulty during the time of the fault, and returns samples of the number of calls
+/// that have reached it.
 fn play_fault(backend: &Catalogue, fault: Behavior) -> Vec<u32> {
     let began = Instant::now();
     let mut calls = vec![];
     let mut faulty = false;
-    while began.elapsed() < Duration::from_millis(END_MS) {
+    while began.elapsed() < Duration::from_millis(LOAD_END_MS) {
         let now_ms = began.elapsed().as_millis() as u64;
-        if (CALM_MS..OVER_MS).contains(&now_ms) != faulty {
+        if (FAULT_START_MS..FAULT_END_MS).contains(&now_ms) != faulty {
             faulty = !faulty;
             backend.set_behavior(if faulty { fault } else { Behavior::Slow(1.0) });
         }
         calls.push(backend.stats().received);
-        std::thread::sleep(Duration::from_millis(SAMPLE_MS - now_ms % SAMPLE_MS));
+        std::thread::sleep(Duration::from_millis(
+            SAMPLE_INTERVAL_MS - now_ms % SAMPLE_INTERVAL_MS,
+        ));
     }
     calls
 }
--- a/crates/testkit/examples/membership/processes.rs
+++ b/crates/testkit/examples/membership/processes.rs
@@ -1,7 +1,7 @@
-//! Real processes: the faults of a row, what membership costs, and a flood of datagrams that are
-//! rejected.
+//! Measurements of real processes: the faults of a table row, the cost of membership, and a flood
+//! of datagrams that are rejected.
 
-use crate::row::{Row, print_head, settle};
+use crate::row::{Row, print_table_head, settle};
 use madderbay_testkit::engine::{Engine, HandlerWork};
 use madderbay_testkit::fleet::processes::ProcessFleet;
 use madderbay_testkit::fleet::script::{Action, FleetSetup};
@@ -16,24 +16,28 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// The time over which the processor time of a row is measured.
-const CALM: Duration = Duration::from_secs(5);
-/// The time over which the processor time of idle servers is measured.
+/// Time over which the processor time of a row is measured.
+const MEASURED_TIME: Duration = Duration::from_secs(5);
+/// Time over which the processor time of idle servers is measured.
 const IDLE_TIME: Duration = Duration::from_secs(20);
-/// The load under a flood: its length in seconds, its requests a second and its seed.
+/// Length of the load under a flood, in seconds.
 const FLOOD_SECS: u64 = 10;
+/// Requests per second of the load under a flood.
 const FLOOD_RATE: f64 = 200.0;
+/// Seed of the load under a flood.
 const FLOOD_SEED: u64 = 3;
-/// The size of a datagram of a flood, and the time between two bursts of them.
+/// Size of a datagram of a flood, in bytes.
 const FLOOD_DATAGRAM_BYTES: usize = 200;
+/// Time between two bursts of datagrams of a flood.
 const FLOOD_PAUSE: Duration = Duration::from_millis(1);
 const LATENCY_OBJECTIVE: Duration = Duration::from_secs(2);
-/// The time that clients wait for an answer, in milliseconds.
+/// Time that clients wait for an answer, in milliseconds.
 const REQUEST_TIMEOUT_MS: u64 = 5_000;
-/// A server without a fleet: the cores of its engine, its connections, and the time of its shutdown
-/// in milliseconds.
+/// Number of cores of the engine of a server without a fleet.
 const ENGINE_CORES: f64 = 2.0;
+/// Maximum number of connections of a server without a fleet.
 const MAX_SOCKETS: usize = 128;
+/// Maximum time of the shutdown of a server without a fleet, in milliseconds.
 const SHUTDOWN_MS: u64 = 500;
 
 fn works() -> Vec<HandlerWork> {
@@ -45,7 +49,7 @@
     ]
 }
 
-/// A load of all three handlers for some seconds, of so many requests a second.
+/// Returns a load of all three handlers for `secs` seconds, with `rate` requests per second.
 pub(crate) fn load(seed: u64, secs: u64, rate: f64) -> Load {
     let kind = |handler, weight, idempotency_key| {
         request_kind(handler, weight, LATENCY_OBJECTIVE, idempotency_key)
@@ -63,7 +67,8 @@
     }
 }
 
-/// A fleet that has started and settled; and how long the latter took in seconds.
+/// Starts a fleet and waits until it has settled. Returns the fleet and the time that it took to
+/// settle, in seconds.
 pub(crate) fn started_fleet(setup: FleetSetup, seed: u64) -> (ProcessFleet, f64) {
     let servers = setup.servers;
     let mut fleet = ProcessFleet::new(setup, &release_binary(), settings::FLEET, &works(), seed);
@@ -72,9 +77,9 @@
     (fleet, settled)
 }
 
-/// Prints the table of the faults.
+/// Plays the faults in fleets of several sizes with several loss rates, and prints the table.
 pub(crate) fn measure(seeds: u64) {
-    print_head("processes, loss");
+    print_table_head("processes, loss");
     for servers in [5, 12, 40] {
         for loss in [0.0, 0.1, 0.3] {
             let mut row = Row::default();
@@ -86,7 +91,7 @@
                 row.play(&mut fleet, servers, |fleet, row| {
                     let cpu_before = fleet.cpu();
                     let began = Instant::now();
-                    std::thread::sleep(CALM);
+                    std::thread::sleep(MEASURED_TIME);
                     let server_secs = began.elapsed().as_secs_f64() * (servers - 1) as f64;
                     row.cpu
                         .push((fleet.cpu() - cpu_before) / server_secs * 100.0);
@@ -97,24 +102,26 @@
     }
 }
 
-/// Prints what requests cost and take while foreign datagrams arrive.
+/// Prints the processor time and the response times of requests while datagrams arrive that are not
+/// of the fleet.
 pub(crate) fn measure_flood() {
-    let heads = [
+    let headings = [
         "rejected datagrams a second",
         "p50, p99 of requests, ms",
         "CPU a request, ms",
         "CPU, % of a core",
     ];
-    println!("{}", table_head(&heads));
+    println!("{}", table_head(&headings));
     for datagrams_per_second in [0, 10_000] {
         let (fleet, _) = started_fleet(FleetSetup::of(3), 1);
-        let server = fleet.server(0).expect("runs");
+        let server = fleet.server(0).expect("the server is running");
         let cpu_before = server.cpu();
         let records = load_under_flood(&fleet, datagrams_per_second);
         let cpu = server.cpu() - cpu_before;
         let mut all = latencies(&records, KindId::new(0));
         for kind in (1..3).map(KindId::new) {
-            all.add(latencies(&records, kind)).expect("added");
+            all.add(latencies(&records, kind))
+                .expect("the histograms have the same range");
         }
         println!(
             "| {datagrams_per_second} | {}, {} | {:.2} | {:.1} |",
@@ -127,23 +134,25 @@
 }
 
 fn load_under_flood(fleet: &ProcessFleet, datagrams_per_second: u32) -> Vec<RequestRecord> {
-    let address = fleet.datagram_address(0).expect("it receives datagrams");
+    let address = fleet
+        .datagram_address(0)
+        .expect("the server receives datagrams");
     let target = LoadTarget::of(fleet, 0);
-    let on = AtomicBool::new(true);
+    let keep_sending = AtomicBool::new(true);
     std::thread::scope(|scope| {
-        scope.spawn(|| flood(address, datagrams_per_second, &on));
+        scope.spawn(|| flood(address, datagrams_per_second, &keep_sending));
         let records = target.send(&load(FLOOD_SEED, FLOOD_SECS, FLOOD_RATE), |_| ());
-        on.store(false, Ordering::Relaxed);
+        keep_sending.store(false, Ordering::Relaxed);
         records
     })
 }
 
-/// Sends datagrams that belong to no fleet, while it is on.
-fn flood(to: SocketAddr, datagrams_per_second: u32, on: &AtomicBool) {
-    let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
+/// Sends datagrams that are not of the fleet, while `keep_sending` is true.
+fn flood(to: SocketAddr, datagrams_per_second: u32, keep_sending: &AtomicBool) {
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
     let began = Instant::now();
     let mut sent: u64 = 0;
-    while on.load(Ordering::Relaxed) {
+    while keep_sending.load(Ordering::Relaxed) {
         let due = began.elapsed().as_secs_f64() * f64::from(datagrams_per_second);
         while sent < due as u64 {
             let _ = socket.send_to(&[sent as u8; FLOOD_DATAGRAM_BYTES], to);
@@ -153,7 +162,7 @@
     }
 }
 
-/// Prints the processor time of idle servers, with membership and without.
+/// Prints the processor time of idle servers with and without membership.
 pub(crate) fn measure_idle_cost() {
     for servers in [5, 12] {
         let (fleet, _) = started_fleet(FleetSetup::of(servers), 1);
@@ -169,7 +178,7 @@
     }
 }
 
-/// A server without a fleet.
+/// Starts a server without a fleet.
 fn start_alone(seed: usize) -> (Server, Registry) {
     let engine = Engine::start(ENGINE_CORES, works(), seed as u64).address;
     let registry = Registry::start();
@@ -189,7 +198,7 @@
     (Server::start(&release_binary(), &text, None), registry)
 }
 
-/// The processor time of each server while nothing happens, in percent of a core.
+/// Returns the mean processor time of the servers while they are idle, in percent of a core.
 fn idle_cpu(servers: &[&Server]) -> f64 {
     let cpu = || servers.iter().map(|server| server.cpu()).sum::<f64>();
     let cpu_before = cpu();
--- a/crates/testkit/examples/quotas/slow_catalogue.rs
+++ b/crates/testkit/examples/quotas/slow_catalogue.rs
@@ -1,5 +1,6 @@
-//! The scenario of a slow catalogue over five servers, with three in five requests at one of them:
-//! pools with a fixed part of the capacity for each server, and with leases of a quota.
+//! The scenario of a slow catalogue with five servers, of which one receives three in five
+//! requests. Compares pools with a fixed part of the capacity for each server and pools with leases
+//! of a quota.
 
 use crate::demand::{min_quota, setup};
 use madderbay::time::Duration;
@@ -12,26 +13,27 @@
 use madderbay_testkit::measurement::report::{cpu_ms_per_request, table_head};
 use madderbay_testkit::measurement::settings;
 use madderbay_testkit::measurement::trips::{
-    AFTER_FAULT, CALL, FAULT, LOAD_LENGTH, REQUEST_TIMEOUT_MS, SLOTS, SlowDown, kinds, rates, works,
+    AFTER_FAULT, CALL_DURATION, CATALOGUE_SLOTS, FAULT, LOAD_LENGTH, REQUEST_TIMEOUT_MS, SlowDown,
+    kinds, rates, works,
 };
 use std::ops::Range;
 use std::time::Duration as StdDuration;
 
-/// The fraction of all requests that arrives at each server.
+/// Fraction of all requests that arrives at each server.
 const TRAFFIC_FRACTIONS: [f64; 5] = [0.6, 0.1, 0.1, 0.1, 0.1];
 const SERVERS: usize = TRAFFIC_FRACTIONS.len();
-/// The capacity of the quota, and the sum of the fixed parts.
+/// Capacity of the quota, and also the sum of the fixed parts.
 const CAPACITY: u32 = 12;
-const START_TERM: Duration = Duration::from_millis(30_000);
-/// The longest time of a call under the quota.
-const MAX_CALL: Duration = Duration::from_millis(4_000);
+const START_TIMEOUT: Duration = Duration::from_millis(30_000);
+/// Maximum time of a call under the quota.
+const MAX_CALL_DURATION: Duration = Duration::from_millis(4_000);
 
 const POOLS: &str = "[pools]\nenabled = on\n[pool seats]\nhandlers = seat-book\n[pool searches]\n\
      handlers = trip-search\ncalls_weight = 0\n[reserve]\nhandlers = fare-quote\npart = 0.1\n";
 
-/// Prints the table.
+/// Runs the scenario with each variant, and prints the table.
 pub(crate) fn measure() {
-    let heads = [
+    let headings = [
         "variant",
         "goodput during the fault: trip-search, fare-quote, seat-book",
         "after it",
@@ -39,14 +41,14 @@
         "invariants violated",
         "CPU a request, ms",
     ];
-    println!("{}", table_head(&heads));
+    println!("{}", table_head(&headings));
     for (variant, leases) in [("fixed parts", false), ("leases", true)] {
         print_row(variant, leases);
     }
 }
 
 fn print_row(variant: &str, leases: bool) {
-    let catalogue = Catalogue::start(SLOTS, CALL);
+    let catalogue = Catalogue::start(CATALOGUE_SLOTS, CALL_DURATION);
     let fleet = start_fleet(&catalogue, leases);
     catalogue.peak();
     let cpu_before = fleet.cpu();
@@ -68,12 +70,13 @@
     );
 }
 
-/// Servers over one catalogue, with leases of a quota or with a fixed part of the capacity each.
+/// Starts servers that share one catalogue, with leases of a quota or with a fixed part of the
+/// capacity each.
 fn start_fleet(catalogue: &Catalogue, leases: bool) -> ProcessFleet {
-    let mut setup = setup(SERVERS, CAPACITY, CALL.as_millis() as u64);
+    let mut setup = setup(SERVERS, CAPACITY, CALL_DURATION.as_millis() as u64);
     if let Some(quota) = &mut setup.budget {
         quota.handlers = "trip-search, seat-book";
-        quota.max_call = MAX_CALL;
+        quota.max_call = MAX_CALL_DURATION;
     }
     if !leases {
         setup.budget = None;
@@ -86,15 +89,16 @@
     let mut fleet = ProcessFleet::with_catalogue(catalogue, setup, &binary, &settings, &works(), 1);
     fleet.operator = POOLS.into();
     start_all(&mut fleet, 0..SERVERS);
-    wait_until(&mut fleet, &Condition::Settled, START_TERM);
+    wait_until(&mut fleet, &Condition::Settled, START_TIMEOUT);
     if leases {
         let quotas = min_quota(SERVERS, CAPACITY / SERVERS as u32);
-        wait_until(&mut fleet, &quotas, START_TERM);
+        wait_until(&mut fleet, &quotas, START_TIMEOUT);
     }
     fleet
 }
 
-/// Loads all servers; the thread of the first one sets the fault of the catalogue.
+/// Sends the loads to all servers; the thread of the first server's load sets the fault of the
+/// catalogue.
 fn run_loads(fleet: &ProcessFleet, catalogue: &Catalogue) -> LoadResult {
     std::thread::scope(|scope| {
         let loads = (0..SERVERS).map(|server| {
