--- a/crates/server/tests/common/machine.rs
+++ b/crates/server/tests/common/machine.rs
@@ -79,12 +79,12 @@
     /// How long the case has run, without the time for which the machine stalled a watched server or this process.
     /// Waits that are measured by it do not end because the machine was busy.
     pub(crate) fn unstalled_time(&self) -> Duration {
-        lock(&self.state.measured).unstalled
+        lock(&self.state.statistics).unstalled
     }
 
     /// The longest stall within any window so far.
     pub(crate) fn longest_stall(&self) -> LongestStall {
-        LongestStall(lock(&self.state.measured).longest_stall)
+        LongestStall(lock(&self.state.statistics).longest_stall)
     }
 }
 
@@ -113,12 +113,12 @@
 #[derive(Default)]
 struct MonitorState {
     watched: Mutex<Vec<u32>>,
-    measured: Mutex<Measured>,
+    statistics: Mutex<StallStatistics>,
     has_ended: AtomicBool,
 }
 
 #[derive(Default)]
-struct Measured {
+struct StallStatistics {
     unstalled: Duration,
     longest_stall: Duration,
 }
@@ -135,13 +135,13 @@
             while window.front().is_some_and(|s| sample.at - s.at > WINDOW) {
                 window.pop_front();
             }
-            lock(&self.measured).add(&sample, &window);
+            lock(&self.statistics).add(&sample, &window);
             window.push_back(sample);
         }
     }
 }
 
-impl Measured {
+impl StallStatistics {
     /// Adds a sample that follows those of the window before it.
     fn add(&mut self, sample: &Sample, window: &VecDeque<Sample>) {
         let (Some(first), Some(last)) = (window.front(), window.back()) else {
--- a/crates/server/tests/counters.rs
+++ b/crates/server/tests/counters.rs
@@ -65,7 +65,7 @@
 }
 
 /// Counters that have counted each event another number of times, as far as the lines allow.
-fn counted() -> Counters {
+fn counters_with_events() -> Counters {
     let mut counters = Counters::new(&["quote".into(), "book".into()]);
     count_requests(&mut counters);
     count_runs(&mut counters);
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn counters_have_their_names_order_and_form() {
+fn counter_lines_have_expected_names_and_order() {
     let gauges = LoadGauges {
         open_requests: 101,
         requests_in_flight: 102,
@@ -151,11 +151,11 @@
         calls_in_flight: 104,
         keys: 105,
     };
-    assert_eq!(counted().lines(&gauges), EXPECTED);
+    assert_eq!(counters_with_events().lines(&gauges), EXPECTED);
 }
 
 #[test]
-fn counters_of_a_part_stand_under_its_name() {
+fn prefixes_counters_with_component_name() {
     let mut lines = Lines::of("routes");
     lines.add("firsts", 1);
     lines.add("again", u64::MAX);
--- a/crates/server/tests/crossings/connection_end.rs
+++ b/crates/server/tests/crossings/connection_end.rs
@@ -9,10 +9,10 @@
 /// A connection that violates the protocol is shut down, and its peer's input is read to the end. A reset would
 /// discard answers that the peer has not read yet.
 #[test]
-fn delivers_last_answers_before_unread_input() {
+fn delivers_last_answers_despite_unread_input() {
     run_test_with_peer(async |_server, mut peer| {
         let flood = "x".repeat(60_000);
-        peer.send_at_once(&(request(2, "quote", 1) + &flood));
+        peer.send_without_yielding(&(request(2, "quote", 1) + &flood));
         let received = peer.read_to_end().await.expect("an end, no reset");
         assert!(
             received.contains("\"id\":2,\"error\":{\"code\":-32001"),
@@ -24,7 +24,7 @@
 
 /// The input that is read after the shutdown of a connection is bounded.
 #[test]
-fn stops_reading_peer_that_never_ends() {
+fn stops_reading_from_peer_that_never_closes() {
     run_test_with_peer(async |server, mut peer| {
         peer.send(&"x".repeat(30_000)).await;
         let is_open = || server.core.borrow().connection_count() > 0;
@@ -45,16 +45,16 @@
 
 /// A request that arrives after the shutdown is not run, and the connection is not reset.
 #[test]
-fn ignores_request_that_crosses_end_of_connection() {
+fn ignores_request_received_after_shutdown() {
     run_test_with_peer(async |server, mut peer| {
         server.core.borrow_mut().close_connections();
         assert_eq!(peer.next_line().await, "");
         peer.send(&request(2, "quote", 1)).await;
-        let mut half = peer.0.into_inner();
-        half.shutdown().await.expect("shut");
+        let mut stream = peer.0.into_inner();
+        stream.shutdown().await.expect("shut");
         wait_until(|| server.core.borrow().connection_count() == 0).await;
         assert_eq!(server.core.borrow().in_flight_count(), 0);
-        assert_eq!(half.read(&mut [0]).await.expect("no reset"), 0);
+        assert_eq!(stream.read(&mut [0]).await.expect("no reset"), 0);
     });
 }
 
--- a/crates/server/tests/crossings/over_limit.rs
+++ b/crates/server/tests/crossings/over_limit.rs
@@ -23,7 +23,7 @@
         let mut peers = vec![];
         for attempt in 2..20 {
             let mut peer = server.connect().await;
-            peer.send_at_once(&request(1, "quote", attempt));
+            peer.send_without_yielding(&request(1, "quote", attempt));
             peers.push(peer);
         }
         for mut peer in peers {
--- a/crates/server/tests/crossings/requests_before_end.rs
+++ b/crates/server/tests/crossings/requests_before_end.rs
@@ -18,7 +18,7 @@
 #[test]
 fn answers_request_received_before_eviction() {
     run_test_with_peer(async |server, mut peer| {
-        peer.send_at_once(&request(2, "quote", 1));
+        peer.send_without_yielding(&request(2, "quote", 1));
         assert!(
             server
                 .core
@@ -38,7 +38,7 @@
         let check_at = server.clock.now() + Duration::from_millis(300);
         let close_at = check_idle_connections(&server, check_at).expect("notified first");
         assert!(peer.next_line().await.contains("leaving"));
-        peer.send_at_once(&request(2, "quote", 1));
+        peer.send_without_yielding(&request(2, "quote", 1));
         assert_eq!(
             server
                 .core
@@ -59,7 +59,7 @@
         server.begin_drain();
         assert!(peer.next_line().await.contains("leaving"));
         assert!(server.core.borrow().is_quiescent());
-        peer.send_at_once(&request(2, "quote", 1));
+        peer.send_without_yielding(&request(2, "quote", 1));
         server.core.borrow_mut().close_connections();
         server.serve_last_request(&mut peer).await;
     });
@@ -70,10 +70,10 @@
 fn reads_rest_of_line_begun_before_drain() {
     run_test_with_peer(async |server, mut peer| {
         let line = request(2, "quote", 1);
-        let (half, rest) = line.split_at(40);
-        peer.send_behind_health_check(half).await;
+        let (first_half, rest) = line.split_at(40);
+        peer.send_behind_health_check(first_half).await;
         server.begin_drain();
-        peer.send_at_once(rest);
+        peer.send_without_yielding(rest);
         server.serve_one_request().await;
         assert!(peer.next_line().await.contains("leaving"));
         assert!(peer.next_line().await.contains("\"id\":2,\"result\""));
@@ -85,8 +85,8 @@
 fn waits_for_rest_of_incomplete_line() {
     run_test_with_peer(async |server, mut peer| {
         let line = request(2, "quote", 1);
-        let (half, rest) = line.split_at(40);
-        peer.send_behind_health_check(half).await;
+        let (first_half, rest) = line.split_at(40);
+        peer.send_behind_health_check(first_half).await;
         // It is checked once: a second check would close a connection that was notified by the first.
         let check_at = server.clock.now() + Duration::from_millis(300);
         let next_check = check_idle_connections(&server, check_at);
@@ -102,7 +102,7 @@
         let answer = peer.next_line().await;
         assert!(answer.contains("\"id\":2,\"result\""), "{answer}");
         // A line that is not continued protects its connection for a bounded time only.
-        peer.send_behind_health_check(half).await;
+        peer.send_behind_health_check(first_half).await;
         wait_until(|| server.core.borrow().is_quiescent()).await;
         assert!(is_protected(server.clock.now()));
         wait_until(|| !is_protected(server.clock.now() + Duration::from_millis(60_000))).await;
--- a/crates/server/tests/crossings/support.rs
+++ b/crates/server/tests/crossings/support.rs
@@ -154,7 +154,7 @@
     }
 
     /// Sends text without yielding to the runtime: no task has run when the text has arrived.
-    pub(crate) fn send_at_once(&mut self, text: &str) {
+    pub(crate) fn send_without_yielding(&mut self, text: &str) {
         assert_eq!(
             self.0
                 .get_mut()
@@ -167,7 +167,7 @@
     /// Sends text that begins a line behind a health check, in one write. The answer to the check shows that both
     /// were read.
     pub(crate) async fn send_behind_health_check(&mut self, begun_line: &str) {
-        self.send_at_once(&format!("{HEALTH_CHECK}{begun_line}"));
+        self.send_without_yielding(&format!("{HEALTH_CHECK}{begun_line}"));
         assert!(self.next_line().await.contains("\"fit\":true"));
     }
 
--- a/crates/server/tests/deploy.rs
+++ b/crates/server/tests/deploy.rs
@@ -12,17 +12,17 @@
 use std::path::{Path, PathBuf};
 use std::time::Instant;
 
-fn root() -> PathBuf {
+fn workspace_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-fn text(path: &str) -> String {
-    std::fs::read_to_string(root().join(path)).expect(path)
+fn read_file(path: &str) -> String {
+    std::fs::read_to_string(workspace_root().join(path)).expect(path)
 }
 
 /// What stands behind a key of the deploy file.
-fn deployed(key: &str) -> String {
-    let file = text("deploy/balancer.toml");
+fn deploy_value(key: &str) -> String {
+    let file = read_file("deploy/balancer.toml");
     let line = file
         .lines()
         .find_map(|l| l.strip_prefix(&format!("{key} = ")));
@@ -30,7 +30,7 @@
 }
 
 /// Folders that a package of the workspace is built from besides its own: what its manifest names by path.
-fn needs(package: &Path, found: &mut BTreeSet<PathBuf>) {
+fn collect_path_dependencies(package: &Path, found: &mut BTreeSet<PathBuf>) {
     let manifest = std::fs::read_to_string(package.join("Cargo.toml")).expect("a manifest");
     let dependencies = manifest.split("[dependencies]").nth(1).unwrap_or("");
     let dependencies = dependencies.split("\n[").next().unwrap_or("");
@@ -40,20 +40,20 @@
     {
         let other = package.join(path).canonicalize().expect("a package");
         if found.insert(other.clone()) {
-            needs(&other, found);
+            collect_path_dependencies(&other, found);
         }
     }
 }
 
 /// `node` names the directory of every package that the program is built from, and `policy` those of the module.
 #[test]
-fn node_names_every_folder_of_the_real_server() {
-    let root = root().canonicalize().expect("the root");
+fn node_lists_source_folders_of_all_packages() {
+    let root = workspace_root().canonicalize().expect("the root");
     let mut found = BTreeSet::from([root.join("crates/server")]);
-    needs(&root.join("crates/server"), &mut found);
+    collect_path_dependencies(&root.join("crates/server"), &mut found);
     // The module's own package: what decides stands under `policy`, the rest of it decides nothing.
     assert!(found.remove(&root), "the program is built from the module");
-    let (node, policy) = (deployed("node"), deployed("policy"));
+    let (node, policy) = (deploy_value("node"), deploy_value("policy"));
     for package in &found {
         let folder = package.strip_prefix(&root).expect("inside").join("src");
         assert!(
@@ -74,8 +74,8 @@
 
 /// `run` ends in the program itself, one process, linked against the C library by the machine's loader.
 #[test]
-fn run_ends_in_one_process_that_is_linked_dynamically() {
-    let run = deployed("run");
+fn run_starts_one_dynamically_linked_process() {
+    let run = deploy_value("run");
     let run = run.split('"').nth(1).expect("a command");
     assert!(run.starts_with("exec target/release/madderbay"), "{run}");
     assert!(!run.contains([';', '&', '|']), "{run} is one command");
@@ -133,15 +133,15 @@
 /// The operator file that `run` names is complete, turns on pools and the reserve, without which a trip book that
 /// slows down is taken for a crowded one, and holds nothing that needs a listener, a disk or others.
 #[test]
-fn run_names_an_operator_file_that_the_platform_allows() {
-    let run = deployed("run");
+fn run_names_operator_file_that_platform_allows() {
+    let run = deploy_value("run");
     let named = run
         .split('"')
         .nth(1)
         .and_then(|r| r.split("--operator ").nth(1))
         .map(str::trim);
     let named = named.expect("an operator file");
-    let operator = madderbay_operator_config::read(named, &text(named)).expect("a good file");
+    let operator = madderbay_operator_config::read(named, &read_file(named)).expect("a good file");
     let pools = operator.concurrency.expect("pools are on");
     assert!(pools.adaptive && pools.reserve.is_some());
     assert_eq!(
@@ -157,16 +157,16 @@
 
 /// What the platform refuses the program can't ask for by the C library: it wants none of these symbols.
 #[test]
-fn no_refused_call_is_wanted_of_the_c_library() {
+fn imports_no_forbidden_symbol_from_c_library() {
     let image = std::fs::read(program::program()).expect("the program");
     let file = object::File::parse(image.as_slice()).expect("an object file");
     let symbols: BTreeSet<&str> = file
         .dynamic_symbols()
         .filter_map(|s| s.name().ok())
         .collect();
-    let wants = |symbol: &str| symbols.contains(symbol);
-    assert!(wants("epoll_wait"), "symbols are found as they should");
-    let refused = [
+    let imports = |symbol: &str| symbols.contains(symbol);
+    assert!(imports("epoll_wait"), "symbols are found as they should");
+    let forbidden = [
         "fork",
         "vfork",
         "posix_spawn",
@@ -176,10 +176,10 @@
         "sendfile",
         "sendfile64",
     ];
-    for symbol in refused
+    for symbol in forbidden
         .into_iter()
         .chain(["io_uring_setup", "io_uring_enter"])
     {
-        assert!(!wants(symbol), "{symbol} is wanted");
+        assert!(!imports(symbol), "{symbol} is wanted");
     }
 }
--- a/crates/server/tests/durable_results/crash.rs
+++ b/crates/server/tests/durable_results/crash.rs
@@ -1,8 +1,8 @@
 //! Kills at many points: during recovery, and between intent, run, result, sync and answer.
 
 use super::support::{
-    LONG_WINDOW_MICROS, TestSetup, assert_nothing_runs, booking, completed, connect, kill,
-    start_process,
+    LONG_WINDOW_MICROS, TestSetup, assert_no_other_run, booking_request, completion_notice,
+    connect, kill, start_process,
 };
 use crate::program::program;
 use madderbay_testkit::engine::{Engine, HandlerWork};
@@ -19,19 +19,19 @@
     let setup = TestSetup::new(LONG_WINDOW_MICROS, "");
     let (server, mut engine, mut client) = setup.start_with_client();
     for (id, key) in [(1, "5"), (2, "6")] {
-        client.say(&booking(id, id, key, "QUJD"));
+        client.say(&booking_request(id, id, key, "QUJD"));
         assert!(engine.command().contains("\"RUN\""));
     }
-    engine.say(&completed(1, 1, "WFla"));
+    engine.say(&completion_notice(1, 1, "WFla"));
     assert!(client.line().contains("WFla"));
     kill(server, engine);
     kill_during_recoveries(&setup);
     let (_server, mut engine, mut client) = setup.start_with_client();
-    client.say(&booking(1, 11, "5", "QUJD"));
+    client.say(&booking_request(1, 11, "5", "QUJD"));
     assert!(client.line().contains("WFla"));
-    client.say(&booking(2, 12, "6", "QUJD"));
+    client.say(&booking_request(2, 12, "6", "QUJD"));
     assert!(client.line().contains("-32001"));
-    assert_nothing_runs(&mut engine, &mut client, 99);
+    assert_no_other_run(&mut engine, &mut client, 99);
 }
 
 /// Starts the program twelve times and kills it, each time a little later.
@@ -58,14 +58,14 @@
 /// and counts runs.
 #[test]
 fn runs_each_key_once_when_killed_at_any_moment() {
-    let mut chance = oorandom::Rand64::new(11);
+    let mut random = oorandom::Rand64::new(11);
     for history in 0..20u32 {
-        run_history(history, &mut chance);
+        run_killed_incarnations(history, &mut random);
     }
 }
 
 /// Three incarnations over one engine, of which the first two are killed.
-fn run_history(history: u32, chance: &mut oorandom::Rand64) {
+fn run_killed_incarnations(history: u32, random: &mut oorandom::Rand64) {
     let mut setup = TestSetup::new(LONG_WINDOW_MICROS, "");
     let works = vec![HandlerWork::new("book", (1.0, 8.0), false)];
     let engine = Engine::start(4.0, works, u64::from(history));
@@ -79,7 +79,7 @@
         let first_attempt = history * 100 + incarnation * 10;
         send_bookings(&mut client, first_attempt);
         if incarnation < 2 {
-            std::thread::sleep(Duration::from_micros(chance.rand_range(0..20_000)));
+            std::thread::sleep(Duration::from_micros(random.rand_range(0..20_000)));
             server.signal("-KILL");
         }
         read_answers(&mut client, &mut completed, history);
@@ -95,7 +95,7 @@
 fn send_bookings(client: &mut Peer, first_attempt: u32) {
     for (n, body) in (0..).zip(BODIES) {
         let key = format!("{}", n + 1);
-        client.say(&booking(n + 1, first_attempt + n, &key, body));
+        client.say(&booking_request(n + 1, first_attempt + n, &key, body));
     }
 }
 
--- a/crates/server/tests/durable_results/directory.rs
+++ b/crates/server/tests/durable_results/directory.rs
@@ -1,6 +1,8 @@
 //! The directory of results: which cannot be used, and what the command line reports of one.
 
-use super::support::{LONG_WINDOW_MICROS, TestSetup, booking, complete_booking, start_process};
+use super::support::{
+    LONG_WINDOW_MICROS, TestSetup, booking_request, complete_booking, start_process,
+};
 use crate::program::program;
 use std::process::Command;
 
@@ -57,9 +59,9 @@
     let setup = TestSetup::new(LONG_WINDOW_MICROS, "");
     let (_server, mut engine, mut client) = setup.start_with_client();
     complete_booking(&mut client, &mut engine);
-    client.say(&booking(2, 2, "6", "QUJD"));
+    client.say(&booking_request(2, 2, "6", "QUJD"));
     assert!(engine.command().contains("\"RUN\""));
-    assert_lists_done_and_open(&setup);
+    assert_lists_completed_and_pending(&setup);
     let (status, lines) = query_directory(&setup, "export");
     assert_eq!(status, Some(0));
     let first: serde_json::Value = serde_json::from_str(&lines[0]).expect("JSON");
@@ -71,7 +73,7 @@
     assert_finds_torn_segment(&setup);
 }
 
-fn assert_lists_done_and_open(setup: &TestSetup) {
+fn assert_lists_completed_and_pending(setup: &TestSetup) {
     let (status, lines) = query_directory(setup, "list");
     assert_eq!((status, lines.len()), (Some(0), 3), "{lines:?}");
     assert!(
--- a/crates/server/tests/durable_results/restart.rs
+++ b/crates/server/tests/durable_results/restart.rs
@@ -1,8 +1,8 @@
 //! Restarts: which results are known, what is never run again, and what may run.
 
 use super::support::{
-    LONG_WINDOW_MICROS, TestSetup, assert_nothing_runs, booking, complete_booking, completed,
-    connect, kill, with_open_directory,
+    LONG_WINDOW_MICROS, TestSetup, assert_no_other_run, booking_request, complete_booking,
+    completion_notice, connect, kill, with_open_directory,
 };
 use madderbay_idempotency_store::record::Record;
 use madderbay_idempotency_store::storage::DirectoryStorage;
@@ -23,8 +23,8 @@
     let known = "idempotency-store: recovered, requests=1, records=2, segments=1, torn_segments=0,";
     assert!(server.before[0].contains(known), "{:?}", server.before);
     let (mut client, mut other) = (connect(&server), connect(&server));
-    client.say(&booking(1, 2, "5", "QUJD"));
-    other.say(&booking(7, 3, "5", "QUJD"));
+    client.say(&booking_request(1, 2, "5", "QUJD"));
+    other.say(&booking_request(7, 3, "5", "QUJD"));
     assert_eq!(
         client.line(),
         "{\"jsonrpc\":\"2.0\",\"id\":1,\"result\":{\"bytes\":\"WFla\"}}"
@@ -34,9 +34,9 @@
             .line()
             .contains("\"id\":7,\"result\":{\"bytes\":\"WFla\"")
     );
-    other.say(&booking(8, 4, "5", "QUJE"));
+    other.say(&booking_request(8, 4, "5", "QUJE"));
     assert!(other.line().contains("replay came with another body"));
-    assert_nothing_runs(&mut engine, &mut other, 99);
+    assert_no_other_run(&mut engine, &mut other, 99);
 }
 
 /// After a kill during a run its retries fail and never run, in the next incarnation and the one after, until the
@@ -45,37 +45,37 @@
 fn never_reruns_attempt_that_may_have_run() {
     let setup = TestSetup::new(LONG_WINDOW_MICROS, "");
     let (server, mut engine, mut client) = setup.start_with_client();
-    client.say(&booking(1, 1, "5", "QUJD"));
-    client.say(&booking(2, 2, "6", "QUJD"));
+    client.say(&booking_request(1, 1, "5", "QUJD"));
+    client.say(&booking_request(2, 2, "6", "QUJD"));
     assert!(engine.command().contains("\"RUN\"") && engine.command().contains("\"RUN\""));
     // A retry while the first attempt still runs waits for it.
-    client.say(&booking(3, 3, "5", "QUJD"));
+    client.say(&booking_request(3, 3, "5", "QUJD"));
     kill(server, engine);
     for _ in 0..2 {
         assert_retries_fail(&setup);
     }
     let (mut server, mut engine) = setup.start();
     let mut client = connect(&server);
-    engine.say(&completed(1, 1, "WFla"));
+    engine.say(&completion_notice(1, 1, "WFla"));
     retry_until_result(&mut client);
     kill(server, engine);
     (server, engine) = setup.start();
     let mut client = connect(&server);
-    client.say(&booking(1, 30, "5", "QUJD"));
+    client.say(&booking_request(1, 30, "5", "QUJD"));
     assert!(client.line().contains("WFla"));
-    client.say(&booking(2, 31, "6", "QUJD"));
+    client.say(&booking_request(2, 31, "6", "QUJD"));
     assert!(client.line().contains("-32001"));
-    assert_nothing_runs(&mut engine, &mut client, 99);
+    assert_no_other_run(&mut engine, &mut client, 99);
 }
 
 /// One incarnation in which the retries of the keys 5 and 6 fail and nothing runs.
 fn assert_retries_fail(setup: &TestSetup) {
     let (server, mut engine, mut client) = setup.start_with_client();
     for (id, key) in [(1, "5"), (2, "6")] {
-        client.say(&booking(id, 10 + id, key, "QUJD"));
+        client.say(&booking_request(id, 10 + id, key, "QUJD"));
         assert!(client.line().contains("\"error\":{\"code\":-32001"));
     }
-    assert_nothing_runs(&mut engine, &mut client, 99);
+    assert_no_other_run(&mut engine, &mut client, 99);
     server.signal("-KILL");
 }
 
@@ -84,7 +84,7 @@
     let (mut id, began) = (0, Instant::now());
     loop {
         id += 1;
-        client.say(&booking(id, 20 + id, "5", "QUJD"));
+        client.say(&booking_request(id, 20 + id, "5", "QUJD"));
         let answer = client.line();
         if answer.contains("\"result\"") {
             assert!(answer.contains("WFla"));
@@ -102,16 +102,16 @@
 fn runs_retry_of_attempt_that_engine_declined() {
     let setup = TestSetup::new(LONG_WINDOW_MICROS, "");
     let (server, mut engine, mut client) = setup.start_with_client();
-    client.say(&booking(1, 1, "5", "QUJD"));
+    client.say(&booking_request(1, 1, "5", "QUJD"));
     assert!(engine.command().contains("\"RUN\""));
     engine.say("{\"msg\":\"NO\",\"how\":\"RUN\",\"call\":\"0000000000000001\"}\n");
     assert!(client.line().contains("-32002"));
     // The next intent is durable only after what was written before it.
-    client.say(&booking(2, 2, "6", "QUJD"));
+    client.say(&booking_request(2, 2, "6", "QUJD"));
     assert!(engine.command().contains("\"RUN\""));
     kill(server, engine);
     let (_server, mut engine, mut client) = setup.start_with_client();
-    client.say(&booking(1, 3, "5", "QUJD"));
+    client.say(&booking_request(1, 3, "5", "QUJD"));
     assert!(
         engine
             .command()
@@ -129,7 +129,7 @@
     assert!(server.before[0].contains(known), "{:?}", server.before);
     let mut client = connect(&server);
     // The key is known with another fingerprint than this body's: the request is rejected, not run.
-    client.say(&booking(1, 1, "1869f", "QUJD"));
+    client.say(&booking_request(1, 1, "1869f", "QUJD"));
     assert!(client.line().contains("replay came with another body"));
 }
 
@@ -174,7 +174,7 @@
     kill(server, engine);
     std::thread::sleep(WINDOW + WINDOW / 2);
     let (_server, mut engine, mut client) = setup.start_with_client();
-    client.say(&booking(1, 2, "5", "QUJD"));
+    client.say(&booking_request(1, 2, "5", "QUJD"));
     assert!(client.line().contains("WFla"));
-    assert_nothing_runs(&mut engine, &mut client, 99);
+    assert_no_other_run(&mut engine, &mut client, 99);
 }
--- a/crates/server/tests/durable_results/support.rs
+++ b/crates/server/tests/durable_results/support.rs
@@ -136,7 +136,7 @@
 }
 
 /// The line of a request with an idempotency key.
-pub(crate) fn booking(id: u32, attempt: u32, key: &str, body: &str) -> String {
+pub(crate) fn booking_request(id: u32, attempt: u32, key: &str, body: &str) -> String {
     let now = unix_ms();
     format!(
         "{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"book\",\"params\":{{\"ref\":\"{attempt:016x}\",\
@@ -146,7 +146,7 @@
 }
 
 /// The engine's notice that a run has completed.
-pub(crate) fn completed(serial: u32, attempt: u32, blob: &str) -> String {
+pub(crate) fn completion_notice(serial: u32, attempt: u32, blob: &str) -> String {
     format!(
         "{{\"msg\":\"DONE\",\"serial\":{serial},\"call\":\"{attempt:016x}\",\"how\":\"good\",\"duration\":9,\
          \"blob\":\"{blob}\"}}\n"
@@ -155,13 +155,13 @@
 
 /// Runs and completes the first attempt of the key 5.
 pub(crate) fn complete_booking(client: &mut Peer, engine: &mut Peer) {
-    client.say(&booking(1, 1, "5", "QUJD"));
+    client.say(&booking_request(1, 1, "5", "QUJD"));
     assert!(
         engine
             .command()
             .contains("\"RUN\",\"call\":\"0000000000000001\"")
     );
-    engine.say(&completed(1, 1, "WFla"));
+    engine.say(&completion_notice(1, 1, "WFla"));
     assert!(client.line().contains("WFla"));
 }
 
@@ -172,7 +172,7 @@
 }
 
 /// Asserts that nothing else is run: the next command, questions apart, is the run of a request sent now.
-pub(crate) fn assert_nothing_runs(engine: &mut Peer, client: &mut Peer, id: u32) {
+pub(crate) fn assert_no_other_run(engine: &mut Peer, client: &mut Peer, id: u32) {
     client.say(&format!(
         "{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"quote\",\"params\":{{\"ref\":\
                         \"{id:016x}\",\"since\":{},\"sender\":4,\"project\":\"acme\",\"allow\":8000,\
--- a/crates/server/tests/known_red/main.rs
+++ b/crates/server/tests/known_red/main.rs
@@ -2,13 +2,15 @@
 
 mod repository;
 
-use repository::{LIST_CALL, Repository, ScriptRun, TWO_ENTRIES, TWO_TESTS, run_to_end};
+use repository::{
+    LIST_TESTS_CALL, Repository, ScriptRun, TWO_ENTRIES, TWO_TESTS, run_to_completion,
+};
 use std::fs;
 use std::process::Command;
 
 /// Asserts that the script fails because of a line, before any test is run.
 fn assert_rejects(list: &str, expected: &str) {
-    let run = Repository::listing(list).run();
+    let run = Repository::with_list(list).run();
     assert!(!run.succeeded, "accepts {list:?}");
     assert!(
         run.stderr.starts_with(expected) && run.stderr.lines().count() == 1,
@@ -16,35 +18,39 @@
         run.stderr
     );
     assert_eq!(run.stdout, "");
-    let ran_tests = run.calls.iter().any(|call| call != LIST_CALL);
+    let ran_tests = run.calls.iter().any(|call| call != LIST_TESTS_CALL);
     assert!(!ran_tests, "{list:?}: {:?}", run.calls);
 }
 
 #[test]
-fn runs_everything_without_list() {
-    Repository::new().run().assert_ran_everything();
+fn runs_all_tests_without_list() {
+    Repository::new().run().assert_ran_all_tests();
 }
 
 #[test]
-fn runs_everything_where_list_has_no_entry() {
+fn runs_all_tests_when_list_has_no_entry() {
     for list in ["", "\n", "# TEST | COMMAND | SEEN | ISSUE\n\n  \t\n#\n"] {
-        Repository::listing(list).run().assert_ran_everything();
+        Repository::with_list(list).run().assert_ran_all_tests();
     }
 }
 
 #[test]
-fn fails_without_list_where_test_fails() {
-    let run = Repository::new().failing("shutdown::drains\n").run();
+fn fails_without_list_when_test_fails() {
+    let run = Repository::new()
+        .with_failing_tests("shutdown::drains\n")
+        .run();
     assert!(!run.succeeded);
     assert_eq!(run.calls, ["[test][--workspace]"]);
 }
 
 #[test]
-fn passes_over_exactly_listed_tests() {
-    let run = Repository::listing(TWO_ENTRIES).failing(TWO_TESTS).run();
+fn skips_exactly_listed_tests() {
+    let run = Repository::with_list(TWO_ENTRIES)
+        .with_failing_tests(TWO_TESTS)
+        .run();
     assert!(run.succeeded, "{}", run.stderr);
     let expected_calls = [
-        LIST_CALL,
+        LIST_TESTS_CALL,
         "[test][--workspace][--][--exact][--skip][budget::holds][--skip][shutdown::drains]",
         "[test][--workspace][--quiet][--][--exact][budget::holds]",
         "[test][--workspace][--quiet][--][--exact][shutdown::drains]",
@@ -54,7 +60,9 @@
 
 #[test]
 fn reports_listed_test() {
-    let run = Repository::listing(TWO_ENTRIES).failing(TWO_TESTS).run();
+    let run = Repository::with_list(TWO_ENTRIES)
+        .with_failing_tests(TWO_TESTS)
+        .run();
     assert!(run.succeeded, "{}", run.stderr);
     let expected = "\nKNOWN RED: budget::holds fails\n  command and seed: cargo test -p x -- --seed 7, twice\n  \
         what was seen: 5 calls, not 4\n  issue: #12\n\nKNOWN RED: shutdown::drains fails\n  \
@@ -79,13 +87,13 @@
 #[test]
 fn reads_last_line_without_newline() {
     let list = "budget::holds | c | s | #1\nstartup::binds | c | s | #2";
-    let run = Repository::listing(list).run();
+    let run = Repository::with_list(list).run();
     assert!(run.succeeded, "{}", run.stderr);
     assert!(run.calls[1].ends_with("[--skip][startup::binds]"));
 }
 
 #[test]
-fn lists_any_number_of_tests() {
+fn accepts_any_number_of_entries() {
     let names = [
         "budget::holds",
         "budget::holds_after_crash",
@@ -93,7 +101,9 @@
         "startup::binds",
     ];
     let list: String = names.map(|name| format!("{name} | c | s | #1\n")).concat();
-    let run = Repository::listing(&list).failing(&names.join("\n")).run();
+    let run = Repository::with_list(&list)
+        .with_failing_tests(&names.join("\n"))
+        .run();
     assert!(run.succeeded, "{}", run.stderr);
     assert_eq!(run.stdout.matches("KNOWN RED:").count(), names.len());
 }
@@ -131,7 +141,7 @@
 }
 
 #[test]
-fn rejects_wrong_line_after_good_ones() {
+fn rejects_invalid_line_after_valid_ones() {
     let list = "budget::holds | c | s | #1\n\nstartup::binds | c | s\n";
     assert_rejects(
         list,
@@ -140,7 +150,7 @@
 }
 
 #[test]
-fn rejects_name_that_is_not_of_one_test() {
+fn rejects_name_that_matches_no_single_test() {
     for (name, tests) in [
         ("budget::unknown", 0),
         ("budget", 0),
@@ -163,18 +173,20 @@
 }
 
 #[test]
-fn fails_where_tests_can_not_be_listed() {
-    let repository = Repository::listing("budget::holds | c | s | #1\n");
+fn fails_when_tests_cannot_be_listed() {
+    let repository = Repository::with_list("budget::holds | c | s | #1\n");
     repository.write("bin/broken", "");
     let run = repository.run();
     assert!(!run.succeeded);
-    assert_eq!(run.calls, [LIST_CALL]);
+    assert_eq!(run.calls, [LIST_TESTS_CALL]);
 }
 
 #[test]
 fn reports_listed_test_that_passes() {
     let list = "budget::holds | c | s | #1\nstartup::binds | c | s | #2\n";
-    let run = Repository::listing(list).failing("startup::binds\n").run();
+    let run = Repository::with_list(list)
+        .with_failing_tests("startup::binds\n")
+        .run();
     assert!(run.succeeded, "{}", run.stderr);
     let passes = "KNOWN RED: budget::holds passes: take it off KNOWN-RED.txt\n";
     assert!(run.stdout.contains(passes), "{}", run.stdout);
@@ -183,7 +195,7 @@
 
 #[test]
 fn reports_listed_test_that_was_not_run() {
-    let repository = Repository::listing("budget::holds | c | s | #1\n");
+    let repository = Repository::with_list("budget::holds | c | s | #1\n");
     repository.write("bin/ignored", "budget::holds\n");
     let run = repository.run();
     assert!(run.succeeded, "{}", run.stderr);
@@ -194,10 +206,10 @@
 /// A test that fails and is not listed fails the script, though its name begins with that of a listed one; the listed
 /// one is printed nevertheless.
 #[test]
-fn fails_where_unlisted_test_fails() {
+fn fails_when_unlisted_test_fails() {
     let failing = "budget::holds\nbudget::holds_after_crash\n";
-    let run = Repository::listing("budget::holds | c | s | #1\n")
-        .failing(failing)
+    let run = Repository::with_list("budget::holds | c | s | #1\n")
+        .with_failing_tests(failing)
         .run();
     assert!(!run.succeeded);
     assert!(run.stdout.contains("KNOWN RED: budget::holds fails\n"));
@@ -210,13 +222,13 @@
 
 /// Runs the script on [`REAL_LIBRARY`] with cargo itself.
 fn run_with_cargo(list: &str) -> ScriptRun {
-    let repository = Repository::listing(list);
+    let repository = Repository::with_list(list);
     fs::remove_file(repository.root.join("bin/cargo")).expect("no stub");
     let manifest = "[workspace]\n[package]\nname = \"listed\"\nedition = \"2024\"\n";
     repository.write("Cargo.toml", manifest);
     fs::create_dir(repository.root.join("src")).expect("a folder");
     repository.write("src/lib.rs", REAL_LIBRARY);
-    let output = run_to_end(
+    let output = run_to_completion(
         Command::new(repository.root.join(".ci/tests"))
             .env("CARGO_TARGET_DIR", repository.root.join("target"))
             .env("CARGO_NET_OFFLINE", "true"),
@@ -225,7 +237,7 @@
 }
 
 #[test]
-fn cargo_runs_all_tests_but_the_listed_one() {
+fn cargo_skips_only_listed_test() {
     let run = run_with_cargo("holds | cargo test holds | panics | #1\n");
     assert!(run.succeeded, "{}{}", run.stdout, run.stderr);
     for expected in [
@@ -241,7 +253,7 @@
 }
 
 #[test]
-fn cargo_fails_where_another_test_fails() {
+fn cargo_fails_when_unlisted_test_fails() {
     let run = run_with_cargo("hold | cargo test hold | panics | #1\n");
     assert!(!run.succeeded);
     assert!(run.stdout.contains("test holds ... FAILED\n"));
@@ -250,9 +262,9 @@
 }
 
 /// The names of this program's own tests that are left with some arguments.
-fn own_tests(arguments: &[&str]) -> Vec<String> {
+fn list_own_tests(arguments: &[&str]) -> Vec<String> {
     let program = std::env::current_exe().expect("this program");
-    let output = run_to_end(Command::new(program).arg("--list").args(arguments));
+    let output = run_to_completion(Command::new(program).arg("--list").args(arguments));
     let text = String::from_utf8(output.stdout).expect("text");
     let names = text.lines().filter_map(|line| line.strip_suffix(": test"));
     names.map(String::from).collect()
@@ -260,13 +272,13 @@
 
 /// What the script relies on: a test program skips a name that is given with `--exact` and no other, and runs the rest.
 #[test]
-fn own_program_skips_exactly_listed_name() {
-    let all = own_tests(&[]);
+fn exact_skip_excludes_only_listed_test() {
+    let all = list_own_tests(&[]);
     let listed = "reports_listed_test";
     let containing = all.iter().filter(|name| name.contains(listed)).count();
     assert_eq!(containing, 3, "other names contain it: {all:?}");
     let mut rest = all.clone();
     rest.retain(|name| name != listed);
-    assert_eq!(own_tests(&["--exact", "--skip", listed]), rest);
-    assert_eq!(own_tests(&["--exact", listed]), [listed]);
+    assert_eq!(list_own_tests(&["--exact", "--skip", listed]), rest);
+    assert_eq!(list_own_tests(&["--exact", listed]), [listed]);
 }
--- a/crates/server/tests/known_red/repository.rs
+++ b/crates/server/tests/known_red/repository.rs
@@ -47,14 +47,14 @@
     shutdown::drains | SEED=3 make test | hung | #13\n";
 /// The tests of [`TWO_ENTRIES`].
 pub(crate) const TWO_TESTS: &str = "budget::holds\nshutdown::drains\n";
-pub(crate) const LIST_CALL: &str = "[test][--workspace][--quiet][--][--list]";
+pub(crate) const LIST_TESTS_CALL: &str = "[test][--workspace][--quiet][--][--list]";
 
 /// Read while executable files are written, and written while a process is started: a process that is started meanwhile
 /// has the files open too, until it runs its own program, and what is open for writing can't be run.
 static EXECUTABLES: RwLock<()> = RwLock::new(());
 
 /// Starts a process while no executable file is open, and waits for its end.
-pub(crate) fn run_to_end(command: &mut Command) -> Output {
+pub(crate) fn run_to_completion(command: &mut Command) -> Output {
     command.stdout(Stdio::piped()).stderr(Stdio::piped());
     let child = {
         let _guard = EXECUTABLES.write().unwrap_or_else(PoisonError::into_inner);
@@ -93,14 +93,14 @@
     }
 
     /// A repository whose list has this text.
-    pub(crate) fn listing(list: &str) -> Repository {
+    pub(crate) fn with_list(list: &str) -> Repository {
         let repository = Repository::new();
         repository.write("KNOWN-RED.txt", list);
         repository
     }
 
     /// Has these tests fail, one a line.
-    pub(crate) fn failing(self, tests: &str) -> Repository {
+    pub(crate) fn with_failing_tests(self, tests: &str) -> Repository {
         self.write("bin/failing", tests);
         self
     }
@@ -112,7 +112,7 @@
     /// Runs the script, from another folder than the repository.
     pub(crate) fn run(&self) -> ScriptRun {
         let path = std::env::var("PATH").expect("a path");
-        let output = run_to_end(
+        let output = run_to_completion(
             Command::new(self.root.join(".ci/tests"))
                 .env(
                     "PATH",
@@ -150,7 +150,7 @@
         }
     }
 
-    pub(crate) fn assert_ran_everything(&self) {
+    pub(crate) fn assert_ran_all_tests(&self) {
         assert!(self.succeeded, "{}", self.stderr);
         assert_eq!(self.calls, ["[test][--workspace]"]);
         assert_eq!((&*self.stdout, &*self.stderr), ("", ""));
--- a/crates/server/tests/log_lines/main.rs
+++ b/crates/server/tests/log_lines/main.rs
@@ -11,9 +11,9 @@
 mod source;
 
 use events::events;
-use pages::{lines_on_call, operators_texts};
-use shape::{has_shape, normalised, quotes};
-use source::{SourceLine, passes_event_on, source_lines};
+use pages::{on_call_lines, operator_page_quotes};
+use shape::{has_shape, is_quote_of, normalised};
+use source::{SourceLine, is_forwarded_event, source_lines};
 use std::collections::BTreeSet;
 
 /// Levels whose lines the page has to quote.
@@ -42,7 +42,7 @@
     );
     let wrong: Vec<String> = lines
         .iter()
-        .filter(|line| !passes_event_on(&line.text) && !has_shape(&line.text, is_value))
+        .filter(|line| !is_forwarded_event(&line.text) && !has_shape(&line.text, is_value))
         .map(|line| format!("{}: {} {}", line.place, line.level, line.text))
         .collect();
     assert_none(&wrong, "lines are not `component: event, key={value}`");
@@ -58,12 +58,12 @@
 
 #[test]
 fn on_call_page_has_each_line() {
-    let page: BTreeSet<String> = lines_on_call()
+    let page: BTreeSet<String> = on_call_lines()
         .iter()
         .map(|line| normalised(line))
         .collect();
     let is_due = |line: &&SourceLine| {
-        QUOTED_LEVELS.contains(&line.level.as_str()) && !passes_event_on(&line.text)
+        QUOTED_LEVELS.contains(&line.level.as_str()) && !is_forwarded_event(&line.text)
     };
     let missing: Vec<String> = source_lines()
         .iter()
@@ -81,17 +81,17 @@
         .map(|line| format!("{} {}", line.level, line.text))
         .collect();
     lines.extend(events().iter().map(|event| format!("INFO {event}")));
-    let is_unknown = |quoted: &String| !lines.iter().any(|line| quotes(quoted, line));
-    let unknown: Vec<String> = lines_on_call().into_iter().filter(is_unknown).collect();
+    let is_unknown = |quoted: &String| !lines.iter().any(|line| is_quote_of(quoted, line));
+    let unknown: Vec<String> = on_call_lines().into_iter().filter(is_unknown).collect();
     assert_none(&unknown, "lines of docs/on-call.md are not in the program");
 }
 
 #[test]
 fn operators_pages_have_each_event() {
-    let texts = operators_texts();
+    let texts = operator_page_quotes();
     let mut missing = vec![];
     for event in events() {
-        if !texts.iter().any(|quoted| quotes(quoted, &event)) {
+        if !texts.iter().any(|quoted| is_quote_of(quoted, &event)) {
             missing.push(event.clone());
         }
         let is_cause = |part: &&str| part.starts_with("cause=") || part.starts_with("reason=");
@@ -115,8 +115,8 @@
         let component = text.split_once(": ").map_or("", |(component, _)| component);
         EVENT_COMPONENTS.contains(&component)
     };
-    let is_unknown = |quoted: &String| !lines.iter().any(|line| quotes(quoted, line));
-    let unknown: Vec<String> = operators_texts()
+    let is_unknown = |quoted: &String| !lines.iter().any(|line| is_quote_of(quoted, line));
+    let unknown: Vec<String> = operator_page_quotes()
         .into_iter()
         .filter(|text| is_event(text) && is_unknown(text))
         .collect();
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn broken_shapes_are_found() {
+fn detects_malformed_lines() {
     let is_value = |value: &str| value.starts_with('{') && value.ends_with('}');
     for line in [
         "engine: unreachable, error={e}",
@@ -144,15 +144,15 @@
     ] {
         assert!(!has_shape(line, is_value), "{line}");
     }
-    assert!(quotes(
+    assert!(is_quote_of(
         "INFO a: member ..., name=n3",
         "INFO a: member down, name={name}"
     ));
-    assert!(!quotes(
+    assert!(!is_quote_of(
         "INFO a: member ..., name=n3",
         "INFO a: member down, from={from}"
     ));
-    assert!(!quotes(
+    assert!(!is_quote_of(
         "INFO a: member ...",
         "INFO a: member down, name={name}"
     ));
--- a/crates/server/tests/log_lines/pages.rs
+++ b/crates/server/tests/log_lines/pages.rs
@@ -19,7 +19,7 @@
 }
 
 /// The lines on the on-call page, each with its level.
-pub(crate) fn lines_on_call() -> BTreeSet<String> {
+pub(crate) fn on_call_lines() -> BTreeSet<String> {
     let has_level = |text: &String| {
         let level = text.split_once(' ').map_or("", |(level, _)| level);
         QUOTED_LEVELS.contains(&level) || level == "DEBUG"
@@ -29,7 +29,7 @@
 }
 
 /// All that the operators' pages quote.
-pub(crate) fn operators_texts() -> BTreeSet<String> {
+pub(crate) fn operator_page_quotes() -> BTreeSet<String> {
     let pages = std::fs::read_dir(root().join("docs/operators")).expect("the pages");
     pages
         .flat_map(|page| quoted_texts(&page.expect("a page").path()))
--- a/crates/server/tests/log_lines/shape.rs
+++ b/crates/server/tests/log_lines/shape.rs
@@ -1,7 +1,7 @@
 //! The shape of a line, and the comparison of a quoted line with one of the program.
 
 /// What stands for a value.
-const ANY: &str = "...";
+const VALUE_PLACEHOLDER: &str = "...";
 
 fn is_word(text: &str) -> bool {
     let is_allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
@@ -29,7 +29,7 @@
 /// The line with `...` in place of each value.
 pub(crate) fn normalised(line: &str) -> String {
     let without_value = |part: &str| match part.split_once('=') {
-        Some((key, _)) if is_key(key) => format!("{key}={ANY}"),
+        Some((key, _)) if is_key(key) => format!("{key}={VALUE_PLACEHOLDER}"),
         _ => part.to_string(),
     };
     let parts: Vec<String> = line.split(", ").map(without_value).collect();
@@ -37,12 +37,13 @@
 }
 
 /// Whether a line of a page is this line: its values don't count, and `...` in its event stands for any word.
-pub(crate) fn quotes(quoted: &str, line: &str) -> bool {
+pub(crate) fn is_quote_of(quoted: &str, line: &str) -> bool {
     let (quoted, line) = (normalised(quoted), normalised(line));
     let (quoted, line): (Vec<_>, Vec<_>) = (quoted.split(' ').collect(), line.split(' ').collect());
     let is_same = |(quoted, word): (&&str, &&str)| {
         quoted == word
-            || quoted.trim_end_matches(',') == ANY && quoted.ends_with(',') == word.ends_with(',')
+            || quoted.trim_end_matches(',') == VALUE_PLACEHOLDER
+                && quoted.ends_with(',') == word.ends_with(',')
     };
     quoted.len() == line.len() && quoted.iter().zip(&line).all(is_same)
 }
--- a/crates/server/tests/log_lines/source.rs
+++ b/crates/server/tests/log_lines/source.rs
@@ -56,7 +56,7 @@
 }
 
 /// The lines that one file writes.
-fn lines_of(path: &Path, lines: &mut Vec<SourceLine>) {
+fn collect_lines(path: &Path, lines: &mut Vec<SourceLine>) {
     let source = without_comments(&std::fs::read_to_string(path).expect("a source file"));
     let name = path
         .strip_prefix(env!("CARGO_MANIFEST_DIR"))
@@ -100,7 +100,9 @@
         &mut files,
     );
     let mut lines = vec![];
-    files.iter().for_each(|file| lines_of(file, &mut lines));
+    files
+        .iter()
+        .for_each(|file| collect_lines(file, &mut lines));
     lines
 }
 
@@ -113,7 +115,7 @@
 }
 
 /// Whether a line only puts a component before an event of the fleet's crates.
-pub(crate) fn passes_event_on(text: &str) -> bool {
+pub(crate) fn is_forwarded_event(text: &str) -> bool {
     let line = text.split_once(": ");
     line.is_some_and(|(component, event)| {
         EVENT_COMPONENTS.contains(&component) && is_placeholder(event)
--- a/crates/server/tests/members/control_socket.rs
+++ b/crates/server/tests/members/control_socket.rs
@@ -38,7 +38,7 @@
 }
 
 /// Starts one more server at a control socket, which it can't have.
-fn start_at(config: &str, socket: &Path) -> Output {
+fn start_with_taken_socket_path(config: &str, socket: &Path) -> Output {
     let config = server::write_config(config);
     let operator = server::write_config(&control_section(socket));
     let output = command(program(), Some(&config))
@@ -53,7 +53,7 @@
 }
 
 fn assert_leaves_socket_of_running_server(config: &str, socket: &Path) {
-    let second = start_at(config, socket);
+    let second = start_with_taken_socket_path(config, socket);
     assert_eq!(second.status.code(), Some(1));
     let error = String::from_utf8_lossy(&second.stderr).to_string();
     assert!(error.contains("another process listens there"), "{error}");
@@ -62,7 +62,7 @@
 
 fn assert_leaves_file_that_is_no_socket(config: &str, path: &Path) {
     std::fs::write(path, "precious").expect("written");
-    let third = start_at(config, path);
+    let third = start_with_taken_socket_path(config, path);
     assert!(String::from_utf8_lossy(&third.stderr).contains("is no socket"));
     assert_eq!(
         std::fs::read_to_string(path).expect("still there"),
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn answers_wrong_queries_and_closes_silent_clients() {
+fn answers_invalid_queries_and_closes_silent_clients() {
     let directory = temporary_directory("asked");
     let socket = directory.join("c.sock");
     let server = start_with_control_socket(&socket);
--- a/crates/server/tests/members/datagrams.rs
+++ b/crates/server/tests/members/datagrams.rs
@@ -2,7 +2,7 @@
 
 use crate::machine::{StallMonitor, run_fleet_case};
 use crate::program::program;
-use crate::support::{lone_configuration, run_load, start_fleet};
+use crate::support::{run_load, standalone_configuration, start_fleet};
 use madderbay::time::Duration;
 use madderbay_testkit::fleet::script::{Condition, FleetSetup, Script, Step};
 use madderbay_testkit::server::Server;
@@ -33,11 +33,11 @@
 }
 
 #[test]
-fn flood_of_foreign_datagrams_costs_no_answer_and_no_membership() {
-    run_fleet_case(answers_beside_flood);
+fn foreign_datagrams_affect_neither_answers_nor_membership() {
+    run_fleet_case(check_service_during_flood);
 }
 
-fn answers_beside_flood(monitor: &StallMonitor) {
+fn check_service_during_flood(monitor: &StallMonitor) {
     let mut fleet = start_fleet("servers 3\nstart all\nsettle 20s", monitor);
     let is_on = AtomicBool::new(true);
     let flooded = fleet.processes.datagram_address(0).expect("it listens");
@@ -65,7 +65,7 @@
 /// Without the section nothing is opened and nothing is sent.
 #[test]
 fn opens_no_datagram_socket_without_members_section() {
-    let (text, _reports) = lone_configuration();
+    let (text, _reports) = standalone_configuration();
     let off = "[members]\nenabled = off\nlisten = 127.0.0.1:0\nadvertise = 127.0.0.1:1\n";
     for operator in [None, Some(off)] {
         let server = Server::start(program(), &text, operator);
--- a/crates/server/tests/members/support.rs
+++ b/crates/server/tests/members/support.rs
@@ -53,7 +53,7 @@
 }
 
 /// The configuration of a server without an engine or a fleet, and the reports that its registry gets.
-pub(crate) fn lone_configuration() -> (String, Receiver<String>) {
+pub(crate) fn standalone_configuration() -> (String, Receiver<String>) {
     let (registry, reports) = registry::start();
     let others = Dependencies {
         engine: registry,
@@ -73,7 +73,7 @@
 
 /// Starts a server that has only a control socket.
 pub(crate) fn start_with_control_socket(socket: &Path) -> Server {
-    let (text, reports) = lone_configuration();
+    let (text, reports) = standalone_configuration();
     // The registry's thread runs as long as somebody may read its reports.
     std::mem::forget(reports);
     Server::start(program(), &text, Some(&control_section(socket)))
--- a/crates/server/tests/members/wrong_views.rs
+++ b/crates/server/tests/members/wrong_views.rs
@@ -12,11 +12,11 @@
 /// Each server keeps the rules alone, whatever it believes of the others, while they are cut off, paused and killed,
 /// and datagrams are lost, doubled and spoilt.
 #[test]
-fn keeps_rules_while_views_are_wrong() {
-    run_fleet_case(keeps_rules_under_faults);
+fn keeps_request_rules_while_views_are_wrong() {
+    run_fleet_case(check_rules_under_faults);
 }
 
-fn keeps_rules_under_faults(monitor: &StallMonitor) {
+fn check_rules_under_faults(monitor: &StallMonitor) {
     let mut fleet = start_fleet(LOSSY_START, monitor);
     let faults = Script::read("faults", FAULTS).expect("a script");
     // The load goes to the first server, which every fault concerns and none ends.
--- a/crates/server/tests/process/connections.rs
+++ b/crates/server/tests/process/connections.rs
@@ -1,8 +1,9 @@
 //! The limit on descriptors, peers that do not read, idle clients.
 
 use crate::support::{
-    ATTACH_FROM_START, GAUGES, HEALTH_CHECK, HELLO_RUNNING, TestServer, assert_counters, completed,
-    connect_to, move_to, others, request, start_program, unreachable_address,
+    GAUGE_REPLY, HEALTH_CHECK, HELLO_OF_RUNNING_ENGINE, INITIAL_ATTACH, TestServer,
+    assert_counters, completion_notice, connect_to, dependencies, request, start_program,
+    unreachable_address, write_configuration,
 };
 use madderbay_testkit::peer::{Peer, loopback_listener};
 use madderbay_testkit::server::{Dependencies, Server as Program};
@@ -47,12 +48,12 @@
 
 /// Idle connections give way to new ones; where all carry a request, a new one is closed unread.
 #[test]
-fn connections_stay_within_the_descriptor_limit() {
+fn connections_stay_within_descriptor_limit() {
     let mut server = TestServer::start(30);
-    let mut link = server.accept_engine_link(ATTACH_FROM_START);
+    let mut link = server.accept_engine_link(INITIAL_ATTACH);
     // The question for the gauges shows that the greeting was read.
     assert!(link.line().contains("STAT"));
-    link.say(GAUGES);
+    link.say(GAUGE_REPLY);
     // Requests that wait for a lost engine are rejected, and their connections would be idle.
     let engine = AnsweringEngine::start(link);
     let check_health = |peer: &mut Peer| {
@@ -96,7 +97,7 @@
 
 /// The program stops reading from a peer that does not read, and serves the others.
 #[test]
-fn peer_that_does_not_read_is_bounded() {
+fn stops_reading_from_peer_that_does_not_read() {
     let server = TestServer::start(128);
     let mut unread = server.connect();
     let stream = unread.0.get_mut();
@@ -125,7 +126,7 @@
         assert!(began.elapsed() < WAIT_TIMEOUT, "a load balancer gets in");
         let mut peer = connect_to(program);
         peer.say(&request(1, "quote", attempt, ""));
-        match rejection(&mut peer, attempt, engine) {
+        match rejection_line(&mut peer, attempt, engine) {
             None => return (peer, attempt),
             Some(line) => assert!(
                 line.contains("-32002"),
@@ -137,7 +138,7 @@
 }
 
 /// The line that answers an attempt, or nothing once the engine has the command to run it.
-fn rejection(peer: &mut Peer, attempt: u32, engine: &mut Peer) -> Option<String> {
+fn rejection_line(peer: &mut Peer, attempt: u32, engine: &mut Peer) -> Option<String> {
     let name = format!("{attempt:016x}");
     peer.0.get_ref().set_nonblocking(true).expect("set");
     let answer = loop {
@@ -158,23 +159,23 @@
 /// Idle clients take all available descriptors while the registry is down: a load balancer is still served, and
 /// reports resume once the registry is back.
 #[test]
-fn idle_clients_do_not_exclude_a_load_balancer() {
+fn idle_clients_do_not_lock_out_load_balancer() {
     let (engine, catalogue) = (loopback_listener(), loopback_listener());
-    let others = others(&engine, unreachable_address(), &catalogue);
-    let program = start_program(others, 30);
+    let dependencies = dependencies(&engine, unreachable_address(), &catalogue);
+    let program = start_program(dependencies, 30);
     let mut link = Peer::accept(&engine);
-    assert_eq!(link.line(), ATTACH_FROM_START);
-    link.say(HELLO_RUNNING);
+    assert_eq!(link.line(), INITIAL_ATTACH);
+    link.say(HELLO_OF_RUNNING_ENGINE);
     assert!(link.line().contains("STAT"));
-    link.say(GAUGES);
+    link.say(GAUGE_REPLY);
     let connect = || TcpStream::connect(program.address).expect("a connection");
     let mut first = Peer::new(connect());
     first.say(&request(1, "quote", 1, ""));
     assert!(link.command().contains("\"RUN\""));
     let idle: Vec<TcpStream> = (0..40).map(|_| connect()).collect();
     let (mut admitted, attempt) = connect_until_admitted(&program, &mut link);
-    link.say(&completed(1, 1, "AA=="));
-    link.say(&completed(2, attempt, "AA=="));
+    link.say(&completion_notice(1, 1, "AA=="));
+    link.say(&completion_notice(2, attempt, "AA=="));
     assert!(first.line().contains("\"id\":1,\"result\""));
     assert!(admitted.line().contains("\"id\":1,\"result\""));
     let descriptors = std::fs::read_dir(format!("/proc/{}/fd", program.pid()))
@@ -183,8 +184,11 @@
     assert!(descriptors <= 30, "{descriptors} descriptors");
     // The registry is back at another address.
     let (registry, reports) = registry::start();
-    let moved = Dependencies { registry, ..others };
-    move_to(&program, moved, 30);
+    let moved = Dependencies {
+        registry,
+        ..dependencies
+    };
+    write_configuration(&program, moved, 30);
     program.signal("-HUP");
     assert!(
         reports
--- a/crates/server/tests/process/operator_file.rs
+++ b/crates/server/tests/process/operator_file.rs
@@ -2,7 +2,7 @@
 
 use crate::common::SETTINGS;
 use crate::program::program;
-use crate::support::{STOP_MS, all_at};
+use crate::support::{STOP_MS, dependencies_at};
 use madderbay_testkit::peer::loopback_listener;
 use madderbay_testkit::server::{command, configuration, write_config};
 
@@ -27,8 +27,8 @@
 #[test]
 fn operator_file_is_checked_before_start() {
     let address = loopback_listener().local_addr().unwrap();
-    let others = all_at(address);
-    let config = configuration("127.0.0.1:0", others, 128, STOP_MS, SETTINGS);
+    let dependencies = dependencies_at(address);
+    let config = configuration("127.0.0.1:0", dependencies, 128, STOP_MS, SETTINGS);
     let file = write_config(
         "[pools]\nenabled = on\n[pool a]\nhandlers = quote, bock\n[reserve]\nhandlers = seek\n",
     );
--- a/crates/server/tests/process/reload.rs
+++ b/crates/server/tests/process/reload.rs
@@ -1,8 +1,8 @@
 //! SIGHUP: the program moves to the addresses of the new configuration.
 
 use crate::support::{
-    ATTACH_FROM_START, HELLO_RUNNING, LEAVING, TestServer, call_needed, completed, move_to, others,
-    request,
+    HELLO_OF_RUNNING_ENGINE, INITIAL_ATTACH, LEAVING_NOTICE, TestServer, call_needed_notice,
+    completion_notice, dependencies, request, write_configuration,
 };
 use madderbay_testkit::peer::{Peer, loopback_listener};
 use madderbay_testkit::{WAIT_TIMEOUT, registry};
@@ -12,11 +12,11 @@
 #[test]
 fn reload_moves_to_new_addresses() {
     let mut server = TestServer::start(128);
-    let mut engine = server.accept_engine_link(ATTACH_FROM_START);
+    let mut engine = server.accept_engine_link(INITIAL_ATTACH);
     let mut a = server.connect();
     a.say(&request(1, "search", 1, ""));
     assert!(engine.command().contains("\"RUN\""));
-    engine.say(&call_needed(1, 1));
+    engine.say(&call_needed_notice(1, 1));
     let mut catalogue = Peer::accept(&server.catalogue);
     assert!(catalogue.line().starts_with("FETCH"));
     server.log_at("engine: up");
@@ -25,8 +25,8 @@
     server.log_at("reload: refused");
     let (new_engine, new_catalogue, (registry, reports)) =
         (loopback_listener(), loopback_listener(), registry::start());
-    let others = others(&new_engine, registry, &new_catalogue);
-    move_to(&server, others, 64);
+    let dependencies = dependencies(&new_engine, registry, &new_catalogue);
+    write_configuration(&server, dependencies, 64);
     server.signal("-HUP");
     server.log_at("reload: restart required, changed=limits");
     server.log_at("reload: restart required, changed=settings");
@@ -35,12 +35,12 @@
     let mut engine = Peer::accept(&new_engine);
     assert_eq!(engine.line(), "{\"msg\":\"ATTACH\",\"serial\":1}");
     catalogue.say("0000000000000001 DATA 3\r\nxyz\r\n");
-    engine.say(HELLO_RUNNING);
+    engine.say(HELLO_OF_RUNNING_ENGINE);
     assert!(engine.command().contains("\"FEED\""));
-    engine.say(&call_needed(2, 1));
+    engine.say(&call_needed_notice(2, 1));
     let mut catalogue = Peer::accept(&new_catalogue);
     assert!(catalogue.line().starts_with("FETCH"));
-    engine.say(&completed(3, 1, "WFla"));
+    engine.say(&completion_notice(3, 1, "WFla"));
     assert!(a.line().contains("\"result\""));
     assert!(
         reports
@@ -55,15 +55,15 @@
 fn drain_and_reload_in_either_order() {
     for drain_first in [false, true] {
         let mut server = TestServer::start(128);
-        let mut engine = server.accept_engine_link(ATTACH_FROM_START);
+        let mut engine = server.accept_engine_link(INITIAL_ATTACH);
         let mut a = server.connect();
         server.log_at("engine: up");
         a.say(&request(1, "quote", 1, ""));
         assert!(engine.command().contains("\"RUN\""));
         let (new_engine, new_catalogue, (registry, _reports)) =
             (loopback_listener(), loopback_listener(), registry::start());
-        let others = others(&new_engine, registry, &new_catalogue);
-        move_to(&server, others, 128);
+        let dependencies = dependencies(&new_engine, registry, &new_catalogue);
+        write_configuration(&server, dependencies, 128);
         if drain_first {
             server.signal("-TERM");
             server.log_at("server: draining");
@@ -74,10 +74,10 @@
             server.signal("-TERM");
         }
         let mut engine = Peer::accept(&new_engine);
-        assert_eq!(engine.line(), ATTACH_FROM_START);
-        engine.say(HELLO_RUNNING);
-        assert_eq!(a.line(), LEAVING);
-        engine.say(&completed(1, 1, "WFla"));
+        assert_eq!(engine.line(), INITIAL_ATTACH);
+        engine.say(HELLO_OF_RUNNING_ENGINE);
+        assert_eq!(a.line(), LEAVING_NOTICE);
+        engine.say(&completion_notice(1, 1, "WFla"));
         assert_eq!(
             a.line(),
             "{\"jsonrpc\":\"2.0\",\"id\":1,\"result\":{\"bytes\":\"WFla\"}}"
@@ -90,9 +90,9 @@
 /// A section of the operator file that a restart alone applies is told, also where neither fleet nor backends are on;
 /// so is a file that is wrong.
 #[test]
-fn reload_tells_changed_sections_that_need_a_restart() {
+fn reload_logs_changed_sections_that_need_restart() {
     let mut server = TestServer::start_with_operator_file(128, "[pools]\nenabled = on\n");
-    let _engine = server.accept_engine_link(ATTACH_FROM_START);
+    let _engine = server.accept_engine_link(INITIAL_ATTACH);
     server.log_at("engine: up");
     let operator = server.operator.clone().expect("an operator file");
     let rewrite = |text: &str| std::fs::write(&operator, text).expect("written");
--- a/crates/server/tests/process/serving.rs
+++ b/crates/server/tests/process/serving.rs
@@ -1,8 +1,8 @@
 //! What the running program answers: results, rejections, failures, partial answers, pooled calls.
 
 use crate::support::{
-    ATTACH_FROM_START, GAUGES, LEAVING, TestServer, assert_counters, call_needed, completed,
-    request,
+    GAUGE_REPLY, INITIAL_ATTACH, LEAVING_NOTICE, TestServer, assert_counters, call_needed_notice,
+    completion_notice, request,
 };
 use madderbay_testkit::peer::Peer;
 
@@ -25,16 +25,16 @@
 }
 
 #[test]
-fn serves_across_a_lost_engine_link_and_drains() {
+fn serves_across_lost_engine_link_and_drains() {
     let server = TestServer::start(128);
-    let mut engine = server.accept_engine_link(ATTACH_FROM_START);
+    let mut engine = server.accept_engine_link(INITIAL_ATTACH);
     assert_eq!(
         server.reports.recv().unwrap(),
         "PUT /v1/instances/n1 HTTP/1.1 {\"state\":\"ready\"}"
     );
     let mut client = server.connect();
     let _catalogue = complete_with_call(&server, &mut engine, &mut client);
-    let mut engine = complete_over_lost_link(&server, engine, &mut client);
+    let mut engine = complete_despite_lost_link(&server, engine, &mut client);
     drain_during_run(&server, &mut engine, &mut client);
     drop(client);
     let log = server.ended();
@@ -62,7 +62,7 @@
         engine.command(),
         "{\"msg\":\"RUN\",\"call\":\"0000000000000001\",\"service\":\"search\",\"blob\":\"QUJD\"}"
     );
-    engine.say(&call_needed(1, 1));
+    engine.say(&call_needed_notice(1, 1));
     let mut catalogue = Peer::accept(&server.catalogue);
     let fetch = catalogue.line();
     assert!(
@@ -75,7 +75,7 @@
         engine.command(),
         "{\"msg\":\"FEED\",\"call\":\"0000000000000001\",\"blob\":\"eHl6\"}"
     );
-    engine.say(&completed(2, 1, "WFla"));
+    engine.say(&completion_notice(2, 1, "WFla"));
     assert_eq!(
         client.line(),
         "{\"jsonrpc\":\"2.0\",\"id\":1,\"result\":{\"bytes\":\"WFla\"}}"
@@ -84,13 +84,13 @@
 }
 
 /// The link is lost during the run of the request 2, and the request 3 joins it meanwhile. Gives the new link.
-fn complete_over_lost_link(server: &TestServer, mut engine: Peer, client: &mut Peer) -> Peer {
+fn complete_despite_lost_link(server: &TestServer, mut engine: Peer, client: &mut Peer) -> Peer {
     client.say(&request(2, "book", 2, "5"));
     assert!(engine.command().contains(&run_command(2)));
     drop(engine);
     let mut engine = server.accept_engine_link("{\"msg\":\"ATTACH\",\"serial\":2}");
     client.say(&request(3, "book", 3, "5"));
-    engine.say(&completed(3, 2, "AA=="));
+    engine.say(&completion_notice(3, 2, "AA=="));
     for id in [2, 3] {
         assert_eq!(
             client.line(),
@@ -106,9 +106,9 @@
     assert!(engine.command().contains(&run_command(4)));
     server.signal("-USR1");
     server.signal("-TERM");
-    assert_eq!(client.line(), LEAVING);
+    assert_eq!(client.line(), LEAVING_NOTICE);
     while !server.reports.recv().unwrap().contains("draining") {}
-    engine.say(&completed(4, 4, "AA=="));
+    engine.say(&completion_notice(4, 4, "AA=="));
     assert!(
         client
             .line()
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn answers_rejected_failed_and_partial() {
+fn answers_rejected_failed_and_partial_requests() {
     let server = TestServer::start(128);
     let mut client = server.connect();
     client.say(&request(1, "quote", 1, ""));
@@ -126,12 +126,12 @@
             .line()
             .contains("\"id\":1,\"error\":{\"code\":-32002")
     );
-    let mut engine = server.accept_engine_link(ATTACH_FROM_START);
+    let mut engine = server.accept_engine_link(INITIAL_ATTACH);
     assert!(server.reports.recv().unwrap().contains("ready"));
     // The question for the gauges shows that the greeting was read.
     let asked = engine.line();
     assert!(asked.contains("STAT"), "{asked}");
-    engine.say(GAUGES);
+    engine.say(GAUGE_REPLY);
     client.say(&request(2, "quote", 2, ""));
     assert!(engine.command().contains(&run_command(2)));
     engine.say(
@@ -159,7 +159,7 @@
 fn complete_without_call(server: &TestServer, engine: &mut Peer, client: &mut Peer) {
     client.say(&request(3, "search", 3, ""));
     assert!(engine.command().contains(&run_command(3)));
-    engine.say(&call_needed(2, 3));
+    engine.say(&call_needed_notice(2, 3));
     for _ in 0..2 {
         let mut catalogue = Peer::accept(&server.catalogue);
         assert!(catalogue.line().starts_with("FETCH 0000000000000003 "));
@@ -170,7 +170,7 @@
         engine.command(),
         "{\"msg\":\"SKIP\",\"call\":\"0000000000000003\",\"serial\":2}"
     );
-    engine.say(&completed(3, 3, "AA=="));
+    engine.say(&completion_notice(3, 3, "AA=="));
     assert!(client.line().contains("\"id\":3,\"result\""));
 }
 
@@ -179,17 +179,17 @@
 fn pool_limits_concurrent_calls() {
     let operator = "[pools]\nenabled = on\n[pool seats]\nhandlers = book\ncalls = 1\n";
     let server = TestServer::start_with_operator_file(128, operator);
-    let mut engine = server.accept_engine_link(ATTACH_FROM_START);
+    let mut engine = server.accept_engine_link(INITIAL_ATTACH);
     assert!(server.reports.recv().unwrap().contains("ready"));
     assert!(engine.line().contains("STAT"));
-    engine.say(GAUGES);
+    engine.say(GAUGE_REPLY);
     let mut client = server.connect();
     for (id, key) in [(1, "5"), (2, "6")] {
         client.say(&request(id, "book", id, key));
         assert!(engine.command().contains("\"RUN\""));
     }
     for n in [1, 2] {
-        engine.say(&call_needed(n, n));
+        engine.say(&call_needed_notice(n, n));
     }
     let mut catalogue = Peer::accept(&server.catalogue);
     assert!(catalogue.line().starts_with("FETCH 0000000000000001 "));
@@ -202,8 +202,8 @@
     server.signal("-USR1");
     catalogue.say("0000000000000002 DATA 3\r\nxyz\r\n");
     assert!(engine.command().contains(&feed_command(2)));
-    engine.say(&completed(3, 1, "AA=="));
-    engine.say(&completed(4, 2, "AA=="));
+    engine.say(&completion_notice(3, 1, "AA=="));
+    engine.say(&completion_notice(4, 2, "AA=="));
     assert!(client.line().contains("\"result\"") && client.line().contains("\"result\""));
     let log = drain(server, client);
     assert_counters(
--- a/crates/server/tests/process/shutdown.rs
+++ b/crates/server/tests/process/shutdown.rs
@@ -1,16 +1,16 @@
 //! SIGTERM: the program answers what is open and ends before it is killed.
 
 use crate::support::{
-    ATTACH_FROM_START, HEALTH_CHECK, HELLO_STARTED, LEAVING, PeerListeners, TestServer, connect_to,
-    request, start_program, unreachable_others,
+    HEALTH_CHECK, HELLO_OF_NEW_ENGINE, INITIAL_ATTACH, LEAVING_NOTICE, PeerListeners, TestServer,
+    connect_to, request, start_program, unreachable_dependencies,
 };
 use madderbay_testkit::peer::Peer;
 
 /// A run that does not end is answered before the process ends, and the process ends before it would be killed.
 #[test]
-fn drain_answers_a_run_that_does_not_end() {
+fn drain_answers_request_whose_run_does_not_end() {
     let server = TestServer::start(128);
-    let mut engine = server.accept_engine_link(ATTACH_FROM_START);
+    let mut engine = server.accept_engine_link(INITIAL_ATTACH);
     let mut a = server.connect();
     a.say(&request(1, "book", 1, "5"));
     assert!(engine.command().contains("\"RUN\""));
@@ -23,11 +23,11 @@
 
 /// SIGTERM arrives twice while the engine has not come up and the registry has answered in part.
 #[test]
-fn drain_ends_while_the_engine_is_not_up() {
+fn drain_ends_while_engine_is_not_up() {
     let peers = PeerListeners::bind();
     let program = start_program(peers.addresses(), 128);
     let mut link = Peer::accept(&peers.engine);
-    assert_eq!(link.line(), ATTACH_FROM_START);
+    assert_eq!(link.line(), INITIAL_ATTACH);
     let mut peer = Peer::accept(&peers.registry);
     assert!(peer.line().starts_with("PUT "));
     peer.say("HTTP/1.1 2");
@@ -35,10 +35,10 @@
     a.say(HEALTH_CHECK);
     assert!(a.line().contains("\"fit\":true"));
     program.signal("-TERM");
-    assert_eq!(a.line(), LEAVING);
+    assert_eq!(a.line(), LEAVING_NOTICE);
     program.signal("-TERM");
     // The engine comes up now; the program takes no request on.
-    link.say(HELLO_STARTED);
+    link.say(HELLO_OF_NEW_ENGINE);
     a.say("{\"jsonrpc\":\"2.0\",\"id\":2,\"method\":\"isWell\"}\n");
     assert!(a.line().contains("\"fit\":false"));
     a.say(&request(3, "quote", 1, ""));
@@ -49,15 +49,15 @@
 
 /// Where the kill comes before the drain's grace is over, listening ends in time to answer all that was accepted.
 #[test]
-fn stops_listening_before_the_kill() {
-    let mut program = start_program(unreachable_others(), 128);
+fn stops_listening_before_kill_timeout() {
+    let mut program = start_program(unreachable_dependencies(), 128);
     // One connection stays open, so that the process outlasts its listening.
     let mut a = connect_to(&program);
     a.say(HEALTH_CHECK);
     assert!(a.line().contains("\"fit\":true"));
     program.signal("-TERM");
     program.log_at("listener: closed");
-    assert_eq!(a.line(), LEAVING);
+    assert_eq!(a.line(), LEAVING_NOTICE);
     a.say(&request(2, "quote", 1, ""));
     assert!(a.line().contains("\"id\":2,\"error\":{\"code\":-32002"));
 }
--- a/crates/server/tests/process/startup.rs
+++ b/crates/server/tests/process/startup.rs
@@ -3,9 +3,10 @@
 use crate::common::SETTINGS;
 use crate::program::program;
 use crate::support::{
-    ATTACH_FROM_START, GAUGES, HEALTH_CHECK, HELLO_RUNNING, HELLO_STARTED, LEAVING, PeerListeners,
-    STOP_MS, all_at, completed, connect_to, move_to, others, request, start_program,
-    unreachable_address, unreachable_others,
+    GAUGE_REPLY, HEALTH_CHECK, HELLO_OF_NEW_ENGINE, HELLO_OF_RUNNING_ENGINE, INITIAL_ATTACH,
+    LEAVING_NOTICE, PeerListeners, STOP_MS, completion_notice, connect_to, dependencies,
+    dependencies_at, request, start_program, unreachable_address, unreachable_dependencies,
+    write_configuration,
 };
 use madderbay_testkit::peer::{Peer, loopback_listener};
 use madderbay_testkit::registry;
@@ -18,7 +19,7 @@
 /// health checks, rejects requests, and serves as soon as there is an engine.
 #[test]
 fn starts_with_all_peers_down_and_reloads_with_registry_down() {
-    let mut program = start_program(unreachable_others(), 128);
+    let mut program = start_program(unreachable_dependencies(), 128);
     program.log_at("engine: unreachable");
     let mut a = connect_to(&program);
     a.say(HEALTH_CHECK);
@@ -29,22 +30,22 @@
         "rejected while there is no engine"
     );
     let (engine, catalogue) = (loopback_listener(), loopback_listener());
-    let moved = others(&engine, unreachable_address(), &catalogue);
-    move_to(&program, moved, 128);
+    let moved = dependencies(&engine, unreachable_address(), &catalogue);
+    write_configuration(&program, moved, 128);
     program.signal("-HUP");
     let mut link = Peer::accept(&engine);
-    assert_eq!(link.line(), ATTACH_FROM_START);
-    link.say(HELLO_RUNNING);
+    assert_eq!(link.line(), INITIAL_ATTACH);
+    link.say(HELLO_OF_RUNNING_ENGINE);
     program.log_at("engine: up");
     a.say(&request(3, "quote", 2, ""));
     assert!(
         link.command()
             .contains("\"RUN\",\"call\":\"0000000000000002\"")
     );
-    link.say(&completed(1, 2, "AA=="));
+    link.say(&completion_notice(1, 2, "AA=="));
     assert!(a.line().contains("\"id\":3,\"result\""));
     program.signal("-TERM");
-    assert_eq!(a.line(), LEAVING);
+    assert_eq!(a.line(), LEAVING_NOTICE);
 }
 
 /// The one line that a failed start prints. Its exit status is 2 where the configuration is wrong, else 1.
@@ -71,8 +72,8 @@
 fn failed_start_prints_one_line() {
     let taken = loopback_listener();
     let address = taken.local_addr().unwrap();
-    let others = all_at(address);
-    let good = configuration(&address.to_string(), others, 128, STOP_MS, SETTINGS);
+    let dependencies = dependencies_at(address);
+    let good = configuration(&address.to_string(), dependencies, 128, STOP_MS, SETTINGS);
     assert!(failed_start(None, None).contains("RELAY_CONFIG"));
     assert!(failed_start(Some("{"), None).contains("configuration"));
     assert!(
@@ -108,11 +109,11 @@
 
 /// The program waits for a configuration that is not there, and then cut short; it is up soon after it is complete.
 #[test]
-fn waits_for_a_late_configuration() {
+fn waits_for_late_configuration() {
     let (engine, catalogue) = (loopback_listener(), loopback_listener());
     let (registry, _reports) = registry::start();
-    let others = others(&engine, registry, &catalogue);
-    let complete = configuration("127.0.0.1:0", others, 128, STOP_MS, SETTINGS);
+    let dependencies = dependencies(&engine, registry, &catalogue);
+    let complete = configuration("127.0.0.1:0", dependencies, 128, STOP_MS, SETTINGS);
     let path = write_config("");
     std::fs::remove_file(&path).expect("removed");
     let mut command = command(program(), Some(&path));
@@ -134,7 +135,7 @@
     std::fs::write(&path, &complete).expect("written");
     logged("server: listening");
     let mut link = Peer::accept(&engine);
-    assert_eq!(link.line(), ATTACH_FROM_START);
+    assert_eq!(link.line(), INITIAL_ATTACH);
     child.kill().expect("killed");
     child.wait().expect("over");
     std::fs::remove_file(&path).expect("removed");
@@ -143,13 +144,13 @@
 /// The engine breaks its link off, or says nothing, before it is up; the registry breaks off, answers in part and
 /// refuses before it takes a report. The program is ready soon all the same.
 #[test]
-fn ready_soon_while_peers_break_off() {
+fn becomes_ready_although_peers_break_links() {
     let peers = PeerListeners::bind();
     let program = start_program(peers.addresses(), 128);
     let began = Instant::now();
     for broken in ["", "{\"msg\":\"HEL", "}\n"] {
         let mut link = Peer::accept(&peers.engine);
-        assert_eq!(link.line(), ATTACH_FROM_START);
+        assert_eq!(link.line(), INITIAL_ATTACH);
         link.say(broken);
     }
     for broken in [
@@ -163,10 +164,10 @@
         peer.say(broken);
     }
     let mut link = Peer::accept(&peers.engine);
-    assert_eq!(link.line(), ATTACH_FROM_START);
-    link.say(HELLO_STARTED);
+    assert_eq!(link.line(), INITIAL_ATTACH);
+    link.say(HELLO_OF_NEW_ENGINE);
     assert!(link.line().contains("STAT"));
-    link.say(GAUGES);
+    link.say(GAUGE_REPLY);
     let mut peer = Peer::accept(&peers.registry);
     while peer.line() != "" {}
     assert!(
@@ -186,19 +187,19 @@
 /// The program is killed right after it has accepted a connection with a request on it, several times. Each next
 /// incarnation listens at the same address at once, starts with no state, and serves.
 #[test]
-fn restarts_after_kills_right_after_an_accept() {
+fn restarts_when_killed_right_after_accept() {
     let (engine, catalogue) = (loopback_listener(), loopback_listener());
     let (registry, _reports) = registry::start();
-    let others = others(&engine, registry, &catalogue);
+    let dependencies = dependencies(&engine, registry, &catalogue);
     // An address of its own: no other test takes its port between two incarnations.
     let mut listen = "127.77.2.1:0".to_string();
     for incarnation in 1..=6 {
-        let text = configuration(&listen, others, 128, STOP_MS, SETTINGS);
+        let text = configuration(&listen, dependencies, 128, STOP_MS, SETTINGS);
         let mut program = Program::start(program(), &text, None);
         listen = program.address.to_string();
         let mut link = Peer::accept(&engine);
-        assert_eq!(link.line(), ATTACH_FROM_START);
-        link.say(HELLO_STARTED);
+        assert_eq!(link.line(), INITIAL_ATTACH);
+        link.say(HELLO_OF_NEW_ENGINE);
         program.log_at("engine: up");
         let mut a = connect_to(&program);
         a.say(&request(1, "book", incarnation, "5"));
@@ -211,7 +212,7 @@
             run.contains("\"RUN\",\"call\":\"0000000000000006\""),
             "{run}"
         );
-        link.say(&completed(1, incarnation, "WFla"));
+        link.say(&completion_notice(1, incarnation, "WFla"));
         assert!(a.line().contains("\"id\":1,\"result\""));
     }
 }
--- a/crates/server/tests/process/support.rs
+++ b/crates/server/tests/process/support.rs
@@ -12,17 +12,20 @@
 /// Milliseconds from SIGTERM to SIGKILL, as the configuration states them.
 pub(crate) const STOP_MS: u64 = 800;
 /// First line on an engine link of a program that has read no notice yet.
-pub(crate) const ATTACH_FROM_START: &str = "{\"msg\":\"ATTACH\",\"serial\":0}";
+pub(crate) const INITIAL_ATTACH: &str = "{\"msg\":\"ATTACH\",\"serial\":0}";
 /// Greeting of an engine that has been up for an hour.
-pub(crate) const HELLO_RUNNING: &str = "{\"msg\":\"HELLO\",\"how\":\"old\",\"duration\":3600000}\n";
+pub(crate) const HELLO_OF_RUNNING_ENGINE: &str =
+    "{\"msg\":\"HELLO\",\"how\":\"old\",\"duration\":3600000}\n";
 /// Greeting of an engine that has just started.
-pub(crate) const HELLO_STARTED: &str = "{\"msg\":\"HELLO\",\"how\":\"new\",\"duration\":10}\n";
+pub(crate) const HELLO_OF_NEW_ENGINE: &str =
+    "{\"msg\":\"HELLO\",\"how\":\"new\",\"duration\":10}\n";
 /// Answer to the first question for the gauges.
-pub(crate) const GAUGES: &str = "{\"msg\":\"STATS\",\"cookie\":\"1\",\"stats\":[0.1,1,0.1,1]}\n";
+pub(crate) const GAUGE_REPLY: &str =
+    "{\"msg\":\"STATS\",\"cookie\":\"1\",\"stats\":[0.1,1,0.1,1]}\n";
 /// A load balancer's health check.
 pub(crate) const HEALTH_CHECK: &str = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"isWell\"}\n";
 /// What every connection is sent when the program drains.
-pub(crate) const LEAVING: &str = "{\"jsonrpc\":\"2.0\",\"method\":\"leaving\"}";
+pub(crate) const LEAVING_NOTICE: &str = "{\"jsonrpc\":\"2.0\",\"method\":\"leaving\"}";
 
 /// The program between an engine and a catalogue that are played by hand.
 pub(crate) struct TestServer {
@@ -60,8 +63,8 @@
         let (engine, catalogue) = (loopback_listener(), loopback_listener());
         let (registry, reports) = registry::start();
         let settings = SETTINGS.replace("\"drain_grace_us\": 2000000", "\"drain_grace_us\": 50000");
-        let others = others(&engine, registry, &catalogue);
-        let text = configuration("127.0.0.1:0", others, descriptors, STOP_MS, &settings);
+        let dependencies = dependencies(&engine, registry, &catalogue);
+        let text = configuration("127.0.0.1:0", dependencies, descriptors, STOP_MS, &settings);
         TestServer {
             program: Program::start(program(), &text, operator),
             engine,
@@ -74,7 +77,7 @@
     pub(crate) fn accept_engine_link(&self, attach: &str) -> Peer {
         let mut engine = Peer::accept(&self.engine);
         assert_eq!(engine.line(), attach);
-        engine.say(HELLO_RUNNING);
+        engine.say(HELLO_OF_RUNNING_ENGINE);
         engine
     }
 
@@ -95,7 +98,7 @@
 }
 
 /// The addresses of the program's peers.
-pub(crate) fn others(
+pub(crate) fn dependencies(
     engine: &TcpListener,
     registry: SocketAddr,
     catalogue: &TcpListener,
@@ -128,7 +131,7 @@
     /// Their addresses.
     pub(crate) fn addresses(&self) -> Dependencies {
         let registry = self.registry.local_addr().expect("an address");
-        others(&self.engine, registry, &self.catalogue)
+        dependencies(&self.engine, registry, &self.catalogue)
     }
 }
 
@@ -138,12 +141,12 @@
 }
 
 /// Peers none of which can be reached.
-pub(crate) fn unreachable_others() -> Dependencies {
-    all_at(unreachable_address())
+pub(crate) fn unreachable_dependencies() -> Dependencies {
+    dependencies_at(unreachable_address())
 }
 
 /// All peers at one address.
-pub(crate) fn all_at(address: SocketAddr) -> Dependencies {
+pub(crate) fn dependencies_at(address: SocketAddr) -> Dependencies {
     Dependencies {
         engine: address,
         registry: address,
@@ -152,14 +155,18 @@
 }
 
 /// Starts the program between these peers, with this limit on descriptors.
-pub(crate) fn start_program(others: Dependencies, descriptors: usize) -> Program {
-    let text = configuration("127.0.0.1:0", others, descriptors, STOP_MS, SETTINGS);
+pub(crate) fn start_program(dependencies: Dependencies, descriptors: usize) -> Program {
+    let text = configuration("127.0.0.1:0", dependencies, descriptors, STOP_MS, SETTINGS);
     Program::start(program(), &text, None)
 }
 
 /// Writes a configuration with other peers over the one that the program was started with.
-pub(crate) fn move_to(program: &Program, others: Dependencies, descriptors: usize) {
-    let text = configuration("127.0.0.1:0", others, descriptors, STOP_MS, SETTINGS);
+pub(crate) fn write_configuration(
+    program: &Program,
+    dependencies: Dependencies,
+    descriptors: usize,
+) {
+    let text = configuration("127.0.0.1:0", dependencies, descriptors, STOP_MS, SETTINGS);
     std::fs::write(&program.path, text).expect("written");
 }
 
@@ -179,13 +186,13 @@
 }
 
 /// The engine's notice that a run has completed with a result.
-pub(crate) fn completed(serial: u32, attempt: u32, blob: &str) -> String {
+pub(crate) fn completion_notice(serial: u32, attempt: u32, blob: &str) -> String {
     let about = format!("\"serial\":{serial},\"call\":\"{attempt:016x}\",\"how\":\"good\"");
     format!("{{\"msg\":\"DONE\",{about},\"duration\":9,\"blob\":\"{blob}\"}}\n")
 }
 
 /// The engine's notice that a run waits for a call with the body `abc`.
-pub(crate) fn call_needed(serial: u32, attempt: u32) -> String {
+pub(crate) fn call_needed_notice(serial: u32, attempt: u32) -> String {
     format!(
         "{{\"msg\":\"NEED\",\"serial\":{serial},\"call\":\"{attempt:016x}\",\"blob\":\"YWJj\"}}\n"
     )
--- a/crates/server/tests/routes/ejection.rs
+++ b/crates/server/tests/routes/ejection.rs
@@ -5,7 +5,7 @@
 use madderbay_testkit::catalogue::Behavior;
 
 /// A backend with this behavior is ejected by all, and readmitted once it is healthy.
-fn ejects_and_readmits(behavior: Behavior, seed: u64) {
+fn check_ejection_and_readmission(behavior: Behavior, seed: u64) {
     run_fleet_case(|monitor| {
         let mut fleet = BackendFleet::start(seed, monitor);
         fleet.backends[2].set_behavior(behavior);
@@ -23,31 +23,31 @@
 
 #[test]
 fn ejects_and_readmits_backend_that_fails() {
-    ejects_and_readmits(Behavior::Fails, 1);
+    check_ejection_and_readmission(Behavior::Fails, 1);
 }
 
 #[test]
 fn ejects_and_readmits_backend_that_never_answers() {
-    ejects_and_readmits(Behavior::Silent, 2);
+    check_ejection_and_readmission(Behavior::Silent, 2);
 }
 
 #[test]
 fn ejects_and_readmits_backend_that_resets() {
-    ejects_and_readmits(Behavior::Resets, 3);
+    check_ejection_and_readmission(Behavior::Resets, 3);
 }
 
 #[test]
 fn ejects_and_readmits_backend_that_is_slow() {
-    ejects_and_readmits(Behavior::Slow(15.0), 4);
+    check_ejection_and_readmission(Behavior::Slow(15.0), 4);
 }
 
 /// One backend that fails by turns, and then all, one after the other: what may run twice hardly suffers.
 #[test]
 fn answers_while_backends_fail_in_turn() {
-    run_fleet_case(backends_fail_in_turn);
+    run_fleet_case(fail_backends_in_turn);
 }
 
-fn backends_fail_in_turn(monitor: &StallMonitor) {
+fn fail_backends_in_turn(monitor: &StallMonitor) {
     let mut fleet = BackendFleet::start(10, monitor);
     for _ in 0..5 {
         fleet.backends[1].set_behavior(Behavior::Fails);
--- a/crates/server/tests/routes/partition.rs
+++ b/crates/server/tests/routes/partition.rs
@@ -10,10 +10,10 @@
 /// A server whose own connections are cut has calls fail at all backends: the others go on as they were.
 #[test]
 fn isolated_server_ejects_no_backend_for_others() {
-    run_fleet_case(isolates_first_server);
+    run_fleet_case(isolate_first_server);
 }
 
-fn isolates_first_server(monitor: &StallMonitor) {
+fn isolate_first_server(monitor: &StallMonitor) {
     let mut fleet = BackendFleet::start(6, monitor);
     fleet.gates.iter().for_each(|g| g.cut(true));
     fleet.wait_while("calls of the first to fail", |f| {
@@ -51,10 +51,10 @@
 /// A connection cut between one server and one backend: that server ejects it, the others go on using it.
 #[test]
 fn backend_cut_off_from_one_server_is_ejected_there_alone() {
-    run_fleet_case(cuts_first_server_off_one_backend);
+    run_fleet_case(cut_first_server_off_one_backend);
 }
 
-fn cuts_first_server_off_one_backend(monitor: &StallMonitor) {
+fn cut_first_server_off_one_backend(monitor: &StallMonitor) {
     let mut fleet = BackendFleet::start(9, monitor);
     fleet.gates[2].cut(true);
     fleet.wait_until_ejected(2, &[1, 2]);
@@ -78,10 +78,10 @@
 /// `madderbay routes` reports all backends.
 #[test]
 fn readmits_backend_over_partition() {
-    run_fleet_case(readmits_while_partitioned);
+    run_fleet_case(readmit_while_partitioned);
 }
 
-fn readmits_while_partitioned(monitor: &StallMonitor) {
+fn readmit_while_partitioned(monitor: &StallMonitor) {
     let mut fleet = BackendFleet::start(8, monitor);
     fleet.backends[3].set_behavior(Behavior::Fails);
     fleet.wait_until_ejected(3, &[]);
--- a/crates/server/tests/routes/retries.rs
+++ b/crates/server/tests/routes/retries.rs
@@ -12,10 +12,10 @@
 /// All backends fail: none is ejected for good, retries stay within a tenth, and the end of it is found at once.
 #[test]
 fn bounds_retries_when_all_backends_fail() {
-    run_fleet_case(all_backends_fail);
+    run_fleet_case(fail_all_backends);
 }
 
-fn all_backends_fail(monitor: &StallMonitor) {
+fn fail_all_backends(monitor: &StallMonitor) {
     let mut fleet = BackendFleet::start(5, monitor);
     let all = |fleet: &BackendFleet, behavior| {
         fleet.backends.iter().for_each(|b| b.set_behavior(behavior));
@@ -45,10 +45,10 @@
 /// Addresses change under load: a new backend is used, a removed one is not, and no call is lost for it.
 #[test]
 fn follows_changed_backend_list_without_losing_calls() {
-    run_fleet_case(changes_backend_list);
+    run_fleet_case(change_backend_list);
 }
 
-fn changes_backend_list(monitor: &StallMonitor) {
+fn change_backend_list(monitor: &StallMonitor) {
     let mut fleet = BackendFleet::start(7, monitor);
     let added = start_backend();
     let section = backend_section(9, added.address);
--- a/crates/server/tests/routes/support.rs
+++ b/crates/server/tests/routes/support.rs
@@ -228,7 +228,7 @@
             assert!(violations.is_empty(), "{violations:?}");
             records.extend(sent);
         }
-        assert_called_once(&self.backends, &records);
+        assert_no_repeated_calls(&self.backends, &records);
         LoadSummary {
             searches: answered_in_time(&records, SEARCH),
             bookings: answered_in_time(&records, BOOK),
@@ -265,7 +265,7 @@
 }
 
 /// Asserts that no request with an idempotency key has had its call done at two backends, or twice at one.
-fn assert_called_once(backends: &[Catalogue], records: &[RequestRecord]) {
+fn assert_no_repeated_calls(backends: &[Catalogue], records: &[RequestRecord]) {
     let mut calls: HashMap<String, u32> = HashMap::new();
     for backend in backends {
         for (name, n) in backend.stats().names {
--- a/crates/server/tests/scenarios/player.rs
+++ b/crates/server/tests/scenarios/player.rs
@@ -55,7 +55,7 @@
 }
 
 /// The disk, played.
-struct Disk {
+struct SimulatedDisk {
     batches: Receiver<Batch>,
 }
 
@@ -76,11 +76,11 @@
     notices: NoticeReader,
     engine: Option<Outbox>,
     engine_is_mute: bool,
-    disk: Option<Disk>,
+    disk: Option<SimulatedDisk>,
     /// What is written is durable at once.
-    disk_is_quick: bool,
+    disk_is_instant: bool,
     /// The peer to which nothing can be written.
-    unwritable_peer: Option<String>,
+    blocked_peer: Option<String>,
     /// How late timers are seen to.
     pub timer_delay: Duration,
     calls: Vec<CallConnection>,
@@ -100,8 +100,8 @@
             engine: None,
             engine_is_mute: false,
             disk: None,
-            disk_is_quick: true,
-            unwritable_peer: None,
+            disk_is_instant: true,
+            blocked_peer: None,
             timer_delay: Duration::ZERO,
             calls: vec![],
             sent: HashMap::new(),
@@ -191,7 +191,7 @@
     /// Makes results durable, on a disk that is quick.
     pub(crate) fn make_results_durable(&mut self) {
         let (sender, batches) = channel();
-        self.disk = Some(Disk { batches });
+        self.disk = Some(SimulatedDisk { batches });
         let results = DurableResults::new(1_000, 100_000);
         self.core
             .set_durability(DurabilityQueue::new(results, sender));
@@ -204,7 +204,7 @@
 
     /// From now on the disk writes only on [`finish_writes`](Self::finish_writes).
     pub(crate) fn hold_writes(&mut self) {
-        self.disk_is_quick = false;
+        self.disk_is_instant = false;
     }
 
     /// All that waits for the disk is written, or all of it fails. False where nothing waited.
@@ -229,7 +229,7 @@
     /// Ends a moment: what came is settled, what was sent is put by, the engine answers questions for its gauges.
     pub(crate) fn settle(&mut self) {
         self.core.run_turn(self.now);
-        while self.disk_is_quick && self.finish_writes(true) {
+        while self.disk_is_instant && self.finish_writes(true) {
             self.core.run_turn(self.now);
         }
         self.open_wanted_calls();
@@ -247,7 +247,7 @@
     fn collect_sent(&mut self) -> Vec<String> {
         let mut cookies = vec![];
         for (peer, outbox) in self.outboxes() {
-            if self.unwritable_peer.as_ref() == Some(&peer) {
+            if self.blocked_peer.as_ref() == Some(&peer) {
                 continue;
             }
             let text = String::from_utf8(outbox.take()).expect("text");
@@ -279,7 +279,7 @@
     }
 
     /// Sets the clock to a later time; timers run on the way.
-    pub(crate) fn run_to(&mut self, until: Timestamp) {
+    pub(crate) fn advance_to(&mut self, until: Timestamp) {
         let delay = self.timer_delay;
         let is_due = |deadline: &Timestamp| *deadline + delay < until;
         while let Some(deadline) = self.core.next_deadline().filter(is_due) {
@@ -326,7 +326,7 @@
 
     /// From now on nothing can be written to a peer.
     pub(crate) fn make_unwritable(&mut self, peer: &str) {
-        self.unwritable_peer = Some(peer.to_string());
+        self.blocked_peer = Some(peer.to_string());
     }
 
     /// From now on the engine answers no question for its gauges.
--- a/crates/server/tests/scenarios/step.rs
+++ b/crates/server/tests/scenarios/step.rs
@@ -114,7 +114,7 @@
 pub(crate) fn play(player: &mut ScenarioPlayer, line: &str) -> Result<(), Mismatch> {
     match Step::read(line) {
         Step::RunTo(time) => {
-            player.run_to(at(time));
+            player.advance_to(at(time));
             return Ok(());
         }
         Step::ExpectLine { peer, line } => return expect_line(player.next_sent(peer), line),
--- a/crates/server/tests/shared/counters.rs
+++ b/crates/server/tests/shared/counters.rs
@@ -3,7 +3,7 @@
 use crate::ample_capacity::settings;
 use crate::machine::{StallMonitor, run_fleet_case};
 use crate::program::program;
-use crate::support::{LoadPlan, is_completed, kind, send, send_while};
+use crate::support::{LoadPlan, is_completed, request_kind, send, send_while};
 use crate::watched_fleet::WatchedFleet;
 use madderbay::time::Duration;
 use madderbay_testkit::engine::HandlerWork;
@@ -17,21 +17,21 @@
 const SERVERS: usize = 3;
 /// Longest wait for a change of the counters: shorter than their window.
 const COUNTER_TIMEOUT: Duration = Duration::from_millis(14_000);
-const COUNTERS: &str =
+const LONG_WINDOW_COUNTERS: &str =
     "[shared]\nenabled = on\n[count tenants]\nby = tenant\nwindow_s = 15\nmost = 100\n";
-/// The window of [`SHORT_COUNTERS`] in seconds.
+/// The window of [`SHORT_WINDOW_COUNTERS`] in seconds.
 const SHORT_WINDOW_S: f64 = 2.0;
 /// The rate that [`tenant_settings`] allows acme.
 const ACME_PER_SECOND: f64 = 20.0;
 /// Upper bound on the load on the second server, which ends with that on the first.
 const MAX_LOAD_S: u64 = 60;
-const SHORT_COUNTERS: &str =
+const SHORT_WINDOW_COUNTERS: &str =
     "[shared]\nenabled = on\n[count tenants]\nby = tenant\nwindow_s = 2\nmost = 400\n";
 
 /// Each of three servers reports exactly what came to all; where one is cut off, the error bound says so.
 #[test]
 fn reports_counts_of_fleet_with_error_bounds() {
-    run_fleet_case(compares_counts);
+    run_fleet_case(compare_counts);
 }
 
 /// The value and the error bound of the tenant's count at each server; zeros where one does not answer.
@@ -45,16 +45,16 @@
     (0..SERVERS).map(count).collect()
 }
 
-fn compares_counts(monitor: &StallMonitor) {
+fn compare_counts(monitor: &StallMonitor) {
     let works = [HandlerWork::new("quote", (1.0, 1.0), false)];
     let setup = FleetSetup::of(SERVERS);
     let mut fleet = WatchedFleet {
         processes: ProcessFleet::new(setup, program(), &settings(), &works, 7),
         monitor,
     };
-    fleet.processes.operator = COUNTERS.into();
+    fleet.processes.operator = LONG_WINDOW_COUNTERS.into();
     fleet.start(SERVERS);
-    let kinds = [kind("quote", 1.0, false, "acme")];
+    let kinds = [request_kind("quote", 1.0, false, "acme")];
     let plan = LoadPlan {
         per_second: 40.0,
         seconds: 1,
@@ -98,8 +98,8 @@
 #[test]
 fn tenant_rate_holds_for_whole_fleet() {
     run_fleet_case(|monitor| {
-        let alone = crowd_first_server(false, monitor);
-        let shared = crowd_first_server(true, monitor);
+        let alone = overload_first_server(false, monitor);
+        let shared = overload_first_server(true, monitor);
         let (acme, zenith) = (alone.acme.fraction, alone.zenith.fraction);
         assert!(
             zenith < 0.95 && acme > zenith - 0.2,
@@ -130,7 +130,7 @@
 }
 
 /// Two servers; acme uses up its rate at the second and sends a few requests to the first, which zenith crowds.
-fn crowd_first_server(with_counters: bool, monitor: &StallMonitor) -> TenantOutcomes {
+fn overload_first_server(with_counters: bool, monitor: &StallMonitor) -> TenantOutcomes {
     let works = [HandlerWork::new("quote", (20.0, 20.0), false)];
     let setup = FleetSetup::of(2);
     let mut fleet = WatchedFleet {
@@ -138,13 +138,13 @@
         monitor,
     };
     if with_counters {
-        fleet.processes.operator = SHORT_COUNTERS.into();
+        fleet.processes.operator = SHORT_WINDOW_COUNTERS.into();
     }
     fleet.start(2);
-    let acme = [kind("quote", 1.0, false, "acme")];
-    let crowd = [
-        kind("quote", 8.0, false, "acme"),
-        kind("quote", 132.0, false, "zenith"),
+    let acme = [request_kind("quote", 1.0, false, "acme")];
+    let overload = [
+        request_kind("quote", 8.0, false, "acme"),
+        request_kind("quote", 132.0, false, "zenith"),
     ];
     let plan = |per_second, seconds| LoadPlan {
         per_second,
@@ -159,9 +159,9 @@
         let steady = plan(40.0, MAX_LOAD_S);
         scope.spawn(move || send_while(other, acme, &steady, is_loading));
         if with_counters {
-            wait_until_acme_is_over_its_rate(&mut fleet);
+            wait_until_acme_exceeds_its_rate(&mut fleet);
         }
-        let records = send(fleet.target(0), &crowd, &plan(140.0, 12));
+        let records = send(fleet.target(0), &overload, &plan(140.0, 12));
         is_on.store(false, Ordering::Relaxed);
         records
     });
@@ -173,7 +173,7 @@
 
 /// Waits until the second server, to which acme's requests come, has counted more of them than the rate of the fleet
 /// allows within a window.
-fn wait_until_acme_is_over_its_rate(fleet: &mut WatchedFleet) {
+fn wait_until_acme_exceeds_its_rate(fleet: &mut WatchedFleet) {
     fleet.wait_while(COUNTER_TIMEOUT, |fleet| {
         let counted = fleet.processes.counter(1, "acme").unwrap_or_default().0;
         let is_within = counted <= ACME_PER_SECOND * SHORT_WINDOW_S;
--- a/crates/server/tests/shared/quota.rs
+++ b/crates/server/tests/shared/quota.rs
@@ -3,7 +3,7 @@
 use crate::ample_capacity::settings;
 use crate::machine::{StallMonitor, run_fleet_case};
 use crate::program::program;
-use crate::support::{LoadPlan, is_completed, kind, send};
+use crate::support::{LoadPlan, is_completed, request_kind, send};
 use crate::watched_fleet::WatchedFleet;
 use madderbay::time::Duration;
 use madderbay_testkit::engine::HandlerWork;
@@ -14,11 +14,11 @@
 /// A quota of one call and work for ten: what finds no capacity in time is rejected before its client gives up, with
 /// a Retry-After; the quota is never exceeded.
 #[test]
-fn rejects_with_retry_after_for_want_of_quota() {
-    run_fleet_case(loads_fleet_with_quota_of_one);
+fn rejects_with_retry_after_when_quota_is_exhausted() {
+    run_fleet_case(load_fleet_with_quota_of_one);
 }
 
-fn loads_fleet_with_quota_of_one(monitor: &StallMonitor) {
+fn load_fleet_with_quota_of_one(monitor: &StallMonitor) {
     let mut fleet = fleet_with_quota_of_one(monitor);
     fleet.start(1);
     fleet.wait_for(&Condition::Has {
@@ -33,7 +33,7 @@
         seconds: 4,
         client_timeout_ms: 4_000,
     };
-    let kinds = [kind("book", 1.0, true, "acme")];
+    let kinds = [request_kind("book", 1.0, true, "acme")];
     let records = send(fleet.target(0), &kinds, &plan);
     let count = |is: fn(&RequestRecord) -> bool| records.iter().filter(|r| is(r)).count();
     let completed = count(is_completed);
--- a/crates/server/tests/shared/scripts.rs
+++ b/crates/server/tests/shared/scripts.rs
@@ -14,7 +14,7 @@
 const PLAYERS: usize = 2;
 
 /// Plays a script on a fleet; gives what failed, one line each, with the longest stall of the machine beside it.
-fn failures_of(name: &str, script: &Script, monitor: &StallMonitor) -> Vec<String> {
+fn play_script(name: &str, script: &Script, monitor: &StallMonitor) -> Vec<String> {
     let works = [HandlerWork::new("book", (1.0, 3.0), true)];
     let seed = name.len() as u64;
     let processes = ProcessFleet::new(script.setup.clone(), program(), &settings(), &works, seed);
@@ -37,7 +37,7 @@
     let scripts = load_scripts(&folder);
     play_all(&scripts, PLAYERS, |_, (name, script)| {
         let mut failures = vec![];
-        run_fleet_case(|monitor| failures = failures_of(name, script, monitor));
+        run_fleet_case(|monitor| failures = play_script(name, script, monitor));
         failures
     });
 }
--- a/crates/server/tests/shared/support.rs
+++ b/crates/server/tests/shared/support.rs
@@ -42,7 +42,12 @@
 }
 
 /// Requests of one kind.
-pub(crate) fn kind(handler: &str, weight: f64, has_key: bool, tenant: &'static str) -> RequestKind {
+pub(crate) fn request_kind(
+    handler: &str,
+    weight: f64,
+    has_key: bool,
+    tenant: &'static str,
+) -> RequestKind {
     RequestKind {
         handler: handler.into(),
         weight,
--- a/crates/server/tests/wires.rs
+++ b/crates/server/tests/wires.rs
@@ -6,7 +6,7 @@
 use madderbay_server::upstream::calls::ReplyReader;
 
 /// Feeds a registry's bytes in pieces of a size; gives the statuses found, and whether the stream may be read on.
-fn answers(bytes: &[u8], piece: usize) -> (Vec<u16>, bool) {
+fn registry_statuses(bytes: &[u8], piece: usize) -> (Vec<u16>, bool) {
     let (mut parser, mut found) = (ResponseReader::default(), vec![]);
     let readable = bytes
         .chunks(piece)
@@ -15,7 +15,7 @@
 }
 
 /// The same for an upstream's bytes; gives its replies.
-fn replies(bytes: &[u8], piece: usize) -> (Vec<(String, Outcome, Vec<u8>)>, bool) {
+fn upstream_replies(bytes: &[u8], piece: usize) -> (Vec<(String, Outcome, Vec<u8>)>, bool) {
     let (mut parser, mut found) = (ReplyReader::default(), vec![]);
     let readable = bytes.chunks(piece).all(|p| {
         parser.feed(p, |reply| {
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn encodes_reports_to_registry() {
+fn encodes_registry_reports() {
     let sent = String::from_utf8(encode_report("127.0.0.1:2379", "n3", true)).unwrap();
     let expected = "PUT /v1/instances/n3 HTTP/1.1\r\nHost: 127.0.0.1:2379\r\nContent-Length: 17\r\n\r\n\
         {\"state\":\"ready\"}";
@@ -42,11 +42,14 @@
 }
 
 #[test]
-fn reads_registry_answers_cut_anywhere() {
+fn reads_registry_responses_split_at_any_byte() {
     let stream = b"HTTP/1.1 204 No Content\r\nServer: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n\
         HTTP/1.1 503 Busy\r\ncontent-length: 4\r\n\r\nbusyHTTP/1.1 204 No Content\r\n\r\n";
     for piece in [1, 7, stream.len()] {
-        assert_eq!(answers(stream, piece), (vec![204, 503, 204], true));
+        assert_eq!(
+            registry_statuses(stream, piece),
+            (vec![204, 503, 204], true)
+        );
     }
     // No length, a coding not read here, no HTTP, a head without end.
     for bad in [
@@ -54,13 +57,17 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
         "x\r\n\r\n",
     ] {
-        assert_eq!(answers(bad.as_bytes(), 1), (vec![], false), "{bad}");
+        assert_eq!(
+            registry_statuses(bad.as_bytes(), 1),
+            (vec![], false),
+            "{bad}"
+        );
     }
-    assert!(!answers(&[b'x'; 20_000], 512).1);
+    assert!(!registry_statuses(&[b'x'; 20_000], 512).1);
 }
 
 #[test]
-fn reads_upstream_replies_cut_anywhere() {
+fn reads_upstream_replies_split_at_any_byte() {
     let stream = b"9b1f03aa5c7e2d41 DATA 6\r\na\r\n\0b\xff\r\n9b1f03aa5c7e2d42 LATER\r\n\
         9b1f03aa5c7e2d43 DATA 0\r\n\r\n9b1f03aa5c7e2d44 NOUSE\r\n9b1f03aa5c7e2d45 TOOSLOW\r\n";
     let body = b"a\r\n\0b\xff".to_vec();
@@ -76,7 +83,7 @@
         .map(|(name, outcome, body)| (name.to_string(), outcome, body))
         .collect();
     for piece in [1, 7, stream.len()] {
-        assert_eq!(replies(stream, piece), (expected.clone(), true));
+        assert_eq!(upstream_replies(stream, piece), (expected.clone(), true));
     }
     // An unknown word, a short name, a length that can't be, a body that ends elsewhere, a line without end.
     for bad in [
@@ -86,13 +93,17 @@
         "9b1f03aa5c7e2d41 DATA 9999999\r\n",
         "9b1f03aa5c7e2d41 DATA 1\r\nabc",
     ] {
-        assert_eq!(replies(bad.as_bytes(), 1), (vec![], false), "{bad}");
+        assert_eq!(
+            upstream_replies(bad.as_bytes(), 1),
+            (vec![], false),
+            "{bad}"
+        );
     }
-    assert!(!replies(&[b'x'; 200], 3).1);
+    assert!(!upstream_replies(&[b'x'; 200], 3).1);
 }
 
 #[test]
-fn reads_json_by_its_grammar() {
+fn accepts_only_valid_json() {
     let line =
         r#" {"a":1.250e1, "b" :"x\"\u00e9\ud83d\ude00\/", "c":[{},[null,true],-0.5], "a":7} "#;
     let members = JsonObject::read(line).expect("an object");
