--- a/crates/server/tests/common/ample_capacity.rs
+++ b/crates/server/tests/common/ample_capacity.rs
@@ -1,8 +1,8 @@
-//! Settings of a server that what it calls upstream limits, and nothing else.
+//! Settings of a server that is limited only by its upstream.
 
 use crate::common::SETTINGS;
 
-/// The tests' settings with capacity for the runs of all requests.
+/// Returns the settings of the tests with enough capacity to run all requests.
 pub(crate) fn settings() -> String {
     SETTINGS
         .replace("\"tip_multiple\": 5.0", "\"tip_multiple\": 40.0")
--- a/crates/server/tests/common/machine.rs
+++ b/crates/server/tests/common/machine.rs
@@ -1,8 +1,8 @@
-//! Tests with a fleet of processes on a machine that others use too.
+//! Runs test cases with fleets of processes on a machine that is shared with other processes.
 //!
-//! Owns: the limit on fleets that run at the same time within one test program, and the measurement of how long the
-//! machine stalled a fleet's servers. Is given: the case and, by the case, the processes to watch. Never runs a case
-//! again and never eases an assertion: a case that fails says how long the machine stalled, and fails.
+//! Limits how many fleets run at the same time within one test program, and measures for how long the machine stalled
+//! the servers of a fleet. The case tells it which processes to watch. A case is never run again, and no assertion is
+//! relaxed: a case that fails prints how long the machine stalled its servers, and fails.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -11,9 +11,9 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Fleets that run at the same time: few enough that servers and fakes find a free core when they wake up.
+/// Fleets that run at the same time: few enough that servers and simulated peers find a free core when they wake up.
 const MAX_FLEETS: usize = 2;
-/// Window over which stalls are added up: the time within which the cases want a request answered.
+/// Window over which stalls are added up: the time within which the cases expect a request to be answered.
 const WINDOW: Duration = Duration::from_millis(2_000);
 /// Interval between two samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
@@ -21,8 +21,8 @@
 static RUNNING_FLEETS: Mutex<usize> = Mutex::new(0);
 static FLEET_ENDED: Condvar = Condvar::new();
 
-/// Runs a case with a fleet, once, as soon as one more fleet may run. Where it panics, the longest stall of its
-/// servers is printed beside the failure.
+/// Runs a case with a fleet once, as soon as another fleet may run. If the case panics, the longest stall of its
+/// servers is printed with the failure.
 pub(crate) fn run_fleet_case(case: impl FnOnce(&StallMonitor)) {
     let _permit = FleetPermit::acquire();
     let monitor = StallMonitor::start();
@@ -54,7 +54,7 @@
     }
 }
 
-/// Measures how long the machine stalls the servers of one case, and this process, until it is dropped.
+/// Measures, until it is dropped, for how long the machine stalls the servers of one case or this process.
 pub(crate) struct StallMonitor {
     state: Arc<MonitorState>,
     sampler: Option<JoinHandle<()>>,
@@ -71,18 +71,18 @@
         }
     }
 
-    /// Watches one more server, by its process id.
+    /// Watches a further server, given by its process id.
     pub(crate) fn watch(&self, pid: u32) {
         lock(&self.state.watched).push(pid);
     }
 
-    /// How long the case has run, without the time for which the machine stalled a watched server or this process.
-    /// Waits that are measured by it do not end because the machine was busy.
+    /// Returns how long the case has run, without the time for which the machine stalled a watched server or this
+    /// process. A timeout that is measured in this time does not expire because the machine was busy.
     pub(crate) fn unstalled_time(&self) -> Duration {
         lock(&self.state.statistics).unstalled
     }
 
-    /// The longest stall within any window so far.
+    /// Returns the longest stall within any window so far.
     pub(crate) fn longest_stall(&self) -> LongestStall {
         LongestStall(lock(&self.state.statistics).longest_stall)
     }
@@ -100,7 +100,7 @@
     }
 }
 
-/// The longest stall of a server, or of this process, within any window.
+/// The longest stall of a watched server, or of this process, within any window.
 pub(crate) struct LongestStall(Duration);
 
 impl fmt::Display for LongestStall {
@@ -142,7 +142,7 @@
 }
 
 impl StallStatistics {
-    /// Adds a sample that follows those of the window before it.
+    /// Adds a sample that was taken after those of the window.
     fn add(&mut self, sample: &Sample, window: &VecDeque<Sample>) {
         let (Some(first), Some(last)) = (window.front(), window.back()) else {
             return;
@@ -155,9 +155,9 @@
 
 struct Sample {
     at: Instant,
-    /// By how much this process's sleeps were too long, since the start.
+    /// Total time by which this process's sleeps were too long, since the start of the case.
     oversleep: Duration,
-    /// How long each watched server has waited for a processor since its start, in the order of watching.
+    /// For each watched server, how long it has waited for a processor since its start, in the order of watching.
     run_queue_waits: Vec<Duration>,
 }
 
@@ -178,8 +178,8 @@
     }
 }
 
-/// How long the main thread of a process, on which a server does all but log, was ready to run and did not; zero
-/// where the system does not tell.
+/// Returns how long the main thread of a process was ready to run without running, or zero if the system does not
+/// report it. A server does everything but logging on its main thread.
 fn run_queue_wait(pid: u32) -> Duration {
     let text = std::fs::read_to_string(format!("/proc/{pid}/schedstat")).unwrap_or_default();
     let nanos = text.split_whitespace().nth(1).and_then(|n| n.parse().ok());
--- a/crates/server/tests/common/mod.rs
+++ b/crates/server/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! What the server's tests share: their settings.
+//! Settings that the server's tests share.
 
-/// `search` may run again and skip its call, `quote` calls nothing, `book` runs once within its window.
+/// `search` may run more than once and skip its call, `quote` makes no call, and `book` runs once within its window.
 pub(crate) const SETTINGS: &str = r#"{"classes": [
  {"name": "search", "aim_us": 4000000, "hard_limit_us": 8000000, "importance": 1.0, "effect": "read_like"},
  {"name": "quote", "aim_us": 2000000, "hard_limit_us": 8000000, "importance": 1.0, "effect": "read_like"},
--- a/crates/server/tests/common/program.rs
+++ b/crates/server/tests/common/program.rs
@@ -1,8 +1,8 @@
-//! Where the program under test is.
+//! Path of the program under test.
 
 use std::path::Path;
 
-/// The program under test.
+/// Returns the path of the program under test.
 pub(crate) fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_madderbay"))
 }
--- a/crates/server/tests/common/script_players.rs
+++ b/crates/server/tests/common/script_players.rs
@@ -4,11 +4,11 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A script with its name.
+/// A script and its name.
 pub(crate) type NamedScript = (String, Script);
 
-/// Plays all scripts on `players` threads, and panics with every failure once all were played. `play` is given a
-/// script and its index, and gives what failed, one line each.
+/// Plays all scripts on `players` threads, and panics with all failures once every script was played. `play` is called
+/// with the index of a script and the script, and returns one line for each failure.
 pub(crate) fn play_all(
     scripts: &[NamedScript],
     players: usize,
--- a/crates/server/tests/common/start.rs
+++ b/crates/server/tests/common/start.rs
@@ -1,9 +1,9 @@
-//! How the tests with a fleet start a server.
+//! Start of a server in the tests with a fleet.
 
 use madderbay::time::Duration;
 use madderbay_testkit::fleet::script::Action;
 
-/// Starts a server for the first time, under its own name and on an exact clock.
+/// Returns the action that starts a server for the first time, under its own name and with an exact clock.
 pub(crate) fn start_server(server: usize) -> Action {
     Action::Start {
         who: server,
--- a/crates/server/tests/common/watched_fleet.rs
+++ b/crates/server/tests/common/watched_fleet.rs
@@ -1,11 +1,11 @@
-//! A fleet of processes whose servers are watched for stalls of the machine from their start on.
+//! A fleet of processes whose servers are watched for stalls of the machine from their start.
 
 use crate::machine::StallMonitor;
 use madderbay::time::Duration;
 use madderbay_testkit::fleet::processes::ProcessFleet;
 use madderbay_testkit::fleet::script::{Action, ActionError, Condition, Fleet};
 
-/// A fleet of processes. Its time, by which waits end, is that in which the machine let all its servers run.
+/// A fleet of processes. Its time, in which timeouts are measured, leaves out the stalls of its servers.
 pub(crate) struct WatchedFleet<'a> {
     pub processes: ProcessFleet,
     pub monitor: &'a StallMonitor,
@@ -35,7 +35,8 @@
 }
 
 impl WatchedFleet<'_> {
-    /// Waits while something is missing, which `missing` says, for the fleet's time at most.
+    /// Waits until `missing`, which describes what is still missing, returns `None`. Panics after `timeout` in the
+    /// fleet's time.
     pub(crate) fn wait_while(
         &mut self,
         timeout: Duration,
--- a/crates/server/tests/counters.rs
+++ b/crates/server/tests/counters.rs
@@ -1,4 +1,4 @@
-//! The counters' names, their order and their form: operators' pages and programs depend on them.
+//! Names, order and format of the counters. Operators' pages and programs depend on them.
 
 use madderbay::interface::{HandlerId, Outcome};
 use madderbay::time::Duration;
@@ -57,14 +57,14 @@
 counter reads.latest_ms 21
 ";
 
-/// Counts an event so many times.
+/// Calls `count` `times` times.
 fn repeat(times: u64, mut count: impl FnMut()) {
     for _ in 0..times {
         count();
     }
 }
 
-/// Counters that have counted each event another number of times, as far as the lines allow.
+/// Returns counters that have counted each event a different number of times, as far as the lines allow.
 fn counters_with_events() -> Counters {
     let mut counters = Counters::new(&["quote".into(), "book".into()]);
     count_requests(&mut counters);
--- a/crates/server/tests/crossings/connection_end.rs
+++ b/crates/server/tests/crossings/connection_end.rs
@@ -1,4 +1,4 @@
-//! How connections end: what is delivered before, and what is read after.
+//! The end of connections: which answers are delivered before it, and which input is read after it.
 
 use super::support::{TestServer, request, run_test, run_test_with_peer, wait_until};
 use std::io::ErrorKind;
@@ -6,7 +6,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::task::yield_now;
 
-/// A connection that violates the protocol is shut down, and its peer's input is read to the end. A reset would
+/// A connection that violates the protocol is shut down, and the input of its peer is read to the end. A reset would
 /// discard answers that the peer has not read yet.
 #[test]
 fn delivers_last_answers_despite_unread_input() {
@@ -22,7 +22,7 @@
     });
 }
 
-/// The input that is read after the shutdown of a connection is bounded.
+/// The amount of input that is read after the shutdown of a connection is bounded.
 #[test]
 fn stops_reading_from_peer_that_never_closes() {
     run_test_with_peer(async |server, mut peer| {
@@ -30,7 +30,7 @@
         let is_open = || server.core.borrow().connection_count() > 0;
         let mut sent = 0;
         while is_open() {
-            // The socket takes no more in the end.
+            // The socket stops accepting bytes once its buffers are full.
             match peer.0.get_mut().try_write(&[b'x'; 1_000]) {
                 Ok(n) => sent += n,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {}
@@ -43,7 +43,7 @@
     });
 }
 
-/// A request that arrives after the shutdown is not run, and the connection is not reset.
+/// A request that arrives after its connection was shut down is not run, and the connection is not reset.
 #[test]
 fn ignores_request_received_after_shutdown() {
     run_test_with_peer(async |server, mut peer| {
@@ -58,7 +58,7 @@
     });
 }
 
-/// A connection that ends while the core is borrowed is reported once the core is free.
+/// A connection that ends while the core is borrowed is removed once the core is free.
 #[test]
 #[allow(
     clippy::await_holding_refcell_ref,
@@ -75,7 +75,7 @@
             .set_linger(Some(StdDuration::ZERO))
             .expect("set");
         drop(stream);
-        // Nothing shows that the task has ended; during each sleep the runtime polls it at least once.
+        // The end of the task cannot be observed. During each sleep the runtime polls it at least once.
         for _ in 0..20 {
             tokio::time::sleep(StdDuration::from_millis(1)).await;
         }
--- a/crates/server/tests/crossings/main.rs
+++ b/crates/server/tests/crossings/main.rs
@@ -1,6 +1,6 @@
-//! Events on connections that may occur in either order, forced over loopback sockets. The order is that in which a
-//! test sends and waits, since nothing of the server runs between two awaits of a test. `docs/notes/crossings.md`
-//! lists all pairs.
+//! Events on connections that may occur in either order. The tests force each order over loopback sockets: nothing of
+//! the server runs between two awaits of a test, so the order of a test's sends and waits is the order of the events.
+//! `docs/notes/crossings.md` lists all pairs of events.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/server/tests/crossings/over_limit.rs
+++ b/crates/server/tests/crossings/over_limit.rs
@@ -1,11 +1,12 @@
-//! Connections beyond the limit: each request on them is answered.
+//! Connections over the limit: each request on them is answered.
 
 use super::support::{Peer, TestServer, request, run_test, wait_until};
 use std::io::Write;
 use tokio::io::BufReader;
 use tokio::net::TcpStream;
 
-/// A server whose only connection carries the running attempt 1, sent as this line.
+/// Starts a server that may have one connection, and sends the request `line` on it. Returns once the attempt is in
+/// flight.
 async fn start_at_limit(line: &str) -> (TestServer, Peer) {
     let server = TestServer::new(1).await;
     let mut busy = server.connect_checked().await;
@@ -15,7 +16,7 @@
     (server, busy)
 }
 
-/// Where no connection can be evicted, the requests on each further one are rejected, not closed unread.
+/// When no connection can be evicted, the requests on further connections are rejected instead of being closed unread.
 #[test]
 fn rejects_requests_on_connections_over_limit() {
     run_test(async {
@@ -36,7 +37,7 @@
             assert_eq!(peer.next_line().await, "");
         }
         wait_until(|| server.core.borrow().connection_count() == 1).await;
-        // A connection without a request is closed soon, with nothing sent.
+        // A further connection without a request is closed soon, and nothing is sent on it.
         let mut silent = server.connect().await;
         wait_until(|| {
             server.run_turn();
@@ -51,7 +52,7 @@
     });
 }
 
-/// A retry of a running request with an idempotency key gets its result, also on a connection beyond the limit.
+/// A retry of a running request with an idempotency key gets its result, also on a connection over the limit.
 #[test]
 fn answers_retry_over_limit_with_result_of_first_attempt() {
     run_test(async {
@@ -79,7 +80,7 @@
     });
 }
 
-/// Connections that the system had accepted when listening ends are served, also beyond the limit.
+/// Connections that the operating system had accepted before the listener closes are served, also over the limit.
 #[test]
 fn serves_backlog_over_limit_when_listening_ends() {
     run_test(async {
--- a/crates/server/tests/crossings/requests_before_end.rs
+++ b/crates/server/tests/crossings/requests_before_end.rs
@@ -1,10 +1,10 @@
-//! Requests that were received before their connection was to end are answered on it.
+//! Requests that were received before the end of their connection are answered on it.
 
 use super::support::{TestServer, request, run_test_with_peer, wait_until};
 use madderbay::time::{Duration, Timestamp};
 
-/// Has a server close connections that were idle for 200 ms, which are notified first; gives the instant of its next
-/// check.
+/// Sets the limit on idling to 200 ms and checks all connections once. Those that were idle for longer are notified
+/// before they are closed. Returns the time of the next check.
 fn check_idle_connections(server: &TestServer, now: Timestamp) -> Option<Timestamp> {
     let mut core = server.core.borrow_mut();
     let connections = core.connections_mut();
@@ -14,7 +14,7 @@
     connections.idle_deadline_reached(now, 1)
 }
 
-/// A request that had arrived when its connection was evicted is answered there.
+/// A request that arrived before its connection was evicted is answered there.
 #[test]
 fn answers_request_received_before_eviction() {
     run_test_with_peer(async |server, mut peer| {
@@ -31,7 +31,7 @@
     });
 }
 
-/// A request that had arrived when its idle connection was closed, one second after the notice, is answered there.
+/// A request that arrived before its idle connection was closed, one second after the notice, is answered there.
 #[test]
 fn answers_request_received_before_idle_close() {
     run_test_with_peer(async |server, mut peer| {
@@ -52,7 +52,7 @@
     });
 }
 
-/// A request that had arrived when all connections were closed at the end of a drain is answered there.
+/// A request that arrived before all connections were closed at the end of a drain is answered there.
 #[test]
 fn answers_request_received_before_end_of_drain() {
     run_test_with_peer(async |server, mut peer| {
@@ -65,7 +65,7 @@
     });
 }
 
-/// A line begun before the drain and completed within its grace period is a request like any other of that time.
+/// A line that was begun before a drain and is completed within its grace period is served like any other request.
 #[test]
 fn reads_rest_of_line_begun_before_drain() {
     run_test_with_peer(async |server, mut peer| {
@@ -87,7 +87,7 @@
         let line = request(2, "quote", 1);
         let (first_half, rest) = line.split_at(40);
         peer.send_behind_health_check(first_half).await;
-        // It is checked once: a second check would close a connection that was notified by the first.
+        // The connection is checked once: a second check would close a connection that the first one had notified.
         let check_at = server.clock.now() + Duration::from_millis(300);
         let next_check = check_idle_connections(&server, check_at);
         assert!(
@@ -101,7 +101,7 @@
         server.serve_one_request().await;
         let answer = peer.next_line().await;
         assert!(answer.contains("\"id\":2,\"result\""), "{answer}");
-        // A line that is not continued protects its connection for a bounded time only.
+        // An incomplete line protects its connection for a bounded time only.
         peer.send_behind_health_check(first_half).await;
         wait_until(|| server.core.borrow().is_quiescent()).await;
         assert!(is_protected(server.clock.now()));
--- a/crates/server/tests/crossings/resources.rs
+++ b/crates/server/tests/crossings/resources.rs
@@ -1,4 +1,4 @@
-//! What requests, calls and connections take: memory, descriptors and delay.
+//! Resources that requests, calls and connections use: memory, descriptors and latency.
 
 use super::support::{
     TestServer, attempt_name, request, request_with_body, run_test, run_test_with_peer, wait_until,
@@ -11,7 +11,7 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// The longest body with every character escaped is forwarded as it was received.
+/// The longest body, with every character escaped, is forwarded unchanged.
 #[test]
 fn forwards_fully_escaped_body_unchanged() {
     run_test_with_peer(async |server, mut peer| {
@@ -29,7 +29,8 @@
     });
 }
 
-/// A call beyond the limit on descriptors is not made, and is known not to have run.
+/// A call over the limit on descriptors is not made, and is counted as one that never reached the upstream, so that it
+/// is known not to have run.
 #[test]
 fn calls_leave_descriptors_for_connections() {
     run_test(async {
@@ -74,7 +75,7 @@
     });
 }
 
-/// A connection that waits holds no buffer, so it takes little memory.
+/// A connection that waits for input holds no buffer, so it takes little memory.
 #[test]
 fn waiting_connection_holds_no_buffer() {
     run_test(async {
--- a/crates/server/tests/crossings/support.rs
+++ b/crates/server/tests/crossings/support.rs
@@ -1,4 +1,4 @@
-//! What the tests of connections share: a core behind a listener, load balancers' connections, and request lines.
+//! Support for the tests of connections: a core behind a listener, connections of load balancers, and request lines.
 
 use crate::common::SETTINGS;
 use madderbay::interface::Outcome;
@@ -19,10 +19,10 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::timeout;
 
-/// A health check with the id 1.
+/// Line of a health check with the id 1.
 const HEALTH_CHECK: &str = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"isWell\"}\n";
 
-/// Runs a test on a runtime of one thread, within [`WAIT_TIMEOUT`].
+/// Runs a test on a single-threaded runtime, with [`WAIT_TIMEOUT`] as its timeout.
 pub(crate) fn run_test(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -35,7 +35,7 @@
     });
 }
 
-/// Runs a test with a server that keeps eight connections, one of which is the test's.
+/// Runs a test with a server that allows eight connections, and with one connection to it.
 pub(crate) fn run_test_with_peer(test: impl AsyncFnOnce(TestServer, Peer)) {
     run_test(async {
         let server = TestServer::new(8).await;
@@ -49,14 +49,14 @@
     pub core: SharedEventLoop,
     pub clock: Rc<Clock>,
     pub address: SocketAddr,
-    /// What is sent to the engine.
+    /// Commands to the engine that were not read yet.
     pub engine: Outbox,
-    /// Notified, it ends the listening.
+    /// Closes the listener when it is notified.
     pub stop_listening: Rc<Notify>,
 }
 
 impl TestServer {
-    /// Starts a server that keeps this many connections.
+    /// Starts a server that allows this many connections.
     pub(crate) async fn new(max_connections: usize) -> TestServer {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address");
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Lets the core settle what has come.
+    /// Lets the core process the events that have arrived.
     pub(crate) fn run_turn(&self) {
         self.core.borrow_mut().run_turn(self.clock.now());
     }
@@ -97,7 +97,7 @@
         self.core.borrow_mut().drain(self.clock.now(), grace);
     }
 
-    /// The engine reports that the run of an attempt has completed.
+    /// Reports on behalf of the engine that the run of an attempt has completed.
     pub(crate) fn complete_run(&self, attempt: u64) {
         self.core.borrow_mut().run_ended(
             self.clock.now(),
@@ -108,21 +108,21 @@
         );
     }
 
-    /// Waits for the attempt 1, starts and completes its run.
+    /// Waits for the attempt 1, and starts and completes its run.
     pub(crate) async fn serve_one_request(&self) {
         wait_until(|| self.core.borrow().in_flight_count() == 1).await;
         self.run_turn();
         self.complete_run(1);
     }
 
-    /// Serves the request 2, whose answer is the last line on its connection.
+    /// Serves the request 2, and asserts that its answer is the last line on its connection.
     pub(crate) async fn serve_last_request(&self, peer: &mut Peer) {
         self.serve_one_request().await;
         assert!(peer.next_line().await.contains("\"id\":2,\"result\""));
         assert_eq!(peer.next_line().await, "");
     }
 
-    /// A new connection.
+    /// Opens a connection.
     pub(crate) async fn connect(&self) -> Peer {
         Peer(BufReader::new(
             TcpStream::connect(self.address)
@@ -131,7 +131,7 @@
         ))
     }
 
-    /// A new connection on which a health check was answered.
+    /// Opens a connection on which a health check was answered.
     pub(crate) async fn connect_checked(&self) -> Peer {
         let mut peer = self.connect().await;
         peer.send(HEALTH_CHECK).await;
@@ -153,7 +153,7 @@
             .expect("written");
     }
 
-    /// Sends text without yielding to the runtime: no task has run when the text has arrived.
+    /// Sends text without yielding to the runtime, so that no task of the server has run when the text has arrived.
     pub(crate) fn send_without_yielding(&mut self, text: &str) {
         assert_eq!(
             self.0
@@ -164,33 +164,33 @@
         );
     }
 
-    /// Sends text that begins a line behind a health check, in one write. The answer to the check shows that both
-    /// were read.
+    /// Sends a health check and an incomplete line in one write. The answer to the health check shows that both were
+    /// read.
     pub(crate) async fn send_behind_health_check(&mut self, begun_line: &str) {
         self.send_without_yielding(&format!("{HEALTH_CHECK}{begun_line}"));
         assert!(self.next_line().await.contains("\"fit\":true"));
     }
 
-    /// The next line; empty at the end. Panics on a reset.
+    /// Returns the next line; empty at the end of the stream. Panics on a reset.
     pub(crate) async fn next_line(&mut self) -> String {
         let mut line = String::new();
         self.0.read_line(&mut line).await.expect("no reset");
         line.trim_end().to_string()
     }
 
-    /// All that comes until the end.
+    /// Reads all bytes until the end of the stream.
     pub(crate) async fn read_to_end(&mut self) -> std::io::Result<String> {
         let mut text = String::new();
         self.0.read_to_string(&mut text).await.map(|_| text)
     }
 }
 
-/// The line of a request with a short body.
+/// Returns the line of a request with a short body.
 pub(crate) fn request(id: u64, method: &str, attempt: u64) -> String {
     request_with_body(id, method, attempt, "\"QUJD\"")
 }
 
-/// The line of a request with a body, a JSON string with its quotes.
+/// Returns the line of a request; `bytes` is its body, a JSON string with its quotes.
 pub(crate) fn request_with_body(id: u64, method: &str, attempt: u64, bytes: &str) -> String {
     let now = unix_ms();
     format!(
@@ -206,7 +206,7 @@
     }
 }
 
-/// The name of an attempt on the wires.
+/// Returns the name of an attempt in the protocols of the load balancers, the engine and the upstream.
 pub(crate) fn attempt_name(attempt: u64) -> [u8; 16] {
     format!("{attempt:016x}")
         .into_bytes()
--- a/crates/server/tests/deploy.rs
+++ b/crates/server/tests/deploy.rs
@@ -1,4 +1,4 @@
-//! The deploy file says what the platform needs of it, whatever is added to the workspace.
+//! The deploy file `deploy/balancer.toml` names what the platform needs, whatever is added to the workspace.
 
 mod common;
 #[path = "common/program.rs"]
@@ -20,7 +20,7 @@
     std::fs::read_to_string(workspace_root().join(path)).expect(path)
 }
 
-/// What stands behind a key of the deploy file.
+/// Returns the value of a key of the deploy file, as it is written there.
 fn deploy_value(key: &str) -> String {
     let file = read_file("deploy/balancer.toml");
     let line = file
@@ -29,7 +29,7 @@
     line.unwrap_or_else(|| panic!("no {key}")).to_string()
 }
 
-/// Folders that a package of the workspace is built from besides its own: what its manifest names by path.
+/// Collects the folders of all packages that a package is built from, as its manifest names them by path.
 fn collect_path_dependencies(package: &Path, found: &mut BTreeSet<PathBuf>) {
     let manifest = std::fs::read_to_string(package.join("Cargo.toml")).expect("a manifest");
     let dependencies = manifest.split("[dependencies]").nth(1).unwrap_or("");
@@ -45,13 +45,14 @@
     }
 }
 
-/// `node` names the directory of every package that the program is built from, and `policy` those of the module.
+/// `node` names the source folder of every package that the program is built from, except the decision module. All
+/// files and folders that `node` and `policy` name exist.
 #[test]
 fn node_lists_source_folders_of_all_packages() {
     let root = workspace_root().canonicalize().expect("the root");
     let mut found = BTreeSet::from([root.join("crates/server")]);
     collect_path_dependencies(&root.join("crates/server"), &mut found);
-    // The module's own package: what decides stands under `policy`, the rest of it decides nothing.
+    // The package of the decision module: its decision logic is listed under `policy`, the rest of it decides nothing.
     assert!(found.remove(&root), "the program is built from the module");
     let (node, policy) = (deploy_value("node"), deploy_value("policy"));
     for package in &found {
@@ -72,7 +73,7 @@
     }
 }
 
-/// `run` ends in the program itself, one process, linked against the C library by the machine's loader.
+/// `run` starts the program as a single process, which the machine's loader links dynamically with the C library.
 #[test]
 fn run_starts_one_dynamically_linked_process() {
     let run = deploy_value("run");
@@ -84,12 +85,13 @@
     let loader = b"/ld-linux";
     assert!(
         image.windows(loader.len()).any(|w| w == loader),
-        "no loader is named in the program"
+        "the program names no loader"
     );
     assert_shell_becomes_program(program);
 }
 
-/// Started by a shell, as the platform does it, the program replaces the shell's process and starts no other.
+/// Starts the program by a shell, as the platform does. Asserts that it replaces the shell's process and starts no
+/// other process.
 fn assert_shell_becomes_program(program: &Path) {
     let engine = Engine::start(1.0, vec![], 1);
     let (registry, _reports) = registry::start();
@@ -116,22 +118,27 @@
     while std::fs::read_link(proc.join("exe")).ok().as_deref() != Some(program) {
         assert!(
             began.elapsed() < WAIT_TIMEOUT,
-            "the shell does not become the program"
+            "the program does not replace the shell's process"
         );
         std::thread::yield_now();
     }
     let threads = std::fs::read_dir(proc.join("task")).expect("its threads");
     for thread in threads.flatten() {
         let children = std::fs::read_to_string(thread.path().join("children")).unwrap_or_default();
-        assert_eq!(children.trim(), "", "it has started another process");
+        assert_eq!(
+            children.trim(),
+            "",
+            "the program has started another process"
+        );
     }
     let _ = child.kill();
     let _ = child.wait();
     let _ = std::fs::remove_file(path);
 }
 
-/// The operator file that `run` names is complete, turns on pools and the reserve, without which a trip book that
-/// slows down is taken for a crowded one, and holds nothing that needs a listener, a disk or others.
+/// The operator file that `run` names is valid, enables pools and the reserve, and enables nothing that needs a
+/// listener, a disk or other servers. Without pools and the reserve, an upstream that slows down would be mistaken for
+/// an overloaded one.
 #[test]
 fn run_names_operator_file_that_platform_allows() {
     let run = deploy_value("run");
@@ -155,7 +162,8 @@
     );
 }
 
-/// What the platform refuses the program can't ask for by the C library: it wants none of these symbols.
+/// The program imports no symbol of the C library for a system call that the platform refuses, so it cannot make such a
+/// call through it.
 #[test]
 fn imports_no_forbidden_symbol_from_c_library() {
     let image = std::fs::read(program::program()).expect("the program");
@@ -165,7 +173,7 @@
         .filter_map(|s| s.name().ok())
         .collect();
     let imports = |symbol: &str| symbols.contains(symbol);
-    assert!(imports("epoll_wait"), "symbols are found as they should");
+    assert!(imports("epoll_wait"), "no imported symbol is found");
     let forbidden = [
         "fork",
         "vfork",
@@ -180,6 +188,6 @@
         .into_iter()
         .chain(["io_uring_setup", "io_uring_enter"])
     {
-        assert!(!imports(symbol), "{symbol} is wanted");
+        assert!(!imports(symbol), "{symbol} is imported");
     }
 }
--- a/crates/server/tests/durable_results/crash.rs
+++ b/crates/server/tests/durable_results/crash.rs
@@ -1,4 +1,5 @@
-//! Kills at many points: during recovery, and between intent, run, result, sync and answer.
+//! Kills of the program at many points: during recovery, and between the intent, the run, the result, the sync and the
+//! answer of a request.
 
 use super::support::{
     LONG_WINDOW_MICROS, TestSetup, assert_no_other_run, booking_request, completion_notice,
@@ -10,10 +11,10 @@
 use std::io::BufRead;
 use std::time::Duration;
 
-/// Bodies of the keys that are booked, one for each, since the engine counts runs by them.
+/// Request bodies, one for each idempotency key. They differ because the engine counts runs by body.
 const BODIES: [&str; 4] = ["QUJD", "QUJE", "QUJF", "QUJG"];
 
-/// Killed again and again while it recovers, at whatever point that is, the program loses nothing.
+/// A program that is killed repeatedly during recovery, at any point, loses no result.
 #[test]
 fn loses_nothing_when_killed_during_recovery() {
     let setup = TestSetup::new(LONG_WINDOW_MICROS, "");
@@ -34,7 +35,7 @@
     assert_no_other_run(&mut engine, &mut client, 99);
 }
 
-/// Starts the program twelve times and kills it, each time a little later.
+/// Starts the program twelve times and kills it, each time half a millisecond later after its start.
 fn kill_during_recoveries(setup: &TestSetup) {
     let files = setup.write_files();
     for n in 0..12u64 {
@@ -48,14 +49,14 @@
             .expect("killed");
     }
     files.remove();
-    // Some came as far as the engine: those links are dead.
+    // Some of the processes had connected to the engine; their links are dead.
     setup.engine.set_nonblocking(true).expect("set");
     while setup.engine.accept().is_ok() {}
     setup.engine.set_nonblocking(false).expect("set");
 }
 
-/// Killed at seeded moments while it books, then started again, with every key retried. The engine works by itself
-/// and counts runs.
+/// A program that is killed at random times while it books, and is then started again, runs each key at most once
+/// although every key is retried. The engine of this test completes runs by itself and counts them.
 #[test]
 fn runs_each_key_once_when_killed_at_any_moment() {
     let mut random = oorandom::Rand64::new(11);
@@ -64,7 +65,7 @@
     }
 }
 
-/// Three incarnations over one engine, of which the first two are killed.
+/// Runs three incarnations with one engine and kills the first two.
 fn run_killed_incarnations(history: u32, random: &mut oorandom::Rand64) {
     let mut setup = TestSetup::new(LONG_WINDOW_MICROS, "");
     let works = vec![HandlerWork::new("book", (1.0, 8.0), false)];
@@ -91,7 +92,7 @@
     );
 }
 
-/// One attempt of each of the four keys.
+/// Sends one attempt of each of the four keys.
 fn send_bookings(client: &mut Peer, first_attempt: u32) {
     for (n, body) in (0..).zip(BODIES) {
         let key = format!("{}", n + 1);
@@ -99,7 +100,7 @@
     }
 }
 
-/// Reads up to four answers; a key that has completed before has its result again.
+/// Reads up to four answers. Asserts that a key that has completed before gets its result again.
 fn read_answers(client: &mut Peer, completed: &mut [bool; 4], history: u32) {
     for _ in 0..4 {
         let mut line = String::new();
@@ -114,7 +115,7 @@
         let known = &mut completed[id as usize - 1];
         assert!(
             has_result || !*known,
-            "history {history}: a key that has completed has no result: {line}"
+            "history {history}: no result for a key that has completed: {line}"
         );
         *known |= has_result;
     }
--- a/crates/server/tests/durable_results/directory.rs
+++ b/crates/server/tests/durable_results/directory.rs
@@ -1,4 +1,4 @@
-//! The directory of results: which cannot be used, and what the command line reports of one.
+//! The directory of results: in which cases it is refused, and what the command line reports about it.
 
 use super::support::{
     LONG_WINDOW_MICROS, TestSetup, booking_request, complete_booking, start_process,
@@ -6,7 +6,7 @@
 use crate::program::program;
 use std::process::Command;
 
-/// Starts the program, which has to refuse its directory; gives the line that says why.
+/// Starts the program, which has to refuse its directory. Returns the error line.
 fn start_error(setup: &TestSetup) -> String {
     let files = setup.write_files();
     let mut command = Command::new(program());
@@ -23,7 +23,8 @@
     text
 }
 
-/// A directory that is missing, another process's or of a newer version is reported in a line, and nothing starts.
+/// A directory that is missing, in use by another process or of a newer version is refused with one error line, and
+/// nothing starts.
 #[test]
 fn refuses_unusable_directory() {
     let setup = TestSetup::new(LONG_WINDOW_MICROS, "");
@@ -41,7 +42,7 @@
     assert!(start_error(&setup).contains("No such file"));
 }
 
-/// The exit status and the output lines of `madderbay kept` with this sub-command.
+/// Runs `madderbay kept` with a subcommand on the directory. Returns the exit status and the output lines.
 fn query_directory(setup: &TestSetup, subcommand: &str) -> (Option<i32>, Vec<String>) {
     let mut command = Command::new(program());
     command.args(["kept", subcommand]).arg(&setup.directory);
@@ -53,7 +54,7 @@
     )
 }
 
-/// `kept list`, `verify` and `export` report what a directory has, also while a server uses it.
+/// `kept list`, `verify` and `export` report the contents of a directory, also while a server uses it.
 #[test]
 fn reports_contents_of_directory_in_use() {
     let setup = TestSetup::new(LONG_WINDOW_MICROS, "");
--- a/crates/server/tests/durable_results/main.rs
+++ b/crates/server/tests/durable_results/main.rs
@@ -1,5 +1,5 @@
-//! Durable results of requests with an idempotency key on the real program, which is killed at chosen points, between
-//! an engine and load balancers that the tests play.
+//! Durable results of requests with an idempotency key. The tests kill the real program at chosen points, and play its
+//! engine and its load balancers.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/server/tests/durable_results/restart.rs
+++ b/crates/server/tests/durable_results/restart.rs
@@ -1,4 +1,4 @@
-//! Restarts: which results are known, what is never run again, and what may run.
+//! Restarts: which results are recovered, which attempts are never run again, and which may be.
 
 use super::support::{
     LONG_WINDOW_MICROS, TestSetup, assert_no_other_run, booking_request, complete_booking,
@@ -12,7 +12,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// After a kill, retries on two connections at once get the result; another body is rejected.
+/// After a kill, concurrent retries on two connections get the result. A retry with another body is rejected.
 #[test]
 fn result_survives_restart() {
     let setup = TestSetup::new(LONG_WINDOW_MICROS, "");
@@ -39,8 +39,8 @@
     assert_no_other_run(&mut engine, &mut other, 99);
 }
 
-/// After a kill during a run its retries fail and never run, in the next incarnation and the one after, until the
-/// engine proves that the run went on. Then they get its result, in that incarnation and the next.
+/// After a kill during a run, retries of its request fail and are never run, in the next two incarnations, until the
+/// engine reports that the run has completed. Then they get its result, in that incarnation and in the next one.
 #[test]
 fn never_reruns_attempt_that_may_have_run() {
     let setup = TestSetup::new(LONG_WINDOW_MICROS, "");
@@ -68,7 +68,7 @@
     assert_no_other_run(&mut engine, &mut client, 99);
 }
 
-/// One incarnation in which the retries of the keys 5 and 6 fail and nothing runs.
+/// Runs one incarnation. Asserts that the retries of the keys 5 and 6 fail and that none of them is run.
 fn assert_retries_fail(setup: &TestSetup) {
     let (server, mut engine, mut client) = setup.start_with_client();
     for (id, key) in [(1, "5"), (2, "6")] {
@@ -79,7 +79,7 @@
     server.signal("-KILL");
 }
 
-/// Retries the key 5 until it has its result, which is written before it is sent.
+/// Retries the key 5 until it gets its result, which has to be durable before it is sent.
 fn retry_until_result(client: &mut Peer) {
     let (mut id, began) = (0, Instant::now());
     loop {
@@ -97,7 +97,8 @@
     }
 }
 
-/// A command that the engine declined never ran: a retry is a new attempt, after a restart, too.
+/// An attempt whose `RUN` command was declined by the engine has never run: a retry of it is run as a new attempt,
+/// also after a restart.
 #[test]
 fn runs_retry_of_attempt_that_engine_declined() {
     let setup = TestSetup::new(LONG_WINDOW_MICROS, "");
@@ -106,7 +107,7 @@
     assert!(engine.command().contains("\"RUN\""));
     engine.say("{\"msg\":\"NO\",\"how\":\"RUN\",\"call\":\"0000000000000001\"}\n");
     assert!(client.line().contains("-32002"));
-    // The next intent is durable only after what was written before it.
+    // The next run starts only once its intent is durable, and so is all that was written before it.
     client.say(&booking_request(2, 2, "6", "QUJD"));
     assert!(engine.command().contains("\"RUN\""));
     kill(server, engine);
@@ -119,7 +120,7 @@
     );
 }
 
-/// A hundred thousand keys in the directory at a start: each is known, and the server listens soon.
+/// With a hundred thousand keys in the directory at the start, each key is recovered and the server listens in time.
 #[test]
 fn recovers_hundred_thousand_keys() {
     let setup = TestSetup::new(LONG_WINDOW_MICROS, "disk_mb = 64\n");
@@ -128,7 +129,7 @@
     let known = "idempotency-store: recovered, requests=100000, records=200000,";
     assert!(server.before[0].contains(known), "{:?}", server.before);
     let mut client = connect(&server);
-    // The key is known with another fingerprint than this body's: the request is rejected, not run.
+    // The key was stored with a fingerprint that is not that of this body: the request is rejected, not run.
     client.say(&booking_request(1, 1, "1869f", "QUJD"));
     assert!(client.line().contains("replay came with another body"));
 }
@@ -147,7 +148,7 @@
     }
 }
 
-/// The intent and the result of one key.
+/// Returns the intent and the result of one key.
 fn log_entries(key: u128) -> [LogEntry; 2] {
     let expires_at_micros = LONG_WINDOW_MICROS + 1;
     let intent = Record::Intent {
@@ -163,8 +164,8 @@
     })
 }
 
-/// A window that ends while the server is down. The time of a former incarnation is not trusted, so the result is
-/// still known.
+/// A result is still known after its window has ended while the server was down, because a new incarnation does not
+/// trust the clock of an earlier one.
 #[test]
 fn result_survives_window_that_ends_during_restart() {
     const WINDOW: Duration = Duration::from_millis(100);
--- a/crates/server/tests/durable_results/support.rs
+++ b/crates/server/tests/durable_results/support.rs
@@ -1,4 +1,5 @@
-//! What the tests of durable results share: the program over one directory of results, and the lines exchanged.
+//! Support for the tests of durable results: the program with a directory of results, and the lines that it exchanges
+//! with its peers.
 
 use crate::common::SETTINGS;
 use crate::program::program;
@@ -10,14 +11,15 @@
 use std::sync::mpsc::Receiver;
 use std::sync::{PoisonError, RwLock};
 
-/// Window of an idempotency key that no test outlasts, in microseconds.
+/// Window of an idempotency key that is longer than any test, in microseconds.
 pub(crate) const LONG_WINDOW_MICROS: u64 = 30_000_000;
 
-/// Read while a process is started, and written while this process has a directory of results open: a process that is
-/// started meanwhile has the lock on the directory too, until it runs its own program.
+/// Locked for reading while a process is started, and for writing while this process has a directory of results open.
+/// Without it, a process that is started in the meantime would inherit the lock on the directory and hold it until it
+/// executes its own program.
 static OPEN_DIRECTORY: RwLock<()> = RwLock::new(());
 
-/// Starts a process while this one has no directory of results open.
+/// Starts a process while this process has no directory of results open.
 pub(crate) fn start_process<T>(start: impl FnOnce() -> T) -> T {
     let _guard = OPEN_DIRECTORY
         .read()
@@ -25,7 +27,7 @@
     start()
 }
 
-/// Uses a directory of results in this process while no other is started.
+/// Uses a directory of results in this process while no other process is being started.
 pub(crate) fn with_open_directory<T>(use_it: impl FnOnce() -> T) -> T {
     let _guard = OPEN_DIRECTORY
         .write()
@@ -33,19 +35,20 @@
     use_it()
 }
 
-/// A directory of results, an engine's listener, and the files to start the program with.
+/// A directory of results, the listener of the engine, and the files that the program is started with.
 pub(crate) struct TestSetup {
     pub directory: PathBuf,
-    /// Text of the operator file.
+    /// Contents of the operator file.
     pub operator: String,
-    /// Text of the configuration.
+    /// Contents of the configuration file.
     pub config: String,
     pub engine: TcpListener,
     _reports: Receiver<String>,
 }
 
 impl TestSetup {
-    /// An empty directory, with this window for idempotency keys and these further lines of its operator section.
+    /// Returns a setup with an empty directory, this window for idempotency keys, and further lines for the
+    /// `[kept-results]` section of the operator file.
     pub(crate) fn new(window_micros: u64, operator_lines: &str) -> TestSetup {
         let directory = write_config("");
         std::fs::remove_file(&directory).expect("removed");
@@ -76,7 +79,7 @@
         }
     }
 
-    /// Starts the program, links the engine and answers the first question for its gauges.
+    /// Starts the program, accepts its engine link and answers its first query of the gauges.
     pub(crate) fn start(&self) -> (Server, Peer) {
         let server = self.start_program();
         let mut engine = Peer::accept(&self.engine);
@@ -88,14 +91,14 @@
         (server, engine)
     }
 
-    /// The same with a connection of a load balancer.
+    /// Does the same as [`start`](Self::start), and opens a connection of a load balancer.
     pub(crate) fn start_with_client(&self) -> (Server, Peer, Peer) {
         let (server, engine) = self.start();
         let client = connect(&server);
         (server, engine, client)
     }
 
-    /// Starts the program alone.
+    /// Starts the program without accepting its engine link.
     pub(crate) fn start_program(&self) -> Server {
         start_process(|| Server::start(program(), &self.config, Some(&self.operator)))
     }
@@ -115,7 +118,7 @@
     }
 }
 
-/// The files of a program that a test starts by itself.
+/// The files of a program that a test starts itself.
 pub(crate) struct ConfigFiles {
     pub config: PathBuf,
     pub operator: PathBuf,
@@ -130,12 +133,12 @@
     }
 }
 
-/// A new connection of a load balancer.
+/// Opens a connection of a load balancer.
 pub(crate) fn connect(server: &Server) -> Peer {
     Peer::new(TcpStream::connect(server.address).expect("a connection"))
 }
 
-/// The line of a request with an idempotency key.
+/// Returns the line of a `book` request with an idempotency key.
 pub(crate) fn booking_request(id: u32, attempt: u32, key: &str, body: &str) -> String {
     let now = unix_ms();
     format!(
@@ -145,7 +148,7 @@
     )
 }
 
-/// The engine's notice that a run has completed.
+/// Returns the engine's notice that a run has completed.
 pub(crate) fn completion_notice(serial: u32, attempt: u32, blob: &str) -> String {
     format!(
         "{{\"msg\":\"DONE\",\"serial\":{serial},\"call\":\"{attempt:016x}\",\"how\":\"good\",\"duration\":9,\
@@ -165,13 +168,13 @@
     assert!(client.line().contains("WFla"));
 }
 
-/// Kills a program whose engine loses its link with it.
+/// Kills a program and closes its engine link.
 pub(crate) fn kill(server: Server, engine: Peer) {
     server.signal("-KILL");
     drop((server, engine));
 }
 
-/// Asserts that nothing else is run: the next command, questions apart, is the run of a request sent now.
+/// Asserts that no other request is run: the next command other than a query is the run of a request that is sent now.
 pub(crate) fn assert_no_other_run(engine: &mut Peer, client: &mut Peer, id: u32) {
     client.say(&format!(
         "{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"quote\",\"params\":{{\"ref\":\
--- a/crates/server/tests/fleet.rs
+++ b/crates/server/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The scripts of faults under `tests/fleet` of the repository on real processes, whose datagrams pass through relays.
+//! Plays the fault injection scripts of `tests/fleet` on real processes. Relays forward the datagrams between them.
 
 mod common;
 #[path = "common/program.rs"]
@@ -12,7 +12,7 @@
 use program::program;
 use std::path::Path;
 
-/// Scripts that are played at the same time: few enough that the machine's cores are never the fault that is tested.
+/// Number of scripts that are played at the same time: few enough that a lack of free cores does not make a test fail.
 const PLAYERS: usize = 4;
 
 fn works() -> Vec<HandlerWork> {
@@ -24,14 +24,15 @@
     ]
 }
 
-/// Whether a script has no step for simulated fleets alone, whose time and views are one.
+/// Reports whether a script can be played on processes: whether it has no step that only a simulated fleet can play,
+/// in which one clock and all views are at hand.
 fn runs_on_processes(script: &Script) -> bool {
     let is_simulated =
         |step: &Step| matches!(step, Step::Action(Action::For(_) | Action::Downs(_)));
     !script.steps.iter().any(|(_, step)| is_simulated(step))
 }
 
-/// Plays a script on a fleet of processes; gives the first condition that was not met.
+/// Plays a script on a fleet of processes. Returns the first condition that was not met.
 fn play(script: &Script, seed: u64) -> Option<String> {
     let setup = script.setup.clone();
     let mut fleet = ProcessFleet::new(setup, program(), common::SETTINGS, &works(), seed);
--- a/crates/server/tests/known_red/main.rs
+++ b/crates/server/tests/known_red/main.rs
@@ -1,4 +1,4 @@
-//! `.ci/tests`, which passes over the tests that `KNOWN-RED.txt` lists, run against a stub of `cargo`.
+//! The script `.ci/tests`, which skips the tests that `KNOWN-RED.txt` lists, run with a stub of `cargo`.
 
 mod repository;
 
@@ -8,13 +8,13 @@
 use std::fs;
 use std::process::Command;
 
-/// Asserts that the script fails because of a line, before any test is run.
+/// Asserts that the script rejects a line of the list with one error line, before any test is run.
 fn assert_rejects(list: &str, expected: &str) {
     let run = Repository::with_list(list).run();
     assert!(!run.succeeded, "accepts {list:?}");
     assert!(
         run.stderr.starts_with(expected) && run.stderr.lines().count() == 1,
-        "{list:?}: {} in place of {expected}",
+        "{list:?}: {} instead of {expected}",
         run.stderr
     );
     assert_eq!(run.stdout, "");
@@ -70,7 +70,7 @@
     assert_eq!(run.stdout, expected);
 }
 
-/// Rustdoc splits a name at its spaces, and then passes over every documentation test.
+/// Rustdoc splits a skipped name at its spaces and would then skip every documentation test.
 #[test]
 fn rejects_documentation_test() {
     for name in [
@@ -203,8 +203,8 @@
     assert!(run.stdout.contains(not_run), "{}", run.stdout);
 }
 
-/// A test that fails and is not listed fails the script, though its name begins with that of a listed one; the listed
-/// one is printed nevertheless.
+/// The script fails if a test that is not listed fails, even if its name begins with that of a listed test. The verdict
+/// on the listed test is printed nevertheless.
 #[test]
 fn fails_when_unlisted_test_fails() {
     let failing = "budget::holds\nbudget::holds_after_crash\n";
@@ -215,12 +215,12 @@
     assert!(run.stdout.contains("KNOWN RED: budget::holds fails\n"));
 }
 
-/// The library of a workspace for cargo itself: a test that fails, one whose name contains that of the former, one whose
-/// name is contained in it, and a documentation test.
+/// Source of a library on which the script is run with the real cargo: a test that fails, a test whose name contains
+/// the name of the former, a test whose name is contained in it, and a documentation test.
 const REAL_LIBRARY: &str = "//! A library.\n//! ```\n//! assert_eq!(1 + 1, 2);\n//! ```\n\
     #[test]\nfn holds() {\n    panic!();\n}\n#[test]\nfn holds_after_crash() {}\n#[test]\nfn hold() {}\n";
 
-/// Runs the script on [`REAL_LIBRARY`] with cargo itself.
+/// Runs the script on [`REAL_LIBRARY`] with the real cargo.
 fn run_with_cargo(list: &str) -> ScriptRun {
     let repository = Repository::with_list(list);
     fs::remove_file(repository.root.join("bin/cargo")).expect("no stub");
@@ -261,7 +261,7 @@
     assert!(run.stdout.contains(passes), "{}", run.stdout);
 }
 
-/// The names of this program's own tests that are left with some arguments.
+/// Returns the names of the tests that this test program lists with these arguments.
 fn list_own_tests(arguments: &[&str]) -> Vec<String> {
     let program = std::env::current_exe().expect("this program");
     let output = run_to_completion(Command::new(program).arg("--list").args(arguments));
@@ -270,7 +270,7 @@
     names.map(String::from).collect()
 }
 
-/// What the script relies on: a test program skips a name that is given with `--exact` and no other, and runs the rest.
+/// The script relies on this: with `--exact`, a test program skips exactly the given names and runs all other tests.
 #[test]
 fn exact_skip_excludes_only_listed_test() {
     let all = list_own_tests(&[]);
--- a/crates/server/tests/known_red/repository.rs
+++ b/crates/server/tests/known_red/repository.rs
@@ -1,4 +1,4 @@
-//! A repository in a temporary folder, with the script and a stub of `cargo`, and what a run of the script did.
+//! A repository in a temporary folder, with the script and a stub of `cargo`, and the result of a run of the script.
 
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
@@ -7,8 +7,8 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::{PoisonError, RwLock};
 
-/// Stands for `cargo`. Appends its arguments to `calls`; knows the tests in `tests`, of which those in `failing` fail and
-/// those in `ignored` are not run; can't list them where there is a file `broken`.
+/// Stub of `cargo`. Appends its arguments to the file `calls`. It knows the tests in the file `tests`; those in
+/// `failing` fail, and those in `ignored` are not run. It fails to list the tests if there is a file `broken`.
 const STUB_CARGO: &str = r#"#!/usr/bin/env bash
 cd "$(dirname "$0")"
 printf '[%s]' "$@" >> calls
@@ -39,7 +39,7 @@
 esac
 "#;
 
-/// The tests that the stub knows; two test programs have one of the same name.
+/// The tests that the stub knows. Two test programs have a test of the same name, `every_script`.
 const KNOWN_TESTS: &str = "budget::holds\nbudget::holds_after_crash\nevery_script\nevery_script\n\
     src/lib.rs - limits (line 12)\nshutdown::drains\nstartup::binds\n";
 pub(crate) const TWO_ENTRIES: &str = "# first the fleet\n\
@@ -49,11 +49,12 @@
 pub(crate) const TWO_TESTS: &str = "budget::holds\nshutdown::drains\n";
 pub(crate) const LIST_TESTS_CALL: &str = "[test][--workspace][--quiet][--][--list]";
 
-/// Read while executable files are written, and written while a process is started: a process that is started meanwhile
-/// has the files open too, until it runs its own program, and what is open for writing can't be run.
+/// Locked for reading while executable files are written, and for writing while a process is started. Otherwise a
+/// process that is started in the meantime would have the files open, too, until it executes its own program, and a
+/// file that is open for writing cannot be executed.
 static EXECUTABLES: RwLock<()> = RwLock::new(());
 
-/// Starts a process while no executable file is open, and waits for its end.
+/// Starts a process while no executable file is being written, and waits for its end.
 pub(crate) fn run_to_completion(command: &mut Command) -> Output {
     command.stdout(Stdio::piped()).stderr(Stdio::piped());
     let child = {
@@ -64,7 +65,7 @@
     child.wait_with_output().expect("it ends")
 }
 
-/// A repository with the script and a stub of `cargo`, removed when it is dropped.
+/// A repository with the script and a stub of `cargo`. It is removed when it is dropped.
 pub(crate) struct Repository {
     pub(crate) root: PathBuf,
 }
@@ -92,14 +93,14 @@
         repository
     }
 
-    /// A repository whose list has this text.
+    /// Returns a repository in which `KNOWN-RED.txt` has this text.
     pub(crate) fn with_list(list: &str) -> Repository {
         let repository = Repository::new();
         repository.write("KNOWN-RED.txt", list);
         repository
     }
 
-    /// Has these tests fail, one a line.
+    /// Lets these tests fail; `tests` has one name per line.
     pub(crate) fn with_failing_tests(self, tests: &str) -> Repository {
         self.write("bin/failing", tests);
         self
@@ -109,7 +110,7 @@
         fs::write(self.root.join(path), text).expect("written");
     }
 
-    /// Runs the script, from another folder than the repository.
+    /// Runs the script from a folder outside the repository.
     pub(crate) fn run(&self) -> ScriptRun {
         let path = std::env::var("PATH").expect("a path");
         let output = run_to_completion(
@@ -130,12 +131,12 @@
     }
 }
 
-/// What the script did and printed.
+/// Result of a run of the script.
 pub(crate) struct ScriptRun {
     pub(crate) succeeded: bool,
     pub(crate) stdout: String,
     pub(crate) stderr: String,
-    /// The calls of `cargo`, each argument in brackets.
+    /// Arguments of each call of `cargo`, each argument in brackets.
     pub(crate) calls: Vec<String>,
 }
 
--- a/crates/server/tests/listen.rs
+++ b/crates/server/tests/listen.rs
@@ -1,4 +1,4 @@
-//! The end of listening.
+//! Closing the listener.
 
 use madderbay_server::core::event_loop::EventLoop;
 use madderbay_server::downstream::listener;
@@ -12,7 +12,8 @@
 
 mod common;
 
-/// Connections that the system has accepted are entered before the listener closes: a request may be on them.
+/// Connections that the operating system has accepted are registered before the listener closes, because there may be
+/// requests on them.
 #[test]
 fn enters_accepted_connections_before_listener_closes() {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -30,8 +31,8 @@
             settings,
             1_000,
         )));
-        // The system accepts all, and a health check is sent on each, before the listening task runs for the first
-        // time. It is notified to stop by then, and may see that first.
+        // The operating system accepts all connections, and a health check is sent on each, before the listener's task
+        // runs for the first time. By then it has been told to stop, and may notice that first.
         let clients: Vec<_> = (0..20)
             .map(|_| {
                 let mut client = std::net::TcpStream::connect(address).expect("a connection");
--- a/crates/server/tests/log_lines/events.rs
+++ b/crates/server/tests/log_lines/events.rs
@@ -1,4 +1,4 @@
-//! The lines of the events of the fleet's crates, at least one of each event and each cause.
+//! Log lines of the events of the fleet's crates, with at least one line for each event and each cause.
 
 use madderbay::time::{Duration, Timestamp};
 use madderbay_concurrency::{AdjustmentCause, LimitChange};
@@ -144,7 +144,7 @@
     changes.into_iter().map(line).collect()
 }
 
-/// One line for each event, without its level.
+/// Returns one line for each event, without its level.
 pub(crate) fn events() -> Vec<String> {
     [
         membership_events(),
--- a/crates/server/tests/log_lines/main.rs
+++ b/crates/server/tests/log_lines/main.rs
@@ -1,9 +1,9 @@
-//! Holds the lines of the log and the operators' pages together: each line has the shape
-//! `component: event, key=value, key=value`, `docs/on-call.md` has each line from `info` up, and each line that the
-//! pages quote is one that the program writes.
+//! Compares the log lines of the program with the operators' pages: each line has the shape
+//! `component: event, key=value, key=value`, `docs/on-call.md` has each line of level `info` and above, and each line
+//! that the pages quote is one that the program writes.
 //!
-//! Lines are compared with `...` in place of each value. Lines of the source are found as the literals of the `log`
-//! macros and as literals that begin with a level; those of the fleet's events come from the events themselves.
+//! Lines are compared with `...` in place of each value. The lines of the program's source are found as the literals of
+//! the `log` macros and as literals that begin with a level. The lines of the fleet's events are made from the events.
 
 mod events;
 mod pages;
@@ -16,7 +16,7 @@
 use source::{SourceLine, is_forwarded_event, source_lines};
 use std::collections::BTreeSet;
 
-/// Levels whose lines the page has to quote.
+/// Levels whose lines the on-call page has to quote.
 const QUOTED_LEVELS: [&str; 3] = ["ERROR", "WARN", "INFO"];
 /// Components whose lines are events of the fleet's crates.
 const EVENT_COMPONENTS: [&str; 4] = ["membership", "quota", "upstream", "concurrency"];
--- a/crates/server/tests/log_lines/pages.rs
+++ b/crates/server/tests/log_lines/pages.rs
@@ -1,4 +1,4 @@
-//! Reads what the operators' pages quote.
+//! Reads the texts that the operators' pages quote.
 
 use crate::QUOTED_LEVELS;
 use std::collections::BTreeSet;
@@ -8,7 +8,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// The texts between backticks on a page.
+/// Returns the texts between backticks on a page.
 fn quoted_texts(page: &Path) -> Vec<String> {
     let text = std::fs::read_to_string(page).expect("a page");
     let mut quoted = vec![];
@@ -18,7 +18,7 @@
     quoted
 }
 
-/// The lines on the on-call page, each with its level.
+/// Returns the log lines that the on-call page quotes, each with its level.
 pub(crate) fn on_call_lines() -> BTreeSet<String> {
     let has_level = |text: &String| {
         let level = text.split_once(' ').map_or("", |(level, _)| level);
@@ -28,7 +28,7 @@
     quoted_texts(&page).into_iter().filter(has_level).collect()
 }
 
-/// All that the operators' pages quote.
+/// Returns all texts that the operators' pages quote.
 pub(crate) fn operator_page_quotes() -> BTreeSet<String> {
     let pages = std::fs::read_dir(root().join("docs/operators")).expect("the pages");
     pages
--- a/crates/server/tests/log_lines/shape.rs
+++ b/crates/server/tests/log_lines/shape.rs
@@ -1,6 +1,6 @@
-//! The shape of a line, and the comparison of a quoted line with one of the program.
+//! The shape of a log line, and the comparison of a quoted line with a line of the program.
 
-/// What stands for a value.
+/// Text that stands for any value, or for any word of an event.
 const VALUE_PLACEHOLDER: &str = "...";
 
 fn is_word(text: &str) -> bool {
@@ -12,7 +12,7 @@
     !text.is_empty() && text.chars().all(|c| c.is_ascii_lowercase() || c == '_')
 }
 
-/// Whether the text is `component: event, key=value, key=value`, each value accepted by `is_value`.
+/// Reports whether the text is `component: event, key=value, key=value`, with each value accepted by `is_value`.
 pub(crate) fn has_shape(text: &str, is_value: impl Fn(&str) -> bool) -> bool {
     let Some((component, rest)) = text.split_once(": ") else {
         return false;
@@ -26,7 +26,7 @@
     is_word(component) && event.split(' ').all(is_word) && parts.all(is_pair)
 }
 
-/// The line with `...` in place of each value.
+/// Returns the line with `...` in place of each value.
 pub(crate) fn normalised(line: &str) -> String {
     let without_value = |part: &str| match part.split_once('=') {
         Some((key, _)) if is_key(key) => format!("{key}={VALUE_PLACEHOLDER}"),
@@ -36,7 +36,8 @@
     parts.join(", ")
 }
 
-/// Whether a line of a page is this line: its values don't count, and `...` in its event stands for any word.
+/// Reports whether `quoted`, from a page, quotes `line`. Values are ignored, and `...` in the event of `quoted` stands
+/// for any word.
 pub(crate) fn is_quote_of(quoted: &str, line: &str) -> bool {
     let (quoted, line) = (normalised(quoted), normalised(line));
     let (quoted, line): (Vec<_>, Vec<_>) = (quoted.split(' ').collect(), line.split(' ').collect());
--- a/crates/server/tests/log_lines/source.rs
+++ b/crates/server/tests/log_lines/source.rs
@@ -1,11 +1,11 @@
-//! Reads the lines of the log from the sources of the program.
+//! Finds the log lines in the source of the program.
 //!
-//! Is given the sources of this package; never looks at their tests or comments.
+//! Reads the source files of this package, without its tests and comments.
 
 use crate::{EVENT_COMPONENTS, QUOTED_LEVELS};
 use std::path::{Path, PathBuf};
 
-/// A line with its level, as it stands in the source.
+/// A log line with its level, as it is written in the source.
 pub(crate) struct SourceLine {
     /// File and line number.
     pub place: String,
@@ -13,7 +13,7 @@
     pub text: String,
 }
 
-/// The files of the program in a directory and its subdirectories, without its tests.
+/// Collects the source files in a directory and its subdirectories, without those of tests.
 fn source_files(directory: &Path, files: &mut Vec<PathBuf>) {
     for entry in std::fs::read_dir(directory).expect("a directory of the sources") {
         let path = entry.expect("an entry").path();
@@ -28,7 +28,8 @@
     files.sort();
 }
 
-/// The string literal that `source` begins with, its escapes resolved, and its length; nothing if there is none.
+/// Returns the string literal that `source` begins with, its escapes resolved, and its length in the source; `None` if
+/// `source` does not begin with a literal.
 fn string_literal(source: &str) -> Option<(String, usize)> {
     let inner = source.strip_prefix('"')?;
     let mut text = String::new();
@@ -47,7 +48,7 @@
     None
 }
 
-/// The source without the text of comments, which may quote lines.
+/// Returns the source without comment lines, which may quote log lines.
 fn without_comments(source: &str) -> String {
     let is_comment = |line: &&str| line.trim_start().starts_with("//");
     let blank_if_comment = |line| if is_comment(&line) { "" } else { line };
@@ -55,7 +56,7 @@
     lines.join("\n")
 }
 
-/// The lines that one file writes.
+/// Collects the log lines that one file writes.
 fn collect_lines(path: &Path, lines: &mut Vec<SourceLine>) {
     let source = without_comments(&std::fs::read_to_string(path).expect("a source file"));
     let name = path
@@ -81,7 +82,7 @@
             };
             let text = text[level.len() + 1..].trim_end().to_string();
             if is_placeholder(&text) {
-                continue; // A line that is passed on: its text is found where it is made.
+                continue; // A line that is forwarded: its text is found where it is composed.
             }
             lines.push(SourceLine {
                 place: place(at),
@@ -92,7 +93,7 @@
     }
 }
 
-/// The lines of all files of the program.
+/// Returns the log lines of all source files of the program.
 pub(crate) fn source_lines() -> Vec<SourceLine> {
     let mut files = vec![];
     source_files(
@@ -106,7 +107,7 @@
     lines
 }
 
-/// Whether the text is one `{...}`.
+/// Reports whether the text is a single `{...}`.
 fn is_placeholder(text: &str) -> bool {
     let inner = text
         .strip_prefix('{')
@@ -114,7 +115,7 @@
     inner.is_some_and(|inner| !inner.contains(['{', '}']))
 }
 
-/// Whether a line only puts a component before an event of the fleet's crates.
+/// Reports whether a line only adds a component to an event of the fleet's crates.
 pub(crate) fn is_forwarded_event(text: &str) -> bool {
     let line = text.split_once(": ");
     line.is_some_and(|(component, event)| {
--- a/crates/server/tests/process/connections.rs
+++ b/crates/server/tests/process/connections.rs
@@ -1,4 +1,4 @@
-//! The limit on descriptors, peers that do not read, idle clients.
+//! The limit on descriptors, peers that do not read, and idle clients.
 
 use crate::support::{
     GAUGE_REPLY, HEALTH_CHECK, HELLO_OF_RUNNING_ENGINE, INITIAL_ATTACH, TestServer,
@@ -14,12 +14,13 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Interval at which the engine's link is read, far below the 200 ticks, 2 s, after which a silent engine is lost.
+/// Interval at which the engine link is read: far below the 200 ticks, 2 s, after which a silent engine is considered
+/// lost.
 const ANSWER_INTERVAL: Duration = Duration::from_millis(10);
 
-/// An engine that answers each question for its gauges and completes no run, on a thread of its own.
+/// An engine that answers each query of its gauges and completes no run, on a thread of its own.
 struct AnsweringEngine {
-    /// Dropped, it ends the thread.
+    /// Ends the thread when it is dropped.
     stop: Sender<()>,
     thread: JoinHandle<Peer>,
 }
@@ -39,28 +40,29 @@
         }
     }
 
-    /// Ends the answers; gives the link, which is still open.
+    /// Stops answering, and returns the link, which is still open.
     fn stop(self) -> Peer {
         drop(self.stop);
         self.thread.join().expect("it answered all")
     }
 }
 
-/// Idle connections give way to new ones; where all carry a request, a new one is closed unread.
+/// Idle connections are evicted in favour of new ones. When all connections have an open request, a new one is closed
+/// unread.
 #[test]
 fn connections_stay_within_descriptor_limit() {
     let mut server = TestServer::start(30);
     let mut link = server.accept_engine_link(INITIAL_ATTACH);
-    // The question for the gauges shows that the greeting was read.
+    // The query of the gauges shows that the greeting was read.
     assert!(link.line().contains("STAT"));
     link.say(GAUGE_REPLY);
-    // Requests that wait for a lost engine are rejected, and their connections would be idle.
+    // If the engine were lost, the waiting requests would be rejected and their connections would become idle.
     let engine = AnsweringEngine::start(link);
     let check_health = |peer: &mut Peer| {
         peer.say(HEALTH_CHECK);
         assert!(peer.line().contains("\"fit\":true"));
     };
-    // Eleven are open, as many as the limit allows.
+    // Opens eleven connections, as many as the limit allows.
     let connect_with_request = |n| {
         let mut peer = server.connect();
         check_health(&mut peer);
@@ -82,7 +84,7 @@
         "closed unread"
     );
     server.signal("-USR1");
-    // The peers stay until the counters were logged.
+    // The peers stay connected until the counters are logged.
     for counter in ["connections.open 11", "connections.refused 1"] {
         let name = counter.split(' ').next().expect("a name");
         assert_eq!(
@@ -95,7 +97,7 @@
     assert_counters(&server.ended(), &["connections.refused 1"]);
 }
 
-/// The program stops reading from a peer that does not read, and serves the others.
+/// The program stops reading from a peer that does not read its answers, and serves the others.
 #[test]
 fn stops_reading_from_peer_that_does_not_read() {
     let server = TestServer::start(128);
@@ -118,26 +120,26 @@
     assert!(other.line().contains("\"fit\":true"));
 }
 
-/// Sends a request on new connections until one is run: rejected while the idle ones are new, as a rejection says,
-/// but never closed unread. Returns the connection and its attempt.
+/// Sends a request on new connections until one is run. It is rejected while the idle connections are new, but never
+/// closed unread. Returns the connection and the attempt that is run.
 fn connect_until_admitted(program: &Program, engine: &mut Peer) -> (Peer, u32) {
     let began = Instant::now();
     for attempt in 2.. {
-        assert!(began.elapsed() < WAIT_TIMEOUT, "a load balancer gets in");
+        assert!(began.elapsed() < WAIT_TIMEOUT, "no request is admitted");
         let mut peer = connect_to(program);
         peer.say(&request(1, "quote", attempt, ""));
         match rejection_line(&mut peer, attempt, engine) {
             None => return (peer, attempt),
             Some(line) => assert!(
                 line.contains("-32002"),
-                "rejected, not closed unread: {line}"
+                "closed without a rejection: {line}"
             ),
         }
     }
-    unreachable!("the loop ends by its time")
+    unreachable!("the loop ends within its timeout")
 }
 
-/// The line that answers an attempt, or nothing once the engine has the command to run it.
+/// Returns the line that answers an attempt, or `None` once the engine has been sent the command to run it.
 fn rejection_line(peer: &mut Peer, attempt: u32, engine: &mut Peer) -> Option<String> {
     let name = format!("{attempt:016x}");
     peer.0.get_ref().set_nonblocking(true).expect("set");
@@ -146,7 +148,7 @@
         match peer.0.read_line(&mut line) {
             Ok(_) => break Some(line),
             Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-            Err(e) => panic!("no end without an answer: {e}"),
+            Err(e) => panic!("connection closed without an answer: {e}"),
         }
         if engine.pending().contains(&name) {
             break None;
@@ -156,8 +158,8 @@
     answer
 }
 
-/// Idle clients take all available descriptors while the registry is down: a load balancer is still served, and
-/// reports resume once the registry is back.
+/// While idle clients take all available descriptors and the registry is down, a load balancer is still served. The
+/// reports resume once the registry is reachable again.
 #[test]
 fn idle_clients_do_not_lock_out_load_balancer() {
     let (engine, catalogue) = (loopback_listener(), loopback_listener());
@@ -182,7 +184,7 @@
         .expect("its descriptors")
         .count();
     assert!(descriptors <= 30, "{descriptors} descriptors");
-    // The registry is back at another address.
+    // The registry is reachable again, at another address.
     let (registry, reports) = registry::start();
     let moved = Dependencies {
         registry,
--- a/crates/server/tests/process/main.rs
+++ b/crates/server/tests/process/main.rs
@@ -1,4 +1,5 @@
-//! The real program on loopback, between an engine, a catalogue, a registry and load balancers that the tests play.
+//! The real program on loopback addresses. The tests play its engine, its catalogue, its registry and its load
+//! balancers.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/server/tests/process/operator_file.rs
+++ b/crates/server/tests/process/operator_file.rs
@@ -1,4 +1,4 @@
-//! The complete operator file is checked before anything starts.
+//! The operator file is checked completely before anything starts.
 
 use crate::common::SETTINGS;
 use crate::program::program;
@@ -6,7 +6,7 @@
 use madderbay_testkit::peer::loopback_listener;
 use madderbay_testkit::server::{command, configuration, write_config};
 
-/// Exit status of the program with these arguments, and the lines of its standard error.
+/// Runs the program with these arguments. Returns its exit status and the lines of its standard error.
 fn run_command(args: &[&str], config: Option<&str>) -> (i32, Vec<String>) {
     let path = config.map(write_config);
     let found = command(program(), path.as_deref())
@@ -22,8 +22,8 @@
     )
 }
 
-/// Every fault of an operator file is reported, one a line, and nothing starts; with a configuration at hand its
-/// handlers are looked up too.
+/// Every error in an operator file is reported, one per line, and nothing starts. If there is a configuration, the
+/// handlers that the operator file names are checked against it.
 #[test]
 fn operator_file_is_checked_before_start() {
     let address = loopback_listener().local_addr().unwrap();
--- a/crates/server/tests/process/reload.rs
+++ b/crates/server/tests/process/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: the program moves to the addresses of the new configuration.
+//! SIGHUP: the program switches to the addresses of the new configuration.
 
 use crate::support::{
     HELLO_OF_RUNNING_ENGINE, INITIAL_ATTACH, LEAVING_NOTICE, TestServer, call_needed_notice,
@@ -7,7 +7,7 @@
 use madderbay_testkit::peer::{Peer, loopback_listener};
 use madderbay_testkit::{WAIT_TIMEOUT, registry};
 
-/// On SIGHUP the program takes the addresses in the file: runs go on over the link to the new engine, calls and
+/// On SIGHUP the program uses the addresses in the file: runs continue over the link to the new engine, and calls and
 /// reports go to the new addresses. A file that cannot be read changes nothing. Neither ends the process.
 #[test]
 fn reload_moves_to_new_addresses() {
@@ -30,8 +30,9 @@
     server.signal("-HUP");
     server.log_at("reload: restart required, changed=limits");
     server.log_at("reload: restart required, changed=settings");
-    // The open call stays valid. The new link resumes after the last notice read on the old one and carries what was
-    // queued while it was not up. (What left on the old one may have been read: tests/scenarios/link-fed.txt.)
+    // The open call stays valid. The new link resumes after the last notice that was read on the old one, and carries
+    // what was queued while it was not up. (A command that was sent on the old link may have been read there; see
+    // tests/scenarios/link-fed.txt.)
     let mut engine = Peer::accept(&new_engine);
     assert_eq!(engine.line(), "{\"msg\":\"ATTACH\",\"serial\":1}");
     catalogue.say("0000000000000001 DATA 3\r\nxyz\r\n");
@@ -50,7 +51,7 @@
     );
 }
 
-/// A reload and then a drain, and a drain and then a reload: the open run is answered over the new link.
+/// A reload before a drain, and a drain before a reload: the open run is answered over the new link.
 #[test]
 fn drain_and_reload_in_either_order() {
     for drain_first in [false, true] {
@@ -87,8 +88,8 @@
     }
 }
 
-/// A section of the operator file that a restart alone applies is told, also where neither fleet nor backends are on;
-/// so is a file that is wrong.
+/// A changed section of the operator file that needs a restart is logged, also if neither fleet nor backends are
+/// enabled; so is an operator file that is invalid.
 #[test]
 fn reload_logs_changed_sections_that_need_restart() {
     let mut server = TestServer::start_with_operator_file(128, "[pools]\nenabled = on\n");
--- a/crates/server/tests/process/serving.rs
+++ b/crates/server/tests/process/serving.rs
@@ -1,4 +1,4 @@
-//! What the running program answers: results, rejections, failures, partial answers, pooled calls.
+//! Answers of the running program: results, rejections, failures, partial answers, and calls within a pool.
 
 use crate::support::{
     GAUGE_REPLY, INITIAL_ATTACH, LEAVING_NOTICE, TestServer, assert_counters, call_needed_notice,
@@ -6,17 +6,17 @@
 };
 use madderbay_testkit::peer::Peer;
 
-/// The command that starts the run of an attempt, as far as its name.
+/// Returns the start of the command that runs an attempt, up to the attempt's name.
 fn run_command(attempt: u32) -> String {
     format!("\"RUN\",\"call\":\"{attempt:016x}\"")
 }
 
-/// The command that hands a run the reply to its call, as far as its name.
+/// Returns the start of the command that passes a run the reply to its call, up to the attempt's name.
 fn feed_command(attempt: u32) -> String {
     format!("\"FEED\",\"call\":\"{attempt:016x}\"")
 }
 
-/// Stops the program, which notifies its only client that it leaves; gives the rest of the log.
+/// Stops the program and asserts that its only client is notified. Returns the rest of the log.
 fn drain(server: TestServer, mut client: Peer) -> String {
     server.signal("-TERM");
     assert!(client.line().contains("leaving"));
@@ -55,7 +55,7 @@
     );
 }
 
-/// The request 1 is completed, with a call on the way. Gives the connection of that call.
+/// Completes the request 1, whose run makes a call. Returns the connection of that call.
 fn complete_with_call(server: &TestServer, engine: &mut Peer, client: &mut Peer) -> Peer {
     client.say(&request(1, "search", 1, ""));
     assert_eq!(
@@ -83,7 +83,8 @@
     catalogue
 }
 
-/// The link is lost during the run of the request 2, and the request 3 joins it meanwhile. Gives the new link.
+/// Closes the engine link during the run of the request 2. The request 3, which shares its key, joins it in the
+/// meantime. Returns the new link.
 fn complete_despite_lost_link(server: &TestServer, mut engine: Peer, client: &mut Peer) -> Peer {
     client.say(&request(2, "book", 2, "5"));
     assert!(engine.command().contains(&run_command(2)));
@@ -100,7 +101,7 @@
     engine
 }
 
-/// SIGTERM during the run of the request 4: every connection is notified, and the request is answered.
+/// Sends SIGTERM during the run of the request 4. Asserts that the connection is notified and the request is answered.
 fn drain_during_run(server: &TestServer, engine: &mut Peer, client: &mut Peer) {
     client.say(&request(4, "quote", 4, ""));
     assert!(engine.command().contains(&run_command(4)));
@@ -128,7 +129,7 @@
     );
     let mut engine = server.accept_engine_link(INITIAL_ATTACH);
     assert!(server.reports.recv().unwrap().contains("ready"));
-    // The question for the gauges shows that the greeting was read.
+    // The query of the gauges shows that the greeting was read.
     let asked = engine.line();
     assert!(asked.contains("STAT"), "{asked}");
     engine.say(GAUGE_REPLY);
@@ -155,7 +156,7 @@
     );
 }
 
-/// The call for the request 3 is rejected twice, and the run goes on without it.
+/// Rejects the call of the request 3 twice. Asserts that its run continues without the call.
 fn complete_without_call(server: &TestServer, engine: &mut Peer, client: &mut Peer) {
     client.say(&request(3, "search", 3, ""));
     assert!(engine.command().contains(&run_command(3)));
@@ -174,7 +175,7 @@
     assert!(client.line().contains("\"id\":3,\"result\""));
 }
 
-/// A pool's calls wait for each other within its limit, and the counters report each pool.
+/// The calls of a pool wait for each other within its limit, and the counters report each pool.
 #[test]
 fn pool_limits_concurrent_calls() {
     let operator = "[pools]\nenabled = on\n[pool seats]\nhandlers = book\ncalls = 1\n";
@@ -194,7 +195,7 @@
     let mut catalogue = Peer::accept(&server.catalogue);
     assert!(catalogue.line().starts_with("FETCH 0000000000000001 "));
     assert_eq!(catalogue.line(), "abc");
-    // The second call leaves only when the first has returned.
+    // The second call is sent only after the first has returned.
     catalogue.say("0000000000000001 DATA 3\r\nxyz\r\n");
     assert!(engine.command().contains(&feed_command(1)));
     assert!(catalogue.line().starts_with("FETCH 0000000000000002 "));
--- a/crates/server/tests/process/shutdown.rs
+++ b/crates/server/tests/process/shutdown.rs
@@ -1,4 +1,4 @@
-//! SIGTERM: the program answers what is open and ends before it is killed.
+//! SIGTERM: the program answers all open requests and ends before it is killed.
 
 use crate::support::{
     HEALTH_CHECK, HELLO_OF_NEW_ENGINE, INITIAL_ATTACH, LEAVING_NOTICE, PeerListeners, TestServer,
@@ -6,7 +6,8 @@
 };
 use madderbay_testkit::peer::Peer;
 
-/// A run that does not end is answered before the process ends, and the process ends before it would be killed.
+/// A request whose run does not end is answered before the process ends, and the process ends before it would be
+/// killed.
 #[test]
 fn drain_answers_request_whose_run_does_not_end() {
     let server = TestServer::start(128);
@@ -21,7 +22,8 @@
     assert!(server.ended().contains("counter open 0\n"));
 }
 
-/// SIGTERM arrives twice while the engine has not come up and the registry has answered in part.
+/// The program drains although SIGTERM arrives twice, before the engine is up and while the registry's response is
+/// incomplete.
 #[test]
 fn drain_ends_while_engine_is_not_up() {
     let peers = PeerListeners::bind();
@@ -37,7 +39,7 @@
     program.signal("-TERM");
     assert_eq!(a.line(), LEAVING_NOTICE);
     program.signal("-TERM");
-    // The engine comes up now; the program takes no request on.
+    // Even though the engine comes up now, the program admits no request.
     link.say(HELLO_OF_NEW_ENGINE);
     a.say("{\"jsonrpc\":\"2.0\",\"id\":2,\"method\":\"isWell\"}\n");
     assert!(a.line().contains("\"fit\":false"));
@@ -47,11 +49,12 @@
     assert!(program.ended().contains("counter runs.started 0\n"));
 }
 
-/// Where the kill comes before the drain's grace is over, listening ends in time to answer all that was accepted.
+/// If the kill is due before the grace period of the drain is over, the listener closes early enough to answer all
+/// requests on accepted connections.
 #[test]
 fn stops_listening_before_kill_timeout() {
     let mut program = start_program(unreachable_dependencies(), 128);
-    // One connection stays open, so that the process outlasts its listening.
+    // One connection stays open, so that the process runs on after its listener has closed.
     let mut a = connect_to(&program);
     a.say(HEALTH_CHECK);
     assert!(a.line().contains("\"fit\":true"));
--- a/crates/server/tests/process/startup.rs
+++ b/crates/server/tests/process/startup.rs
@@ -1,4 +1,4 @@
-//! How the program starts: peers that are down or break off, late and wrong configurations, restarts.
+//! Start of the program: peers that are down or break their links, late and invalid configurations, and restarts.
 
 use crate::common::SETTINGS;
 use crate::program::program;
@@ -15,8 +15,8 @@
 use std::process::Output;
 use std::time::{Duration, Instant};
 
-/// All peers are down at the start, and engine and catalogue move while the registry stays down: the program answers
-/// health checks, rejects requests, and serves as soon as there is an engine.
+/// All peers are down at the start, and the engine and the catalogue move to other addresses while the registry stays
+/// down. The program answers health checks, rejects requests, and serves as soon as there is an engine.
 #[test]
 fn starts_with_all_peers_down_and_reloads_with_registry_down() {
     let mut program = start_program(unreachable_dependencies(), 128);
@@ -27,7 +27,7 @@
     a.say(&request(2, "quote", 1, ""));
     assert!(
         a.line().contains("-32002"),
-        "rejected while there is no engine"
+        "not rejected although there is no engine"
     );
     let (engine, catalogue) = (loopback_listener(), loopback_listener());
     let moved = dependencies(&engine, unreachable_address(), &catalogue);
@@ -48,7 +48,8 @@
     assert_eq!(a.line(), LEAVING_NOTICE);
 }
 
-/// The one line that a failed start prints. Its exit status is 2 where the configuration is wrong, else 1.
+/// Starts the program, which has to fail, and returns the one line that it prints. Asserts that the exit status is 2
+/// if the configuration is invalid, and 1 if an address or a limit cannot be used.
 fn failed_start(config: Option<&str>, listen: Option<&str>) -> String {
     let path = config.map(write_config);
     let mut command = command(program(), path.as_deref());
@@ -60,14 +61,18 @@
         .for_each(|p| std::fs::remove_file(p).expect("removed"));
     let text = String::from_utf8(stderr).expect("text");
     assert_eq!(text.lines().count(), 1, "{text}");
-    let bound = ["listen ", "limits."]
+    let is_address_or_limit_error = ["listen ", "limits."]
         .iter()
         .any(|what| text.contains(&format!("madderbay: {what}")));
-    assert_eq!(status.code(), Some(if bound { 1 } else { 2 }), "{text}");
+    assert_eq!(
+        status.code(),
+        Some(if is_address_or_limit_error { 1 } else { 2 }),
+        "{text}"
+    );
     text
 }
 
-/// The line names what is wrong.
+/// A start that fails prints one line, which names the invalid setting.
 #[test]
 fn failed_start_prints_one_line() {
     let taken = loopback_listener();
@@ -98,7 +103,8 @@
         )
         .contains("limits.sockets 8")
     );
-    // A server without upstream has no catalogue in its configuration: it gets as far as its own address.
+    // The configuration of a server without an upstream has no catalogue. Its start gets as far as binding the server's
+    // own address.
     let bare = good.replace(&format!("\"catalog\":\"{address}\","), "");
     assert_ne!(bare, good);
     for config in [&good, &bare] {
@@ -107,7 +113,8 @@
     assert!(failed_start(Some(&good), Some("192.0.2.1:1")).contains("192.0.2.1"));
 }
 
-/// The program waits for a configuration that is not there, and then cut short; it is up soon after it is complete.
+/// The program waits for a configuration file that is missing, then truncated, and starts soon after the file is
+/// complete.
 #[test]
 fn waits_for_late_configuration() {
     let (engine, catalogue) = (loopback_listener(), loopback_listener());
@@ -141,8 +148,8 @@
     std::fs::remove_file(&path).expect("removed");
 }
 
-/// The engine breaks its link off, or says nothing, before it is up; the registry breaks off, answers in part and
-/// refuses before it takes a report. The program is ready soon all the same.
+/// The engine breaks its link, or sends nothing on it, before it is up. The registry breaks its connection, sends an
+/// incomplete response and refuses a report before it accepts one. The program is still ready within 10 s.
 #[test]
 fn becomes_ready_although_peers_break_links() {
     let peers = PeerListeners::bind();
@@ -184,14 +191,14 @@
     );
 }
 
-/// The program is killed right after it has accepted a connection with a request on it, several times. Each next
-/// incarnation listens at the same address at once, starts with no state, and serves.
+/// The program is killed several times right after it has accepted a connection with a request on it. Each next
+/// incarnation listens at the same address at once, starts without state, and serves.
 #[test]
 fn restarts_when_killed_right_after_accept() {
     let (engine, catalogue) = (loopback_listener(), loopback_listener());
     let (registry, _reports) = registry::start();
     let dependencies = dependencies(&engine, registry, &catalogue);
-    // An address of its own: no other test takes its port between two incarnations.
+    // No other test uses this address, so none can take its port between two incarnations.
     let mut listen = "127.77.2.1:0".to_string();
     for incarnation in 1..=6 {
         let text = configuration(&listen, dependencies, 128, STOP_MS, SETTINGS);
--- a/crates/server/tests/process/support.rs
+++ b/crates/server/tests/process/support.rs
@@ -1,4 +1,4 @@
-//! What the tests of the program share: the program between hand-played peers, and the lines that they exchange.
+//! Support for the tests of the program: the program with simulated peers, and the lines that it exchanges with them.
 
 use crate::common::SETTINGS;
 use crate::program::program;
@@ -9,25 +9,25 @@
 use std::ops::{Deref, DerefMut};
 use std::sync::mpsc::Receiver;
 
-/// Milliseconds from SIGTERM to SIGKILL, as the configuration states them.
+/// Time from SIGTERM to SIGKILL in milliseconds, as stated in the configuration.
 pub(crate) const STOP_MS: u64 = 800;
-/// First line on an engine link of a program that has read no notice yet.
+/// First line on an engine link from a program that has not read any notice yet.
 pub(crate) const INITIAL_ATTACH: &str = "{\"msg\":\"ATTACH\",\"serial\":0}";
-/// Greeting of an engine that has been up for an hour.
+/// Greeting of an engine that has been running for an hour.
 pub(crate) const HELLO_OF_RUNNING_ENGINE: &str =
     "{\"msg\":\"HELLO\",\"how\":\"old\",\"duration\":3600000}\n";
 /// Greeting of an engine that has just started.
 pub(crate) const HELLO_OF_NEW_ENGINE: &str =
     "{\"msg\":\"HELLO\",\"how\":\"new\",\"duration\":10}\n";
-/// Answer to the first question for the gauges.
+/// The engine's answer to the first query of the gauges.
 pub(crate) const GAUGE_REPLY: &str =
     "{\"msg\":\"STATS\",\"cookie\":\"1\",\"stats\":[0.1,1,0.1,1]}\n";
 /// A load balancer's health check.
 pub(crate) const HEALTH_CHECK: &str = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"isWell\"}\n";
-/// What every connection is sent when the program drains.
+/// Notice that is sent on every connection when the program drains.
 pub(crate) const LEAVING_NOTICE: &str = "{\"jsonrpc\":\"2.0\",\"method\":\"leaving\"}";
 
-/// The program between an engine and a catalogue that are played by hand.
+/// The program, with an engine and a catalogue that are played by the test.
 pub(crate) struct TestServer {
     program: Program,
     engine: TcpListener,
@@ -49,12 +49,12 @@
 }
 
 impl TestServer {
-    /// Starts the program with this limit on descriptors and no operator file.
+    /// Starts the program with a limit on descriptors and without an operator file.
     pub(crate) fn start(descriptors: usize) -> TestServer {
         TestServer::start_program(descriptors, None)
     }
 
-    /// Starts the program with an operator file of this text.
+    /// Starts the program with a limit on descriptors and an operator file.
     pub(crate) fn start_with_operator_file(descriptors: usize, operator: &str) -> TestServer {
         TestServer::start_program(descriptors, Some(operator))
     }
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Accepts the engine link, whose first line has to be `attach`, and greets it.
+    /// Accepts the engine link, asserts that its first line is `attach`, and sends the greeting of a running engine.
     pub(crate) fn accept_engine_link(&self, attach: &str) -> Peer {
         let mut engine = Peer::accept(&self.engine);
         assert_eq!(engine.line(), attach);
@@ -81,23 +81,23 @@
         engine
     }
 
-    /// A new connection of a load balancer.
+    /// Opens a connection of a load balancer.
     pub(crate) fn connect(&self) -> Peer {
         connect_to(&self.program)
     }
 
-    /// The rest of the log after the program has ended by itself.
+    /// Waits until the program has ended by itself, and returns the rest of its log.
     pub(crate) fn ended(self) -> String {
         self.program.ended()
     }
 }
 
-/// A new connection of a load balancer to a program that was started by itself.
+/// Opens a connection of a load balancer to a program that was started without a [`TestServer`].
 pub(crate) fn connect_to(program: &Program) -> Peer {
     Peer::new(TcpStream::connect(program.address).expect("a connection"))
 }
 
-/// The addresses of the program's peers.
+/// Returns the addresses of the program's peers.
 pub(crate) fn dependencies(
     engine: &TcpListener,
     registry: SocketAddr,
@@ -111,7 +111,7 @@
     }
 }
 
-/// Where an engine, a catalogue and a registry listen that are played by hand.
+/// Listeners of an engine, a catalogue and a registry that are played by the test.
 pub(crate) struct PeerListeners {
     pub engine: TcpListener,
     pub registry: TcpListener,
@@ -119,7 +119,7 @@
 }
 
 impl PeerListeners {
-    /// Listeners at free ports.
+    /// Binds the listeners to free ports.
     pub(crate) fn bind() -> PeerListeners {
         PeerListeners {
             engine: loopback_listener(),
@@ -128,24 +128,24 @@
         }
     }
 
-    /// Their addresses.
+    /// Returns the addresses of the listeners.
     pub(crate) fn addresses(&self) -> Dependencies {
         let registry = self.registry.local_addr().expect("an address");
         dependencies(&self.engine, registry, &self.catalogue)
     }
 }
 
-/// An address that nobody listens at: the tests' own ports are never so low.
+/// Returns an address at which nothing listens: the ports that the tests use are never so low.
 pub(crate) fn unreachable_address() -> SocketAddr {
     ([127, 77, 0, 1], 1).into()
 }
 
-/// Peers none of which can be reached.
+/// Returns the addresses of peers that cannot be reached.
 pub(crate) fn unreachable_dependencies() -> Dependencies {
     dependencies_at(unreachable_address())
 }
 
-/// All peers at one address.
+/// Returns one address for all peers.
 pub(crate) fn dependencies_at(address: SocketAddr) -> Dependencies {
     Dependencies {
         engine: address,
@@ -154,13 +154,13 @@
     }
 }
 
-/// Starts the program between these peers, with this limit on descriptors.
+/// Starts the program with these peers and a limit on descriptors.
 pub(crate) fn start_program(dependencies: Dependencies, descriptors: usize) -> Program {
     let text = configuration("127.0.0.1:0", dependencies, descriptors, STOP_MS, SETTINGS);
     Program::start(program(), &text, None)
 }
 
-/// Writes a configuration with other peers over the one that the program was started with.
+/// Replaces the configuration file of a program by one with these peers and this limit on descriptors.
 pub(crate) fn write_configuration(
     program: &Program,
     dependencies: Dependencies,
@@ -170,7 +170,7 @@
     std::fs::write(&program.path, text).expect("written");
 }
 
-/// A request's line; `key` is its idempotency key, if it is not empty.
+/// Returns the line of a request; `key` is its idempotency key, if it is not empty.
 pub(crate) fn request(id: u32, method: &str, attempt: u32, key: &str) -> String {
     let now = unix_ms();
     let key = if key.is_empty() {
@@ -185,20 +185,20 @@
     )
 }
 
-/// The engine's notice that a run has completed with a result.
+/// Returns the engine's notice that a run has completed with a result.
 pub(crate) fn completion_notice(serial: u32, attempt: u32, blob: &str) -> String {
     let about = format!("\"serial\":{serial},\"call\":\"{attempt:016x}\",\"how\":\"good\"");
     format!("{{\"msg\":\"DONE\",{about},\"duration\":9,\"blob\":\"{blob}\"}}\n")
 }
 
-/// The engine's notice that a run waits for a call with the body `abc`.
+/// Returns the engine's notice that a run waits for a call with the body `abc`.
 pub(crate) fn call_needed_notice(serial: u32, attempt: u32) -> String {
     format!(
         "{{\"msg\":\"NEED\",\"serial\":{serial},\"call\":\"{attempt:016x}\",\"blob\":\"YWJj\"}}\n"
     )
 }
 
-/// Asserts that a log has each of these counters with its value.
+/// Asserts that a log contains each of these counters with its value.
 pub(crate) fn assert_counters(log: &str, counters: &[&str]) {
     for counter in counters {
         assert!(
--- a/crates/server/tests/shared/counters.rs
+++ b/crates/server/tests/shared/counters.rs
@@ -1,4 +1,4 @@
-//! Counters that the fleet replicates, and the tenants' rates that are judged by them.
+//! Replicated counters of a fleet, and the tenant quotas that are judged by them.
 
 use crate::ample_capacity::settings;
 use crate::machine::{StallMonitor, run_fleet_case};
@@ -13,28 +13,29 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration as StdDuration;
 
-/// Servers of the fleet whose counters are compared.
+/// Number of servers in the fleet whose counts are compared.
 const SERVERS: usize = 3;
-/// Longest wait for a change of the counters: shorter than their window.
+/// Longest wait for a change of the counters; shorter than the 15 s window of [`LONG_WINDOW_COUNTERS`].
 const COUNTER_TIMEOUT: Duration = Duration::from_millis(14_000);
 const LONG_WINDOW_COUNTERS: &str =
     "[shared]\nenabled = on\n[count tenants]\nby = tenant\nwindow_s = 15\nmost = 100\n";
-/// The window of [`SHORT_WINDOW_COUNTERS`] in seconds.
+/// Window of [`SHORT_WINDOW_COUNTERS`], in seconds.
 const SHORT_WINDOW_S: f64 = 2.0;
-/// The rate that [`tenant_settings`] allows acme.
+/// Quota of the tenant acme in [`tenant_settings`], in requests per second.
 const ACME_PER_SECOND: f64 = 20.0;
-/// Upper bound on the load on the second server, which ends with that on the first.
+/// Upper bound on the length of the load on the second server, in seconds. The load ends with that on the first server.
 const MAX_LOAD_S: u64 = 60;
 const SHORT_WINDOW_COUNTERS: &str =
     "[shared]\nenabled = on\n[count tenants]\nby = tenant\nwindow_s = 2\nmost = 400\n";
 
-/// Each of three servers reports exactly what came to all; where one is cut off, the error bound says so.
+/// Each of three servers reports the exact number of requests that all of them received. Once a server is partitioned
+/// from the others, the counts have an error bound above zero.
 #[test]
 fn reports_counts_of_fleet_with_error_bounds() {
     run_fleet_case(compare_counts);
 }
 
-/// The value and the error bound of the tenant's count at each server; zeros where one does not answer.
+/// Returns the value and the error bound of the count of acme at each server; zeros where a server does not answer.
 fn counts(fleet: &WatchedFleet) -> Vec<(f64, f64)> {
     let count = |server| {
         fleet
@@ -79,7 +80,7 @@
     });
 }
 
-/// Waits until every server reports exactly `sent`; none may claim more in the meantime.
+/// Waits until every server reports exactly `sent`. Asserts that no server claims more in the meantime.
 fn wait_for_exact_counts(fleet: &mut WatchedFleet, sent: usize) {
     fleet.wait_while(COUNTER_TIMEOUT, |fleet| {
         let all = counts(fleet);
@@ -94,9 +95,10 @@
     });
 }
 
-/// A tenant that uses up its rate at one server has less weight at another, which alone sees it well within the rate.
+/// A tenant that uses up its quota at one server has less weight at another server, which received far fewer of its
+/// requests than the quota allows.
 #[test]
-fn tenant_rate_holds_for_whole_fleet() {
+fn tenant_quota_applies_to_whole_fleet() {
     run_fleet_case(|monitor| {
         let alone = overload_first_server(false, monitor);
         let shared = overload_first_server(true, monitor);
@@ -117,10 +119,10 @@
     });
 }
 
-/// What became of a tenant's requests at the crowded server.
+/// Outcome of a tenant's requests at the overloaded server.
 struct TenantOutcome {
     requests: usize,
-    /// Of these, completed.
+    /// Fraction of the requests that were completed.
     fraction: f64,
 }
 
@@ -129,7 +131,8 @@
     zenith: TenantOutcome,
 }
 
-/// Two servers; acme uses up its rate at the second and sends a few requests to the first, which zenith crowds.
+/// Runs two servers. The tenant acme uses up its quota at the second server and sends a few requests to the first
+/// server, which zenith overloads.
 fn overload_first_server(with_counters: bool, monitor: &StallMonitor) -> TenantOutcomes {
     let works = [HandlerWork::new("quote", (20.0, 20.0), false)];
     let setup = FleetSetup::of(2);
@@ -159,7 +162,7 @@
         let steady = plan(40.0, MAX_LOAD_S);
         scope.spawn(move || send_while(other, acme, &steady, is_loading));
         if with_counters {
-            wait_until_acme_exceeds_its_rate(&mut fleet);
+            wait_until_acme_exceeds_its_quota(&mut fleet);
         }
         let records = send(fleet.target(0), &overload, &plan(140.0, 12));
         is_on.store(false, Ordering::Relaxed);
@@ -171,9 +174,8 @@
     }
 }
 
-/// Waits until the second server, to which acme's requests come, has counted more of them than the rate of the fleet
-/// allows within a window.
-fn wait_until_acme_exceeds_its_rate(fleet: &mut WatchedFleet) {
+/// Waits until the second server has counted more requests of acme than the quota allows within a window.
+fn wait_until_acme_exceeds_its_quota(fleet: &mut WatchedFleet) {
     fleet.wait_while(COUNTER_TIMEOUT, |fleet| {
         let counted = fleet.processes.counter(1, "acme").unwrap_or_default().0;
         let is_within = counted <= ACME_PER_SECOND * SHORT_WINDOW_S;
@@ -181,8 +183,8 @@
     });
 }
 
-/// What became of the requests of one kind from the fourth second on: a window has passed by then, and all counts
-/// have spread.
+/// Returns the outcome of the requests of one kind that were sent after the first four seconds. By then a window has
+/// passed, and all counts have been disseminated.
 fn outcome(records: &[RequestRecord], kind: KindId) -> TenantOutcome {
     const SPREAD: StdDuration = StdDuration::from_secs(4);
     let is_late = |r: &&RequestRecord| r.kind == kind && r.sent > SPREAD;
--- a/crates/server/tests/shared/main.rs
+++ b/crates/server/tests/shared/main.rs
@@ -1,5 +1,5 @@
-//! Quotas and counters that the servers of a fleet share, on real processes over one catalogue: never more calls in
-//! flight upstream than the fleet's quota, and the rules of each request meanwhile.
+//! Quotas and counters that the servers of a fleet share, with real processes and one catalogue. The tests check that
+//! the calls in flight upstream never exceed the quota of the fleet, and that the rules of each request hold.
 
 #[path = "../common/ample_capacity.rs"]
 mod ample_capacity;
--- a/crates/server/tests/shared/quota.rs
+++ b/crates/server/tests/shared/quota.rs
@@ -1,4 +1,4 @@
-//! A fleet's quota of upstream calls.
+//! A quota of upstream calls that is shared by a fleet.
 
 use crate::ample_capacity::settings;
 use crate::machine::{StallMonitor, run_fleet_case};
@@ -11,8 +11,8 @@
 use madderbay_testkit::fleet::script::{Condition, FleetSetup, QuotaSetup};
 use madderbay_testkit::load_balancer::{Answer, RequestRecord};
 
-/// A quota of one call and work for ten: what finds no capacity in time is rejected before its client gives up, with
-/// a Retry-After; the quota is never exceeded.
+/// With a quota of one call and load for ten calls, requests that get no capacity in time are rejected with a
+/// Retry-After before their clients give up. The quota is never exceeded.
 #[test]
 fn rejects_with_retry_after_when_quota_is_exhausted() {
     run_fleet_case(load_fleet_with_quota_of_one);
--- a/crates/server/tests/shared/scripts.rs
+++ b/crates/server/tests/shared/scripts.rs
@@ -1,4 +1,4 @@
-//! The scripts of faults under `tests/shared` of the repository, whose datagrams pass through relays.
+//! Plays the fault injection scripts of `tests/shared` on real processes. Relays forward the datagrams between them.
 
 use crate::ample_capacity::settings;
 use crate::machine::{StallMonitor, run_fleet_case};
@@ -10,10 +10,10 @@
 use madderbay_testkit::fleet::script::{Script, load_scripts};
 use std::path::Path;
 
-/// Scripts that are played at the same time.
+/// Number of scripts that are played at the same time.
 const PLAYERS: usize = 2;
 
-/// Plays a script on a fleet; gives what failed, one line each, with the longest stall of the machine beside it.
+/// Plays a script on a fleet. Returns one line for each failure, with the longest stall of the machine.
 fn play_script(name: &str, script: &Script, monitor: &StallMonitor) -> Vec<String> {
     let works = [HandlerWork::new("book", (1.0, 3.0), true)];
     let seed = name.len() as u64;
--- a/crates/server/tests/shared/support.rs
+++ b/crates/server/tests/shared/support.rs
@@ -1,4 +1,4 @@
-//! What the tests of shared quotas share: fleets of processes, requests to one server, and waiting for a condition.
+//! Support for the tests of shared quotas: fleets of processes, requests to one server, and waiting for a condition.
 
 use crate::start::start_server;
 use crate::watched_fleet::WatchedFleet;
@@ -13,7 +13,7 @@
 const CONDITION_TIMEOUT: Duration = Duration::from_millis(20_000);
 
 impl WatchedFleet<'_> {
-    /// Starts this many servers and waits until they agree.
+    /// Starts this many servers and waits until their views of the fleet agree.
     pub(crate) fn start(&mut self, servers: usize) {
         for server in 0..servers {
             self.act(&start_server(server)).expect("started");
@@ -26,7 +26,7 @@
         self.wait_while(CONDITION_TIMEOUT, |fleet| fleet.unmet(condition));
     }
 
-    /// Where requests to a server go.
+    /// Returns the address of a server and its engine.
     pub(crate) fn target(&self, server: usize) -> LoadTarget {
         LoadTarget {
             engine: self.processes.engine(server).clone(),
@@ -35,13 +35,13 @@
     }
 }
 
-/// A server's address and its own engine.
+/// The address of a server, and the engine of that server.
 pub(crate) struct LoadTarget {
     engine: Engine,
     address: SocketAddr,
 }
 
-/// Requests of one kind.
+/// Returns a kind of request with a latency objective of three seconds.
 pub(crate) fn request_kind(
     handler: &str,
     weight: f64,
@@ -57,19 +57,19 @@
     }
 }
 
-/// How many requests are sent, and how long the clients wait.
+/// Rate and length of a load, and how long its clients wait for an answer.
 pub(crate) struct LoadPlan {
     pub per_second: f64,
     pub seconds: u64,
     pub client_timeout_ms: u64,
 }
 
-/// Sends requests to a server and asserts that no rule was broken; gives what became of them.
+/// Sends requests to a server and asserts that no rule of requests was broken. Returns a record of each request.
 pub(crate) fn send(to: LoadTarget, kinds: &[RequestKind], plan: &LoadPlan) -> Vec<RequestRecord> {
     send_while(to, kinds, plan, || true)
 }
 
-/// The same, but sends nothing more once `is_on` is false.
+/// Does the same as [`send`], but sends no more requests once `is_on` returns false.
 pub(crate) fn send_while(
     to: LoadTarget,
     kinds: &[RequestKind],
@@ -89,7 +89,7 @@
     records
 }
 
-/// Whether a request was completed, with one answer.
+/// Reports whether a request got exactly one answer, a completed result.
 pub(crate) fn is_completed(record: &RequestRecord) -> bool {
     matches!(record.answers[..], [(Answer::Completed, _)])
 }
--- a/crates/server/tests/soak/main.rs
+++ b/crates/server/tests/soak/main.rs
@@ -1,4 +1,5 @@
-//! Short plays of the real program under drawn troubles; `docs/notes/soak.md` says what is drawn and checked.
+//! Short soak runs of the real program with randomly chosen faults. `docs/notes/soak.md` describes the faults and the
+//! checks.
 
 #[path = "../common/program.rs"]
 mod program;
@@ -6,16 +7,17 @@
 use madderbay_testkit::measurement::seeds::run_seed_list;
 use madderbay_testkit::soak::{Plan, play, violations};
 
-/// Plays at a time: few enough that servers, fakes and clients find a core.
-const CONCURRENT_PLAYS: usize = 4;
-/// Seeds that each broke a rule before a fault was mended: a run that was forgotten between two links (2, 7, 43), runs
-/// that never end (9, 16, 20), and one of them at a call (48). Seed 3 was always clean.
+/// Soak runs at the same time: few enough that servers, simulated peers and clients find a free core.
+const CONCURRENT_RUNS: usize = 4;
+/// Seeds of soak runs. All but seed 3, which never broke a rule, are regression cases of faults that were fixed: a run
+/// that was forgotten between two engine links (2, 7, 43), and runs that never end (9, 16, 20), one of them at a
+/// call (48).
 const SEEDS: [u64; 8] = [2, 7, 43, 9, 16, 20, 48, 3];
 
-/// What the plays broke, a line each with the seed that plays it again.
+/// No soak run breaks a rule. A failure prints one line for each violation, with the seed that reproduces it.
 #[test]
 fn breaks_no_rule_under_link_losses_and_cancelled_requests() {
-    let violations_found = run_seed_list(&SEEDS, CONCURRENT_PLAYS, |seed| {
+    let violations_found = run_seed_list(&SEEDS, CONCURRENT_RUNS, |seed| {
         let found = violations(&play(program::program(), &Plan::draw(seed)));
         let lines = found
             .iter()
--- a/crates/server/tests/wires.rs
+++ b/crates/server/tests/wires.rs
@@ -1,11 +1,13 @@
-//! Parsers that no scenario feeds with all that they may meet: complete input, and input cut at every byte.
+//! Parsers of the wire formats: valid and malformed input, and valid input split at every byte. The scenarios under
+//! `tests/scenarios` do not feed them every kind of input.
 
 use madderbay::interface::Outcome;
 use madderbay_server::downstream::registration::{ResponseReader, encode_report};
 use madderbay_server::support::json::{JsonObject, is_value, number, text, unsigned};
 use madderbay_server::upstream::calls::ReplyReader;
 
-/// Feeds a registry's bytes in pieces of a size; gives the statuses found, and whether the stream may be read on.
+/// Feeds a registry's bytes in pieces of `piece` bytes. Returns the statuses found, and whether the stream is still
+/// readable.
 fn registry_statuses(bytes: &[u8], piece: usize) -> (Vec<u16>, bool) {
     let (mut parser, mut found) = (ResponseReader::default(), vec![]);
     let readable = bytes
@@ -14,7 +16,8 @@
     (found, readable)
 }
 
-/// The same for an upstream's bytes; gives its replies.
+/// Feeds an upstream's bytes in pieces of `piece` bytes. Returns the replies found, and whether the stream is still
+/// readable.
 fn upstream_replies(bytes: &[u8], piece: usize) -> (Vec<(String, Outcome, Vec<u8>)>, bool) {
     let (mut parser, mut found) = (ReplyReader::default(), vec![]);
     let readable = bytes.chunks(piece).all(|p| {
@@ -51,7 +54,7 @@
             (vec![204, 503, 204], true)
         );
     }
-    // No length, a coding not read here, no HTTP, a head without end.
+    // A missing length, an unsupported transfer coding, and a line that is not HTTP; below, a head without an end.
     for bad in [
         "HTTP/1.1 200 OK\r\n\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -85,7 +88,8 @@
     for piece in [1, 7, stream.len()] {
         assert_eq!(upstream_replies(stream, piece), (expected.clone(), true));
     }
-    // An unknown word, a short name, a length that can't be, a body that ends elsewhere, a line without end.
+    // An unknown word, a name that is too short, an invalid length, a length that is too large, a body longer than its
+    // length; below, a line without an end.
     for bad in [
         "9b1f03aa5c7e2d41 WHAT\r\n",
         "9b1f DATA 0\r\n",
@@ -110,7 +114,7 @@
     assert_eq!(
         members.unsigned("a"),
         Some(7),
-        "of two by one name the last counts"
+        "the last of two members of the same name counts"
     );
     assert_eq!(members.text("b").as_deref(), Some("x\"\u{e9}\u{1f600}/"));
     assert_eq!(members.raw("c"), Some("[{},[null,true],-0.5]"));
