--- a/crates/server/tests/members/command_line.rs
+++ b/crates/server/tests/members/command_line.rs
@@ -1,4 +1,4 @@
-//! `madderbay members`: what a server knows of its fleet.
+//! `madderbay members`, which reports a server's view of its fleet.
 
 use crate::machine::run_fleet_case;
 use crate::support::{query_cli, start_fleet};
@@ -6,7 +6,7 @@
 use madderbay::time::Duration;
 use std::path::Path;
 
-/// Longest wait for a report of a fleet in which no member is suspected.
+/// Longest wait for a report in which no member is suspected.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(20_000);
 
 #[test]
@@ -23,7 +23,7 @@
     });
 }
 
-/// What the second server reports once it suspects nobody.
+/// Returns the report of the second server once it suspects no member.
 fn report_of_settled_view(fleet: &mut WatchedFleet, flags: &[&str]) -> String {
     let mut text = String::new();
     fleet.wait_while(REPORT_TIMEOUT, |fleet| {
--- a/crates/server/tests/members/control_socket.rs
+++ b/crates/server/tests/members/control_socket.rs
@@ -1,4 +1,4 @@
-//! The control socket: whose it is, and what is answered on it.
+//! The control socket: which process may have it, who may use it, and how it answers queries.
 
 use crate::program::program;
 use crate::support::{control_section, query_cli, start_with_control_socket, temporary_directory};
@@ -13,7 +13,7 @@
 fn control_socket_is_private_and_replaces_only_stale_file() {
     let directory = temporary_directory("control");
     let socket = directory.join("c.sock");
-    // What a killed server leaves: a file that nobody listens at.
+    // A killed server leaves a file behind at which nothing listens.
     drop(UnixListener::bind(&socket).expect("bound"));
     assert!(socket.exists());
     let first = start_with_control_socket(&socket);
@@ -37,7 +37,7 @@
     let _ = std::fs::remove_dir_all(directory);
 }
 
-/// Starts one more server at a control socket, which it can't have.
+/// Starts another server with a control socket that it cannot use. Returns its output.
 fn start_with_taken_socket_path(config: &str, socket: &Path) -> Output {
     let config = server::write_config(config);
     let operator = server::write_config(&control_section(socket));
@@ -70,7 +70,7 @@
     );
 }
 
-/// Sends a query; gives the first two lines of the answer.
+/// Sends a query and returns the first two lines of the answer.
 fn query(socket: &Path, line: &[u8]) -> [String; 2] {
     let mut stream = UnixStream::connect(socket).expect("connected");
     stream.write_all(line).expect("sent");
@@ -98,12 +98,12 @@
         assert!(answer.contains(expected), "{answer}");
         assert_eq!(end, "{\"end\":true}");
     }
-    // Three clients that send nothing leave a place for one that does.
+    // Three clients that send nothing leave room for one that does.
     let mut silent: Vec<UnixStream> = (0..3)
         .map(|_| UnixStream::connect(&socket).expect("connected"))
         .collect();
     assert!(query(&socket, b"{\"ask\":\"members\"}\n")[0].contains("no [members]"));
-    // Each of them is closed in time.
+    // The connections of the silent clients are closed in time.
     let mut rest = vec![];
     silent[0]
         .set_read_timeout(Some(madderbay_testkit::WAIT_TIMEOUT))
--- a/crates/server/tests/members/datagrams.rs
+++ b/crates/server/tests/members/datagrams.rs
@@ -1,4 +1,4 @@
-//! Rejected datagrams, and sockets where there is no fleet.
+//! Rejected datagrams, and the sockets of a server that is not in a fleet.
 
 use crate::machine::{StallMonitor, run_fleet_case};
 use crate::program::program;
@@ -10,15 +10,15 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration as StdDuration, Instant};
 
-/// Datagrams of a flood, more at least than this.
+/// A flood has more datagrams than this.
 const MIN_FLOOD: u64 = 10_000;
 /// Datagrams per second of a flood.
 const FLOOD_PER_SECOND: f64 = 10_000.0;
 /// Pause between two bursts of a flood.
 const FLOOD_PAUSE: StdDuration = StdDuration::from_micros(500);
 
-/// Sends what is no datagram of the fleet's to a server for as long as the flag is set, and until it is a flood;
-/// gives how many.
+/// Sends datagrams that are not of the fleet to a server while the flag is set, and until there are more than
+/// [`MIN_FLOOD`]. Returns how many were sent.
 fn flood(to: SocketAddr, is_on: &AtomicBool) -> u64 {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let (began, mut sent) = (Instant::now(), 0u64);
@@ -62,7 +62,7 @@
     script.play(&mut fleet).expect("settled");
 }
 
-/// Without the section nothing is opened and nothing is sent.
+/// Without an enabled `[members]` section, no datagram socket is opened, so that nothing is sent.
 #[test]
 fn opens_no_datagram_socket_without_members_section() {
     let (text, _reports) = standalone_configuration();
@@ -71,11 +71,11 @@
         let server = Server::start(program(), &text, operator);
         let open = |kind: &str| count_sockets(&server, kind);
         assert_eq!(open("udp") + open("udp6"), 0);
-        assert!(open("tcp") > 0, "its sockets are found");
+        assert!(open("tcp") > 0, "no TCP socket of the server is found");
     }
 }
 
-/// The sockets of one kind that a server has open.
+/// Returns the number of sockets of one kind, such as `udp`, that a server has open.
 fn count_sockets(server: &Server, kind: &str) -> usize {
     let table = std::fs::read_to_string(format!("/proc/{}/net/{kind}", server.pid()));
     let table = table.expect("a table");
--- a/crates/server/tests/members/main.rs
+++ b/crates/server/tests/members/main.rs
@@ -1,5 +1,5 @@
-//! The view of the fleet in the real program: its control socket and command line, rejected datagrams, and the
-//! rules of requests while views are wrong.
+//! The view of the fleet in the real program: its control socket and command line, rejected datagrams, and the rules of
+//! requests while views are wrong.
 
 mod command_line;
 #[path = "../common/mod.rs"]
--- a/crates/server/tests/members/shutdown.rs
+++ b/crates/server/tests/members/shutdown.rs
@@ -1,4 +1,4 @@
-//! What the others learn of a server that drains, and of one that is killed.
+//! What the other members learn about a server that drains, and about one that is killed.
 
 use crate::machine::run_fleet_case;
 use crate::support::start_fleet;
--- a/crates/server/tests/members/support.rs
+++ b/crates/server/tests/members/support.rs
@@ -1,4 +1,5 @@
-//! What the tests of the fleet's view share: fleets by a script, a server without a fleet, and load on one server.
+//! Support for the tests of the fleet's view: fleets started by a script, a server without a fleet, and load on one
+//! server.
 
 use crate::common::SETTINGS;
 use crate::machine::StallMonitor;
@@ -19,7 +20,7 @@
 /// Requests per second of a load.
 const REQUESTS_PER_SECOND: f64 = 60.0;
 
-/// A fleet on which a script was run, every condition of which was met.
+/// Plays a script on a new fleet and asserts that every condition of the script is met. Returns the fleet.
 pub(crate) fn start_fleet<'a>(script: &str, monitor: &'a StallMonitor) -> WatchedFleet<'a> {
     let work = |handler: &str, calls| HandlerWork::new(handler, (2.0, 6.0), calls);
     let works = [
@@ -34,7 +35,7 @@
     fleet
 }
 
-/// Runs `madderbay members` on a control socket.
+/// Runs `madderbay members` with a control socket and returns its output.
 pub(crate) fn query_cli(socket: &Path, flags: &[&str]) -> Output {
     command(program(), None)
         .args(["members", "--socket"])
@@ -45,14 +46,14 @@
         .expect("it runs")
 }
 
-/// An empty directory of this test program.
+/// Creates a directory for this test program in the system's folder for temporary files.
 pub(crate) fn temporary_directory(name: &str) -> PathBuf {
     let directory = std::env::temp_dir().join(format!("madderbay-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&directory).expect("a directory");
     directory
 }
 
-/// The configuration of a server without an engine or a fleet, and the reports that its registry gets.
+/// Returns the configuration of a server without an engine or a fleet, and the reports that its registry receives.
 pub(crate) fn standalone_configuration() -> (String, Receiver<String>) {
     let (registry, reports) = registry::start();
     let others = Dependencies {
@@ -66,7 +67,7 @@
     )
 }
 
-/// The operator file of a server with only a control socket.
+/// Returns the contents of an operator file that enables only a control socket.
 pub(crate) fn control_section(socket: &Path) -> String {
     format!("[control]\nsocket = {}\n", socket.display())
 }
@@ -74,7 +75,7 @@
 /// Starts a server that has only a control socket.
 pub(crate) fn start_with_control_socket(socket: &Path) -> Server {
     let (text, reports) = standalone_configuration();
-    // The registry's thread runs as long as somebody may read its reports.
+    // The registry's thread runs as long as the receiver of its reports exists.
     std::mem::forget(reports);
     Server::start(program(), &text, Some(&control_section(socket)))
 }
@@ -94,14 +95,14 @@
     ]
 }
 
-/// What a load found.
+/// Result of a load.
 pub(crate) struct LoadResult {
     pub requests: usize,
     /// One text for each rule that was broken.
     pub violations: Vec<String>,
 }
 
-/// Puts load on one server for some seconds.
+/// Sends requests to one server for some seconds.
 pub(crate) fn run_load(server: SocketAddr, engine: &Engine, seconds: u64, seed: u64) -> LoadResult {
     let load = Load {
         kinds: request_kinds(),
--- a/crates/server/tests/members/wrong_views.rs
+++ b/crates/server/tests/members/wrong_views.rs
@@ -9,8 +9,8 @@
 const FAULTS: &str = "servers 4\npartition n1 n2 | n3 n4\nview n1 n3 down 20s\nkill n4\nreplay n1\nheal\nstop n2\n\
     view n1 n2 suspect 20s\ncontinue n2\nstart n4\noneway n1 > n2 n3 n4\nreplay n1\nheal\nsettle 40s";
 
-/// Each server keeps the rules alone, whatever it believes of the others, while they are cut off, paused and killed,
-/// and datagrams are lost, doubled and spoilt.
+/// Each server keeps the rules of requests, whatever its view of the others, while servers are partitioned, paused and
+/// killed, and datagrams are lost, duplicated and corrupted.
 #[test]
 fn keeps_request_rules_while_views_are_wrong() {
     run_fleet_case(check_rules_under_faults);
@@ -19,7 +19,7 @@
 fn check_rules_under_faults(monitor: &StallMonitor) {
     let mut fleet = start_fleet(LOSSY_START, monitor);
     let faults = Script::read("faults", FAULTS).expect("a script");
-    // The load goes to the first server, which every fault concerns and none ends.
+    // The load goes to the first server, which every fault affects and none stops.
     let address = fleet.processes.server(0).expect("it runs").address;
     let engine = fleet.processes.engine(0).clone();
     let is_over = AtomicBool::new(false);
--- a/crates/server/tests/routes/ejection.rs
+++ b/crates/server/tests/routes/ejection.rs
@@ -1,10 +1,11 @@
-//! Outlier detection: backends that fail, are silent, reset or are slow are ejected by all servers, and readmitted.
+//! Outlier detection: all servers eject backends that fail, do not answer, reset connections or are slow, and readmit
+//! them.
 
 use crate::machine::{StallMonitor, run_fleet_case};
 use crate::support::{BACKENDS, BackendFleet, HEALTHY};
 use madderbay_testkit::catalogue::Behavior;
 
-/// A backend with this behavior is ejected by all, and readmitted once it is healthy.
+/// Asserts that all servers eject a backend with this behavior, and readmit it once it is healthy.
 fn check_ejection_and_readmission(behavior: Behavior, seed: u64) {
     run_fleet_case(|monitor| {
         let mut fleet = BackendFleet::start(seed, monitor);
@@ -13,7 +14,7 @@
         fleet.backends[2].set_behavior(HEALTHY);
         fleet.wait_until_readmitted(2);
         let load = fleet.finish();
-        // Searches, which may run twice, hardly suffer; a booking that may have run fails, and is not retried.
+        // Searches, which may run twice, are hardly affected. A booking that may have run fails and is not retried.
         assert!(
             load.searches > 0.97 && load.bookings > 0.85,
             "{behavior:?}: {load}"
@@ -41,7 +42,8 @@
     check_ejection_and_readmission(Behavior::Slow(15.0), 4);
 }
 
-/// One backend that fails by turns, and then all, one after the other: what may run twice hardly suffers.
+/// One backend fails repeatedly, and then all backends fail one after the other: requests that may run twice are hardly
+/// affected.
 #[test]
 fn answers_while_backends_fail_in_turn() {
     run_fleet_case(fail_backends_in_turn);
--- a/crates/server/tests/routes/main.rs
+++ b/crates/server/tests/routes/main.rs
@@ -1,5 +1,6 @@
-//! Real servers over many backends: which backend is ejected, that the verdict spreads in the fleet, that nothing runs twice,
-//! and the rules of each request meanwhile. `crates/upstream/tests/simulated_fleet.rs` plays many more cases simulated.
+//! Real servers with several backends. The tests check which backends are ejected, that the verdict is disseminated in
+//! the fleet, that no request with an idempotency key runs twice, and that the rules of each request hold.
+//! `crates/upstream/tests/simulated_fleet` covers many more cases in a simulation.
 
 #[path = "../common/ample_capacity.rs"]
 mod ample_capacity;
--- a/crates/server/tests/routes/partition.rs
+++ b/crates/server/tests/routes/partition.rs
@@ -1,4 +1,4 @@
-//! Cuts between servers and backends, and among servers: a server's own view convinces no others.
+//! Partitions between servers and backends, and among servers: one server's view alone does not convince the others.
 
 use crate::machine::{StallMonitor, run_fleet_case};
 use crate::program::program;
@@ -7,7 +7,8 @@
 use madderbay_testkit::fleet::script::{Action, Fleet};
 use std::process::Command;
 
-/// A server whose own connections are cut has calls fail at all backends: the others go on as they were.
+/// All connections between one server and the backends are cut, so that its calls fail at all backends. The other
+/// servers eject none.
 #[test]
 fn isolated_server_ejects_no_backend_for_others() {
     run_fleet_case(isolate_first_server);
@@ -17,7 +18,7 @@
     let mut fleet = BackendFleet::start(6, monitor);
     fleet.gates.iter().for_each(|g| g.cut(true));
     fleet.wait_while("calls of the first to fail", |f| {
-        // Calls fail at most of them, so that it ejects none.
+        // Calls fail at most of the backends, so the server ejects none.
         f.missing_at(0, |states| {
             (states.values().filter(|b| b.failures > 0).count() < 3).then(|| format!("{states:?}"))
         })
@@ -48,7 +49,7 @@
     assert!(load.searches > 0.5, "{load}");
 }
 
-/// A connection cut between one server and one backend: that server ejects it, the others go on using it.
+/// The connection between one server and one backend is cut: that server ejects the backend, the others keep using it.
 #[test]
 fn backend_cut_off_from_one_server_is_ejected_there_alone() {
     run_fleet_case(cut_first_server_off_one_backend);
@@ -74,8 +75,8 @@
     assert!(load.searches > 0.97 && load.bookings > 0.9, "{load}");
 }
 
-/// A backend is healthy again while the fleet is partitioned: once it is healed all servers use it in the end, and
-/// `madderbay routes` reports all backends.
+/// A backend becomes healthy while the fleet is partitioned. All servers use it eventually, and `madderbay routes`
+/// reports all backends after the partition is healed.
 #[test]
 fn readmits_backend_over_partition() {
     run_fleet_case(readmit_while_partitioned);
--- a/crates/server/tests/routes/retries.rs
+++ b/crates/server/tests/routes/retries.rs
@@ -4,12 +4,13 @@
 use crate::support::{BackendFleet, HEALTHY, SERVERS, backend_section, start_backend};
 use madderbay_testkit::catalogue::Behavior;
 
-/// One first attempt, and the tenth of it that retries may add.
+/// Upper bound on the calls per request: one first attempt, and retries for a tenth of the first attempts.
 const MAX_CALLS_PER_REQUEST: f64 = 1.1;
-/// By how much a short load may exceed that.
+/// Factor by which a short load may exceed [`MAX_CALLS_PER_REQUEST`].
 const TOLERANCE: f64 = 1.25;
 
-/// All backends fail: none is ejected for good, retries stay within a tenth, and the end of it is found at once.
+/// While all backends fail, none is ejected for good and retries stay within a tenth of the first attempts. The servers
+/// notice at once when the failures end.
 #[test]
 fn bounds_retries_when_all_backends_fail() {
     run_fleet_case(fail_all_backends);
@@ -22,7 +23,7 @@
     };
     all(&fleet, Behavior::Fails);
     let before = fleet.calls_received();
-    // Requests that have started and whose call has not come yet will be among those counted.
+    // Requests that have started, but whose call has not arrived yet, are among those counted later.
     let started_before = fleet.requests_started().min(before);
     fleet.wait_while("four hundred calls", |f| {
         (f.calls_received() - before < 400).then(|| "fewer".into())
@@ -42,7 +43,7 @@
     fleet.finish();
 }
 
-/// Addresses change under load: a new backend is used, a removed one is not, and no call is lost for it.
+/// The list of backends changes under load: a new backend is used, a removed one no longer is, and no call is lost.
 #[test]
 fn follows_changed_backend_list_without_losing_calls() {
     run_fleet_case(change_backend_list);
@@ -73,13 +74,13 @@
     assert_eq!(
         fleet.backends[1].stats().received,
         before,
-        "one that is gone has no calls"
+        "a removed backend was called"
     );
     let load = fleet.finish();
     assert!(load.searches > 0.995 && load.bookings > 0.995, "{load}");
 }
 
-/// The text of an operator file without the section of one backend.
+/// Returns the text of an operator file without the section of one backend.
 fn without_backend(text: &str, name: &str) -> String {
     let removed = format!("{name}]");
     let mut sections = text.split("[backend ");
--- a/crates/server/tests/routes/support.rs
+++ b/crates/server/tests/routes/support.rs
@@ -1,5 +1,5 @@
-//! What the tests of backends share: a fleet of servers over backends, with load on each server, and the rules that
-//! hold at the end of the load.
+//! Support for the tests of backends: a fleet of servers with backends, load on each server, and the rules that hold at
+//! the end of the load.
 
 use crate::ample_capacity;
 use crate::machine::StallMonitor;
@@ -23,31 +23,31 @@
 
 pub(crate) const SERVERS: usize = 3;
 pub(crate) const BACKENDS: usize = 5;
-/// Requests per second and server: three calls a second to each backend.
+/// Requests per second and server: three calls per second to each backend.
 const REQUESTS_PER_SECOND: f64 = 20.0;
-/// A healthy backend.
+/// Behavior of a healthy backend.
 pub(crate) const HEALTHY: Behavior = Behavior::Slow(1.0);
 
-/// Longest wait for a condition: longer than any ejection.
+/// Longest wait for a condition; longer than any ejection.
 const CONDITION_TIMEOUT: Duration = Duration::from_millis(100_000);
-/// Length of the load, which ends earlier, once a test has seen all; longer than two waits.
+/// Upper bound on the length of the load, longer than two waits. The load ends earlier, when the test has finished.
 const MAX_LOAD: StdDuration = StdDuration::from_secs(240);
-/// Within this time an answer is in time.
+/// Response time within which an answer counts as in time.
 const ANSWER_TARGET: StdDuration = StdDuration::from_secs(2);
 /// How long the clients wait for an answer.
 const CLIENT_TIMEOUT_MS: u64 = 3_000;
-/// The kind with an idempotency key, of [`request_kinds`].
+/// Index in [`request_kinds`] of the kind with an idempotency key.
 const BOOK: KindId = KindId::new(1);
-/// The other kind.
+/// Index in [`request_kinds`] of the kind without an idempotency key.
 const SEARCH: KindId = KindId::new(0);
 
-/// How a server judges its backends, by name: the state, the fraction of its weight, and recent failures of its calls.
+/// A server's reports on its backends, by name: state, fraction of the full weight, and recent failures of calls.
 pub(crate) type BackendStates = HashMap<String, BackendReport>;
 
-/// What one load sent and, one text for each, how a rule was broken.
+/// Records of the requests of one load, and a text for each rule that was broken.
 type LoadResult = (Vec<RequestRecord>, Vec<String>);
 
-/// Settings with capacity for all requests: the backends alone limit what is answered.
+/// Returns settings with capacity for all requests: only the backends limit what is answered.
 fn settings() -> String {
     ample_capacity::settings().replace("\"dep_share\": 8.0", "\"dep_share\": 60.0")
 }
@@ -63,21 +63,21 @@
     vec![kind("search", 3.0, false), kind("book", 1.0, true)]
 }
 
-/// A healthy backend.
+/// Starts a healthy backend.
 pub(crate) fn start_backend() -> Catalogue {
     Catalogue::start(100, StdDuration::from_millis(20))
 }
 
-/// The section of the operator file for the backend `b` with this number.
+/// Returns the section of the operator file for the backend with this number, whose name is `b` and the number.
 pub(crate) fn backend_section(number: usize, address: SocketAddr) -> String {
     format!("[backend b{number}]\naddress = {address}\nhandlers = search, book\n")
 }
 
-/// What the clients got, over all servers.
+/// Results of the load on all servers.
 pub(crate) struct LoadSummary {
     /// Fraction of searches, which may run twice, that were answered in time.
     pub searches: f64,
-    /// Fraction of bookings, which may not, that were answered in time.
+    /// Fraction of bookings, which may not run twice, that were answered in time.
     pub bookings: f64,
     pub requests: usize,
 }
@@ -89,7 +89,7 @@
     }
 }
 
-/// Servers over backends, with load on all of them. The first server reaches the backends through gates.
+/// Servers with backends, and load on all servers. The first server reaches the backends through gates.
 pub(crate) struct BackendFleet<'a> {
     pub servers: WatchedFleet<'a>,
     pub backends: Vec<Catalogue>,
@@ -99,7 +99,7 @@
 }
 
 impl<'a> BackendFleet<'a> {
-    /// Starts all and waits until every backend is used.
+    /// Starts backends, servers and load, and waits until every backend is used.
     pub(crate) fn start(seed: u64, monitor: &'a StallMonitor) -> BackendFleet<'a> {
         let backends: Vec<Catalogue> = (0..BACKENDS).map(|_| start_backend()).collect();
         let gates: Vec<Gate> = backends
@@ -141,7 +141,7 @@
         }));
     }
 
-    /// Waits while something is missing, which `missing` says.
+    /// Waits until `missing` returns `None`; it describes what is still missing.
     pub(crate) fn wait_while(
         &mut self,
         what: &str,
@@ -157,7 +157,7 @@
         }
     }
 
-    /// What is missing in a server's view of its backends; that it does not answer, where it does not.
+    /// Returns what is missing in a server's reports on its backends, or that the server does not answer.
     pub(crate) fn missing_at(
         &self,
         server: usize,
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Waits until all servers but some have ejected a backend.
+    /// Waits until all servers except some have ejected a backend.
     pub(crate) fn wait_until_ejected(&mut self, backend: usize, except: &[usize]) {
         self.wait_for_state(backend, true, except);
     }
@@ -195,23 +195,23 @@
         });
     }
 
-    /// Calls that came to all backends.
+    /// Returns the number of calls that all backends have received.
     pub(crate) fn calls_received(&self) -> u32 {
         self.backends.iter().map(|b| b.stats().received).sum()
     }
 
-    /// Calls that all backends completed.
+    /// Returns the number of calls that all backends have completed.
     pub(crate) fn calls_completed(&self) -> u32 {
         self.backends.iter().map(|b| b.stats().done).sum()
     }
 
-    /// Requests that the engines of all servers have started to run.
+    /// Returns the number of requests that the engines of all servers have started to run.
     pub(crate) fn requests_started(&self) -> u32 {
         let engines = (0..SERVERS).map(|server| self.servers.processes.engine(server));
         engines.map(|e| e.stats().bodies.len() as u32).sum()
     }
 
-    /// Waits until so many more calls have come to the backends.
+    /// Waits until the backends have received `calls` further calls.
     pub(crate) fn wait_for_calls(&mut self, calls: u32) {
         let before = self.calls_received();
         self.wait_while("some calls", |f| {
@@ -237,7 +237,7 @@
     }
 }
 
-/// Starts the servers and waits until they agree.
+/// Starts the servers and waits until their views of the fleet agree.
 fn start_servers<'a>(
     backends: &[Catalogue],
     gates: &[Gate],
@@ -264,7 +264,7 @@
     servers
 }
 
-/// Asserts that no request with an idempotency key has had its call done at two backends, or twice at one.
+/// Asserts that no call of a request with an idempotency key was done more than once, at one backend or at several.
 fn assert_no_repeated_calls(backends: &[Catalogue], records: &[RequestRecord]) {
     let mut calls: HashMap<String, u32> = HashMap::new();
     for backend in backends {
@@ -280,7 +280,7 @@
     assert!(twice.is_empty(), "called twice: {twice:?}");
 }
 
-/// The fraction of the requests of a kind that were answered in time.
+/// Returns the fraction of the requests of a kind that were answered in time.
 fn answered_in_time(records: &[RequestRecord], kind: KindId) -> f64 {
     let of: Vec<&RequestRecord> = records.iter().filter(|r| r.kind == kind).collect();
     let in_time = of.iter().filter(|r| r.in_time(ANSWER_TARGET)).count();
--- a/crates/server/tests/scenarios/main.rs
+++ b/crates/server/tests/scenarios/main.rs
@@ -1,5 +1,5 @@
-//! Plays every `.txt` file of this directory twice: with each feed in one piece, then cut at every byte. [`step`] has
-//! the grammar of their lines.
+//! Plays every `.txt` file of this directory twice: once with each input in one piece, and once split at every byte.
+//! [`step`] describes the grammar of their lines.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -20,7 +20,7 @@
     files
 }
 
-/// Plays one file with feeds of at most `max_feed` bytes; gives a text for each line that failed.
+/// Plays one file with inputs of at most `max_feed` bytes at a time. Returns a text for each line that failed.
 fn play_file(file: &Path, max_feed: usize) -> Vec<String> {
     let text = std::fs::read_to_string(file)
         .expect("a text file")
--- a/crates/server/tests/scenarios/player.rs
+++ b/crates/server/tests/scenarios/player.rs
@@ -1,7 +1,7 @@
-//! The core with every peer played: what is fed to it, what it sends, and the clock.
+//! The server's core with all of its peers, its disk and its clock played by a scenario.
 //!
-//! Owns: the time, the peers' ends and what was sent to each and not looked at yet. Never judges what was sent: that
-//! is for [`step`](crate::step).
+//! Holds the time, the peers' ends of the connections, and the lines that were sent to each peer and not checked yet.
+//! It does not compare these lines with expectations; [`step`](crate::step) does.
 
 use crate::common::SETTINGS;
 use madderbay::time::{Duration, Timestamp};
@@ -15,19 +15,19 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::mpsc::{Receiver, channel};
 
-/// Bytes that cached results may take: two and a half of the longest played here.
+/// Memory limit for cached results, in bytes: two and a half times the longest result of a scenario.
 const RESULTS_BYTES: usize = 2_500;
-/// The Unix time at which a scenario starts, in milliseconds.
+/// Unix time at the start of a scenario, in milliseconds.
 pub(crate) const START_MS: u64 = 1_764_576_000_000;
-/// The name of the engine's link as a peer.
+/// Name of the engine link as a peer.
 pub(crate) const ENGINE: &str = "e";
 
-/// The instant so many milliseconds after the start.
+/// Returns the instant `millis` milliseconds after the start of the scenario.
 pub(crate) fn at(millis: u64) -> Timestamp {
     Timestamp::from_micros((START_MS + millis) * 1000)
 }
 
-/// The index of an upstream call by the name of its peer, such as `c1`; nothing for any other peer.
+/// Returns the index of the upstream call whose peer has this name, such as `c1`; `None` for any other peer.
 fn call_index(peer: &str) -> Option<usize> {
     peer.strip_prefix('c')?
         .parse::<usize>()
@@ -39,7 +39,7 @@
     format!("{{\"msg\":\"STATS\",\"cookie\":\"{cookie}\",\"stats\":[0.5,1,0.1,3.0]}}\n")
 }
 
-/// A load balancer's connection.
+/// A connection of a load balancer.
 struct ClientConnection {
     id: u64,
     outbox: Outbox,
@@ -54,15 +54,15 @@
     replies: ReplyReader,
 }
 
-/// The disk, played.
+/// A disk that is played by the scenario.
 struct SimulatedDisk {
     batches: Receiver<Batch>,
 }
 
-/// Requests as the counters have them.
+/// Numbers of requests according to the counters.
 pub(crate) struct RequestCounts {
     pub read: u64,
-    /// Answered, withdrawn and still open.
+    /// Requests that were answered, were cancelled by their clients, or are still open.
     pub ended_or_open: u64,
 }
 
@@ -70,25 +70,26 @@
 pub(crate) struct ScenarioPlayer {
     pub core: EventLoop,
     now: Timestamp,
-    /// The most bytes that are fed at once.
+    /// Upper bound on the bytes that are fed to the core at once.
     max_feed: usize,
     clients: HashMap<String, ClientConnection>,
     notices: NoticeReader,
     engine: Option<Outbox>,
     engine_is_mute: bool,
     disk: Option<SimulatedDisk>,
-    /// What is written is durable at once.
+    /// Whether all that is written is durable at once.
     disk_is_instant: bool,
-    /// The peer to which nothing can be written.
+    /// The peer that accepts no more bytes.
     blocked_peer: Option<String>,
-    /// How late timers are seen to.
+    /// Delay with which expired timers are handled.
     pub timer_delay: Duration,
     calls: Vec<CallConnection>,
     sent: HashMap<String, VecDeque<String>>,
 }
 
 impl ScenarioPlayer {
-    /// A core at the start of a scenario, linked to its engine, that is fed at most `max_feed` bytes at once.
+    /// Returns a core at the start of a scenario. It is linked to its engine, and is fed at most `max_feed` bytes at
+    /// once.
     pub(crate) fn new(max_feed: usize) -> ScenarioPlayer {
         let settings = madderbay_settings::read(SETTINGS.as_bytes()).expect("settings");
         let mut player = ScenarioPlayer {
@@ -111,12 +112,12 @@
         player
     }
 
-    /// The time of the scenario.
+    /// Returns the current time of the scenario.
     pub(crate) fn now(&self) -> Timestamp {
         self.now
     }
 
-    /// Makes a new link to the engine.
+    /// Opens a new link to the engine.
     pub(crate) fn link_engine(&mut self) {
         let outbox = Outbox::default();
         self.notices.link_opened();
@@ -126,7 +127,7 @@
         self.engine = Some(outbox);
     }
 
-    /// The connection of a load balancer, which is opened if it is new.
+    /// Returns the connection of a load balancer, which is opened if there is none.
     fn client(&mut self, peer: &str) -> &mut ClientConnection {
         let (core, now) = (&mut self.core, self.now);
         self.clients.entry(peer.to_string()).or_insert_with(|| {
@@ -141,7 +142,7 @@
         })
     }
 
-    /// Feeds what a peer sends.
+    /// Feeds the core the bytes that a peer sends.
     pub(crate) fn feed(&mut self, peer: &str, bytes: &[u8]) {
         for piece in bytes.chunks(self.max_feed) {
             match call_index(peer) {
@@ -155,7 +156,7 @@
     fn feed_engine(&mut self, piece: &[u8]) {
         assert!(
             self.notices.feed(self.now, piece, &mut self.core),
-            "the engine's link is read on"
+            "the engine link is unreadable"
         );
     }
 
@@ -188,7 +189,7 @@
         self.calls.extend(connections);
     }
 
-    /// Makes results durable, on a disk that is quick.
+    /// Makes results durable, on a disk that writes at once.
     pub(crate) fn make_results_durable(&mut self) {
         let (sender, batches) = channel();
         self.disk = Some(SimulatedDisk { batches });
@@ -197,23 +198,23 @@
             .set_durability(DurabilityQueue::new(results, sender));
     }
 
-    /// The thread that writes ends: nothing that was handed to it is reported, and it takes nothing more.
+    /// Ends the thread that writes to the disk: nothing that was passed to it is reported, and it accepts nothing more.
     pub(crate) fn end_writer(&mut self) {
         self.disk = None;
     }
 
-    /// From now on the disk writes only on [`finish_writes`](Self::finish_writes).
+    /// Lets the disk write only on [`finish_writes`](Self::finish_writes) from now on.
     pub(crate) fn hold_writes(&mut self) {
         self.disk_is_instant = false;
     }
 
-    /// All that waits for the disk is written, or all of it fails. False where nothing waited.
+    /// Completes all pending writes, or fails all of them. Returns false if no write is pending.
     pub(crate) fn finish_writes(&mut self, succeed: bool) -> bool {
         let batches = self.disk.iter().flat_map(|disk| disk.batches.try_iter());
         let Some(sequence) = batches.last().map(|batch| batch.last) else {
             return false;
         };
-        let error = std::io::Error::other("told to fail");
+        let error = std::io::Error::other("injected write failure");
         let event = if succeed {
             StorageEvent::Written {
                 sequence,
@@ -226,7 +227,7 @@
         true
     }
 
-    /// Ends a moment: what came is settled, what was sent is put by, the engine answers questions for its gauges.
+    /// Lets the core process all that has arrived, collects what it sent, and answers its queries of the gauges.
     pub(crate) fn settle(&mut self) {
         self.core.run_turn(self.now);
         while self.disk_is_instant && self.finish_writes(true) {
@@ -243,7 +244,8 @@
         self.settle();
     }
 
-    /// Puts by what was sent to each peer; gives the cookies of questions for the gauges, which are left out.
+    /// Collects the lines that were sent to each peer, without queries of the gauges. Returns the cookies of these
+    /// queries.
     fn collect_sent(&mut self) -> Vec<String> {
         let mut cookies = vec![];
         for (peer, outbox) in self.outboxes() {
@@ -262,7 +264,7 @@
         cookies
     }
 
-    /// The outboxes of all peers with their names.
+    /// Returns the outboxes of all peers with the peers' names.
     fn outboxes(&self) -> Vec<(String, Outbox)> {
         let clients = self.clients.iter();
         let clients = clients.map(|(name, client)| (name.clone(), client.outbox.clone()));
@@ -273,12 +275,12 @@
         clients.chain(calls).chain(engine).collect()
     }
 
-    /// The next line that was sent to a peer.
+    /// Returns the next line that was sent to a peer and not checked yet.
     pub(crate) fn next_sent(&mut self, peer: &str) -> Option<String> {
         self.sent.get_mut(peer)?.pop_front()
     }
 
-    /// Sets the clock to a later time; timers run on the way.
+    /// Advances the clock to a later time and handles the timers that are due on the way.
     pub(crate) fn advance_to(&mut self, until: Timestamp) {
         let delay = self.timer_delay;
         let is_due = |deadline: &Timestamp| *deadline + delay < until;
@@ -290,7 +292,7 @@
         self.settle();
     }
 
-    /// The connection to a peer breaks.
+    /// Breaks the connection to a peer.
     pub(crate) fn disconnect(&mut self, peer: &str) {
         if peer == ENGINE {
             self.core.link_lost();
@@ -305,13 +307,13 @@
         }
     }
 
-    /// A load balancer sends no more.
+    /// Ends the input from a load balancer, which still reads its answers.
     pub(crate) fn end_input(&mut self, peer: &str) {
         let id = self.client(peer).id;
         self.core.input_ended(id);
     }
 
-    /// Whether the connection to a peer is closing, or nothing more may be read of it.
+    /// Reports whether the connection to a peer is closing, or whether no more input is read from it.
     pub(crate) fn is_closed(&mut self, peer: &str) -> bool {
         if peer == ENGINE {
             return self.engine.as_ref().is_some_and(|o| o.is_closing());
@@ -324,24 +326,25 @@
         !client.is_read || client.outbox.is_closing()
     }
 
-    /// From now on nothing can be written to a peer.
+    /// Lets a peer accept no more bytes from now on.
     pub(crate) fn make_unwritable(&mut self, peer: &str) {
         self.blocked_peer = Some(peer.to_string());
     }
 
-    /// From now on the engine answers no question for its gauges.
+    /// Lets the engine answer no queries of its gauges from now on.
     pub(crate) fn mute_engine(&mut self) {
         self.engine_is_mute = true;
     }
 
-    /// The engine answers the last question for its gauges, and later ones.
+    /// Lets the engine answer the last query of its gauges, and later ones.
     pub(crate) fn unmute_engine(&mut self) {
         self.engine_is_mute = false;
         let cookie = self.core.engine_link_mut().last_query();
         self.feed(ENGINE, gauges(&cookie.to_string()).as_bytes());
     }
 
-    /// Whatever happens, requests read are those answered, withdrawn and still open.
+    /// Returns the numbers of requests read and of requests accounted for. They are equal at any time: a request that
+    /// was read is answered, cancelled by its client, or still open.
     pub(crate) fn request_counts(&self) -> RequestCounts {
         let counters = self.core.counter_lines();
         let sum = |names: &[&str]| -> u64 {
--- a/crates/server/tests/scenarios/step.rs
+++ b/crates/server/tests/scenarios/step.rs
@@ -1,48 +1,48 @@
-//! The lines of a scenario: read, then played or compared. Names before the marks are peers: `a`, `b`, `d`, `f` load
-//! balancers' connections, `e` the engine's link, `c1`, `c2` .. the connections for upstream calls in the order in
-//! which they were wanted.
+//! Parses the lines of a scenario, and plays them or compares them with what happened. The name before a mark is that
+//! of a peer: `a`, `b`, `d` and `f` are connections of load balancers, `e` is the engine link, and `c1`, `c2` .. are
+//! the connections for upstream calls, in the order in which they were requested.
 //!
 //! ```text
-//! @250ms                       the clock is set to 250 ms after the start; timers run on the way
+//! @250ms                       advances the clock to 250 ms after the start, and handles the timers on the way
 //! a request 7 book ref=1 replay=2    a request as a line of JSON-RPC (`since=`, `allow=` in ms; `room=`, `project=`,
-//!                              `sender=`, `effort=`, `class_rank=`, `bytes=` as they stand on the wire)
-//! a> {...}   or   e> {...}     a line from a peer as it stands
+//!                              `sender=`, `effort=`, `class_rank=`, `bytes=` as they are on the wire)
+//! a> {...}   or   e> {...}     a line from a peer, as it is
 //! c1= 0000000000000001 DATA 3 abc    a reply with its body
 //! a endless                    40,000 bytes of a line without an end
-//! a lost                       the connection breaks, `c1 lost` alike; `a end`: the peer sends no more
-//! e lost   e link              the engine's link breaks; a new one is made
-//! c1 unwritable                nothing more can be written to it
+//! a lost                       the connection breaks, also `c1 lost`; `a end`: the peer sends no more
+//! e lost   e link              the engine link breaks; a new one is opened
+//! c1 unwritable                the peer accepts no more bytes
 //! c moved                      the catalogue has another address
-//! e mute   e speak             the engine answers no question for its gauges; it answers again
+//! e mute   e speak             the engine answers no query of its gauges; it answers again
 //! crowd                        one more connection would exceed the limit: one is evicted, if any may be
-//! leave 3200ms                 notice to drain
-//! durable                      results are durable, on a quick disk: what is written is durable at once
-//! disk holds   disk lasts   disk fails    writes wait; all that wait succeed; all of them fail
-//! disk gone                    the thread that writes has ended
-//! late 3ms                     timers fire that late from now on
-//! a< {...}                     the next line out to a peer, byte for byte; questions for gauges are left out
-//! a~ shed | "id":7             the next line out holds all of this
-//! a!                           no further line goes out; `a.`: it is read no more, or it is closed
-//! = answered.shed 2            a counter
+//! leave 3200ms                 begins a drain, with this time until the end of the process
+//! durable                      results are durable, on a disk that writes at once
+//! disk holds   disk lasts   disk fails    writes wait; all pending writes succeed; all of them fail
+//! disk gone                    the thread that writes to the disk has ended
+//! late 3ms                     timers are handled this late from now on
+//! a< {...}                     the next line to a peer is this one, byte for byte; queries of the gauges are left out
+//! a~ shed | "id":7             the next line to a peer contains each of these parts
+//! a!                           no further line was sent to it; `a.`: its connection is closed, or is read no more
+//! = answered.shed 2            a counter has this value
 //! ```
 
 use crate::player::{START_MS, ScenarioPlayer, at};
 use madderbay::time::Duration;
 
-/// Bytes of an endless line.
+/// Number of bytes of an endless line.
 const ENDLESS_LINE_BYTES: usize = 40_000;
 
-/// How a scenario's line differs from what happened.
+/// The difference between a line of a scenario and what happened.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Mismatch {
     /// Another line was sent, or none; or a counter has another value.
     #[error("found {0:?}")]
     Found(Option<String>),
-    /// The connection is neither closed nor read no more.
+    /// The connection is not closed, and its input is still read.
     #[error("still open")]
     StillOpen,
-    /// The line is not of the grammar.
-    #[error("says nothing that can be played")]
+    /// The line does not follow the grammar.
+    #[error("not a step of a scenario")]
     UnknownStep,
 }
 
@@ -110,7 +110,7 @@
 /// Plays one line, or compares it with what happened.
 ///
 /// # Errors
-/// What happened is not what the line expects, or the line is not of the grammar.
+/// What happened differs from what the line expects, or the line does not follow the grammar.
 pub(crate) fn play(player: &mut ScenarioPlayer, line: &str) -> Result<(), Mismatch> {
     match Step::read(line) {
         Step::RunTo(time) => {
@@ -163,7 +163,7 @@
     }
 }
 
-/// `counter` is a name and a value.
+/// Compares a counter; `counter` is its name and its expected value.
 fn expect_counter(player: &ScenarioPlayer, counter: &str) -> Result<(), Mismatch> {
     let (name, value) = counter.split_once(' ').ok_or(Mismatch::UnknownStep)?;
     let (name, value) = (name.trim(), value.trim());
@@ -173,7 +173,7 @@
     expect_line(found.map(str::to_string), &format!("{prefix}{value}"))
 }
 
-/// A reply is a head of three words and, perhaps, a body.
+/// Feeds a reply: a head of three words, and possibly a body.
 fn feed_reply(player: &mut ScenarioPlayer, peer: &str, reply: &str) {
     let mut parts = reply.splitn(4, ' ');
     let head: Vec<&str> = parts.by_ref().take(3).collect();
@@ -181,7 +181,7 @@
     player.feed(peer, format!("{}\r\n{body}", head.join(" ")).as_bytes());
 }
 
-/// Plays what happens to the server, or to the peer that is its subject.
+/// Plays an event that concerns the whole server, or the peer that is its subject.
 fn play_event(player: &mut ScenarioPlayer, subject: &str, words: &[&str]) -> Result<(), Mismatch> {
     match (subject, words) {
         ("durable", _) => player.make_results_durable(),
@@ -218,7 +218,7 @@
     Ok(())
 }
 
-/// A request of `words`: the JSON-RPC id, the method and its params.
+/// Feeds a request; `words` are the JSON-RPC id, the method and the parameters.
 fn feed_request(player: &mut ScenarioPlayer, peer: &str, words: &[&str]) {
     let param = |key: &str| {
         words
