--- a/crates/server/tests/crossings/connection_end.rs
+++ b/crates/server/tests/crossings/connection_end.rs
@@ -64,7 +64,7 @@
     clippy::await_holding_refcell_ref,
     reason = "the task has to end while the core is borrowed"
 )]
-fn reports_end_of_connection_once_core_is_free() {
+fn removes_ended_connection_once_core_is_free() {
     run_test(async {
         let server = TestServer::new(8).await;
         let peer = server.connect_checked().await;
--- a/crates/server/tests/deploy.rs
+++ b/crates/server/tests/deploy.rs
@@ -95,14 +95,14 @@
 fn assert_shell_becomes_program(program: &Path) {
     let engine = Engine::start(1.0, vec![], 1);
     let (registry, _reports) = registry::start();
-    let others = Dependencies {
+    let dependencies = Dependencies {
         engine: engine.address,
         registry,
         catalogue: engine.address,
     };
     let path = write_config(&configuration(
         "127.0.0.1:0",
-        others,
+        dependencies,
         128,
         800,
         common::SETTINGS,
--- a/crates/server/tests/durable_results/crash.rs
+++ b/crates/server/tests/durable_results/crash.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Request bodies, one for each idempotency key. They differ because the engine counts runs by body.
-const BODIES: [&str; 4] = ["QUJD", "QUJE", "QUJF", "QUJG"];
+const REQUEST_BODIES: [&str; 4] = ["QUJD", "QUJE", "QUJF", "QUJG"];
 
 /// A program that is killed repeatedly during recovery, at any point, loses no result.
 #[test]
@@ -94,7 +94,7 @@
 
 /// Sends one attempt of each of the four keys.
 fn send_bookings(client: &mut Peer, first_attempt: u32) {
-    for (n, body) in (0..).zip(BODIES) {
+    for (n, body) in (0..).zip(REQUEST_BODIES) {
         let key = format!("{}", n + 1);
         client.say(&booking_request(n + 1, first_attempt + n, &key, body));
     }
--- a/crates/server/tests/durable_results/support.rs
+++ b/crates/server/tests/durable_results/support.rs
@@ -15,8 +15,8 @@
 pub(crate) const LONG_WINDOW_MICROS: u64 = 30_000_000;
 
 /// Locked for reading while a process is started, and for writing while this process has a directory of results open.
-/// Without it, a process that is started in the meantime would inherit the lock on the directory and hold it until it
-/// executes its own program.
+/// Without this guard, a process that is started in the meantime would inherit the lock on the directory and hold it
+/// until it executes its own program.
 static OPEN_DIRECTORY: RwLock<()> = RwLock::new(());
 
 /// Starts a process while this process has no directory of results open.
@@ -56,7 +56,7 @@
         let engine = loopback_listener();
         let (registry, reports) = registry::start();
         let catalogue = loopback_listener().local_addr().expect("an address");
-        let others = Dependencies {
+        let dependencies = Dependencies {
             engine: engine.local_addr().expect("an address"),
             registry,
             catalogue,
@@ -69,7 +69,7 @@
             "[kept-results]\nenabled = on\ndirectory = {}\n{operator_lines}",
             directory.display()
         );
-        let config = configuration("127.0.0.1:0", others, 128, 800, &settings);
+        let config = configuration("127.0.0.1:0", dependencies, 128, 800, &settings);
         TestSetup {
             directory,
             operator,
--- a/crates/server/tests/fleet.rs
+++ b/crates/server/tests/fleet.rs
@@ -13,9 +13,9 @@
 use std::path::Path;
 
 /// Number of scripts that are played at the same time: few enough that a lack of free cores does not make a test fail.
-const PLAYERS: usize = 4;
+const CONCURRENT_SCRIPTS: usize = 4;
 
-fn works() -> Vec<HandlerWork> {
+fn handler_works() -> Vec<HandlerWork> {
     let work = |handler: &str, calls| HandlerWork::new(handler, (2.0, 6.0), calls);
     vec![
         work("search", true),
@@ -35,7 +35,7 @@
 /// Plays a script on a fleet of processes. Returns the first condition that was not met.
 fn play(script: &Script, seed: u64) -> Option<String> {
     let setup = script.setup.clone();
-    let mut fleet = ProcessFleet::new(setup, program(), common::SETTINGS, &works(), seed);
+    let mut fleet = ProcessFleet::new(setup, program(), common::SETTINGS, &handler_works(), seed);
     script
         .play(&mut fleet)
         .err()
@@ -43,11 +43,11 @@
 }
 
 #[test]
-fn every_script_on_real_processes() {
+fn plays_every_script_on_real_processes() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../tests/fleet");
     let mut scripts = load_scripts(&folder);
     scripts.retain(|(_, script)| runs_on_processes(script));
-    script_players::play_all(&scripts, PLAYERS, |index, (name, script)| {
+    script_players::play_all(&scripts, CONCURRENT_SCRIPTS, |index, (name, script)| {
         let unmet = play(script, index as u64);
         unmet
             .map(|unmet| format!("{name}: {unmet}"))
--- a/crates/server/tests/listen.rs
+++ b/crates/server/tests/listen.rs
@@ -15,7 +15,7 @@
 /// Connections that the operating system has accepted are registered before the listener closes, because there may be
 /// requests on them.
 #[test]
-fn enters_accepted_connections_before_listener_closes() {
+fn registers_accepted_connections_before_listener_closes() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
--- a/crates/server/tests/members/support.rs
+++ b/crates/server/tests/members/support.rs
@@ -56,13 +56,13 @@
 /// Returns the configuration of a server without an engine or a fleet, and the reports that its registry receives.
 pub(crate) fn standalone_configuration() -> (String, Receiver<String>) {
     let (registry, reports) = registry::start();
-    let others = Dependencies {
+    let dependencies = Dependencies {
         engine: registry,
         registry,
         catalogue: registry,
     };
     (
-        configuration("127.0.0.1:0", others, 128, 300, SETTINGS),
+        configuration("127.0.0.1:0", dependencies, 128, 300, SETTINGS),
         reports,
     )
 }
--- a/crates/server/tests/process/startup.rs
+++ b/crates/server/tests/process/startup.rs
@@ -50,7 +50,7 @@
 
 /// Starts the program, which has to fail, and returns the one line that it prints. Asserts that the exit status is 2
 /// if the configuration is invalid, and 1 if an address or a limit cannot be used.
-fn failed_start(config: Option<&str>, listen: Option<&str>) -> String {
+fn failed_start_line(config: Option<&str>, listen: Option<&str>) -> String {
     let path = config.map(write_config);
     let mut command = command(program(), path.as_deref());
     if let Some(listen) = listen {
@@ -79,25 +79,26 @@
     let address = taken.local_addr().unwrap();
     let dependencies = dependencies_at(address);
     let good = configuration(&address.to_string(), dependencies, 128, STOP_MS, SETTINGS);
-    assert!(failed_start(None, None).contains("RELAY_CONFIG"));
-    assert!(failed_start(Some("{"), None).contains("configuration"));
+    assert!(failed_start_line(None, None).contains("RELAY_CONFIG"));
+    assert!(failed_start_line(Some("{"), None).contains("configuration"));
     assert!(
-        failed_start(Some(&good.replace("\"seed\":\"8c", "\"seed\":\"xx")), None).contains("seed")
+        failed_start_line(Some(&good.replace("\"seed\":\"8c", "\"seed\":\"xx")), None)
+            .contains("seed")
     );
-    assert!(failed_start(Some(&good.replace("\"n1\"", "\"n/1\"")), None).contains("name"));
+    assert!(failed_start_line(Some(&good.replace("\"n1\"", "\"n/1\"")), None).contains("name"));
     assert!(
-        failed_start(Some(&good.replace("\"engine\":\"", "\"engine\":\"x")), None)
+        failed_start_line(Some(&good.replace("\"engine\":\"", "\"engine\":\"x")), None)
             .contains("engine")
     );
     assert!(
-        failed_start(
+        failed_start_line(
             Some(&good.replace("\"n_cores\": 4", "\"n_cores\": 0")),
             None
         )
         .contains("n_cores is 0")
     );
     assert!(
-        failed_start(
+        failed_start_line(
             Some(&good.replace("\"sockets\":128", "\"sockets\":8")),
             None
         )
@@ -108,9 +109,9 @@
     let bare = good.replace(&format!("\"catalog\":\"{address}\","), "");
     assert_ne!(bare, good);
     for config in [&good, &bare] {
-        assert!(failed_start(Some(config), None).contains(&format!("listen {address}")));
+        assert!(failed_start_line(Some(config), None).contains(&format!("listen {address}")));
     }
-    assert!(failed_start(Some(&good), Some("192.0.2.1:1")).contains("192.0.2.1"));
+    assert!(failed_start_line(Some(&good), Some("192.0.2.1:1")).contains("192.0.2.1"));
 }
 
 /// The program waits for a configuration file that is missing, then truncated, and starts soon after the file is
--- a/crates/server/tests/routes/support.rs
+++ b/crates/server/tests/routes/support.rs
@@ -37,9 +37,9 @@
 /// How long the clients wait for an answer.
 const CLIENT_TIMEOUT_MS: u64 = 3_000;
 /// Index in [`request_kinds`] of the kind with an idempotency key.
-const BOOK: KindId = KindId::new(1);
+const BOOK_KIND: KindId = KindId::new(1);
 /// Index in [`request_kinds`] of the kind without an idempotency key.
-const SEARCH: KindId = KindId::new(0);
+const SEARCH_KIND: KindId = KindId::new(0);
 
 /// A server's reports on its backends, by name: state, fraction of the full weight, and recent failures of calls.
 pub(crate) type BackendStates = HashMap<String, BackendReport>;
@@ -230,8 +230,8 @@
         }
         assert_no_repeated_calls(&self.backends, &records);
         LoadSummary {
-            searches: answered_in_time(&records, SEARCH),
-            bookings: answered_in_time(&records, BOOK),
+            searches: answered_in_time(&records, SEARCH_KIND),
+            bookings: answered_in_time(&records, BOOK_KIND),
             requests: records.len(),
         }
     }
@@ -272,7 +272,7 @@
             *calls.entry(name).or_default() += n;
         }
     }
-    let bookings = records.iter().filter(|r| r.kind == BOOK);
+    let bookings = records.iter().filter(|r| r.kind == BOOK_KIND);
     let twice: Vec<&str> = bookings
         .map(|r| r.name.as_str())
         .filter(|name| calls.get(*name).copied().unwrap_or(0) > 1)
--- a/crates/server/tests/scenarios/player.rs
+++ b/crates/server/tests/scenarios/player.rs
@@ -16,14 +16,14 @@
 use std::sync::mpsc::{Receiver, channel};
 
 /// Memory limit for cached results, in bytes: two and a half times the longest result of a scenario.
-const RESULTS_BYTES: usize = 2_500;
+const MAX_CACHED_RESULTS_BYTES: usize = 2_500;
 /// Unix time at the start of a scenario, in milliseconds.
 pub(crate) const START_MS: u64 = 1_764_576_000_000;
 /// Name of the engine link as a peer.
 pub(crate) const ENGINE: &str = "e";
 
 /// Returns the instant `millis` milliseconds after the start of the scenario.
-pub(crate) fn at(millis: u64) -> Timestamp {
+pub(crate) fn instant_at(millis: u64) -> Timestamp {
     Timestamp::from_micros((START_MS + millis) * 1000)
 }
 
@@ -35,7 +35,7 @@
         .checked_sub(1)
 }
 
-fn gauges(cookie: &str) -> String {
+fn gauge_reply(cookie: &str) -> String {
     format!("{{\"msg\":\"STATS\",\"cookie\":\"{cookie}\",\"stats\":[0.5,1,0.1,3.0]}}\n")
 }
 
@@ -80,7 +80,7 @@
     /// Whether all that is written is durable at once.
     disk_is_instant: bool,
     /// The peer that accepts no more bytes.
-    blocked_peer: Option<String>,
+    unwritable_peer: Option<String>,
     /// Delay with which expired timers are handled.
     pub timer_delay: Duration,
     calls: Vec<CallConnection>,
@@ -93,8 +93,8 @@
     pub(crate) fn new(max_feed: usize) -> ScenarioPlayer {
         let settings = madderbay_settings::read(SETTINGS.as_bytes()).expect("settings");
         let mut player = ScenarioPlayer {
-            core: EventLoop::new(at(0), 7, settings, RESULTS_BYTES),
-            now: at(0),
+            core: EventLoop::new(instant_at(0), 7, settings, MAX_CACHED_RESULTS_BYTES),
+            now: instant_at(0),
             max_feed,
             clients: HashMap::new(),
             notices: NoticeReader::default(),
@@ -102,7 +102,7 @@
             engine_is_mute: false,
             disk: None,
             disk_is_instant: true,
-            blocked_peer: None,
+            unwritable_peer: None,
             timer_delay: Duration::ZERO,
             calls: vec![],
             sent: HashMap::new(),
@@ -239,7 +239,7 @@
             return;
         }
         for cookie in cookies {
-            self.feed(ENGINE, gauges(&cookie).as_bytes());
+            self.feed(ENGINE, gauge_reply(&cookie).as_bytes());
         }
         self.settle();
     }
@@ -249,7 +249,7 @@
     fn collect_sent(&mut self) -> Vec<String> {
         let mut cookies = vec![];
         for (peer, outbox) in self.outboxes() {
-            if self.blocked_peer.as_ref() == Some(&peer) {
+            if self.unwritable_peer.as_ref() == Some(&peer) {
                 continue;
             }
             let text = String::from_utf8(outbox.take()).expect("text");
@@ -328,7 +328,7 @@
 
     /// Lets a peer accept no more bytes from now on.
     pub(crate) fn make_unwritable(&mut self, peer: &str) {
-        self.blocked_peer = Some(peer.to_string());
+        self.unwritable_peer = Some(peer.to_string());
     }
 
     /// Lets the engine answer no queries of its gauges from now on.
@@ -340,7 +340,7 @@
     pub(crate) fn unmute_engine(&mut self) {
         self.engine_is_mute = false;
         let cookie = self.core.engine_link_mut().last_query();
-        self.feed(ENGINE, gauges(&cookie.to_string()).as_bytes());
+        self.feed(ENGINE, gauge_reply(&cookie.to_string()).as_bytes());
     }
 
     /// Returns the numbers of requests read and of requests accounted for. They are equal at any time: a request that
--- a/crates/server/tests/scenarios/step.rs
+++ b/crates/server/tests/scenarios/step.rs
@@ -26,7 +26,7 @@
 //! = answered.shed 2            a counter has this value
 //! ```
 
-use crate::player::{START_MS, ScenarioPlayer, at};
+use crate::player::{START_MS, ScenarioPlayer, instant_at};
 use madderbay::time::Duration;
 
 /// Number of bytes of an endless line.
@@ -114,7 +114,7 @@
 pub(crate) fn play(player: &mut ScenarioPlayer, line: &str) -> Result<(), Mismatch> {
     match Step::read(line) {
         Step::RunTo(time) => {
-            player.advance_to(at(time));
+            player.advance_to(instant_at(time));
             return Ok(());
         }
         Step::ExpectLine { peer, line } => return expect_line(player.next_sent(peer), line),
@@ -225,7 +225,7 @@
             .iter()
             .find_map(|word| word.strip_prefix(key)?.strip_prefix('='))
     };
-    let now = (player.now() - at(0)).as_micros() / 1000;
+    let now = (player.now() - instant_at(0)).as_micros() / 1000;
     let since = START_MS + param("since").map_or(now, millis);
     let (id, method) = (words[0], words[1]);
     let attempt: u64 = param("ref").expect("a ref").parse().expect("a number");
--- a/crates/server/tests/shared/counters.rs
+++ b/crates/server/tests/shared/counters.rs
@@ -36,7 +36,7 @@
 }
 
 /// Returns the value and the error bound of the count of acme at each server; zeros where a server does not answer.
-fn counts(fleet: &WatchedFleet) -> Vec<(f64, f64)> {
+fn acme_counts(fleet: &WatchedFleet) -> Vec<(f64, f64)> {
     let count = |server| {
         fleet
             .processes
@@ -74,7 +74,7 @@
         .act(&Action::Cut(vec![vec![0, 1], vec![2]]))
         .expect("cut");
     fleet.wait_while(COUNTER_TIMEOUT, |fleet| {
-        let all = counts(fleet);
+        let all = acme_counts(fleet);
         let is_exact = all.iter().any(|count| count.1 == 0.0);
         is_exact.then(|| format!("{all:?}"))
     });
@@ -83,7 +83,7 @@
 /// Waits until every server reports exactly `sent`. Asserts that no server claims more in the meantime.
 fn wait_for_exact_counts(fleet: &mut WatchedFleet, sent: usize) {
     fleet.wait_while(COUNTER_TIMEOUT, |fleet| {
-        let all = counts(fleet);
+        let all = acme_counts(fleet);
         for (value, bound) in &all {
             assert!(
                 value - bound <= sent as f64,
@@ -169,8 +169,8 @@
         records
     });
     TenantOutcomes {
-        acme: outcome(&records, KindId::new(0)),
-        zenith: outcome(&records, KindId::new(1)),
+        acme: tenant_outcome(&records, KindId::new(0)),
+        zenith: tenant_outcome(&records, KindId::new(1)),
     }
 }
 
@@ -185,7 +185,7 @@
 
 /// Returns the outcome of the requests of one kind that were sent after the first four seconds. By then a window has
 /// passed, and all counts have been disseminated.
-fn outcome(records: &[RequestRecord], kind: KindId) -> TenantOutcome {
+fn tenant_outcome(records: &[RequestRecord], kind: KindId) -> TenantOutcome {
     const SPREAD: StdDuration = StdDuration::from_secs(4);
     let is_late = |r: &&RequestRecord| r.kind == kind && r.sent > SPREAD;
     let late: Vec<&RequestRecord> = records.iter().filter(is_late).collect();
--- a/crates/server/tests/shared/scripts.rs
+++ b/crates/server/tests/shared/scripts.rs
@@ -11,7 +11,7 @@
 use std::path::Path;
 
 /// Number of scripts that are played at the same time.
-const PLAYERS: usize = 2;
+const CONCURRENT_SCRIPTS: usize = 2;
 
 /// Plays a script on a fleet. Returns one line for each failure, with the longest stall of the machine.
 fn play_script(name: &str, script: &Script, monitor: &StallMonitor) -> Vec<String> {
@@ -32,10 +32,10 @@
 }
 
 #[test]
-fn every_script_on_real_processes() {
+fn plays_every_script_on_real_processes() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../tests/shared");
     let scripts = load_scripts(&folder);
-    play_all(&scripts, PLAYERS, |_, (name, script)| {
+    play_all(&scripts, CONCURRENT_SCRIPTS, |_, (name, script)| {
         let mut failures = vec![];
         run_fleet_case(|monitor| failures = play_script(name, script, monitor));
         failures
