--- a/crates/server/tests/common/script_players.rs
+++ b/crates/server/tests/common/script_players.rs
@@ -22,7 +22,10 @@
                 return;
             };
             let found = play(index, script);
-            failures.lock().expect("a list").extend(found);
+            failures
+                .lock()
+                .expect("no thread has panicked")
+                .extend(found);
         }
     };
     std::thread::scope(|scope| {
@@ -30,7 +33,7 @@
             scope.spawn(play_next);
         }
     });
-    let failures = failures.into_inner().expect("a list");
+    let failures = failures.into_inner().expect("no thread has panicked");
     assert!(
         failures.is_empty(),
         "{} failures:\n{}",
--- a/crates/server/tests/common/watched_fleet.rs
+++ b/crates/server/tests/common/watched_fleet.rs
@@ -15,7 +15,7 @@
     fn act(&mut self, action: &Action) -> Result<(), ActionError> {
         self.processes.act(action)?;
         if let Action::Start { who, .. } = action {
-            let server = self.processes.server(*who).expect("it runs");
+            let server = self.processes.server(*who).expect("the program runs");
             self.monitor.watch(server.pid());
         }
         Ok(())
--- a/crates/server/tests/crossings/connection_end.rs
+++ b/crates/server/tests/crossings/connection_end.rs
@@ -51,10 +51,10 @@
         assert_eq!(peer.next_line().await, "");
         peer.send(&request(2, "quote", 1)).await;
         let mut stream = peer.0.into_inner();
-        stream.shutdown().await.expect("shut");
+        stream.shutdown().await.expect("the shutdown succeeds");
         wait_until(|| server.core.borrow().connection_count() == 0).await;
         assert_eq!(server.core.borrow().in_flight_count(), 0);
-        assert_eq!(stream.read(&mut [0]).await.expect("no reset"), 0);
+        assert_eq!(stream.read(&mut [0]).await.expect("no connection reset"), 0);
     });
 }
 
@@ -73,7 +73,7 @@
         let stream = peer.0.into_inner().into_std().expect("a stream");
         socket2::SockRef::from(&stream)
             .set_linger(Some(StdDuration::ZERO))
-            .expect("set");
+            .expect("the option is set");
         drop(stream);
         // The end of the task cannot be observed. During each sleep the runtime polls it at least once.
         for _ in 0..20 {
--- a/crates/server/tests/crossings/over_limit.rs
+++ b/crates/server/tests/crossings/over_limit.rs
@@ -45,7 +45,7 @@
                 && server.core.borrow().counters().connections_over_limit() == 19
         })
         .await;
-        assert_eq!(silent.read_to_end().await.expect("no reset"), "");
+        assert_eq!(silent.read_to_end().await.expect("no connection reset"), "");
         server.complete_run(1);
         assert!(busy.next_line().await.contains("\"id\":2,\"result\""));
         assert_eq!(server.core.borrow().counters().runs_started(), 1);
@@ -87,11 +87,12 @@
         let (server, _busy) = start_at_limit(&request(2, "quote", 1)).await;
         let mut peers = vec![];
         for attempt in 2..12 {
-            let mut stream = std::net::TcpStream::connect(server.address).expect("a connection");
+            let mut stream =
+                std::net::TcpStream::connect(server.address).expect("the connection succeeds");
             stream
                 .write_all(request(1, "quote", attempt).as_bytes())
-                .expect("written");
-            stream.set_nonblocking(true).expect("set");
+                .expect("the write succeeds");
+            stream.set_nonblocking(true).expect("the option is set");
             peers.push(Peer(BufReader::new(
                 TcpStream::from_std(stream).expect("a stream"),
             )));
--- a/crates/server/tests/crossings/requests_before_end.rs
+++ b/crates/server/tests/crossings/requests_before_end.rs
@@ -27,7 +27,7 @@
         );
         server.serve_one_request().await;
         assert!(peer.next_line().await.contains("\"id\":2,\"result\""));
-        assert_eq!(peer.next_line().await, "", "and then it ends");
+        assert_eq!(peer.next_line().await, "", "the connection is still open");
     });
 }
 
@@ -36,7 +36,8 @@
 fn answers_request_received_before_idle_close() {
     run_test_with_peer(async |server, mut peer| {
         let check_at = server.clock.now() + Duration::from_millis(300);
-        let close_at = check_idle_connections(&server, check_at).expect("notified first");
+        let close_at =
+            check_idle_connections(&server, check_at).expect("a time for the next check");
         assert!(peer.next_line().await.contains("leaving"));
         peer.send_without_yielding(&request(2, "quote", 1));
         assert_eq!(
@@ -46,7 +47,7 @@
                 .connections_mut()
                 .idle_deadline_reached(close_at, 1),
             None,
-            "it ends now"
+            "the connection is still open"
         );
         server.serve_last_request(&mut peer).await;
     });
--- a/crates/server/tests/crossings/resources.rs
+++ b/crates/server/tests/crossings/resources.rs
@@ -19,10 +19,10 @@
         peer.send(&request_with_body(2, "quote", 1, &bytes)).await;
         wait_until(|| server.core.borrow().in_flight_count() == 1).await;
         server.run_turn();
-        let sent = String::from_utf8(server.engine.take()).expect("text");
+        let sent = String::from_utf8(server.engine.take()).expect("valid UTF-8");
         assert!(
             sent.contains(&format!("\"blob\":{bytes}")),
-            "the body is forwarded unchanged"
+            "the body was changed"
         );
         server.complete_run(1);
         assert!(peer.next_line().await.contains("\"id\":2,\"result\""));
@@ -36,7 +36,8 @@
     run_test(async {
         let server = TestServer::new(8).await;
         let catalogue = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        let (_sender, address) = watch::channel(Some(catalogue.local_addr().expect("an address")));
+        let (_sender, address) =
+            watch::channel(Some(catalogue.local_addr().expect("a local address")));
         server.core.borrow_mut().limit_descriptors(2);
         spawn_local(calls::run(
             address,
@@ -80,9 +81,9 @@
 fn waiting_connection_holds_no_buffer() {
     run_test(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        let stream = TcpStream::connect(listener.local_addr().expect("an address"))
+        let stream = TcpStream::connect(listener.local_addr().expect("a local address"))
             .await
-            .expect("made");
+            .expect("the connection succeeds");
         let out = Outbox::default();
         let waiting = drive_peer(&stream, &out, |_| true);
         let bytes = std::mem::size_of_val(&waiting);
@@ -95,16 +96,18 @@
 fn sets_nodelay_before_first_write() {
     run_test(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        let made = TcpStream::connect(listener.local_addr().expect("an address"))
+        let made = TcpStream::connect(listener.local_addr().expect("a local address"))
             .await
-            .expect("made");
-        let (accepted, _) = listener.accept().await.expect("accepted");
+            .expect("the connection succeeds");
+        let (accepted, _) = listener.accept().await.expect("the connection is accepted");
         for stream in [made, accepted] {
             assert!(!stream.nodelay().expect("the option"));
             let out = Outbox::default();
             out.put(|b| b.push(b'x'));
             out.close();
-            drive(&stream, &out, |_| true).await.expect("written");
+            drive(&stream, &out, |_| true)
+                .await
+                .expect("the write succeeds");
             assert!(stream.nodelay().expect("the option"));
         }
     });
--- a/crates/server/tests/crossings/support.rs
+++ b/crates/server/tests/crossings/support.rs
@@ -59,8 +59,8 @@
     /// Starts a server that allows this many connections.
     pub(crate) async fn new(max_connections: usize) -> TestServer {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        let address = listener.local_addr().expect("an address");
-        let settings = madderbay_settings::read(SETTINGS.as_bytes()).expect("settings");
+        let address = listener.local_addr().expect("a local address");
+        let settings = madderbay_settings::read(SETTINGS.as_bytes()).expect("valid settings");
         let clock = Rc::new(Clock::default());
         let mut core = EventLoop::new(clock.now(), 7, settings, 1_000);
         let engine = Outbox::default();
@@ -127,7 +127,7 @@
         Peer(BufReader::new(
             TcpStream::connect(self.address)
                 .await
-                .expect("a connection"),
+                .expect("the connection succeeds"),
         ))
     }
 
@@ -150,7 +150,7 @@
             .get_mut()
             .write_all(text.as_bytes())
             .await
-            .expect("written");
+            .expect("the write succeeds");
     }
 
     /// Sends text without yielding to the runtime, so that no task of the server has run when the text has arrived.
@@ -159,7 +159,7 @@
             self.0
                 .get_mut()
                 .try_write(text.as_bytes())
-                .expect("written"),
+                .expect("the write succeeds"),
             text.len()
         );
     }
@@ -174,7 +174,10 @@
     /// Returns the next line; empty at the end of the stream. Panics on a reset.
     pub(crate) async fn next_line(&mut self) -> String {
         let mut line = String::new();
-        self.0.read_line(&mut line).await.expect("no reset");
+        self.0
+            .read_line(&mut line)
+            .await
+            .expect("no connection reset");
         line.trim_end().to_string()
     }
 
--- a/crates/server/tests/deploy.rs
+++ b/crates/server/tests/deploy.rs
@@ -56,7 +56,10 @@
     assert!(found.remove(&root), "the program is built from the module");
     let (node, policy) = (deploy_value("node"), deploy_value("policy"));
     for package in &found {
-        let folder = package.strip_prefix(&root).expect("inside").join("src");
+        let folder = package
+            .strip_prefix(&root)
+            .expect("a path within the workspace")
+            .join("src");
         assert!(
             node.contains(&format!("\"{}\"", folder.display())),
             "{} is not in node",
--- a/crates/server/tests/durable_results/crash.rs
+++ b/crates/server/tests/durable_results/crash.rs
@@ -41,18 +41,24 @@
     for n in 0..12u64 {
         let mut command = madderbay_testkit::server::command(program(), Some(&files.config));
         command.arg("--operator").arg(&files.operator);
-        let mut process = start_process(|| command.spawn()).expect("it starts");
+        let mut process = start_process(|| command.spawn()).expect("the process starts");
         std::thread::sleep(Duration::from_micros(n * 500));
         process
             .kill()
             .and_then(|()| process.wait())
-            .expect("killed");
+            .expect("the process is killed");
     }
     files.remove();
     // Some of the processes had connected to the engine; their links are dead.
-    setup.engine.set_nonblocking(true).expect("set");
+    setup
+        .engine
+        .set_nonblocking(true)
+        .expect("the option is set");
     while setup.engine.accept().is_ok() {}
-    setup.engine.set_nonblocking(false).expect("set");
+    setup
+        .engine
+        .set_nonblocking(false)
+        .expect("the option is set");
 }
 
 /// A program that is killed at random times while it books, and is then started again, runs each key at most once
@@ -70,7 +76,11 @@
     let mut setup = TestSetup::new(LONG_WINDOW_MICROS, "");
     let works = vec![HandlerWork::new("book", (1.0, 8.0), false)];
     let engine = Engine::start(4.0, works, u64::from(history));
-    let listener = setup.engine.local_addr().expect("an address").to_string();
+    let listener = setup
+        .engine
+        .local_addr()
+        .expect("a local address")
+        .to_string();
     setup.config = setup.config.replace(&listener, &engine.address.to_string());
     let mut completed = [false; 4];
     for incarnation in 0..3u32 {
--- a/crates/server/tests/durable_results/directory.rs
+++ b/crates/server/tests/durable_results/directory.rs
@@ -15,10 +15,10 @@
         .env_remove("MADDERBAY_OPERATOR")
         .arg("--operator")
         .arg(&files.operator);
-    let output = start_process(|| command.output()).expect("it runs");
+    let output = start_process(|| command.output()).expect("the program runs");
     files.remove();
     assert_eq!(output.status.code(), Some(2));
-    let text = String::from_utf8(output.stderr).expect("text");
+    let text = String::from_utf8(output.stderr).expect("valid UTF-8");
     assert_eq!(text.lines().count(), 1, "{text}");
     text
 }
@@ -33,12 +33,13 @@
     drop((server, engine));
     let mut newer = vec![];
     madderbay_idempotency_store::segment::write_segment_header_of_version(9, &mut newer);
-    std::fs::write(setup.directory.join("kept-00000000000000ff"), &newer).expect("written");
+    std::fs::write(setup.directory.join("kept-00000000000000ff"), &newer)
+        .expect("the write succeeds");
     assert!(
         start_error(&setup)
             .contains("kept-00000000000000ff: is of version 9; this program knows 1")
     );
-    std::fs::remove_dir_all(&setup.directory).expect("removed");
+    std::fs::remove_dir_all(&setup.directory).expect("the removal succeeds");
     assert!(start_error(&setup).contains("No such file"));
 }
 
@@ -46,8 +47,8 @@
 fn query_directory(setup: &TestSetup, subcommand: &str) -> (Option<i32>, Vec<String>) {
     let mut command = Command::new(program());
     command.args(["kept", subcommand]).arg(&setup.directory);
-    let output = start_process(|| command.output()).expect("it runs");
-    let text = String::from_utf8([output.stdout, output.stderr].concat()).expect("text");
+    let output = start_process(|| command.output()).expect("the program runs");
+    let text = String::from_utf8([output.stdout, output.stderr].concat()).expect("valid UTF-8");
     (
         output.status.code(),
         text.lines().map(str::to_string).collect(),
@@ -95,7 +96,8 @@
     let mut torn = vec![];
     madderbay_idempotency_store::segment::write_segment_header(&mut torn);
     torn.extend_from_slice(b"garbage");
-    std::fs::write(setup.directory.join("kept-00000000000000ff"), &torn).expect("written");
+    std::fs::write(setup.directory.join("kept-00000000000000ff"), &torn)
+        .expect("the write succeeds");
     let (status, lines) = query_directory(setup, "verify");
     assert_eq!((status, lines.len()), (Some(1), 1), "{lines:?}");
     assert!(
--- a/crates/server/tests/durable_results/restart.rs
+++ b/crates/server/tests/durable_results/restart.rs
@@ -135,16 +135,16 @@
 }
 
 fn write_hundred_thousand_results(directory: &Path) {
-    let storage = DirectoryStorage::open(directory).expect("opened");
+    let storage = DirectoryStorage::open(directory).expect("the directory is opened");
     let limits = LogLimits {
         disk_bytes: 64 << 20,
         retention_micros: LONG_WINDOW_MICROS,
     };
-    let (mut log, _) = WriteAheadLog::open(storage, 1, limits).expect("read");
+    let (mut log, _) = WriteAheadLog::open(storage, 1, limits).expect("the log is read");
     for part in 0..100u128 {
         let keys = (0..1_000u128).map(|k| part * 1_000 + k);
         let entries: Vec<LogEntry> = keys.flat_map(log_entries).collect();
-        log.commit(1, &entries).expect("written");
+        log.commit(1, &entries).expect("the write succeeds");
     }
 }
 
--- a/crates/server/tests/durable_results/support.rs
+++ b/crates/server/tests/durable_results/support.rs
@@ -51,13 +51,13 @@
     /// `[kept-results]` section of the operator file.
     pub(crate) fn new(window_micros: u64, operator_lines: &str) -> TestSetup {
         let directory = write_config("");
-        std::fs::remove_file(&directory).expect("removed");
-        std::fs::create_dir(&directory).expect("made");
+        std::fs::remove_file(&directory).expect("the removal succeeds");
+        std::fs::create_dir(&directory).expect("the directory is created");
         let engine = loopback_listener();
         let (registry, reports) = registry::start();
-        let catalogue = loopback_listener().local_addr().expect("an address");
+        let catalogue = loopback_listener().local_addr().expect("a local address");
         let dependencies = Dependencies {
-            engine: engine.local_addr().expect("an address"),
+            engine: engine.local_addr().expect("a local address"),
             registry,
             catalogue,
         };
@@ -128,14 +128,14 @@
     /// Removes both files.
     pub(crate) fn remove(self) {
         for file in [self.config, self.operator] {
-            std::fs::remove_file(file).expect("removed");
+            std::fs::remove_file(file).expect("the removal succeeds");
         }
     }
 }
 
 /// Opens a connection of a load balancer.
 pub(crate) fn connect(server: &Server) -> Peer {
-    Peer::new(TcpStream::connect(server.address).expect("a connection"))
+    Peer::new(TcpStream::connect(server.address).expect("the connection succeeds"))
 }
 
 /// Returns the line of a `book` request with an idempotency key.
--- a/crates/server/tests/known_red/main.rs
+++ b/crates/server/tests/known_red/main.rs
@@ -226,7 +226,7 @@
     fs::remove_file(repository.root.join("bin/cargo")).expect("no stub");
     let manifest = "[workspace]\n[package]\nname = \"listed\"\nedition = \"2024\"\n";
     repository.write("Cargo.toml", manifest);
-    fs::create_dir(repository.root.join("src")).expect("a folder");
+    fs::create_dir(repository.root.join("src")).expect("a directory");
     repository.write("src/lib.rs", REAL_LIBRARY);
     let output = run_to_completion(
         Command::new(repository.root.join(".ci/tests"))
@@ -265,7 +265,7 @@
 fn list_own_tests(arguments: &[&str]) -> Vec<String> {
     let program = std::env::current_exe().expect("this program");
     let output = run_to_completion(Command::new(program).arg("--list").args(arguments));
-    let text = String::from_utf8(output.stdout).expect("text");
+    let text = String::from_utf8(output.stdout).expect("valid UTF-8");
     let names = text.lines().filter_map(|line| line.strip_suffix(": test"));
     names.map(String::from).collect()
 }
--- a/crates/server/tests/known_red/repository.rs
+++ b/crates/server/tests/known_red/repository.rs
@@ -61,8 +61,8 @@
         let _guard = EXECUTABLES.write().unwrap_or_else(PoisonError::into_inner);
         command.spawn()
     };
-    let child = child.expect("it starts");
-    child.wait_with_output().expect("it ends")
+    let child = child.expect("the process starts");
+    child.wait_with_output().expect("the process ends")
 }
 
 /// A repository with the script and a stub of `cargo`. It is removed when it is dropped.
@@ -77,7 +77,7 @@
         let name = format!("madderbay-known-red-{}-{number}", std::process::id());
         let root = std::env::temp_dir().join(name);
         for folder in [".ci", "bin"] {
-            fs::create_dir_all(root.join(folder)).expect("a folder");
+            fs::create_dir_all(root.join(folder)).expect("a directory");
         }
         let _guard = EXECUTABLES.read().unwrap_or_else(PoisonError::into_inner);
         let script = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../.ci/tests");
@@ -85,7 +85,8 @@
         let repository = Repository { root };
         repository.write("bin/cargo", STUB_CARGO);
         let executable = fs::Permissions::from_mode(0o755);
-        fs::set_permissions(repository.root.join("bin/cargo"), executable).expect("set");
+        fs::set_permissions(repository.root.join("bin/cargo"), executable)
+            .expect("the permissions are set");
         repository.write("bin/tests", KNOWN_TESTS);
         for file in ["failing", "ignored", "calls"] {
             repository.write(&format!("bin/{file}"), "");
@@ -107,7 +108,7 @@
     }
 
     pub(crate) fn write(&self, path: &str, text: &str) {
-        fs::write(self.root.join(path), text).expect("written");
+        fs::write(self.root.join(path), text).expect("the write succeeds");
     }
 
     /// Runs the script from a folder outside the repository.
@@ -145,8 +146,8 @@
         let calls = fs::read_to_string(root.join("bin/calls")).expect("the calls");
         ScriptRun {
             succeeded: output.status.success(),
-            stdout: String::from_utf8(output.stdout.clone()).expect("text"),
-            stderr: String::from_utf8(output.stderr.clone()).expect("text"),
+            stdout: String::from_utf8(output.stdout.clone()).expect("valid UTF-8"),
+            stderr: String::from_utf8(output.stderr.clone()).expect("valid UTF-8"),
             calls: calls.lines().map(String::from).collect(),
         }
     }
--- a/crates/server/tests/listen.rs
+++ b/crates/server/tests/listen.rs
@@ -22,8 +22,9 @@
         .expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        let address = listener.local_addr().expect("an address");
-        let settings = madderbay_settings::read(common::SETTINGS.as_bytes()).expect("settings");
+        let address = listener.local_addr().expect("a local address");
+        let settings =
+            madderbay_settings::read(common::SETTINGS.as_bytes()).expect("valid settings");
         let clock = Rc::new(Clock::default());
         let core = Rc::new(RefCell::new(EventLoop::new(
             clock.now(),
@@ -35,9 +36,12 @@
         // runs for the first time. By then it has been told to stop, and may notice that first.
         let clients: Vec<_> = (0..20)
             .map(|_| {
-                let mut client = std::net::TcpStream::connect(address).expect("a connection");
+                let mut client =
+                    std::net::TcpStream::connect(address).expect("the connection succeeds");
                 let health_check = "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"isWell\"}\n";
-                client.write_all(health_check.as_bytes()).expect("written");
+                client
+                    .write_all(health_check.as_bytes())
+                    .expect("the write succeeds");
                 client
             })
             .collect();
@@ -47,7 +51,7 @@
         assert_eq!(core.borrow().connection_count(), clients.len());
         assert!(
             std::net::TcpStream::connect(address).is_err(),
-            "closed after"
+            "the listener is still open"
         );
     });
 }
--- a/crates/server/tests/members/command_line.rs
+++ b/crates/server/tests/members/command_line.rs
@@ -29,7 +29,7 @@
     fleet.wait_while(REPORT_TIMEOUT, |fleet| {
         let output = query_cli(fleet.processes.socket(1), flags);
         assert!(output.status.success());
-        text = String::from_utf8(output.stdout).expect("text");
+        text = String::from_utf8(output.stdout).expect("valid UTF-8");
         text.contains("suspect").then(|| text.clone())
     });
     text
@@ -38,7 +38,7 @@
 fn assert_reports_json(fleet: &mut WatchedFleet) {
     let text = report_of_settled_view(fleet, &["--json"]);
     assert_eq!(text.lines().count(), 1);
-    let view: serde_json::Value = serde_json::from_str(&text).expect("an object");
+    let view: serde_json::Value = serde_json::from_str(&text).expect("a JSON object");
     assert_eq!(
         (&view["name"], &view["hears"]),
         (&"n2".into(), &"whole".into())
@@ -60,7 +60,7 @@
 fn assert_reports_missing_socket() {
     let missing = query_cli(Path::new("/nonexistent.sock"), &[]);
     assert_eq!(missing.status.code(), Some(1));
-    let error = String::from_utf8(missing.stderr).expect("text");
+    let error = String::from_utf8(missing.stderr).expect("valid UTF-8");
     assert!(
         error.starts_with("madderbay: /nonexistent.sock: ") && error.lines().count() == 1,
         "{error}"
--- a/crates/server/tests/members/control_socket.rs
+++ b/crates/server/tests/members/control_socket.rs
@@ -14,7 +14,7 @@
     let directory = temporary_directory("control");
     let socket = directory.join("c.sock");
     // A killed server leaves a file behind at which nothing listens.
-    drop(UnixListener::bind(&socket).expect("bound"));
+    drop(UnixListener::bind(&socket).expect("the socket is bound"));
     assert!(socket.exists());
     let first = start_with_control_socket(&socket);
     let mode = std::fs::metadata(&socket)
@@ -23,7 +23,7 @@
         .mode();
     assert_eq!(mode & 0o777, 0o600);
     let no_fleet = query_cli(&socket, &[]);
-    let error = String::from_utf8(no_fleet.stderr).expect("text");
+    let error = String::from_utf8(no_fleet.stderr).expect("valid UTF-8");
     assert!(
         error.contains("no [members] in the operator file"),
         "{error}"
@@ -32,7 +32,7 @@
     assert_leaves_socket_of_running_server(&config, &socket);
     first.signal("-TERM");
     first.ended();
-    assert!(!socket.exists(), "removed at the end");
+    assert!(!socket.exists(), "the socket file still exists");
     assert_leaves_file_that_is_no_socket(&config, &socket);
     let _ = std::fs::remove_dir_all(directory);
 }
@@ -45,7 +45,7 @@
         .arg("--operator")
         .arg(&operator)
         .output()
-        .expect("it runs");
+        .expect("the program runs");
     for file in [config, operator] {
         let _ = std::fs::remove_file(file);
     }
@@ -61,7 +61,7 @@
 }
 
 fn assert_leaves_file_that_is_no_socket(config: &str, path: &Path) {
-    std::fs::write(path, "precious").expect("written");
+    std::fs::write(path, "precious").expect("the write succeeds");
     let third = start_with_taken_socket_path(config, path);
     assert!(String::from_utf8_lossy(&third.stderr).contains("is no socket"));
     assert_eq!(
@@ -72,10 +72,10 @@
 
 /// Sends a query and returns the first two lines of the answer.
 fn query(socket: &Path, line: &[u8]) -> [String; 2] {
-    let mut stream = UnixStream::connect(socket).expect("connected");
-    stream.write_all(line).expect("sent");
+    let mut stream = UnixStream::connect(socket).expect("the connection succeeds");
+    stream.write_all(line).expect("the query is sent");
     let mut lines = BufReader::new(stream).lines();
-    [(); 2].map(|()| lines.next().expect("a line").expect("text"))
+    [(); 2].map(|()| lines.next().expect("a line").expect("valid UTF-8"))
 }
 
 #[test]
@@ -100,14 +100,14 @@
     }
     // Three clients that send nothing leave room for one that does.
     let mut silent: Vec<UnixStream> = (0..3)
-        .map(|_| UnixStream::connect(&socket).expect("connected"))
+        .map(|_| UnixStream::connect(&socket).expect("the connection succeeds"))
         .collect();
     assert!(query(&socket, b"{\"ask\":\"members\"}\n")[0].contains("no [members]"));
     // The connections of the silent clients are closed in time.
     let mut rest = vec![];
     silent[0]
         .set_read_timeout(Some(madderbay_testkit::WAIT_TIMEOUT))
-        .expect("a time-out");
+        .expect("the timeout is set");
     silent[0].read_to_end(&mut rest).expect("closed");
     assert!(rest.is_empty());
     drop(server);
--- a/crates/server/tests/members/datagrams.rs
+++ b/crates/server/tests/members/datagrams.rs
@@ -40,13 +40,16 @@
 fn check_service_during_flood(monitor: &StallMonitor) {
     let mut fleet = start_fleet("servers 3\nstart all\nsettle 20s", monitor);
     let is_on = AtomicBool::new(true);
-    let flooded = fleet.processes.datagram_address(0).expect("it listens");
+    let flooded = fleet
+        .processes
+        .datagram_address(0)
+        .expect("the server listens for datagrams");
     let (sent, load) = std::thread::scope(|scope| {
         let flood = scope.spawn(|| flood(flooded, &is_on));
-        let address = fleet.processes.server(0).expect("it runs").address;
+        let address = fleet.processes.server(0).expect("the program runs").address;
         let load = run_load(address, fleet.processes.engine(0), 4, 11);
         is_on.store(false, Ordering::Relaxed);
-        (flood.join().expect("flooded"), load)
+        (flood.join().expect("the flood thread does not panic"), load)
     });
     assert!(
         sent > MIN_FLOOD && load.requests > 100,
@@ -59,7 +62,7 @@
         setup: FleetSetup::of(3),
         steps: vec![(0, settle)],
     };
-    script.play(&mut fleet).expect("settled");
+    script.play(&mut fleet).expect("the views agree");
 }
 
 /// Without an enabled `[members]` section, no datagram socket is opened, so that nothing is sent.
@@ -78,7 +81,7 @@
 /// Returns the number of sockets of one kind, such as `udp`, that a server has open.
 fn count_sockets(server: &Server, kind: &str) -> usize {
     let table = std::fs::read_to_string(format!("/proc/{}/net/{kind}", server.pid()));
-    let table = table.expect("a table");
+    let table = table.expect("the table of sockets");
     let descriptors = std::fs::read_dir(format!("/proc/{}/fd", server.pid()));
     let targets: Vec<String> = descriptors
         .expect("descriptors")
--- a/crates/server/tests/members/shutdown.rs
+++ b/crates/server/tests/members/shutdown.rs
@@ -12,8 +12,8 @@
             "servers 3\nstart all\nsettle 20s\ndrain n3\nview all n3 left 10s\nsettle 10s",
             monitor,
         );
-        fleet.act(&Action::Kill(1)).expect("killed");
-        let script = Script::read("end", "servers 3\nview n1 n2 down 20s").expect("a script");
+        fleet.act(&Action::Kill(1)).expect("the process is killed");
+        let script = Script::read("end", "servers 3\nview n1 n2 down 20s").expect("a valid script");
         script.play(&mut fleet).expect("the kill is detected");
     });
 }
--- a/crates/server/tests/members/support.rs
+++ b/crates/server/tests/members/support.rs
@@ -28,7 +28,7 @@
         work("quote", false),
         work("book", true),
     ];
-    let script = Script::read("test", script).expect("a script");
+    let script = Script::read("test", script).expect("a valid script");
     let processes = ProcessFleet::new(script.setup.clone(), program(), SETTINGS, &works, 7);
     let mut fleet = WatchedFleet { processes, monitor };
     script.play(&mut fleet).expect("every condition is met");
@@ -43,7 +43,7 @@
         .args(flags)
         .stdout(Stdio::piped())
         .output()
-        .expect("it runs")
+        .expect("the program runs")
 }
 
 /// Creates a directory for this test program in the system's folder for temporary files.
--- a/crates/server/tests/members/wrong_views.rs
+++ b/crates/server/tests/members/wrong_views.rs
@@ -18,9 +18,9 @@
 
 fn check_rules_under_faults(monitor: &StallMonitor) {
     let mut fleet = start_fleet(LOSSY_START, monitor);
-    let faults = Script::read("faults", FAULTS).expect("a script");
+    let faults = Script::read("faults", FAULTS).expect("a valid script");
     // The load goes to the first server, which every fault affects and none stops.
-    let address = fleet.processes.server(0).expect("it runs").address;
+    let address = fleet.processes.server(0).expect("the program runs").address;
     let engine = fleet.processes.engine(0).clone();
     let is_over = AtomicBool::new(false);
     let (played, rounds) = std::thread::scope(|scope| {
@@ -34,7 +34,10 @@
         });
         let played = faults.play(&mut fleet);
         is_over.store(true, Ordering::Relaxed);
-        (played, loading.join().expect("loaded"))
+        (
+            played,
+            loading.join().expect("the load thread does not panic"),
+        )
     });
     played.expect("every condition is met");
     let violations: Vec<&String> = rounds.iter().flat_map(|r| &r.violations).collect();
--- a/crates/server/tests/process/connections.rs
+++ b/crates/server/tests/process/connections.rs
@@ -43,7 +43,9 @@
     /// Stops answering, and returns the link, which is still open.
     fn stop(self) -> Peer {
         drop(self.stop);
-        self.thread.join().expect("it answered all")
+        self.thread
+            .join()
+            .expect("the engine thread does not panic")
     }
 }
 
@@ -81,7 +83,7 @@
     let _ = refused.0.get_mut().write_all(b"x");
     assert!(
         matches!(refused.0.read(&mut [0]), Ok(0) | Err(_)),
-        "closed unread"
+        "a connection over the limit is still open"
     );
     server.signal("-USR1");
     // The peers stay connected until the counters are logged.
@@ -112,7 +114,7 @@
         accepted_bytes += line.len();
         assert!(
             accepted_bytes < 64 << 20,
-            "all is read from a peer that reads nothing"
+            "the input of a peer that reads nothing is read without a bound"
         );
     }
     let mut other = server.connect();
@@ -142,7 +144,10 @@
 /// Returns the line that answers an attempt, or `None` once the engine has been sent the command to run it.
 fn rejection_line(peer: &mut Peer, attempt: u32, engine: &mut Peer) -> Option<String> {
     let name = format!("{attempt:016x}");
-    peer.0.get_ref().set_nonblocking(true).expect("set");
+    peer.0
+        .get_ref()
+        .set_nonblocking(true)
+        .expect("the option is set");
     let answer = loop {
         let mut line = String::new();
         match peer.0.read_line(&mut line) {
@@ -154,7 +159,10 @@
             break None;
         }
     };
-    peer.0.get_ref().set_nonblocking(false).expect("set");
+    peer.0
+        .get_ref()
+        .set_nonblocking(false)
+        .expect("the option is set");
     answer
 }
 
@@ -170,7 +178,7 @@
     link.say(HELLO_OF_RUNNING_ENGINE);
     assert!(link.line().contains("STAT"));
     link.say(GAUGE_REPLY);
-    let connect = || TcpStream::connect(program.address).expect("a connection");
+    let connect = || TcpStream::connect(program.address).expect("the connection succeeds");
     let mut first = Peer::new(connect());
     first.say(&request(1, "quote", 1, ""));
     assert!(link.command().contains("\"RUN\""));
--- a/crates/server/tests/process/operator_file.rs
+++ b/crates/server/tests/process/operator_file.rs
@@ -12,12 +12,12 @@
     let found = command(program(), path.as_deref())
         .args(args)
         .output()
-        .expect("it runs");
+        .expect("the program runs");
     path.iter()
-        .for_each(|p| std::fs::remove_file(p).expect("removed"));
-    let text = String::from_utf8(found.stderr).expect("text");
+        .for_each(|p| std::fs::remove_file(p).expect("the removal succeeds"));
+    let text = String::from_utf8(found.stderr).expect("valid UTF-8");
     (
-        found.status.code().expect("a status"),
+        found.status.code().expect("an exit status"),
         text.lines().map(str::to_string).collect(),
     )
 }
@@ -54,10 +54,10 @@
         run_command(&["run", "--operator", name], Some(&config)),
         (2, wrong)
     );
-    std::fs::write(&file, "[pools]\nenabled = maybe\n[pols]\n").expect("written");
+    std::fs::write(&file, "[pools]\nenabled = maybe\n[pols]\n").expect("the write succeeds");
     let (status, lines) = run_command(&["check", name], None);
     assert_eq!((status, lines.len()), (2, 2), "{lines:?}");
-    std::fs::remove_file(&file).expect("removed");
+    std::fs::remove_file(&file).expect("the removal succeeds");
     let (status, lines) = run_command(&["check", name], None);
     assert!(
         status == 2 && lines.len() == 1 && lines[0].contains(name),
--- a/crates/server/tests/process/reload.rs
+++ b/crates/server/tests/process/reload.rs
@@ -96,7 +96,7 @@
     let _engine = server.accept_engine_link(INITIAL_ATTACH);
     server.log_at("engine: up");
     let operator = server.operator.clone().expect("an operator file");
-    let rewrite = |text: &str| std::fs::write(&operator, text).expect("written");
+    let rewrite = |text: &str| std::fs::write(&operator, text).expect("the write succeeds");
     rewrite("[pools]\nenabled = on\n[pool a]\nhandlers = quote\n");
     server.signal("-HUP");
     server.log_at("reload: restart required, changed=[pools]");
--- a/crates/server/tests/process/startup.rs
+++ b/crates/server/tests/process/startup.rs
@@ -56,10 +56,10 @@
     if let Some(listen) = listen {
         command.env("RELAY_LISTEN", listen);
     }
-    let Output { status, stderr, .. } = command.output().expect("it runs");
+    let Output { status, stderr, .. } = command.output().expect("the program runs");
     path.iter()
-        .for_each(|p| std::fs::remove_file(p).expect("removed"));
-    let text = String::from_utf8(stderr).expect("text");
+        .for_each(|p| std::fs::remove_file(p).expect("the removal succeeds"));
+    let text = String::from_utf8(stderr).expect("valid UTF-8");
     assert_eq!(text.lines().count(), 1, "{text}");
     let is_address_or_limit_error = ["listen ", "limits."]
         .iter()
@@ -123,13 +123,13 @@
     let dependencies = dependencies(&engine, registry, &catalogue);
     let complete = configuration("127.0.0.1:0", dependencies, 128, STOP_MS, SETTINGS);
     let path = write_config("");
-    std::fs::remove_file(&path).expect("removed");
+    std::fs::remove_file(&path).expect("the removal succeeds");
     let mut command = command(program(), Some(&path));
     let mut child = command
         .env("MADDERBAY_LOG", "debug")
         .spawn()
-        .expect("it starts");
-    let mut log = BufReader::new(child.stderr.take().expect("its log"))
+        .expect("the process starts");
+    let mut log = BufReader::new(child.stderr.take().expect("piped standard error"))
         .lines()
         .map_while(Result::ok);
     let mut logged = |part: &str| {
@@ -138,15 +138,15 @@
             .expect("a line in its log")
     };
     logged("No such file");
-    std::fs::write(&path, &complete[..complete.len() / 2]).expect("written");
+    std::fs::write(&path, &complete[..complete.len() / 2]).expect("the write succeeds");
     logged("EOF while parsing");
-    std::fs::write(&path, &complete).expect("written");
+    std::fs::write(&path, &complete).expect("the write succeeds");
     logged("server: listening");
     let mut link = Peer::accept(&engine);
     assert_eq!(link.line(), INITIAL_ATTACH);
-    child.kill().expect("killed");
-    child.wait().expect("over");
-    std::fs::remove_file(&path).expect("removed");
+    child.kill().expect("the process is killed");
+    child.wait().expect("the process has ended");
+    std::fs::remove_file(&path).expect("the removal succeeds");
 }
 
 /// The engine breaks its link, or sends nothing on it, before it is up. The registry breaks its connection, sends an
@@ -180,7 +180,7 @@
     while peer.line() != "" {}
     assert!(
         peer.bytes(17).ends_with(b"\"ready\"}"),
-        "a report that it is ready"
+        "the report does not say that the server is ready"
     );
     peer.say("HTTP/1.1 204 No Content\r\n\r\n");
     let mut a = connect_to(&program);
@@ -188,7 +188,7 @@
     assert!(link.command().contains("\"RUN\""));
     assert!(
         began.elapsed() < Duration::from_secs(10),
-        "ready within 10 s"
+        "not ready within 10 s"
     );
 }
 
--- a/crates/server/tests/process/support.rs
+++ b/crates/server/tests/process/support.rs
@@ -94,7 +94,7 @@
 
 /// Opens a connection of a load balancer to a program that was started without a [`TestServer`].
 pub(crate) fn connect_to(program: &Program) -> Peer {
-    Peer::new(TcpStream::connect(program.address).expect("a connection"))
+    Peer::new(TcpStream::connect(program.address).expect("the connection succeeds"))
 }
 
 /// Returns the addresses of the program's peers.
@@ -103,7 +103,7 @@
     registry: SocketAddr,
     catalogue: &TcpListener,
 ) -> Dependencies {
-    let address = |l: &TcpListener| l.local_addr().expect("an address");
+    let address = |l: &TcpListener| l.local_addr().expect("a local address");
     Dependencies {
         engine: address(engine),
         registry,
@@ -130,7 +130,7 @@
 
     /// Returns the addresses of the listeners.
     pub(crate) fn addresses(&self) -> Dependencies {
-        let registry = self.registry.local_addr().expect("an address");
+        let registry = self.registry.local_addr().expect("a local address");
         dependencies(&self.engine, registry, &self.catalogue)
     }
 }
@@ -167,7 +167,7 @@
     descriptors: usize,
 ) {
     let text = configuration("127.0.0.1:0", dependencies, descriptors, STOP_MS, SETTINGS);
-    std::fs::write(&program.path, text).expect("written");
+    std::fs::write(&program.path, text).expect("the write succeeds");
 }
 
 /// Returns the line of a request; `key` is its idempotency key, if it is not empty.
--- a/crates/server/tests/routes/partition.rs
+++ b/crates/server/tests/routes/partition.rs
@@ -89,10 +89,13 @@
     fleet
         .servers
         .act(&Action::Cut(vec![vec![0], vec![1, 2]]))
-        .expect("cut");
+        .expect("the partition is applied");
     fleet.backends[3].set_behavior(HEALTHY);
     fleet.wait_until_readmitted(3);
-    fleet.servers.act(&Action::Heal).expect("healed");
+    fleet
+        .servers
+        .act(&Action::Heal)
+        .expect("the partition is healed");
     assert_cli_reports_backends(&fleet);
     fleet.finish();
 }
@@ -102,7 +105,7 @@
         .args(["routes", "--json", "--socket"])
         .arg(fleet.servers.processes.socket(1))
         .output()
-        .expect("it runs");
+        .expect("the program runs");
     let report: serde_json::Value =
         serde_json::from_slice(&output.stdout).expect("one line, an object");
     let backends = report["backends"].as_array().expect("backends");
--- a/crates/server/tests/routes/support.rs
+++ b/crates/server/tests/routes/support.rs
@@ -124,7 +124,12 @@
 
     fn start_load(&mut self, server: usize) {
         let engine = self.servers.processes.engine(server).clone();
-        let address = self.servers.processes.server(server).expect("runs").address;
+        let address = self
+            .servers
+            .processes
+            .server(server)
+            .expect("the server runs")
+            .address;
         let is_loading = self.is_loading.clone();
         let load = Load {
             kinds: request_kinds(),
@@ -224,7 +229,7 @@
         self.is_loading.store(false, Ordering::Relaxed);
         let mut records = vec![];
         for load in self.loads {
-            let (sent, violations) = load.join().expect("loaded");
+            let (sent, violations) = load.join().expect("the load thread does not panic");
             assert!(violations.is_empty(), "{violations:?}");
             records.extend(sent);
         }
@@ -258,7 +263,9 @@
     }
     let mut servers = WatchedFleet { processes, monitor };
     for server in 0..SERVERS {
-        servers.act(&start_server(server)).expect("started");
+        servers
+            .act(&start_server(server))
+            .expect("the server starts");
     }
     servers.wait_while(CONDITION_TIMEOUT, |s| s.unmet(&Condition::Settled));
     servers
--- a/crates/server/tests/scenarios/player.rs
+++ b/crates/server/tests/scenarios/player.rs
@@ -91,7 +91,7 @@
     /// Returns a core at the start of a scenario. It is linked to its engine, and is fed at most `max_feed` bytes at
     /// once.
     pub(crate) fn new(max_feed: usize) -> ScenarioPlayer {
-        let settings = madderbay_settings::read(SETTINGS.as_bytes()).expect("settings");
+        let settings = madderbay_settings::read(SETTINGS.as_bytes()).expect("valid settings");
         let mut player = ScenarioPlayer {
             core: EventLoop::new(instant_at(0), 7, settings, MAX_CACHED_RESULTS_BYTES),
             now: instant_at(0),
@@ -175,7 +175,7 @@
 
     fn feed_client(&mut self, peer: &str, piece: &[u8]) {
         self.client(peer);
-        let client = self.clients.get_mut(peer).expect("known");
+        let client = self.clients.get_mut(peer).expect("a known client");
         client.is_read = client.is_read && client.session.feed(self.now, piece, &mut self.core);
     }
 
@@ -252,7 +252,7 @@
             if self.unwritable_peer.as_ref() == Some(&peer) {
                 continue;
             }
-            let text = String::from_utf8(outbox.take()).expect("text");
+            let text = String::from_utf8(outbox.take()).expect("valid UTF-8");
             let lines = self.sent.entry(peer).or_default();
             for line in text.lines() {
                 match line.strip_prefix("{\"msg\":\"STAT\",\"cookie\":\"") {
--- a/crates/server/tests/shared/counters.rs
+++ b/crates/server/tests/shared/counters.rs
@@ -66,13 +66,16 @@
             .map(|server| fleet.target(server))
             .map(|target| scope.spawn(|| send(target, &kinds, &plan).len()))
             .collect();
-        loads.into_iter().map(|l| l.join().expect("sent")).sum()
+        loads
+            .into_iter()
+            .map(|l| l.join().expect("the load thread does not panic"))
+            .sum()
     });
     assert!(sent > 60, "{sent}");
     wait_for_exact_counts(&mut fleet, sent);
     fleet
         .act(&Action::Cut(vec![vec![0, 1], vec![2]]))
-        .expect("cut");
+        .expect("the partition is applied");
     fleet.wait_while(COUNTER_TIMEOUT, |fleet| {
         let all = acme_counts(fleet);
         let is_exact = all.iter().any(|count| count.1 == 0.0);
--- a/crates/server/tests/shared/support.rs
+++ b/crates/server/tests/shared/support.rs
@@ -16,7 +16,7 @@
     /// Starts this many servers and waits until their views of the fleet agree.
     pub(crate) fn start(&mut self, servers: usize) {
         for server in 0..servers {
-            self.act(&start_server(server)).expect("started");
+            self.act(&start_server(server)).expect("the server starts");
         }
         self.wait_for(&Condition::Settled);
     }
@@ -30,7 +30,11 @@
     pub(crate) fn target(&self, server: usize) -> LoadTarget {
         LoadTarget {
             engine: self.processes.engine(server).clone(),
-            address: self.processes.server(server).expect("runs").address,
+            address: self
+                .processes
+                .server(server)
+                .expect("the server runs")
+                .address,
         }
     }
 }
--- a/crates/server/tests/wires.rs
+++ b/crates/server/tests/wires.rs
@@ -110,7 +110,7 @@
 fn accepts_only_valid_json() {
     let line =
         r#" {"a":1.250e1, "b" :"x\"\u00e9\ud83d\ude00\/", "c":[{},[null,true],-0.5], "a":7} "#;
-    let members = JsonObject::read(line).expect("an object");
+    let members = JsonObject::read(line).expect("a JSON object");
     assert_eq!(
         members.unsigned("a"),
         Some(7),
@@ -147,6 +147,6 @@
     ] {
         assert!(JsonObject::read(bad).is_none() && !is_value(bad), "{bad}");
     }
-    assert!(!is_value(&"[".repeat(100_000)), "nesting is bounded");
+    assert!(!is_value(&"[".repeat(100_000)), "nesting is unbounded");
     assert!(is_value("[1,2]") && JsonObject::read("[1,2]").is_none());
 }
