--- a/crates/server/tests/counters.rs
+++ b/crates/server/tests/counters.rs
@@ -1,4 +1,4 @@
-//! The counters' names, their order and their form: operators' pages and programs depend on them.
+//! Names, order and format of the counters. Operators' pages and programs depend on them.
 
 use madderbay::interface::{HandlerId, Outcome};
 use madderbay::time::Duration;
@@ -57,15 +57,15 @@
 counter reads.latest_ms 21
 ";
 
-/// Counts an event so many times.
+/// Calls `count` `times` times.
 fn repeat(times: u64, mut count: impl FnMut()) {
     for _ in 0..times {
         count();
     }
 }
 
-/// Counters that have counted each event another number of times, as far as the lines allow.
-fn counted() -> Counters {
+/// Returns counters that have counted each event a different number of times, as far as the lines allow.
+fn counters_with_events() -> Counters {
     let mut counters = Counters::new(&["quote".into(), "book".into()]);
     count_requests(&mut counters);
     count_runs(&mut counters);
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn counters_have_their_names_order_and_form() {
+fn counter_lines_have_expected_names_and_order() {
     let gauges = LoadGauges {
         open_requests: 101,
         requests_in_flight: 102,
@@ -151,11 +151,11 @@
         calls_in_flight: 104,
         keys: 105,
     };
-    assert_eq!(counted().lines(&gauges), EXPECTED);
+    assert_eq!(counters_with_events().lines(&gauges), EXPECTED);
 }
 
 #[test]
-fn counters_of_a_part_stand_under_its_name() {
+fn prefixes_counters_with_component_name() {
     let mut lines = Lines::of("routes");
     lines.add("firsts", 1);
     lines.add("again", u64::MAX);
--- a/crates/server/tests/durable_results/crash.rs
+++ b/crates/server/tests/durable_results/crash.rs
@@ -1,8 +1,9 @@
-//! Kills at many points: during recovery, and between intent, run, result, sync and answer.
+//! Kills of the program at many points: during recovery, and between the intent, the run, the result, the sync and the
+//! answer of a request.
 
 use super::support::{
-    LONG_WINDOW_MICROS, TestSetup, assert_nothing_runs, booking, completed, connect, kill,
-    start_process,
+    LONG_WINDOW_MICROS, TestSetup, assert_no_other_run, booking_request, completion_notice,
+    connect, kill, start_process,
 };
 use crate::program::program;
 use madderbay_testkit::engine::{Engine, HandlerWork};
@@ -10,66 +11,76 @@
 use std::io::BufRead;
 use std::time::Duration;
 
-/// Bodies of the keys that are booked, one for each, since the engine counts runs by them.
-const BODIES: [&str; 4] = ["QUJD", "QUJE", "QUJF", "QUJG"];
+/// Request bodies, one for each idempotency key. They differ because the engine counts runs by body.
+const REQUEST_BODIES: [&str; 4] = ["QUJD", "QUJE", "QUJF", "QUJG"];
 
-/// Killed again and again while it recovers, at whatever point that is, the program loses nothing.
+/// A program that is killed repeatedly during recovery, at any point, loses no result.
 #[test]
 fn loses_nothing_when_killed_during_recovery() {
     let setup = TestSetup::new(LONG_WINDOW_MICROS, "");
     let (server, mut engine, mut client) = setup.start_with_client();
     for (id, key) in [(1, "5"), (2, "6")] {
-        client.say(&booking(id, id, key, "QUJD"));
+        client.say(&booking_request(id, id, key, "QUJD"));
         assert!(engine.command().contains("\"RUN\""));
     }
-    engine.say(&completed(1, 1, "WFla"));
+    engine.say(&completion_notice(1, 1, "WFla"));
     assert!(client.line().contains("WFla"));
     kill(server, engine);
     kill_during_recoveries(&setup);
     let (_server, mut engine, mut client) = setup.start_with_client();
-    client.say(&booking(1, 11, "5", "QUJD"));
+    client.say(&booking_request(1, 11, "5", "QUJD"));
     assert!(client.line().contains("WFla"));
-    client.say(&booking(2, 12, "6", "QUJD"));
+    client.say(&booking_request(2, 12, "6", "QUJD"));
     assert!(client.line().contains("-32001"));
-    assert_nothing_runs(&mut engine, &mut client, 99);
+    assert_no_other_run(&mut engine, &mut client, 99);
 }
 
-/// Starts the program twelve times and kills it, each time a little later.
+/// Starts the program twelve times and kills it, each time half a millisecond later after its start.
 fn kill_during_recoveries(setup: &TestSetup) {
     let files = setup.write_files();
     for n in 0..12u64 {
         let mut command = madderbay_testkit::server::command(program(), Some(&files.config));
         command.arg("--operator").arg(&files.operator);
-        let mut process = start_process(|| command.spawn()).expect("it starts");
+        let mut process = start_process(|| command.spawn()).expect("the process starts");
         std::thread::sleep(Duration::from_micros(n * 500));
         process
             .kill()
             .and_then(|()| process.wait())
-            .expect("killed");
+            .expect("the process is killed");
     }
     files.remove();
-    // Some came as far as the engine: those links are dead.
-    setup.engine.set_nonblocking(true).expect("set");
+    // Some of the processes had connected to the engine; their links are dead.
+    setup
+        .engine
+        .set_nonblocking(true)
+        .expect("the option is set");
     while setup.engine.accept().is_ok() {}
-    setup.engine.set_nonblocking(false).expect("set");
+    setup
+        .engine
+        .set_nonblocking(false)
+        .expect("the option is set");
 }
 
-/// Killed at seeded moments while it books, then started again, with every key retried. The engine works by itself
-/// and counts runs.
+/// A program that is killed at random times while it books, and is then started again, runs each key at most once
+/// although every key is retried. The engine of this test completes runs by itself and counts them.
 #[test]
 fn runs_each_key_once_when_killed_at_any_moment() {
-    let mut chance = oorandom::Rand64::new(11);
+    let mut random = oorandom::Rand64::new(11);
     for history in 0..20u32 {
-        run_history(history, &mut chance);
+        run_killed_incarnations(history, &mut random);
     }
 }
 
-/// Three incarnations over one engine, of which the first two are killed.
-fn run_history(history: u32, chance: &mut oorandom::Rand64) {
+/// Runs three incarnations with one engine and kills the first two.
+fn run_killed_incarnations(history: u32, random: &mut oorandom::Rand64) {
     let mut setup = TestSetup::new(LONG_WINDOW_MICROS, "");
     let works = vec![HandlerWork::new("book", (1.0, 8.0), false)];
     let engine = Engine::start(4.0, works, u64::from(history));
-    let listener = setup.engine.local_addr().expect("an address").to_string();
+    let listener = setup
+        .engine
+        .local_addr()
+        .expect("a local address")
+        .to_string();
     setup.config = setup.config.replace(&listener, &engine.address.to_string());
     let mut completed = [false; 4];
     for incarnation in 0..3u32 {
@@ -79,7 +90,7 @@
         let first_attempt = history * 100 + incarnation * 10;
         send_bookings(&mut client, first_attempt);
         if incarnation < 2 {
-            std::thread::sleep(Duration::from_micros(chance.rand_range(0..20_000)));
+            std::thread::sleep(Duration::from_micros(random.rand_range(0..20_000)));
             server.signal("-KILL");
         }
         read_answers(&mut client, &mut completed, history);
@@ -91,15 +102,15 @@
     );
 }
 
-/// One attempt of each of the four keys.
+/// Sends one attempt of each of the four keys.
 fn send_bookings(client: &mut Peer, first_attempt: u32) {
-    for (n, body) in (0..).zip(BODIES) {
+    for (n, body) in (0..).zip(REQUEST_BODIES) {
         let key = format!("{}", n + 1);
-        client.say(&booking(n + 1, first_attempt + n, &key, body));
+        client.say(&booking_request(n + 1, first_attempt + n, &key, body));
     }
 }
 
-/// Reads up to four answers; a key that has completed before has its result again.
+/// Reads up to four answers. Asserts that a key that has completed before gets its result again.
 fn read_answers(client: &mut Peer, completed: &mut [bool; 4], history: u32) {
     for _ in 0..4 {
         let mut line = String::new();
@@ -114,7 +125,7 @@
         let known = &mut completed[id as usize - 1];
         assert!(
             has_result || !*known,
-            "history {history}: a key that has completed has no result: {line}"
+            "history {history}: no result for a key that has completed: {line}"
         );
         *known |= has_result;
     }
--- a/crates/server/tests/durable_results/support.rs
+++ b/crates/server/tests/durable_results/support.rs
@@ -1,4 +1,5 @@
-//! What the tests of durable results share: the program over one directory of results, and the lines exchanged.
+//! Support for the tests of durable results: the program with a directory of results, and the lines that it exchanges
+//! with its peers.
 
 use crate::common::SETTINGS;
 use crate::program::program;
@@ -10,14 +11,15 @@
 use std::sync::mpsc::Receiver;
 use std::sync::{PoisonError, RwLock};
 
-/// Window of an idempotency key that no test outlasts, in microseconds.
+/// Window of an idempotency key that is longer than any test, in microseconds.
 pub(crate) const LONG_WINDOW_MICROS: u64 = 30_000_000;
 
-/// Read while a process is started, and written while this process has a directory of results open: a process that is
-/// started meanwhile has the lock on the directory too, until it runs its own program.
+/// Locked for reading while a process is started, and for writing while this process has a directory of results open.
+/// Without this guard, a process that is started in the meantime would inherit the lock on the directory and hold it
+/// until it executes its own program.
 static OPEN_DIRECTORY: RwLock<()> = RwLock::new(());
 
-/// Starts a process while this one has no directory of results open.
+/// Starts a process while this process has no directory of results open.
 pub(crate) fn start_process<T>(start: impl FnOnce() -> T) -> T {
     let _guard = OPEN_DIRECTORY
         .read()
@@ -25,7 +27,7 @@
     start()
 }
 
-/// Uses a directory of results in this process while no other is started.
+/// Uses a directory of results in this process while no other process is being started.
 pub(crate) fn with_open_directory<T>(use_it: impl FnOnce() -> T) -> T {
     let _guard = OPEN_DIRECTORY
         .write()
@@ -33,28 +35,29 @@
     use_it()
 }
 
-/// A directory of results, an engine's listener, and the files to start the program with.
+/// A directory of results, the listener of the engine, and the files that the program is started with.
 pub(crate) struct TestSetup {
     pub directory: PathBuf,
-    /// Text of the operator file.
+    /// Contents of the operator file.
     pub operator: String,
-    /// Text of the configuration.
+    /// Contents of the configuration file.
     pub config: String,
     pub engine: TcpListener,
     _reports: Receiver<String>,
 }
 
 impl TestSetup {
-    /// An empty directory, with this window for idempotency keys and these further lines of its operator section.
+    /// Returns a setup with an empty directory, this window for idempotency keys, and further lines for the
+    /// `[kept-results]` section of the operator file.
     pub(crate) fn new(window_micros: u64, operator_lines: &str) -> TestSetup {
         let directory = write_config("");
-        std::fs::remove_file(&directory).expect("removed");
-        std::fs::create_dir(&directory).expect("made");
+        std::fs::remove_file(&directory).expect("the removal succeeds");
+        std::fs::create_dir(&directory).expect("the directory is created");
         let engine = loopback_listener();
         let (registry, reports) = registry::start();
-        let catalogue = loopback_listener().local_addr().expect("an address");
-        let others = Dependencies {
-            engine: engine.local_addr().expect("an address"),
+        let catalogue = loopback_listener().local_addr().expect("a local address");
+        let dependencies = Dependencies {
+            engine: engine.local_addr().expect("a local address"),
             registry,
             catalogue,
         };
@@ -66,7 +69,7 @@
             "[kept-results]\nenabled = on\ndirectory = {}\n{operator_lines}",
             directory.display()
         );
-        let config = configuration("127.0.0.1:0", others, 128, 800, &settings);
+        let config = configuration("127.0.0.1:0", dependencies, 128, 800, &settings);
         TestSetup {
             directory,
             operator,
@@ -76,7 +79,7 @@
         }
     }
 
-    /// Starts the program, links the engine and answers the first question for its gauges.
+    /// Starts the program, accepts its engine link and answers its first query of the gauges.
     pub(crate) fn start(&self) -> (Server, Peer) {
         let server = self.start_program();
         let mut engine = Peer::accept(&self.engine);
@@ -88,14 +91,14 @@
         (server, engine)
     }
 
-    /// The same with a connection of a load balancer.
+    /// Does the same as [`start`](Self::start), and opens a connection of a load balancer.
     pub(crate) fn start_with_client(&self) -> (Server, Peer, Peer) {
         let (server, engine) = self.start();
         let client = connect(&server);
         (server, engine, client)
     }
 
-    /// Starts the program alone.
+    /// Starts the program without accepting its engine link.
     pub(crate) fn start_program(&self) -> Server {
         start_process(|| Server::start(program(), &self.config, Some(&self.operator)))
     }
@@ -115,7 +118,7 @@
     }
 }
 
-/// The files of a program that a test starts by itself.
+/// The files of a program that a test starts itself.
 pub(crate) struct ConfigFiles {
     pub config: PathBuf,
     pub operator: PathBuf,
@@ -125,18 +128,18 @@
     /// Removes both files.
     pub(crate) fn remove(self) {
         for file in [self.config, self.operator] {
-            std::fs::remove_file(file).expect("removed");
+            std::fs::remove_file(file).expect("the removal succeeds");
         }
     }
 }
 
-/// A new connection of a load balancer.
+/// Opens a connection of a load balancer.
 pub(crate) fn connect(server: &Server) -> Peer {
-    Peer::new(TcpStream::connect(server.address).expect("a connection"))
+    Peer::new(TcpStream::connect(server.address).expect("the connection succeeds"))
 }
 
-/// The line of a request with an idempotency key.
-pub(crate) fn booking(id: u32, attempt: u32, key: &str, body: &str) -> String {
+/// Returns the line of a `book` request with an idempotency key.
+pub(crate) fn booking_request(id: u32, attempt: u32, key: &str, body: &str) -> String {
     let now = unix_ms();
     format!(
         "{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"book\",\"params\":{{\"ref\":\"{attempt:016x}\",\
@@ -145,8 +148,8 @@
     )
 }
 
-/// The engine's notice that a run has completed.
-pub(crate) fn completed(serial: u32, attempt: u32, blob: &str) -> String {
+/// Returns the engine's notice that a run has completed.
+pub(crate) fn completion_notice(serial: u32, attempt: u32, blob: &str) -> String {
     format!(
         "{{\"msg\":\"DONE\",\"serial\":{serial},\"call\":\"{attempt:016x}\",\"how\":\"good\",\"duration\":9,\
          \"blob\":\"{blob}\"}}\n"
@@ -155,24 +158,24 @@
 
 /// Runs and completes the first attempt of the key 5.
 pub(crate) fn complete_booking(client: &mut Peer, engine: &mut Peer) {
-    client.say(&booking(1, 1, "5", "QUJD"));
+    client.say(&booking_request(1, 1, "5", "QUJD"));
     assert!(
         engine
             .command()
             .contains("\"RUN\",\"call\":\"0000000000000001\"")
     );
-    engine.say(&completed(1, 1, "WFla"));
+    engine.say(&completion_notice(1, 1, "WFla"));
     assert!(client.line().contains("WFla"));
 }
 
-/// Kills a program whose engine loses its link with it.
+/// Kills a program and closes its engine link.
 pub(crate) fn kill(server: Server, engine: Peer) {
     server.signal("-KILL");
     drop((server, engine));
 }
 
-/// Asserts that nothing else is run: the next command, questions apart, is the run of a request sent now.
-pub(crate) fn assert_nothing_runs(engine: &mut Peer, client: &mut Peer, id: u32) {
+/// Asserts that no other request is run: the next command other than a query is the run of a request that is sent now.
+pub(crate) fn assert_no_other_run(engine: &mut Peer, client: &mut Peer, id: u32) {
     client.say(&format!(
         "{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"quote\",\"params\":{{\"ref\":\
                         \"{id:016x}\",\"since\":{},\"sender\":4,\"project\":\"acme\",\"allow\":8000,\
--- a/crates/server/tests/members/datagrams.rs
+++ b/crates/server/tests/members/datagrams.rs
@@ -1,8 +1,8 @@
-//! Rejected datagrams, and sockets where there is no fleet.
+//! Rejected datagrams, and the sockets of a server that is not in a fleet.
 
 use crate::machine::{StallMonitor, run_fleet_case};
 use crate::program::program;
-use crate::support::{lone_configuration, run_load, start_fleet};
+use crate::support::{run_load, standalone_configuration, start_fleet};
 use madderbay::time::Duration;
 use madderbay_testkit::fleet::script::{Condition, FleetSetup, Script, Step};
 use madderbay_testkit::server::Server;
@@ -10,15 +10,15 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration as StdDuration, Instant};
 
-/// Datagrams of a flood, more at least than this.
+/// A flood has more datagrams than this.
 const MIN_FLOOD: u64 = 10_000;
 /// Datagrams per second of a flood.
 const FLOOD_PER_SECOND: f64 = 10_000.0;
 /// Pause between two bursts of a flood.
 const FLOOD_PAUSE: StdDuration = StdDuration::from_micros(500);
 
-/// Sends what is no datagram of the fleet's to a server for as long as the flag is set, and until it is a flood;
-/// gives how many.
+/// Sends datagrams that are not of the fleet to a server while the flag is set, and until there are more than
+/// [`MIN_FLOOD`]. Returns how many were sent.
 fn flood(to: SocketAddr, is_on: &AtomicBool) -> u64 {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let (began, mut sent) = (Instant::now(), 0u64);
@@ -33,20 +33,23 @@
 }
 
 #[test]
-fn flood_of_foreign_datagrams_costs_no_answer_and_no_membership() {
-    run_fleet_case(answers_beside_flood);
+fn foreign_datagrams_affect_neither_answers_nor_membership() {
+    run_fleet_case(check_service_during_flood);
 }
 
-fn answers_beside_flood(monitor: &StallMonitor) {
+fn check_service_during_flood(monitor: &StallMonitor) {
     let mut fleet = start_fleet("servers 3\nstart all\nsettle 20s", monitor);
     let is_on = AtomicBool::new(true);
-    let flooded = fleet.processes.datagram_address(0).expect("it listens");
+    let flooded = fleet
+        .processes
+        .datagram_address(0)
+        .expect("the server listens for datagrams");
     let (sent, load) = std::thread::scope(|scope| {
         let flood = scope.spawn(|| flood(flooded, &is_on));
-        let address = fleet.processes.server(0).expect("it runs").address;
+        let address = fleet.processes.server(0).expect("the program runs").address;
         let load = run_load(address, fleet.processes.engine(0), 4, 11);
         is_on.store(false, Ordering::Relaxed);
-        (flood.join().expect("flooded"), load)
+        (flood.join().expect("the flood thread does not panic"), load)
     });
     assert!(
         sent > MIN_FLOOD && load.requests > 100,
@@ -59,26 +62,26 @@
         setup: FleetSetup::of(3),
         steps: vec![(0, settle)],
     };
-    script.play(&mut fleet).expect("settled");
+    script.play(&mut fleet).expect("the views agree");
 }
 
-/// Without the section nothing is opened and nothing is sent.
+/// Without an enabled `[members]` section, no datagram socket is opened, so that nothing is sent.
 #[test]
 fn opens_no_datagram_socket_without_members_section() {
-    let (text, _reports) = lone_configuration();
+    let (text, _reports) = standalone_configuration();
     let off = "[members]\nenabled = off\nlisten = 127.0.0.1:0\nadvertise = 127.0.0.1:1\n";
     for operator in [None, Some(off)] {
         let server = Server::start(program(), &text, operator);
         let open = |kind: &str| count_sockets(&server, kind);
         assert_eq!(open("udp") + open("udp6"), 0);
-        assert!(open("tcp") > 0, "its sockets are found");
+        assert!(open("tcp") > 0, "no TCP socket of the server is found");
     }
 }
 
-/// The sockets of one kind that a server has open.
+/// Returns the number of sockets of one kind, such as `udp`, that a server has open.
 fn count_sockets(server: &Server, kind: &str) -> usize {
     let table = std::fs::read_to_string(format!("/proc/{}/net/{kind}", server.pid()));
-    let table = table.expect("a table");
+    let table = table.expect("the table of sockets");
     let descriptors = std::fs::read_dir(format!("/proc/{}/fd", server.pid()));
     let targets: Vec<String> = descriptors
         .expect("descriptors")
--- a/crates/server/tests/members/shutdown.rs
+++ b/crates/server/tests/members/shutdown.rs
@@ -1,4 +1,4 @@
-//! What the others learn of a server that drains, and of one that is killed.
+//! What the other members learn about a server that drains, and about one that is killed.
 
 use crate::machine::run_fleet_case;
 use crate::support::start_fleet;
@@ -12,8 +12,8 @@
             "servers 3\nstart all\nsettle 20s\ndrain n3\nview all n3 left 10s\nsettle 10s",
             monitor,
         );
-        fleet.act(&Action::Kill(1)).expect("killed");
-        let script = Script::read("end", "servers 3\nview n1 n2 down 20s").expect("a script");
+        fleet.act(&Action::Kill(1)).expect("the process is killed");
+        let script = Script::read("end", "servers 3\nview n1 n2 down 20s").expect("a valid script");
         script.play(&mut fleet).expect("the kill is detected");
     });
 }
--- a/crates/server/tests/process/operator_file.rs
+++ b/crates/server/tests/process/operator_file.rs
@@ -1,34 +1,34 @@
-//! The complete operator file is checked before anything starts.
+//! The operator file is checked completely before anything starts.
 
 use crate::common::SETTINGS;
 use crate::program::program;
-use crate::support::{STOP_MS, all_at};
+use crate::support::{STOP_MS, dependencies_at};
 use madderbay_testkit::peer::loopback_listener;
 use madderbay_testkit::server::{command, configuration, write_config};
 
-/// Exit status of the program with these arguments, and the lines of its standard error.
+/// Runs the program with these arguments. Returns its exit status and the lines of its standard error.
 fn run_command(args: &[&str], config: Option<&str>) -> (i32, Vec<String>) {
     let path = config.map(write_config);
     let found = command(program(), path.as_deref())
         .args(args)
         .output()
-        .expect("it runs");
+        .expect("the program runs");
     path.iter()
-        .for_each(|p| std::fs::remove_file(p).expect("removed"));
-    let text = String::from_utf8(found.stderr).expect("text");
+        .for_each(|p| std::fs::remove_file(p).expect("the removal succeeds"));
+    let text = String::from_utf8(found.stderr).expect("valid UTF-8");
     (
-        found.status.code().expect("a status"),
+        found.status.code().expect("an exit status"),
         text.lines().map(str::to_string).collect(),
     )
 }
 
-/// Every fault of an operator file is reported, one a line, and nothing starts; with a configuration at hand its
-/// handlers are looked up too.
+/// Every error in an operator file is reported, one per line, and nothing starts. If there is a configuration, the
+/// handlers that the operator file names are checked against it.
 #[test]
 fn operator_file_is_checked_before_start() {
     let address = loopback_listener().local_addr().unwrap();
-    let others = all_at(address);
-    let config = configuration("127.0.0.1:0", others, 128, STOP_MS, SETTINGS);
+    let dependencies = dependencies_at(address);
+    let config = configuration("127.0.0.1:0", dependencies, 128, STOP_MS, SETTINGS);
     let file = write_config(
         "[pools]\nenabled = on\n[pool a]\nhandlers = quote, bock\n[reserve]\nhandlers = seek\n",
     );
@@ -54,10 +54,10 @@
         run_command(&["run", "--operator", name], Some(&config)),
         (2, wrong)
     );
-    std::fs::write(&file, "[pools]\nenabled = maybe\n[pols]\n").expect("written");
+    std::fs::write(&file, "[pools]\nenabled = maybe\n[pols]\n").expect("the write succeeds");
     let (status, lines) = run_command(&["check", name], None);
     assert_eq!((status, lines.len()), (2, 2), "{lines:?}");
-    std::fs::remove_file(&file).expect("removed");
+    std::fs::remove_file(&file).expect("the removal succeeds");
     let (status, lines) = run_command(&["check", name], None);
     assert!(
         status == 2 && lines.len() == 1 && lines[0].contains(name),
--- a/crates/server/tests/shared/counters.rs
+++ b/crates/server/tests/shared/counters.rs
@@ -1,9 +1,9 @@
-//! Counters that the fleet replicates, and the tenants' rates that are judged by them.
+//! Replicated counters of a fleet, and the tenant quotas that are judged by them.
 
 use crate::ample_capacity::settings;
 use crate::machine::{StallMonitor, run_fleet_case};
 use crate::program::program;
-use crate::support::{LoadPlan, is_completed, kind, send, send_while};
+use crate::support::{LoadPlan, is_completed, request_kind, send, send_while};
 use crate::watched_fleet::WatchedFleet;
 use madderbay::time::Duration;
 use madderbay_testkit::engine::HandlerWork;
@@ -13,29 +13,30 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration as StdDuration;
 
-/// Servers of the fleet whose counters are compared.
+/// Number of servers in the fleet whose counts are compared.
 const SERVERS: usize = 3;
-/// Longest wait for a change of the counters: shorter than their window.
+/// Longest wait for a change of the counters; shorter than the 15 s window of [`LONG_WINDOW_COUNTERS`].
 const COUNTER_TIMEOUT: Duration = Duration::from_millis(14_000);
-const COUNTERS: &str =
+const LONG_WINDOW_COUNTERS: &str =
     "[shared]\nenabled = on\n[count tenants]\nby = tenant\nwindow_s = 15\nmost = 100\n";
-/// The window of [`SHORT_COUNTERS`] in seconds.
+/// Window of [`SHORT_WINDOW_COUNTERS`], in seconds.
 const SHORT_WINDOW_S: f64 = 2.0;
-/// The rate that [`tenant_settings`] allows acme.
+/// Quota of the tenant acme in [`tenant_settings`], in requests per second.
 const ACME_PER_SECOND: f64 = 20.0;
-/// Upper bound on the load on the second server, which ends with that on the first.
+/// Upper bound on the length of the load on the second server, in seconds. The load ends with that on the first server.
 const MAX_LOAD_S: u64 = 60;
-const SHORT_COUNTERS: &str =
+const SHORT_WINDOW_COUNTERS: &str =
     "[shared]\nenabled = on\n[count tenants]\nby = tenant\nwindow_s = 2\nmost = 400\n";
 
-/// Each of three servers reports exactly what came to all; where one is cut off, the error bound says so.
+/// Each of three servers reports the exact number of requests that all of them received. Once a server is partitioned
+/// from the others, the counts have an error bound above zero.
 #[test]
 fn reports_counts_of_fleet_with_error_bounds() {
-    run_fleet_case(compares_counts);
+    run_fleet_case(compare_counts);
 }
 
-/// The value and the error bound of the tenant's count at each server; zeros where one does not answer.
-fn counts(fleet: &WatchedFleet) -> Vec<(f64, f64)> {
+/// Returns the value and the error bound of the count of acme at each server; zeros where a server does not answer.
+fn acme_counts(fleet: &WatchedFleet) -> Vec<(f64, f64)> {
     let count = |server| {
         fleet
             .processes
@@ -45,16 +46,16 @@
     (0..SERVERS).map(count).collect()
 }
 
-fn compares_counts(monitor: &StallMonitor) {
+fn compare_counts(monitor: &StallMonitor) {
     let works = [HandlerWork::new("quote", (1.0, 1.0), false)];
     let setup = FleetSetup::of(SERVERS);
     let mut fleet = WatchedFleet {
         processes: ProcessFleet::new(setup, program(), &settings(), &works, 7),
         monitor,
     };
-    fleet.processes.operator = COUNTERS.into();
+    fleet.processes.operator = LONG_WINDOW_COUNTERS.into();
     fleet.start(SERVERS);
-    let kinds = [kind("quote", 1.0, false, "acme")];
+    let kinds = [request_kind("quote", 1.0, false, "acme")];
     let plan = LoadPlan {
         per_second: 40.0,
         seconds: 1,
@@ -65,24 +66,27 @@
             .map(|server| fleet.target(server))
             .map(|target| scope.spawn(|| send(target, &kinds, &plan).len()))
             .collect();
-        loads.into_iter().map(|l| l.join().expect("sent")).sum()
+        loads
+            .into_iter()
+            .map(|l| l.join().expect("the load thread does not panic"))
+            .sum()
     });
     assert!(sent > 60, "{sent}");
     wait_for_exact_counts(&mut fleet, sent);
     fleet
         .act(&Action::Cut(vec![vec![0, 1], vec![2]]))
-        .expect("cut");
+        .expect("the partition is applied");
     fleet.wait_while(COUNTER_TIMEOUT, |fleet| {
-        let all = counts(fleet);
+        let all = acme_counts(fleet);
         let is_exact = all.iter().any(|count| count.1 == 0.0);
         is_exact.then(|| format!("{all:?}"))
     });
 }
 
-/// Waits until every server reports exactly `sent`; none may claim more in the meantime.
+/// Waits until every server reports exactly `sent`. Asserts that no server claims more in the meantime.
 fn wait_for_exact_counts(fleet: &mut WatchedFleet, sent: usize) {
     fleet.wait_while(COUNTER_TIMEOUT, |fleet| {
-        let all = counts(fleet);
+        let all = acme_counts(fleet);
         for (value, bound) in &all {
             assert!(
                 value - bound <= sent as f64,
@@ -94,12 +98,13 @@
     });
 }
 
-/// A tenant that uses up its rate at one server has less weight at another, which alone sees it well within the rate.
+/// A tenant that uses up its quota at one server has less weight at another server, which received far fewer of its
+/// requests than the quota allows.
 #[test]
-fn tenant_rate_holds_for_whole_fleet() {
+fn tenant_quota_applies_to_whole_fleet() {
     run_fleet_case(|monitor| {
-        let alone = crowd_first_server(false, monitor);
-        let shared = crowd_first_server(true, monitor);
+        let alone = overload_first_server(false, monitor);
+        let shared = overload_first_server(true, monitor);
         let (acme, zenith) = (alone.acme.fraction, alone.zenith.fraction);
         assert!(
             zenith < 0.95 && acme > zenith - 0.2,
@@ -117,10 +122,10 @@
     });
 }
 
-/// What became of a tenant's requests at the crowded server.
+/// Outcome of a tenant's requests at the overloaded server.
 struct TenantOutcome {
     requests: usize,
-    /// Of these, completed.
+    /// Fraction of the requests that were completed.
     fraction: f64,
 }
 
@@ -129,8 +134,9 @@
     zenith: TenantOutcome,
 }
 
-/// Two servers; acme uses up its rate at the second and sends a few requests to the first, which zenith crowds.
-fn crowd_first_server(with_counters: bool, monitor: &StallMonitor) -> TenantOutcomes {
+/// Runs two servers. The tenant acme uses up its quota at the second server and sends a few requests to the first
+/// server, which zenith overloads.
+fn overload_first_server(with_counters: bool, monitor: &StallMonitor) -> TenantOutcomes {
     let works = [HandlerWork::new("quote", (20.0, 20.0), false)];
     let setup = FleetSetup::of(2);
     let mut fleet = WatchedFleet {
@@ -138,13 +144,13 @@
         monitor,
     };
     if with_counters {
-        fleet.processes.operator = SHORT_COUNTERS.into();
+        fleet.processes.operator = SHORT_WINDOW_COUNTERS.into();
     }
     fleet.start(2);
-    let acme = [kind("quote", 1.0, false, "acme")];
-    let crowd = [
-        kind("quote", 8.0, false, "acme"),
-        kind("quote", 132.0, false, "zenith"),
+    let acme = [request_kind("quote", 1.0, false, "acme")];
+    let overload = [
+        request_kind("quote", 8.0, false, "acme"),
+        request_kind("quote", 132.0, false, "zenith"),
     ];
     let plan = |per_second, seconds| LoadPlan {
         per_second,
@@ -159,21 +165,20 @@
         let steady = plan(40.0, MAX_LOAD_S);
         scope.spawn(move || send_while(other, acme, &steady, is_loading));
         if with_counters {
-            wait_until_acme_is_over_its_rate(&mut fleet);
+            wait_until_acme_exceeds_its_quota(&mut fleet);
         }
-        let records = send(fleet.target(0), &crowd, &plan(140.0, 12));
+        let records = send(fleet.target(0), &overload, &plan(140.0, 12));
         is_on.store(false, Ordering::Relaxed);
         records
     });
     TenantOutcomes {
-        acme: outcome(&records, KindId::new(0)),
-        zenith: outcome(&records, KindId::new(1)),
+        acme: tenant_outcome(&records, KindId::new(0)),
+        zenith: tenant_outcome(&records, KindId::new(1)),
     }
 }
 
-/// Waits until the second server, to which acme's requests come, has counted more of them than the rate of the fleet
-/// allows within a window.
-fn wait_until_acme_is_over_its_rate(fleet: &mut WatchedFleet) {
+/// Waits until the second server has counted more requests of acme than the quota allows within a window.
+fn wait_until_acme_exceeds_its_quota(fleet: &mut WatchedFleet) {
     fleet.wait_while(COUNTER_TIMEOUT, |fleet| {
         let counted = fleet.processes.counter(1, "acme").unwrap_or_default().0;
         let is_within = counted <= ACME_PER_SECOND * SHORT_WINDOW_S;
@@ -181,9 +186,9 @@
     });
 }
 
-/// What became of the requests of one kind from the fourth second on: a window has passed by then, and all counts
-/// have spread.
-fn outcome(records: &[RequestRecord], kind: KindId) -> TenantOutcome {
+/// Returns the outcome of the requests of one kind that were sent after the first four seconds. By then a window has
+/// passed, and all counts have been disseminated.
+fn tenant_outcome(records: &[RequestRecord], kind: KindId) -> TenantOutcome {
     const SPREAD: StdDuration = StdDuration::from_secs(4);
     let is_late = |r: &&RequestRecord| r.kind == kind && r.sent > SPREAD;
     let late: Vec<&RequestRecord> = records.iter().filter(is_late).collect();
