--- a/crates/testkit/examples/soak/main.rs
+++ b/crates/testkit/examples/soak/main.rs
@@ -15,7 +15,7 @@
 
 /// Number of plays that run in parallel: few enough that servers, fakes and clients find a free
 /// core.
-const PLAYS_IN_PARALLEL: usize = 4;
+const PARALLEL_SOAK_RUNS: usize = 4;
 /// Maximum number of violations that are printed for one play.
 const MAX_PRINTED: usize = 5;
 
@@ -31,13 +31,13 @@
         return ExitCode::from(2);
     };
     let program = &arguments.program;
-    let plays = run_seeds(arguments.seeds, PLAYS_IN_PARALLEL, |seed| {
+    let results = run_seeds(arguments.seeds, PARALLEL_SOAK_RUNS, |seed| {
         let found = violations(&play(program, &Plan::draw(seed)));
-        print_play(seed, program, &found);
+        print_soak_run(seed, program, &found);
         found
     });
-    print_summary(&plays);
-    let is_clean = plays.iter().all(Vec::is_empty);
+    print_summary(&results);
+    let is_clean = results.iter().all(Vec::is_empty);
     ExitCode::from(u8::from(!is_clean))
 }
 
@@ -62,7 +62,7 @@
 }
 
 /// Prints the violations of one play, and the command that repeats the play if there are any.
-fn print_play(seed: u64, program: &Path, found: &[Violation]) {
+fn print_soak_run(seed: u64, program: &Path, found: &[Violation]) {
     println!("seed {seed}: {} violations", found.len());
     for violation in found.iter().take(MAX_PRINTED) {
         println!("  {violation}");
@@ -76,18 +76,18 @@
 }
 
 /// Prints how many plays broke each rule.
-fn print_summary(plays: &[Vec<Violation>]) {
+fn print_summary(results: &[Vec<Violation>]) {
     let mut by_rule: BTreeMap<&str, usize> = BTreeMap::new();
-    for play in plays {
-        let mut rules: Vec<&str> = play.iter().map(|violation| violation.rule).collect();
+    for found in results {
+        let mut rules: Vec<&str> = found.iter().map(|violation| violation.rule).collect();
         rules.sort_unstable();
         rules.dedup();
         for rule in rules {
             *by_rule.entry(rule).or_default() += 1;
         }
     }
-    let clean = plays.iter().filter(|play| play.is_empty()).count();
-    println!("{} plays, {clean} clean", plays.len());
+    let clean = results.iter().filter(|found| found.is_empty()).count();
+    println!("{} plays, {clean} clean", results.len());
     for (rule, count) in by_rule {
         println!("  {count} plays broke: {rule}");
     }
--- a/crates/testkit/src/soak/player.rs
+++ b/crates/testkit/src/soak/player.rs
@@ -73,15 +73,15 @@
     server.log_at("engine: up");
     let log = server.follow();
     let mut lines = vec![];
-    let mut run = Playback::new(plan, &server, &engine, &text);
+    let mut soak_run = SoakRun::new(plan, &server, &engine, &text);
     let (before, after) = plan.steps_around_fault_free_end();
-    run.play_steps(before, plan.fault_free_end);
-    run.await_answers();
+    soak_run.execute_steps(before, plan.fault_free_end);
+    soak_run.await_answers();
     let counters = read_counters(&server, &log, &mut lines);
-    run.resume_plan_at(plan.fault_free_end);
-    run.play_steps(after, plan.kill);
-    run.receive_last_answers();
-    let requests = run.clients.into_requests();
+    soak_run.resume_plan_at(plan.fault_free_end);
+    soak_run.execute_steps(after, plan.kill);
+    soak_run.receive_last_answers();
+    let requests = soak_run.clients.into_requests();
     let status = server.ended_within(Duration::ZERO);
     let engine = engine.stats();
     drop(server);
@@ -105,7 +105,7 @@
 }
 
 /// State of a play in progress.
-struct Playback<'a> {
+struct SoakRun<'a> {
     server: &'a Server,
     engine: &'a Engine,
     /// The configuration that the server was started with.
@@ -118,15 +118,15 @@
     withdrawals: BTreeSet<(Duration, usize)>,
 }
 
-impl<'a> Playback<'a> {
+impl<'a> SoakRun<'a> {
     fn new(
         plan: &Plan,
         server: &'a Server,
         engine: &'a Engine,
         configuration: &'a str,
-    ) -> Playback<'a> {
+    ) -> SoakRun<'a> {
         let began = Instant::now();
-        Playback {
+        SoakRun {
             server,
             engine,
             configuration,
@@ -138,10 +138,10 @@
     }
 
     /// Plays each step at its time, then waits until `end`.
-    fn play_steps(&mut self, steps: &[TimedStep], end: Duration) {
+    fn execute_steps(&mut self, steps: &[TimedStep], end: Duration) {
         for timed in steps {
             self.wait_until(timed.at + self.plan_delay);
-            self.play_step(timed.step);
+            self.execute_step(timed.step);
         }
         self.wait_until(end + self.plan_delay);
     }
@@ -174,7 +174,7 @@
         self.server.try_signal(name);
     }
 
-    fn play_step(&mut self, step: Step) {
+    fn execute_step(&mut self, step: Step) {
         match step {
             Step::Send(request) => {
                 let number = self.clients.send(request);
--- a/crates/testkit/src/soak/violations.rs
+++ b/crates/testkit/src/soak/violations.rs
@@ -34,25 +34,25 @@
 }
 
 /// Returns all violations in a play.
-pub fn violations(play: &PlayRecord) -> Vec<Violation> {
+pub fn violations(record: &PlayRecord) -> Vec<Violation> {
     let mut found = vec![];
-    for request in &play.requests {
-        let broken = broken_rules(play, request);
-        let what = || describe(play, request);
+    for request in &record.requests {
+        let broken = broken_rules(record, request);
+        let what = || describe(record, request);
         found.extend(
             broken
                 .into_iter()
                 .map(|rule| Violation { rule, what: what() }),
         );
     }
-    if play.exit_status != Some(0) {
+    if record.exit_status != Some(0) {
         found.push(Violation {
             rule: "the server exits by itself, with status 0, before the kill",
-            what: format!("exit status {:?}", play.exit_status),
+            what: format!("exit status {:?}", record.exit_status),
         });
     }
     for name in ZERO_WHEN_IDLE {
-        let value = play.counters.get(name);
+        let value = record.counters.get(name);
         if value != Some(&0) {
             found.push(Violation {
                 rule: "nothing is in flight when the server is idle",
@@ -64,8 +64,8 @@
 }
 
 /// Returns the rules that the server broke for a request.
-fn broken_rules(play: &PlayRecord, request: &SentRequest) -> Vec<&'static str> {
-    let events = events_of(play, request);
+fn broken_rules(record: &PlayRecord, request: &SentRequest) -> Vec<&'static str> {
+    let events = events_of(record, request);
     let mut broken = vec![];
     let is_answered = !request.answers.is_empty();
     if !is_answered && request.withdrawn.is_none() && !crossed_connection_close(request) {
@@ -88,7 +88,12 @@
     {
         broken.push("a served answer is the result of a run");
     }
-    let runs = play.engine.bodies.get(&request.body).copied().unwrap_or(0);
+    let runs = record
+        .engine
+        .bodies
+        .get(&request.body)
+        .copied()
+        .unwrap_or(0);
     if runs > 1 && request.planned.handler == IDEMPOTENCY_KEY_HANDLER {
         broken.push("no request runs twice within its repeat window");
     }
@@ -132,16 +137,17 @@
     was_sent("HALT") && !was_sent("RUN")
 }
 
-fn events_of<'a>(play: &'a PlayRecord, request: &SentRequest) -> &'a [RunEvent] {
-    play.engine
+fn events_of<'a>(record: &'a PlayRecord, request: &SentRequest) -> &'a [RunEvent] {
+    record
+        .engine
         .runs
         .get(&request.name)
         .map_or(&[], Vec::as_slice)
 }
 
 /// Describes in one line what happened to a request.
-fn describe(play: &PlayRecord, request: &SentRequest) -> String {
-    let events: Vec<String> = events_of(play, request)
+fn describe(record: &PlayRecord, request: &SentRequest) -> String {
+    let events: Vec<String> = events_of(record, request)
         .iter()
         .map(|event| format!("{} at {} ms", event.kind, event.at.as_millis()))
         .collect();
@@ -163,12 +169,12 @@
         request.sent.as_millis(),
         answers.join(", "),
         events.join(", "),
-        log_lines(play, request).join("; "),
+        log_lines(record, request).join("; "),
     )
 }
 
 /// Returns the lines of the server's log that contain the name of the request's attempt.
-fn log_lines<'a>(play: &'a PlayRecord, request: &SentRequest) -> Vec<&'a str> {
-    let lines = play.log.iter().map(String::as_str);
+fn log_lines<'a>(record: &'a PlayRecord, request: &SentRequest) -> Vec<&'a str> {
+    let lines = record.log.iter().map(String::as_str);
     lines.filter(|line| line.contains(&request.name)).collect()
 }
