--- a/crates/testkit/examples/durable_results/main.rs
+++ b/crates/testkit/examples/durable_results/main.rs
@@ -3,9 +3,9 @@
 //!     cargo build --release && cargo run --release -p madderbay-testkit --example durable_results [HISTORIES]
 //!
 //! The first part is the cost: response times, writes and processor time at several rates, and the
-//! time of a recovery. The second part plays histories: a server is killed at a random moment while
-//! it handles bookings, restarted, and sent each request again. A booking is a run in the engine,
-//! and no request may be booked twice.
+//! time of a recovery. The second part executes histories: in each, a server is killed at a random
+//! moment while it handles bookings, restarted, and sent each request again. A booking is a run in
+//! the engine, and no request may be booked twice.
 
 mod cost;
 mod histories;
--- a/crates/testkit/examples/soak/main.rs
+++ b/crates/testkit/examples/soak/main.rs
@@ -1,4 +1,4 @@
-//! Runs the real program under faults drawn from a seed:
+//! Runs soak tests of the real program. Each seed determines the load, faults and signals of one soak run:
 //!
 //!     cargo build --release && cargo run --release -p madderbay-testkit --example soak -- SEEDS [PROGRAM]
 //!
@@ -13,10 +13,10 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Number of plays that run in parallel: few enough that servers, fakes and clients find a free
-/// core.
+/// Number of soak runs that are executed in parallel: few enough that servers, fakes and clients
+/// find a free core.
 const PARALLEL_SOAK_RUNS: usize = 4;
-/// Maximum number of violations that are printed for one play.
+/// Maximum number of violations that are printed for one soak run.
 const MAX_PRINTED: usize = 5;
 
 /// Arguments of the command line.
@@ -61,7 +61,7 @@
     (!seeds.is_empty()).then_some(seeds)
 }
 
-/// Prints the violations of one play, and the command that repeats the play if there are any.
+/// Prints the violations of one soak run and, if there are any, the command that repeats it.
 fn print_soak_run(seed: u64, program: &Path, found: &[Violation]) {
     println!("seed {seed}: {} violations", found.len());
     for violation in found.iter().take(MAX_PRINTED) {
@@ -75,7 +75,7 @@
     }
 }
 
-/// Prints how many plays broke each rule.
+/// Prints how many soak runs there were, how many had no violations, and how many broke each rule.
 fn print_summary(results: &[Vec<Violation>]) {
     let mut by_rule: BTreeMap<&str, usize> = BTreeMap::new();
     for found in results {
--- a/crates/testkit/src/fleet/script/mod.rs
+++ b/crates/testkit/src/fleet/script/mod.rs
@@ -2,7 +2,7 @@
 //! within a time limit.
 //!
 //! [`Script::read`](crate::fleet::script::Script::read) parses a script;
-//! [`Script::play`](crate::fleet::script::Script::play) plays it on any
+//! [`Script::play`](crate::fleet::script::Script::play) executes it on any
 //! [`Fleet`](crate::fleet::script::Fleet). On real processes a script never sleeps for a fixed
 //! time: it waits for conditions, each of which has a time limit, its term.
 //!
@@ -22,7 +22,7 @@
 //! | TERM | the time limit of a condition, a TIME |
 //! | FRACTION | a number from 0 to 1 |
 //! | N | a whole number |
-//! | STATE | `joining`, `alive`, `suspect`, `draining`, `down`, `left`, or `unknown` if the view must not contain the member |
+//! | STATE | `joining`, `alive`, `suspect`, `draining`, `down`, `left`, or `unknown` for a member that the view must not contain |
 //!
 //! Setup lines apply to the lines below them:
 //!
@@ -54,7 +54,7 @@
 //! | `start SERVERS [name=SERVER] [clock=[-]TIME]` | starts servers, optionally under the name of another server, and with a Unix clock ahead of the true time (behind it with `-`) |
 //! | `kill SERVERS` | SIGKILL |
 //! | `stop SERVERS`, `continue SERVERS` | SIGSTOP, SIGCONT |
-//! | `drain SERVERS` | SIGTERM: each drains, leaves the fleet and exits |
+//! | `drain SERVERS` | SIGTERM: each server drains, leaves the fleet and exits |
 //! | <code>partition SERVERS &#124; SERVERS ...</code> | partitions the network into these groups |
 //! | `oneway SERVER > SERVERS` | drops all datagrams from the first server to the others |
 //! | `heal` | ends all partitions, including one-way ones |
@@ -64,22 +64,23 @@
 //! | `delay TIME TIME` | delays each datagram by a random time between these two |
 //! | `calm` | ends loss, duplication, corruption and delay |
 //! | `replay SERVER` | sends the retained datagrams of a server to it again |
-//! | `demand SERVERS N` | sets the demand of each to N concurrent calls |
+//! | `demand SERVERS N` | sets the demand of each server to N concurrent calls |
 //! | `capacity SERVERS N` | sets the capacity of the quota to N in the settings of each server, which reloads them |
-//! | `peak N` | fails if more than N calls were in flight at any time since the last such line |
+//! | `peak N` | fails if more than N calls were in flight at any time since the previous `peak` line |
 //! | `for TIME` | simulated fleets only: advances the time |
 //! | `downs N` | simulated fleets only: fails if more than N servers were declared down although they ran and were connected |
 //!
-//! For a condition the script waits until it holds:
+//! A condition makes the script wait until it holds. The script fails if the condition does not
+//! hold within its time limit:
 //!
 //! | line | meaning |
 //! | --- | --- |
 //! | `settle TERM` | each running server has exactly the connected servers as members, none joining or suspect, and their views have the same digest |
 //! | `view GROUP SERVER STATE TERM` | the server has this state in the views of the group |
-//! | `connectivity GROUP WORD TERM` | each reports the connectivity `complete`, `partial` or `isolated` |
-//! | `quota-at-least GROUP N TERM` | each may use at least N calls of the quota |
-//! | `quota-at-most GROUP N TERM` | each may use at most N calls of the quota |
-//! | `in-flight-at-least SERVERS N TERM` | together they have at least N calls in flight |
+//! | `connectivity GROUP WORD TERM` | each server reports the connectivity `complete`, `partial` or `isolated` |
+//! | `quota-at-least GROUP N TERM` | each server may use at least N calls of the quota |
+//! | `quota-at-most GROUP N TERM` | each server may use at most N calls of the quota |
+//! | `in-flight-at-least SERVERS N TERM` | the servers together have at least N calls in flight |
 //!
 //! ```
 //! use madderbay_testkit::fleet::script::Script;
--- a/crates/testkit/src/fleet/script/setup.rs
+++ b/crates/testkit/src/fleet/script/setup.rs
@@ -1,8 +1,8 @@
-//! Setup of a fleet before a script plays: its servers, their timing, and a quota of calls.
+//! Setup of a fleet before a script is executed: its servers, their timing, and a quota of calls.
 
 use madderbay::time::Duration;
 
-/// Zone of the servers that a script does not put into another one.
+/// Zone of the servers that a script does not assign to another zone.
 const DEFAULT_ZONE: &str = "north";
 
 /// A quota that limits the calls in flight in the whole fleet, and the duration of these calls.
--- a/crates/testkit/src/fleet/simulated/scripts.rs
+++ b/crates/testkit/src/fleet/simulated/scripts.rs
@@ -4,9 +4,9 @@
 use crate::fleet::script::load_scripts;
 use std::path::Path;
 
-/// Plays each script of a folder with each seed from 0 to `seeds - 1`. Returns the number of
-/// scripts and one line for each play that failed. If the folder has only one script, or
-/// `FLEET_SCRIPT` selects only one, also prints the log of the first play that failed.
+/// Executes each script of a folder with each seed from 0 to `seeds - 1`. Returns the number of
+/// scripts and one line for each script run that failed. If the folder has only one script, or
+/// `FLEET_SCRIPT` selects only one, also prints the log of the first script run that failed.
 ///
 /// # Panics
 ///
--- a/crates/testkit/src/soak/clients.rs
+++ b/crates/testkit/src/soak/clients.rs
@@ -1,4 +1,4 @@
-//! The clients of a play. They send requests over a small number of connections, withdraw some of them, and record
+//! The clients of a soak run. They send requests over a small number of connections, withdraw some of them, and record
 //! every answer.
 
 use super::plan::{HANDLERS, IDEMPOTENCY_KEY_HANDLER, PlannedRequest};
@@ -12,13 +12,13 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-/// Time for which a client waits for an answer, in milliseconds. Each request carries it.
+/// Time for which a client waits for an answer, in milliseconds. Each request contains this timeout.
 pub(super) const TIMEOUT_MS: u64 = 3_000;
 /// Maximum number of requests in flight on one connection, set by the protocol.
 const MAX_IN_FLIGHT_PER_CONNECTION: usize = 32;
 /// A new connection is opened when every connection has at least this many requests in flight.
 const NEW_CONNECTION_THRESHOLD: usize = 8;
-/// Maximum number of connections over a play.
+/// Maximum number of connections that are opened during a soak run.
 const MAX_CONNECTIONS: usize = 100;
 /// Error code of a request that was rejected and never ran.
 const REJECTED: i64 = -32002;
@@ -43,13 +43,13 @@
     pub name: String,
     /// Body in base64, unique to this request.
     pub body: String,
-    /// Time of sending, since the beginning of the play.
+    /// Time of sending, since the beginning of the soak run.
     pub sent: Duration,
-    /// Time at which the client withdrew the request, that is, stopped waiting for it.
+    /// Time at which the client withdrew the request, that is, stopped waiting for its answer.
     pub withdrawn: Option<Duration>,
-    /// All answers with their times since the beginning of the play.
+    /// All answers with their times since the beginning of the soak run.
     pub answers: Vec<(ClientAnswer, Duration)>,
-    /// Time at which the connection ended, if there was no answer until then.
+    /// Time at which the connection ended, if the request had no answer by then.
     pub disconnected: Option<Duration>,
 }
 
@@ -77,7 +77,7 @@
     id: u64,
 }
 
-/// The clients of one server.
+/// The clients of the server under test.
 pub(super) struct Clients {
     server: SocketAddr,
     seed: u64,
@@ -154,7 +154,7 @@
         let _ = connection.stream.write_all(line.as_bytes());
     }
 
-    /// Reads answers for this duration.
+    /// Receives answers and the ends of connections for this duration.
     pub(super) fn receive(&mut self, wait: Duration) {
         let until = Instant::now() + wait;
         loop {
@@ -230,7 +230,7 @@
         Some(index)
     }
 
-    /// Handles a line, or the end of a connection. Lines that are not JSON are ignored, as are messages without the id
+    /// Handles a received line or the end of a connection. Ignores lines that are not JSON, and messages without the id
     /// of a request.
     fn handle_received(&mut self, received: &Received) {
         let connection = received.connection;
@@ -280,7 +280,7 @@
     )
 }
 
-/// Passes on each line of a connection, then its end.
+/// Reads the lines of a connection and sends each to the channel, followed by the end of the connection.
 fn read_lines(connection: usize, stream: TcpStream, sender: &Sender<Received>) {
     let lines = BufReader::new(stream).lines().map_while(Result::ok);
     for line in lines.map(Some).chain([None]) {
@@ -296,7 +296,7 @@
     }
 }
 
-/// Parses a response into an answer.
+/// Converts a response message to an answer.
 fn parse_answer(message: &Value) -> ClientAnswer {
     let error = &message["error"];
     match error["code"].as_i64() {
--- a/crates/testkit/src/soak/mod.rs
+++ b/crates/testkit/src/soak/mod.rs
@@ -1,10 +1,11 @@
-//! Soak tests: plays of one real server under load and faults that a seed determines.
+//! Soak tests. A soak run exposes one real server to the load, faults and signals of one plan, which is drawn from a
+//! seed.
 //!
-//! [`Plan::draw`](crate::soak::Plan::draw) draws the requests, faults and signals of a play.
-//! [`play`](crate::soak::play) runs the plan against the server and records what happened to each request.
+//! [`Plan::draw`](crate::soak::Plan::draw) draws the requests, faults and signals of a soak run.
+//! [`play`](crate::soak::play) executes the plan against the server and records what happened to each request.
 //! [`violations`](crate::soak::violations()) returns the rules that the server broke. The same seed always gives the
-//! same plan, but the exact timing on the machine differs from play to play. `docs/notes/soak.md` describes what is drawn,
-//! what is checked, and what a play cannot detect.
+//! same plan, but the exact timing on the machine differs between soak runs. `docs/notes/soak.md` describes what is
+//! drawn, what is checked, and what a soak run cannot detect.
 
 mod clients;
 mod plan;
--- a/crates/testkit/src/soak/plan.rs
+++ b/crates/testkit/src/soak/plan.rs
@@ -1,43 +1,43 @@
-//! The plan of a play: requests, faults and signals with their times, drawn from a seed. A play has three phases: one
-//! with faults, one without, and a shutdown under load.
+//! The plan of a soak run: requests, faults and signals with their times, drawn from a seed. A soak run has three
+//! phases: one with faults, one without faults, and a shutdown under load.
 
 use oorandom::Rand64;
 use std::time::Duration;
 
 /// Length of the phase with faults.
 const FAULT_PHASE: Duration = Duration::from_secs(5);
-/// Time after the faults in which nothing is sent, so that running requests can end.
+/// Time after the phase with faults in which no requests are sent, so that the requests in flight can end.
 const QUIET_PERIOD: Duration = Duration::from_millis(1_500);
-/// Length of the phase without faults that follows, in which the server must serve every request.
+/// Length of the phase without faults, which follows the quiet period. The server must serve every request in it.
 const FAULT_FREE_PHASE: Duration = Duration::from_secs(4);
-/// Interval between two requests for one handler in the phase without faults.
+/// Interval between two requests for the same handler in the phase without faults.
 const FAULT_FREE_INTERVAL: Duration = Duration::from_secs(1);
-/// Time from the beginning of the play, and of its load, to the first fault.
+/// Time from the beginning of the soak run, when its load also begins, to the first fault.
 const WARM_UP: Duration = Duration::from_millis(300);
 /// Minimum and maximum rate of the requests, in requests per second.
 const REQUEST_RATES: (f64, f64) = (120.0, 240.0);
-/// Maximum fraction of the requests whose clients withdraw them, that is, stop waiting for the answer.
+/// Maximum fraction of the requests that are withdrawn: their clients stop waiting for the answer.
 const MAX_WITHDRAWN_FRACTION: f64 = 0.6;
 /// Maximum time after which a client withdraws its request.
 const MAX_WITHDRAWAL_DELAY: Duration = Duration::from_millis(60);
-/// Mean number of times per second that the link to the engine is broken.
+/// Mean rate at which the link between the server and the engine is broken, in breaks per second.
 const LINK_BREAKS_PER_SECOND: f64 = 8.0;
 /// Probability that the engine stops reading for a while before a break.
 const UNREAD_BREAK_FRACTION: f64 = 0.6;
 /// Maximum time for which the engine does not read before a break.
 const MAX_UNREAD_TIME: Duration = Duration::from_millis(40);
 
-/// Probability that a play hangs all runs that are in progress at one point in time, so that they never end.
+/// Probability that a plan has a time at which all engine runs in progress hang, so that they never end.
 const HUNG_RUNS_PROBABILITY: f64 = 0.34;
-/// Earliest and latest time at which the runs hang, in seconds. It is so early that their waiting clients are answered
-/// before the phase without faults.
+/// Earliest and latest time at which the engine runs hang, in seconds. The latest time is early enough that the clients
+/// waiting for these runs are answered before the phase without faults.
 const HANG_TIME_SECS: (f64, f64) = (0.5, 1.5);
 
 /// Time from SIGTERM to SIGKILL, in milliseconds. The server's configuration has the same value.
 pub(super) const SHUTDOWN_MS: u64 = 1_500;
 /// Time for which load runs before SIGTERM. The load then continues until SIGKILL.
 const LOAD_BEFORE_SHUTDOWN: Duration = Duration::from_millis(500);
-/// Probability that a play has a surge of load around the shutdown.
+/// Probability that a plan has a surge of load around the shutdown.
 const SURGE_PROBABILITY: f64 = 0.34;
 /// Rate of the requests in a surge, in requests per second.
 const SURGE_RATE: f64 = 900.0;
@@ -69,15 +69,15 @@
 pub enum Step {
     /// A client sends a request.
     Send(PlannedRequest),
-    /// The engine stops reading from the present link.
+    /// The engine stops reading from its current link to the server.
     StopReading,
-    /// The engine closes the present link.
+    /// The engine closes its current link to the server.
     BreakLink,
-    /// The runs that are in progress hang and never end.
+    /// The engine runs that are in progress hang and never end.
     HangRuns,
-    /// The clients open this many new connections, which are then used like the others.
+    /// The clients open this many new connections and then use them like the others.
     OpenConnections(usize),
-    /// The server is sent a signal.
+    /// A signal is sent to the server.
     Signal(Signal),
 }
 
@@ -97,13 +97,13 @@
 /// A step with its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimedStep {
-    /// Time since the beginning of the play.
+    /// Time since the beginning of the soak run.
     pub at: Duration,
     /// The step.
     pub step: Step,
 }
 
-/// All steps of one play.
+/// All steps of one soak run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
     /// Seed from which the plan was drawn.
@@ -114,7 +114,7 @@
     pub fault_free_end: Duration,
     /// Time of the first SIGTERM.
     pub shutdown: Duration,
-    /// Time at which the server is killed if it has not exited, the earliest that the protocol allows.
+    /// Time at which the server is killed if it has not exited: the earliest time that the protocol allows.
     pub kill: Duration,
 }
 
@@ -174,7 +174,7 @@
     draw_requests(random, rate, Duration::ZERO, FAULT_PHASE)
 }
 
-/// Draws the requests from the end of the phase without faults to SIGKILL, possibly a surge.
+/// Draws the requests from the end of the phase without faults to SIGKILL. They may form a surge.
 fn draw_shutdown_load(random: &mut Rand64, from: Duration, until: Duration) -> Vec<TimedStep> {
     let has_surge = random.rand_float() < SURGE_PROBABILITY;
     if !has_surge {
@@ -187,7 +187,7 @@
     steps
 }
 
-/// Returns the first SIGTERM, and draws further signals around it and until SIGKILL.
+/// Returns the first SIGTERM and further signals, which are drawn around it and until SIGKILL.
 fn draw_signals(random: &mut Rand64, shutdown: Duration, kill: Duration) -> Vec<TimedStep> {
     let signal = |at, signal| TimedStep {
         at,
@@ -201,7 +201,7 @@
             2 => Signal::PrintCounters,
             _ => Signal::Shutdown,
         };
-        // The server's shutdown time counts from the first SIGTERM, so a further one never comes before it.
+        // The server's shutdown timeout starts at the first SIGTERM, so no further SIGTERM may be sent before it.
         let at = if number % 2 == 1 {
             shutdown + random_part_of(random, kill - shutdown)
         } else if drawn == Signal::Shutdown {
@@ -214,7 +214,7 @@
     steps
 }
 
-/// Draws requests at random times with this mean rate. Some of them are withdrawn.
+/// Draws requests at random times with this mean rate, in requests per second. Some of them are withdrawn.
 fn draw_requests(
     random: &mut Rand64,
     rate: f64,
@@ -238,7 +238,7 @@
     steps
 }
 
-/// Draws the breaks of the engine's link. Before some of them the engine stops reading for a while.
+/// Draws the times at which the engine breaks its link. Before some breaks the engine stops reading for a while.
 fn draw_link_breaks(random: &mut Rand64) -> Vec<TimedStep> {
     let mut steps = vec![];
     let mut at = WARM_UP;
@@ -255,7 +255,7 @@
     steps
 }
 
-/// Draws whether and when the runs in progress hang.
+/// Draws whether and when the engine runs in progress hang.
 fn draw_hung_runs(random: &mut Rand64) -> Option<TimedStep> {
     let is_drawn = random.rand_float() < HUNG_RUNS_PROBABILITY;
     let at = Duration::from_secs_f64(uniform(random, HANG_TIME_SECS));
--- a/crates/testkit/src/soak/player.rs
+++ b/crates/testkit/src/soak/player.rs
@@ -1,5 +1,5 @@
-//! Plays a plan: starts the real server with fake dependencies, and sends it the requests, faults and signals of the
-//! plan.
+//! Executes a soak run: starts the real server with fake dependencies, sends it the requests and signals of the plan,
+//! and injects the plan's faults.
 
 use super::SETTINGS;
 use super::clients::{Clients, SentRequest, TIMEOUT_MS};
@@ -23,9 +23,9 @@
 const CATALOGUE_CALL_TIME: Duration = Duration::from_millis(10);
 /// Maximum number of connections of the server.
 const MAX_SOCKETS: usize = 128;
-/// Maximum time of one wait for answers.
+/// Maximum time of a single wait for answers.
 const RECEIVE_STEP: Duration = Duration::from_millis(5);
-/// Time for which answers that were sent before the kill are still read.
+/// Time after the end of the plan for which answers that the server sent before the kill are still read.
 const LAST_ANSWERS_TIME: Duration = Duration::from_millis(20);
 /// Timeout for a log line while no counter has been printed yet.
 const COUNTERS_TIMEOUT: Duration = Duration::from_secs(5);
@@ -34,7 +34,7 @@
 /// Prefix of the log line of a counter.
 const COUNTER_PREFIX: &str = "counter ";
 
-/// The results of a play.
+/// The results of a soak run.
 pub struct PlayRecord {
     /// All requests, in the order of sending.
     pub requests: Vec<SentRequest>,
@@ -42,13 +42,13 @@
     pub engine: EngineStats,
     /// The server's counters at the end of the phase without faults, after all answers.
     pub counters: HashMap<String, u64>,
-    /// The server's log at the level `debug`, without the counters that were read.
+    /// The lines of the server's log at the level `debug`, except the counters that are in `counters`.
     pub log: Vec<String>,
     /// The server's exit status; `None` if it had to be killed.
     pub exit_status: Option<i32>,
 }
 
-/// Plays a plan against a server started from this binary.
+/// Executes a plan against a server started from this binary, and returns the results.
 ///
 /// # Panics
 ///
@@ -104,7 +104,7 @@
         .collect()
 }
 
-/// State of a play in progress.
+/// State of a soak run in progress.
 struct SoakRun<'a> {
     server: &'a Server,
     engine: &'a Engine,
@@ -112,9 +112,9 @@
     configuration: &'a str,
     clients: Clients,
     began: Instant,
-    /// Delay of the plan's clock, caused by awaiting the last answers and reading the counters.
+    /// Delay of the plan's clock: the time spent on waiting for outstanding answers and reading the counters.
     plan_delay: Duration,
-    /// Pending withdrawals: the time of each and the number of its request.
+    /// Pending withdrawals: the time of each, and the number of the request to withdraw.
     withdrawals: BTreeSet<(Duration, usize)>,
 }
 
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Plays each step at its time, then waits until `end`.
+    /// Executes each step at its time, then waits until `end`.
     fn execute_steps(&mut self, steps: &[TimedStep], end: Duration) {
         for timed in steps {
             self.wait_until(timed.at + self.plan_delay);
@@ -151,7 +151,7 @@
         self.plan_delay = self.began.elapsed().saturating_sub(at);
     }
 
-    /// Reads the answers that were sent before the kill, and the ends of the connections.
+    /// Receives the answers that were sent before the kill, and the ends of the connections.
     fn receive_last_answers(&mut self) {
         self.clients.receive(LAST_ANSWERS_TIME);
         self.notify_engine();
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Reads answers and withdraws requests until a time since the beginning of the play.
+    /// Receives answers and withdraws requests until `until`, a time since the beginning of the soak run.
     fn wait_until(&mut self, until: Duration) {
         loop {
             let now = self.began.elapsed();
@@ -230,7 +230,7 @@
     }
 }
 
-/// Makes the server print its counters and reads them from the log. Other log lines are added to `lines`.
+/// Makes the server print its counters and reads them from its log. Appends all other log lines to `lines`.
 fn read_counters(
     server: &Server,
     log: &Receiver<(Instant, String)>,
@@ -251,7 +251,7 @@
     counters
 }
 
-/// Parses the name and value of a counter.
+/// Parses a counter's name and value. Returns `None` if the line does not end with a number.
 fn parse_counter(line: &str) -> Option<(String, u64)> {
     let (name, value) = line.rsplit_once(' ')?;
     Some((name.trim().to_string(), value.parse().ok()?))
--- a/crates/testkit/src/soak/violations.rs
+++ b/crates/testkit/src/soak/violations.rs
@@ -1,4 +1,4 @@
-//! Checks the record of a play for violated rules.
+//! Checks the record of a soak run for violated rules.
 
 use super::clients::{ClientAnswer, SentRequest, TIMEOUT_MS};
 use super::plan::IDEMPOTENCY_KEY_HANDLER;
@@ -9,13 +9,13 @@
 use std::fmt::{Display, Formatter};
 use std::time::Duration;
 
-/// Time by which an answer may arrive after the request's timeout: the slack of the protocol plus the delay of this
-/// process.
+/// Maximum time between the end of a request's timeout and its answer: the slack that the protocol allows plus the
+/// delay of this process.
 const ANSWER_SLACK: Duration = Duration::from_millis(110);
 /// Time before the end of a connection within which the protocol assumes that a request and the close crossed on the
 /// network.
 const CLOSE_CROSSING: Duration = Duration::from_millis(50);
-/// Counters that must be zero once every request is answered and every run has ended.
+/// Counters that must be zero once every request is answered and every engine run has ended.
 const ZERO_WHEN_IDLE: [&str; 3] = ["open", "in_hand", "calls.out"];
 
 /// A violation of a rule.
@@ -33,7 +33,7 @@
     }
 }
 
-/// Returns all violations in a play.
+/// Returns all violations in the record of a soak run.
 pub fn violations(record: &PlayRecord) -> Vec<Violation> {
     let mut found = vec![];
     for request in &record.requests {
@@ -63,7 +63,7 @@
     found
 }
 
-/// Returns the rules that the server broke for a request.
+/// Returns the rules that the server broke in handling a request.
 fn broken_rules(record: &PlayRecord, request: &SentRequest) -> Vec<&'static str> {
     let events = events_of(record, request);
     let mut broken = vec![];
@@ -123,7 +123,8 @@
         && at > request.sent + Duration::from_millis(TIMEOUT_MS) + ANSWER_SLACK
 }
 
-/// Reports whether an answer is the result that the engine made for this request. Answers without a result are valid.
+/// Reports whether an answer is the result that the engine made for this request. Answers without a result are always
+/// valid.
 fn has_valid_result(request: &SentRequest, answer: &ClientAnswer, events: &[RunEvent]) -> bool {
     let ClientAnswer::Served(result) = answer else {
         return true;
