--- a/crates/idempotency-store/tests/store/foreign_files.rs
+++ b/crates/idempotency-store/tests/store/foreign_files.rs
@@ -1,4 +1,4 @@
-//! Files of newer versions and of other programs.
+//! Tests with segments of a newer format version and with files of other programs.
 
 use crate::support::{LIMITS, open, storage_with_file};
 use madderbay_idempotency_store::segment::write_segment_header_of_version;
@@ -7,10 +7,13 @@
 
 const SEGMENT: &str = "kept-0000000000000000";
 
-/// Returns the line that an operator is shown.
+/// Opens a log with one segment of this content, and returns the error message for the operator.
 fn open_error(bytes: &[u8]) -> String {
     let opened = WriteAheadLog::open(storage_with_file(SEGMENT, bytes), 1, LIMITS);
-    opened.map(|_| ()).expect_err("is rejected").to_string()
+    opened
+        .map(|_| ())
+        .expect_err("opening the log must fail")
+        .to_string()
 }
 
 fn defects(name: &str, bytes: &[u8]) -> Vec<String> {
@@ -26,13 +29,13 @@
     assert_eq!(open_error(&newer), message);
     assert_eq!(
         defects(SEGMENT, &newer),
-        ["kept-0000000000000000: is of the newer version 2"]
+        ["kept-0000000000000000: format version 2 is newer than this program supports"]
     );
 }
 
 #[test]
 fn rejects_foreign_file_with_segment_name() {
-    let message = "kept-0000000000000000: is no segment of kept results";
+    let message = "kept-0000000000000000: not a segment of durable results";
     assert_eq!(open_error(b"#!/bin/sh\n"), message);
     assert_eq!(defects(SEGMENT, b"#!/bin/sh\n"), [message]);
 }
@@ -41,7 +44,7 @@
 fn skips_other_files_but_verify_reports_them() {
     assert_eq!(
         defects("notes.txt", b"x"),
-        ["notes.txt: is no file of kept results"]
+        ["notes.txt: not a segment file of durable results"]
     );
     assert!(open(storage_with_file("notes.txt", b"x"), 1).1.is_empty());
 }
--- a/crates/idempotency-store/tests/store/restart_histories.rs
+++ b/crates/idempotency-store/tests/store/restart_histories.rs
@@ -1,4 +1,5 @@
-//! Random histories of commits, failures and crashes against a reference model.
+//! Property test: compares random histories of commits, storage failures and crashes with a
+//! reference model.
 
 use crate::support::{ExpectedRuns, RETENTION_MICROS, Runs, completed, entry, intent, open};
 use madderbay_idempotency_store::record::{IdempotencyKey, Record};
@@ -50,12 +51,12 @@
 #[derive(Clone, Debug)]
 enum Event {
     Commit(Vec<Write>),
-    /// The storage fails after this many operations.
+    /// The storage fails after this many more writing operations.
     FailAfter(u8),
-    /// A restart after a crash with this effect on unsynced bytes.
+    /// The process crashes with this effect on unsynced bytes, and is restarted.
     Crash(CrashEffect),
-    /// This many microseconds pass.
-    Pass(u32),
+    /// The clock advances by this many microseconds.
+    AdvanceClock(u32),
 }
 
 fn crash_effect((kind, n): (u8, u16)) -> CrashEffect {
@@ -74,23 +75,23 @@
         6 => writes.prop_map(Event::Commit),
         1 => (0u8..3).prop_map(Event::FailAfter),
         2 => (0u8..4, any::<u16>()).prop_map(crash_effect).prop_map(Event::Crash),
-        2 => (0u32..4_000_000).prop_map(Event::Pass),
+        2 => (0u32..4_000_000).prop_map(Event::AdvanceClock),
     ]
 }
 
-/// What was acknowledged for a key.
+/// The state of a key that successful commits have acknowledged.
 #[derive(Default)]
 struct Acknowledged {
     expected: ExpectedRuns,
     expires_at: u64,
 }
 
-/// A log and the reference model of what it must recover.
+/// A log, and a reference model of the runs that it must recover.
 struct History {
     log: WriteAheadLog<MemoryStorage>,
     now: u64,
     acknowledged: HashMap<IdempotencyKey, Acknowledged>,
-    /// For each key with a failed commit, the records since then.
+    /// For each key with a failed commit, the records written in that commit and since.
     unacknowledged: HashMap<IdempotencyKey, Vec<Record>>,
 }
 
@@ -108,7 +109,7 @@
 
     fn apply(&mut self, event: Event) -> Result<(), TestCaseError> {
         match event {
-            Event::Pass(micros) => {
+            Event::AdvanceClock(micros) => {
                 self.now += u64::from(micros);
                 self.log.remove_expired_segments(self.now);
             }
@@ -146,15 +147,15 @@
         for (key, acknowledged) in &mut self.acknowledged {
             let unacknowledged = self.unacknowledged.remove(key);
             acknowledged.check(*key, &runs, unacknowledged, self.now)?;
-            acknowledged.adopt(*key, &runs, self.now);
+            acknowledged.reset_to_recovered(*key, &runs, self.now);
         }
         Ok(())
     }
 }
 
 impl Acknowledged {
-    /// A state within its retention is as acknowledged. Records that were not acknowledged may
-    /// have been applied, each of them or not.
+    /// Checks the recovered state of a key that has not expired. It must be the acknowledged state
+    /// with any subset of the unacknowledged records applied.
     fn check(
         &self,
         key: IdempotencyKey,
@@ -167,7 +168,7 @@
             let possible = self.possible_states(key, &records);
             prop_assert!(
                 now >= self.expires_at || possible.contains(&recovered),
-                "{:?} is none of {:?}",
+                "recovered {:?}, expected one of {:?}",
                 recovered,
                 possible
             );
@@ -177,6 +178,8 @@
         Ok(())
     }
 
+    /// Returns the states that result from each subset of the unacknowledged records. With more
+    /// than ten records, only subsets of the first ten are tried.
     fn possible_states(
         &self,
         key: IdempotencyKey,
@@ -195,8 +198,8 @@
         possible
     }
 
-    /// The recovered state is expected from now on.
-    fn adopt(&mut self, key: IdempotencyKey, runs: &Runs, now: u64) {
+    /// Makes the recovered state the acknowledged one from now on.
+    fn reset_to_recovered(&mut self, key: IdempotencyKey, runs: &Runs, now: u64) {
         self.expected.0.clear();
         self.expected
             .0
@@ -205,8 +208,8 @@
     }
 }
 
-/// The same cases in each run.
-fn seeded(cases: u32) -> ProptestConfig {
+/// Returns a configuration with a fixed seed, so that every run tests the same cases.
+fn fixed_seed_config(cases: u32) -> ProptestConfig {
     let rng_seed = proptest::test_runner::RngSeed::Fixed(7);
     ProptestConfig {
         cases,
@@ -217,10 +220,10 @@
 }
 
 proptest! {
-    #![proptest_config(seeded(300))]
+    #![proptest_config(fixed_seed_config(300))]
 
     #[test]
-    fn recovers_what_was_acknowledged_and_nothing_that_was_not_written(
+    fn recovers_all_acknowledged_and_only_written_records(
         events in prop::collection::vec(event(), 1..60)
     ) {
         let mut history = History::new();
--- a/crates/server/tests/common/script_players.rs
+++ b/crates/server/tests/common/script_players.rs
@@ -4,11 +4,11 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A script with its name.
+/// A script and its name.
 pub(crate) type NamedScript = (String, Script);
 
-/// Plays all scripts on `players` threads, and panics with every failure once all were played. `play` is given a
-/// script and its index, and gives what failed, one line each.
+/// Plays all scripts on `players` threads, and panics with all failures once every script was played. `play` is called
+/// with the index of a script and the script, and returns one line for each failure.
 pub(crate) fn play_all(
     scripts: &[NamedScript],
     players: usize,
@@ -22,7 +22,10 @@
                 return;
             };
             let found = play(index, script);
-            failures.lock().expect("a list").extend(found);
+            failures
+                .lock()
+                .expect("no thread has panicked")
+                .extend(found);
         }
     };
     std::thread::scope(|scope| {
@@ -30,7 +33,7 @@
             scope.spawn(play_next);
         }
     });
-    let failures = failures.into_inner().expect("a list");
+    let failures = failures.into_inner().expect("no thread has panicked");
     assert!(
         failures.is_empty(),
         "{} failures:\n{}",
--- a/crates/server/tests/deploy.rs
+++ b/crates/server/tests/deploy.rs
@@ -1,4 +1,4 @@
-//! The deploy file says what the platform needs of it, whatever is added to the workspace.
+//! The deploy file `deploy/balancer.toml` names what the platform needs, whatever is added to the workspace.
 
 mod common;
 #[path = "common/program.rs"]
@@ -12,25 +12,25 @@
 use std::path::{Path, PathBuf};
 use std::time::Instant;
 
-fn root() -> PathBuf {
+fn workspace_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-fn text(path: &str) -> String {
-    std::fs::read_to_string(root().join(path)).expect(path)
+fn read_file(path: &str) -> String {
+    std::fs::read_to_string(workspace_root().join(path)).expect(path)
 }
 
-/// What stands behind a key of the deploy file.
-fn deployed(key: &str) -> String {
-    let file = text("deploy/balancer.toml");
+/// Returns the value of a key of the deploy file, as it is written there.
+fn deploy_value(key: &str) -> String {
+    let file = read_file("deploy/balancer.toml");
     let line = file
         .lines()
         .find_map(|l| l.strip_prefix(&format!("{key} = ")));
     line.unwrap_or_else(|| panic!("no {key}")).to_string()
 }
 
-/// Folders that a package of the workspace is built from besides its own: what its manifest names by path.
-fn needs(package: &Path, found: &mut BTreeSet<PathBuf>) {
+/// Collects the folders of all packages that a package is built from, as its manifest names them by path.
+fn collect_path_dependencies(package: &Path, found: &mut BTreeSet<PathBuf>) {
     let manifest = std::fs::read_to_string(package.join("Cargo.toml")).expect("a manifest");
     let dependencies = manifest.split("[dependencies]").nth(1).unwrap_or("");
     let dependencies = dependencies.split("\n[").next().unwrap_or("");
@@ -40,22 +40,26 @@
     {
         let other = package.join(path).canonicalize().expect("a package");
         if found.insert(other.clone()) {
-            needs(&other, found);
+            collect_path_dependencies(&other, found);
         }
     }
 }
 
-/// `node` names the directory of every package that the program is built from, and `policy` those of the module.
+/// `node` names the source folder of every package that the program is built from, except the decision module. All
+/// files and folders that `node` and `policy` name exist.
 #[test]
-fn node_names_every_folder_of_the_real_server() {
-    let root = root().canonicalize().expect("the root");
+fn node_lists_source_folders_of_all_packages() {
+    let root = workspace_root().canonicalize().expect("the root");
     let mut found = BTreeSet::from([root.join("crates/server")]);
-    needs(&root.join("crates/server"), &mut found);
-    // The module's own package: what decides stands under `policy`, the rest of it decides nothing.
+    collect_path_dependencies(&root.join("crates/server"), &mut found);
+    // The package of the decision module: its decision logic is listed under `policy`, the rest of it decides nothing.
     assert!(found.remove(&root), "the program is built from the module");
-    let (node, policy) = (deployed("node"), deployed("policy"));
+    let (node, policy) = (deploy_value("node"), deploy_value("policy"));
     for package in &found {
-        let folder = package.strip_prefix(&root).expect("inside").join("src");
+        let folder = package
+            .strip_prefix(&root)
+            .expect("a path within the workspace")
+            .join("src");
         assert!(
             node.contains(&format!("\"{}\"", folder.display())),
             "{} is not in node",
@@ -72,10 +76,10 @@
     }
 }
 
-/// `run` ends in the program itself, one process, linked against the C library by the machine's loader.
+/// `run` starts the program as a single process, which the machine's loader links dynamically with the C library.
 #[test]
-fn run_ends_in_one_process_that_is_linked_dynamically() {
-    let run = deployed("run");
+fn run_starts_one_dynamically_linked_process() {
+    let run = deploy_value("run");
     let run = run.split('"').nth(1).expect("a command");
     assert!(run.starts_with("exec target/release/madderbay"), "{run}");
     assert!(!run.contains([';', '&', '|']), "{run} is one command");
@@ -84,23 +88,24 @@
     let loader = b"/ld-linux";
     assert!(
         image.windows(loader.len()).any(|w| w == loader),
-        "no loader is named in the program"
+        "the program names no loader"
     );
     assert_shell_becomes_program(program);
 }
 
-/// Started by a shell, as the platform does it, the program replaces the shell's process and starts no other.
+/// Starts the program by a shell, as the platform does. Asserts that it replaces the shell's process and starts no
+/// other process.
 fn assert_shell_becomes_program(program: &Path) {
     let engine = Engine::start(1.0, vec![], 1);
     let (registry, _reports) = registry::start();
-    let others = Dependencies {
+    let dependencies = Dependencies {
         engine: engine.address,
         registry,
         catalogue: engine.address,
     };
     let path = write_config(&configuration(
         "127.0.0.1:0",
-        others,
+        dependencies,
         128,
         800,
         common::SETTINGS,
@@ -116,32 +121,37 @@
     while std::fs::read_link(proc.join("exe")).ok().as_deref() != Some(program) {
         assert!(
             began.elapsed() < WAIT_TIMEOUT,
-            "the shell does not become the program"
+            "the program does not replace the shell's process"
         );
         std::thread::yield_now();
     }
     let threads = std::fs::read_dir(proc.join("task")).expect("its threads");
     for thread in threads.flatten() {
         let children = std::fs::read_to_string(thread.path().join("children")).unwrap_or_default();
-        assert_eq!(children.trim(), "", "it has started another process");
+        assert_eq!(
+            children.trim(),
+            "",
+            "the program has started another process"
+        );
     }
     let _ = child.kill();
     let _ = child.wait();
     let _ = std::fs::remove_file(path);
 }
 
-/// The operator file that `run` names is complete, turns on pools and the reserve, without which a trip book that
-/// slows down is taken for a crowded one, and holds nothing that needs a listener, a disk or others.
+/// The operator file that `run` names is valid, enables pools and the reserve, and enables nothing that needs a
+/// listener, a disk or other servers. Without pools and the reserve, an upstream that slows down would be mistaken for
+/// an overloaded one.
 #[test]
-fn run_names_an_operator_file_that_the_platform_allows() {
-    let run = deployed("run");
+fn run_names_operator_file_that_platform_allows() {
+    let run = deploy_value("run");
     let named = run
         .split('"')
         .nth(1)
         .and_then(|r| r.split("--operator ").nth(1))
         .map(str::trim);
     let named = named.expect("an operator file");
-    let operator = madderbay_operator_config::read(named, &text(named)).expect("a good file");
+    let operator = madderbay_operator_config::read(named, &read_file(named)).expect("a good file");
     let pools = operator.concurrency.expect("pools are on");
     assert!(pools.adaptive && pools.reserve.is_some());
     assert_eq!(
@@ -155,18 +165,19 @@
     );
 }
 
-/// What the platform refuses the program can't ask for by the C library: it wants none of these symbols.
+/// The program imports no symbol of the C library for a system call that the platform refuses, so it cannot make such a
+/// call through it.
 #[test]
-fn no_refused_call_is_wanted_of_the_c_library() {
+fn imports_no_forbidden_symbol_from_c_library() {
     let image = std::fs::read(program::program()).expect("the program");
     let file = object::File::parse(image.as_slice()).expect("an object file");
     let symbols: BTreeSet<&str> = file
         .dynamic_symbols()
         .filter_map(|s| s.name().ok())
         .collect();
-    let wants = |symbol: &str| symbols.contains(symbol);
-    assert!(wants("epoll_wait"), "symbols are found as they should");
-    let refused = [
+    let imports = |symbol: &str| symbols.contains(symbol);
+    assert!(imports("epoll_wait"), "no imported symbol is found");
+    let forbidden = [
         "fork",
         "vfork",
         "posix_spawn",
@@ -176,10 +187,10 @@
         "sendfile",
         "sendfile64",
     ];
-    for symbol in refused
+    for symbol in forbidden
         .into_iter()
         .chain(["io_uring_setup", "io_uring_enter"])
     {
-        assert!(!wants(symbol), "{symbol} is wanted");
+        assert!(!imports(symbol), "{symbol} is imported");
     }
 }
--- a/crates/server/tests/fleet.rs
+++ b/crates/server/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The scripts of faults under `tests/fleet` of the repository on real processes, whose datagrams pass through relays.
+//! Plays the fault injection scripts of `tests/fleet` on real processes. Relays forward the datagrams between them.
 
 mod common;
 #[path = "common/program.rs"]
@@ -12,10 +12,10 @@
 use program::program;
 use std::path::Path;
 
-/// Scripts that are played at the same time: few enough that the machine's cores are never the fault that is tested.
-const PLAYERS: usize = 4;
+/// Number of scripts that are played at the same time: few enough that a lack of free cores does not make a test fail.
+const CONCURRENT_SCRIPTS: usize = 4;
 
-fn works() -> Vec<HandlerWork> {
+fn handler_works() -> Vec<HandlerWork> {
     let work = |handler: &str, calls| HandlerWork::new(handler, (2.0, 6.0), calls);
     vec![
         work("search", true),
@@ -24,17 +24,22 @@
     ]
 }
 
-/// Whether a script has no step for simulated fleets alone, whose time and views are one.
+/// Reports whether a script can be played on processes: whether it has no step that only a simulated fleet can play,
+/// in which one clock and all views are at hand.
 fn runs_on_processes(script: &Script) -> bool {
-    let is_simulated =
-        |step: &Step| matches!(step, Step::Action(Action::For(_) | Action::Downs(_)));
+    let is_simulated = |step: &Step| {
+        matches!(
+            step,
+            Step::Action(Action::Advance(_) | Action::CheckWronglyDown(_))
+        )
+    };
     !script.steps.iter().any(|(_, step)| is_simulated(step))
 }
 
-/// Plays a script on a fleet of processes; gives the first condition that was not met.
+/// Plays a script on a fleet of processes. Returns the first condition that was not met.
 fn play(script: &Script, seed: u64) -> Option<String> {
     let setup = script.setup.clone();
-    let mut fleet = ProcessFleet::new(setup, program(), common::SETTINGS, &works(), seed);
+    let mut fleet = ProcessFleet::new(setup, program(), common::SETTINGS, &handler_works(), seed);
     script
         .play(&mut fleet)
         .err()
@@ -42,11 +47,11 @@
 }
 
 #[test]
-fn every_script_on_real_processes() {
+fn plays_every_script_on_real_processes() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../tests/fleet");
     let mut scripts = load_scripts(&folder);
     scripts.retain(|(_, script)| runs_on_processes(script));
-    script_players::play_all(&scripts, PLAYERS, |index, (name, script)| {
+    script_players::play_all(&scripts, CONCURRENT_SCRIPTS, |index, (name, script)| {
         let unmet = play(script, index as u64);
         unmet
             .map(|unmet| format!("{name}: {unmet}"))
--- a/crates/server/tests/process/reload.rs
+++ b/crates/server/tests/process/reload.rs
@@ -1,22 +1,22 @@
-//! SIGHUP: the program moves to the addresses of the new configuration.
+//! SIGHUP: the program switches to the addresses of the new configuration.
 
 use crate::support::{
-    ATTACH_FROM_START, HELLO_RUNNING, LEAVING, TestServer, call_needed, completed, move_to, others,
-    request,
+    HELLO_OF_RUNNING_ENGINE, INITIAL_ATTACH, LEAVING_NOTICE, TestServer, call_needed_notice,
+    completion_notice, dependencies, request, write_configuration,
 };
 use madderbay_testkit::peer::{Peer, loopback_listener};
 use madderbay_testkit::{WAIT_TIMEOUT, registry};
 
-/// On SIGHUP the program takes the addresses in the file: runs go on over the link to the new engine, calls and
+/// On SIGHUP the program uses the addresses in the file: runs continue over the link to the new engine, and calls and
 /// reports go to the new addresses. A file that cannot be read changes nothing. Neither ends the process.
 #[test]
 fn reload_moves_to_new_addresses() {
     let mut server = TestServer::start(128);
-    let mut engine = server.accept_engine_link(ATTACH_FROM_START);
+    let mut engine = server.accept_engine_link(INITIAL_ATTACH);
     let mut a = server.connect();
     a.say(&request(1, "search", 1, ""));
     assert!(engine.command().contains("\"RUN\""));
-    engine.say(&call_needed(1, 1));
+    engine.say(&call_needed_notice(1, 1));
     let mut catalogue = Peer::accept(&server.catalogue);
     assert!(catalogue.line().starts_with("FETCH"));
     server.log_at("engine: up");
@@ -25,22 +25,23 @@
     server.log_at("reload: refused");
     let (new_engine, new_catalogue, (registry, reports)) =
         (loopback_listener(), loopback_listener(), registry::start());
-    let others = others(&new_engine, registry, &new_catalogue);
-    move_to(&server, others, 64);
+    let dependencies = dependencies(&new_engine, registry, &new_catalogue);
+    write_configuration(&server, dependencies, 64);
     server.signal("-HUP");
     server.log_at("reload: restart required, changed=limits");
     server.log_at("reload: restart required, changed=settings");
-    // The open call stays valid. The new link resumes after the last notice read on the old one and carries what was
-    // queued while it was not up. (What left on the old one may have been read: tests/scenarios/link-fed.txt.)
+    // The open call stays valid. The new link resumes after the last notice that was read on the old one, and carries
+    // what was queued while it was not up. (A command that was sent on the old link may have been read there; see
+    // tests/scenarios/link-fed.txt.)
     let mut engine = Peer::accept(&new_engine);
     assert_eq!(engine.line(), "{\"msg\":\"ATTACH\",\"serial\":1}");
     catalogue.say("0000000000000001 DATA 3\r\nxyz\r\n");
-    engine.say(HELLO_RUNNING);
+    engine.say(HELLO_OF_RUNNING_ENGINE);
     assert!(engine.command().contains("\"FEED\""));
-    engine.say(&call_needed(2, 1));
+    engine.say(&call_needed_notice(2, 1));
     let mut catalogue = Peer::accept(&new_catalogue);
     assert!(catalogue.line().starts_with("FETCH"));
-    engine.say(&completed(3, 1, "WFla"));
+    engine.say(&completion_notice(3, 1, "WFla"));
     assert!(a.line().contains("\"result\""));
     assert!(
         reports
@@ -50,20 +51,20 @@
     );
 }
 
-/// A reload and then a drain, and a drain and then a reload: the open run is answered over the new link.
+/// A reload before a drain, and a drain before a reload: the open run is answered over the new link.
 #[test]
 fn drain_and_reload_in_either_order() {
     for drain_first in [false, true] {
         let mut server = TestServer::start(128);
-        let mut engine = server.accept_engine_link(ATTACH_FROM_START);
+        let mut engine = server.accept_engine_link(INITIAL_ATTACH);
         let mut a = server.connect();
         server.log_at("engine: up");
         a.say(&request(1, "quote", 1, ""));
         assert!(engine.command().contains("\"RUN\""));
         let (new_engine, new_catalogue, (registry, _reports)) =
             (loopback_listener(), loopback_listener(), registry::start());
-        let others = others(&new_engine, registry, &new_catalogue);
-        move_to(&server, others, 128);
+        let dependencies = dependencies(&new_engine, registry, &new_catalogue);
+        write_configuration(&server, dependencies, 128);
         if drain_first {
             server.signal("-TERM");
             server.log_at("server: draining");
@@ -74,10 +75,10 @@
             server.signal("-TERM");
         }
         let mut engine = Peer::accept(&new_engine);
-        assert_eq!(engine.line(), ATTACH_FROM_START);
-        engine.say(HELLO_RUNNING);
-        assert_eq!(a.line(), LEAVING);
-        engine.say(&completed(1, 1, "WFla"));
+        assert_eq!(engine.line(), INITIAL_ATTACH);
+        engine.say(HELLO_OF_RUNNING_ENGINE);
+        assert_eq!(a.line(), LEAVING_NOTICE);
+        engine.say(&completion_notice(1, 1, "WFla"));
         assert_eq!(
             a.line(),
             "{\"jsonrpc\":\"2.0\",\"id\":1,\"result\":{\"bytes\":\"WFla\"}}"
@@ -87,15 +88,15 @@
     }
 }
 
-/// A section of the operator file that a restart alone applies is told, also where neither fleet nor backends are on;
-/// so is a file that is wrong.
+/// A changed section of the operator file that needs a restart is logged, also if neither fleet nor backends are
+/// enabled; so is an operator file that is invalid.
 #[test]
-fn reload_tells_changed_sections_that_need_a_restart() {
+fn reload_logs_changed_sections_that_need_restart() {
     let mut server = TestServer::start_with_operator_file(128, "[pools]\nenabled = on\n");
-    let _engine = server.accept_engine_link(ATTACH_FROM_START);
+    let _engine = server.accept_engine_link(INITIAL_ATTACH);
     server.log_at("engine: up");
     let operator = server.operator.clone().expect("an operator file");
-    let rewrite = |text: &str| std::fs::write(&operator, text).expect("written");
+    let rewrite = |text: &str| std::fs::write(&operator, text).expect("the write succeeds");
     rewrite("[pools]\nenabled = on\n[pool a]\nhandlers = quote\n");
     server.signal("-HUP");
     server.log_at("reload: restart required, changed=[pools]");
--- a/crates/server/tests/routes/partition.rs
+++ b/crates/server/tests/routes/partition.rs
@@ -1,4 +1,4 @@
-//! Cuts between servers and backends, and among servers: a server's own view convinces no others.
+//! Partitions between servers and backends, and among servers: one server's view alone does not convince the others.
 
 use crate::machine::{StallMonitor, run_fleet_case};
 use crate::program::program;
@@ -7,17 +7,18 @@
 use madderbay_testkit::fleet::script::{Action, Fleet};
 use std::process::Command;
 
-/// A server whose own connections are cut has calls fail at all backends: the others go on as they were.
+/// All connections between one server and the backends are cut, so that its calls fail at all backends. The other
+/// servers eject none.
 #[test]
 fn isolated_server_ejects_no_backend_for_others() {
-    run_fleet_case(isolates_first_server);
+    run_fleet_case(isolate_first_server);
 }
 
-fn isolates_first_server(monitor: &StallMonitor) {
+fn isolate_first_server(monitor: &StallMonitor) {
     let mut fleet = BackendFleet::start(6, monitor);
     fleet.gates.iter().for_each(|g| g.cut(true));
     fleet.wait_while("calls of the first to fail", |f| {
-        // Calls fail at most of them, so that it ejects none.
+        // Calls fail at most of the backends, so the server ejects none.
         f.missing_at(0, |states| {
             (states.values().filter(|b| b.failures > 0).count() < 3).then(|| format!("{states:?}"))
         })
@@ -48,13 +49,13 @@
     assert!(load.searches > 0.5, "{load}");
 }
 
-/// A connection cut between one server and one backend: that server ejects it, the others go on using it.
+/// The connection between one server and one backend is cut: that server ejects the backend, the others keep using it.
 #[test]
 fn backend_cut_off_from_one_server_is_ejected_there_alone() {
-    run_fleet_case(cuts_first_server_off_one_backend);
+    run_fleet_case(cut_first_server_off_one_backend);
 }
 
-fn cuts_first_server_off_one_backend(monitor: &StallMonitor) {
+fn cut_first_server_off_one_backend(monitor: &StallMonitor) {
     let mut fleet = BackendFleet::start(9, monitor);
     fleet.gates[2].cut(true);
     fleet.wait_until_ejected(2, &[1, 2]);
@@ -74,24 +75,27 @@
     assert!(load.searches > 0.97 && load.bookings > 0.9, "{load}");
 }
 
-/// A backend is healthy again while the fleet is partitioned: once it is healed all servers use it in the end, and
-/// `madderbay routes` reports all backends.
+/// A backend becomes healthy while the fleet is partitioned. All servers use it eventually, and `madderbay routes`
+/// reports all backends after the partition is healed.
 #[test]
 fn readmits_backend_over_partition() {
-    run_fleet_case(readmits_while_partitioned);
+    run_fleet_case(readmit_while_partitioned);
 }
 
-fn readmits_while_partitioned(monitor: &StallMonitor) {
+fn readmit_while_partitioned(monitor: &StallMonitor) {
     let mut fleet = BackendFleet::start(8, monitor);
     fleet.backends[3].set_behavior(Behavior::Fails);
     fleet.wait_until_ejected(3, &[]);
     fleet
         .servers
         .act(&Action::Cut(vec![vec![0], vec![1, 2]]))
-        .expect("cut");
+        .expect("the partition is applied");
     fleet.backends[3].set_behavior(HEALTHY);
     fleet.wait_until_readmitted(3);
-    fleet.servers.act(&Action::Heal).expect("healed");
+    fleet
+        .servers
+        .act(&Action::Heal)
+        .expect("the partition is healed");
     assert_cli_reports_backends(&fleet);
     fleet.finish();
 }
@@ -101,7 +105,7 @@
         .args(["routes", "--json", "--socket"])
         .arg(fleet.servers.processes.socket(1))
         .output()
-        .expect("it runs");
+        .expect("the program runs");
     let report: serde_json::Value =
         serde_json::from_slice(&output.stdout).expect("one line, an object");
     let backends = report["backends"].as_array().expect("backends");
--- a/crates/server/tests/shared/quota.rs
+++ b/crates/server/tests/shared/quota.rs
@@ -1,9 +1,9 @@
-//! A fleet's quota of upstream calls.
+//! A quota of upstream calls that is shared by a fleet.
 
 use crate::ample_capacity::settings;
 use crate::machine::{StallMonitor, run_fleet_case};
 use crate::program::program;
-use crate::support::{LoadPlan, is_completed, kind, send};
+use crate::support::{LoadPlan, is_completed, request_kind, send};
 use crate::watched_fleet::WatchedFleet;
 use madderbay::time::Duration;
 use madderbay_testkit::engine::HandlerWork;
@@ -11,17 +11,17 @@
 use madderbay_testkit::fleet::script::{Condition, FleetSetup, QuotaSetup};
 use madderbay_testkit::load_balancer::{Answer, RequestRecord};
 
-/// A quota of one call and work for ten: what finds no capacity in time is rejected before its client gives up, with
-/// a Retry-After; the quota is never exceeded.
+/// With a quota of one call and load for ten calls, requests that get no capacity in time are rejected with a
+/// Retry-After before their clients give up. The quota is never exceeded.
 #[test]
-fn rejects_with_retry_after_for_want_of_quota() {
-    run_fleet_case(loads_fleet_with_quota_of_one);
+fn rejects_with_retry_after_when_quota_is_exhausted() {
+    run_fleet_case(load_fleet_with_quota_of_one);
 }
 
-fn loads_fleet_with_quota_of_one(monitor: &StallMonitor) {
+fn load_fleet_with_quota_of_one(monitor: &StallMonitor) {
     let mut fleet = fleet_with_quota_of_one(monitor);
     fleet.start(1);
-    fleet.wait_for(&Condition::Has {
+    fleet.wait_for(&Condition::QuotaBetween {
         who: vec![0],
         least: 1,
         most: 1,
@@ -33,7 +33,7 @@
         seconds: 4,
         client_timeout_ms: 4_000,
     };
-    let kinds = [kind("book", 1.0, true, "acme")];
+    let kinds = [request_kind("book", 1.0, true, "acme")];
     let records = send(fleet.target(0), &kinds, &plan);
     let count = |is: fn(&RequestRecord) -> bool| records.iter().filter(|r| is(r)).count();
     let completed = count(is_completed);
--- a/crates/simulation/src/cli/compare.rs
+++ b/crates/simulation/src/cli/compare.rs
@@ -1,4 +1,4 @@
-//! Puts the figures of two runs beside each other.
+//! Compares the figures of two runs.
 
 use super::error::CommandError;
 use super::files;
@@ -6,7 +6,7 @@
 use madderbay_simulation::{Handler, SecondRow};
 use std::path::Path;
 
-/// What the JSON lines of a run add up to.
+/// Totals over the JSON lines of a run.
 #[derive(Default)]
 struct Totals {
     answered_in_time: [f64; Handler::COUNT],
@@ -17,7 +17,7 @@
 
 impl Totals {
     /// Adds up the rows. Lines that are not rows add nothing.
-    fn of(json_lines: &str) -> Totals {
+    fn from_json_lines(json_lines: &str) -> Totals {
         let mut totals = Totals::default();
         for line in json_lines.lines() {
             totals.add(&serde_json::from_str(line).unwrap_or_default());
@@ -41,12 +41,12 @@
     }
 }
 
-/// Prints the figures of two outputs of `run`, and whether they are the same.
+/// Prints the figures of two outputs of `run`, and whether the outputs are the same.
 pub(crate) fn compare(first: &Path, second: &Path) -> Result<CommandOutcome, CommandError> {
     let first_lines = files::read_text(first)?;
     let second_lines = files::read_text(second)?;
-    let one = Totals::of(&first_lines);
-    let other = Totals::of(&second_lines);
+    let one = Totals::from_json_lines(&first_lines);
+    let other = Totals::from_json_lines(&second_lines);
     println!(
         "{:<24} {:>12} {:>12}",
         "",
--- a/crates/simulation/src/cli/report_folder.rs
+++ b/crates/simulation/src/cli/report_folder.rs
@@ -1,4 +1,4 @@
-//! The folder of a report, for a reader who never saw the code: a page of text, the history, the rows, and plots over
+//! The folder of a report, for readers who have not seen the code: a text page, the history, the rows, and plots over
 //! time.
 
 use super::error::CommandError;
@@ -18,12 +18,12 @@
 ) -> Result<(), CommandError> {
     let rows = figures::json_lines(report)?;
     create_folder(folder)?;
-    let page = Page {
+    let text_report = TextReport {
         history,
         seed,
         report,
     };
-    write_text(&folder.join("report.txt"), &page.to_string())?;
+    write_text(&folder.join("report.txt"), &text_report.to_string())?;
     write_text(&folder.join("history.txt"), &history.to_string())?;
     write_text(&folder.join("rows.jsonl"), &rows)?;
     let plots = Plots { history, report };
@@ -33,23 +33,23 @@
     plots.ejections().write(&folder.join("backends.svg"))
 }
 
-/// The page of text.
-struct Page<'a> {
+/// The text of `report.txt`.
+struct TextReport<'a> {
     history: &'a History,
     seed: u64,
     report: &'a SimulationReport,
 }
 
-impl Display for Page<'_> {
+impl Display for TextReport<'_> {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        self.write_setting(f)?;
+        self.write_header(f)?;
         self.write_figures(f)?;
         self.write_violations(f)
     }
 }
 
-impl Page<'_> {
-    fn write_setting(&self, f: &mut fmt::Formatter) -> fmt::Result {
+impl TextReport<'_> {
+    fn write_header(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let History {
             servers,
             backends,
@@ -75,7 +75,7 @@
         let quota = self.history.quota;
         writeln!(f, "\nmost calls in hand below: {peak} of {quota}")?;
         f.write_str("all that run hold one view, nobody is doubted: ")?;
-        match self.report.settling_s {
+        match self.report.convergence_s {
             Some(seconds) => writeln!(f, "{seconds:.1} s after the last deed")?,
             None => writeln!(f, "never")?,
         }
@@ -101,7 +101,7 @@
     }
 }
 
-/// The plots, each over the seconds of the simulation.
+/// The plots, each over the length of the simulation.
 struct Plots<'a> {
     history: &'a History,
     report: &'a SimulationReport,
@@ -116,8 +116,8 @@
         }
     }
 
-    fn curve(&self, label: &'static str, figure: impl Fn(&SecondRow) -> f64) -> Curve {
-        let point = |row: &SecondRow| -> Point { (row.second as f64, figure(row)) };
+    fn curve(&self, label: &'static str, value: impl Fn(&SecondRow) -> f64) -> Curve {
+        let point = |row: &SecondRow| -> Point { (row.second as f64, value(row)) };
         Curve {
             label,
             points: self.report.rows.iter().map(point).collect(),
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -1,8 +1,9 @@
-//! The simulation of a fleet: each server the program's own core, membership, quotas and backends, on simulated
+//! Simulates a fleet: each server runs the program's own core, membership, quotas and backend selection over simulated
 //! connections in simulated time.
 //!
-//! [`Simulation`] owns the nodes, the network, the backends and the event queue. All chance comes from one seed, and
-//! events of one time happen in a fixed order: the same history and seed give the same report.
+//! [`Simulation`] owns the nodes, the network, the backends and the event queue. All random choices derive from one
+//! seed, and events due at the same time are handled in a fixed order, so the same history and seed give the same
+//! report.
 
 mod engine_commands;
 mod faults;
@@ -25,15 +26,15 @@
 use madderbay::time::{Duration, Timestamp};
 use madderbay_settings::Settings;
 use oorandom::Rand64;
-use settling::SettlingTracker;
+use settling::ConvergenceTracker;
 use std::collections::BTreeMap;
 
-/// The length of a row of the report.
+/// The time that one row of the report covers.
 const ROW_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Transitions within this time count as simultaneous.
-const SIMULTANEITY: Duration = Duration::from_millis(100);
+/// Transitions of one kind within this time count as simultaneous.
+const SIMULTANEITY_WINDOW: Duration = Duration::from_millis(100);
 
-/// A fleet under a history, from its start to its end.
+/// The state of a fleet while a history is simulated.
 pub(crate) struct Simulation {
     history: History,
     settings: Settings,
@@ -43,16 +44,16 @@
     nodes: Vec<Node>,
     network: FleetNetwork,
     backends: BackendSet,
-    /// The second that goes on.
+    /// The row of the current second.
     row: SecondRow,
     rows: Vec<SecondRow>,
     checker: InvariantChecker,
-    settling: SettlingTracker,
+    convergence: ConvergenceTracker,
     transitions: BTreeMap<BackendTransition, Vec<Timestamp>>,
 }
 
 impl Simulation {
-    /// Starts all servers of a history, and schedules its faults.
+    /// Starts all servers of a history and schedules its faults.
     pub(crate) fn new(history: History, seed: u64) -> Simulation {
         let mut random = Rand64::new(u128::from(seed) + 1);
         let clocks: Vec<NodeClock> = (0..history.servers)
@@ -70,7 +71,7 @@
             row: SecondRow::default(),
             rows: vec![],
             checker: InvariantChecker::default(),
-            settling: SettlingTracker::new(now),
+            convergence: ConvergenceTracker::new(now),
             transitions: BTreeMap::new(),
             history,
         };
@@ -78,7 +79,7 @@
             simulation.add_node(clock);
         }
         simulation.schedule_faults();
-        simulation.queue.push(now + ROW_INTERVAL, Event::SecondEnds);
+        simulation.queue.push(now + ROW_INTERVAL, Event::SecondEnd);
         simulation
     }
 
@@ -97,13 +98,13 @@
         }
     }
 
-    /// A server has started: its clients begin to send requests.
+    /// Schedules the first client request to a server that has started, and runs the server's first turn.
     fn begin_service(&mut self, server: ServerId) {
         self.schedule_request(server);
         self.run_turn(server);
     }
 
-    /// Plays the history to its end.
+    /// Simulates the history to its end and returns the report.
     pub(crate) fn run(mut self) -> SimulationReport {
         let end = clock::instant_at_ms(self.history.seconds * 1_000);
         while let Some((due, event)) = self.queue.pop_until(end) {
@@ -134,40 +135,45 @@
                 sender,
                 bytes,
             } => self.receive_datagram(server, sender, &bytes),
-            Event::CallArrives { backend, call } => self.call_arrives(backend, call),
-            Event::CallCompletes { backend, call_id } => self.call_completes(backend, call_id),
+            Event::CallArrival { backend, call } => self.handle_call_arrival(backend, call),
+            Event::CallCompletion { backend, call_id } => {
+                self.handle_call_completion(backend, call_id);
+            }
             Event::Reply {
                 target,
                 connection,
                 text,
             } => self.receive_reply(target, connection, &text),
             Event::ConnectionLost { target, connection } => {
-                self.lose_connection(target, connection);
+                self.connection_lost(target, connection);
+            }
+            Event::AnswerDeadline { target, request_id } => {
+                self.handle_answer_deadline(target, request_id);
             }
-            Event::AnswerDue { target, request_id } => self.answer_due(target, request_id),
             Event::FaultDue(index) => self.inject(self.history.faults[index].fault),
-            Event::SecondEnds => self.end_second(),
+            Event::SecondEnd => self.end_second(),
         }
     }
 
-    /// Gives an event back unless it is for a process that is paused, which gets it later, or does not run any more.
+    /// Returns the event if it can be dispatched now. Holds an event for a paused process until the process continues,
+    /// and drops an event for an incarnation that no longer runs.
     fn deliver_or_hold(&mut self, event: Event) -> Option<Event> {
         let target = match &event {
             Event::EngineNotice { target, .. }
             | Event::Reply { target, .. }
             | Event::ConnectionLost { target, .. } => *target,
-            // Whichever incarnation runs receives datagrams.
+            // A datagram is addressed to a server, so its current incarnation receives it.
             Event::Datagram { server, .. } => self.node(*server).incarnation(),
             _ => return Some(event),
         };
         self.node_mut(target.server).deliver_or_hold(target, event)
     }
 
-    /// Makes the checks that need the whole simulation.
+    /// Runs the invariant checks that need the whole simulation, and builds the report.
     fn finish(mut self, end: Timestamp) -> SimulationReport {
-        if self.history.features.membership && !self.settling.is_settled() {
-            let since_last_fault = self.settling.time_since_last_fault(end);
-            self.checker.check_unsettled(self.now, since_last_fault);
+        if self.history.features.membership && !self.convergence.has_converged() {
+            let since_last_fault = self.convergence.time_since_last_fault(end);
+            self.checker.check_divergence(self.now, since_last_fault);
         }
         let keyed_calls = self.backends.keyed_completions();
         self.checker.check_keyed_calls(self.now, &keyed_calls);
@@ -178,8 +184,8 @@
         }
         let calls_per_first_attempt = self.checker.check_retries(self.now);
         SimulationReport {
-            settling_s: self.settling.settling_s(),
-            simultaneous_transitions: simultaneous(&self.transitions),
+            convergence_s: self.convergence.convergence_s(),
+            simultaneous_transitions: max_simultaneous_by_kind(&self.transitions),
             calls_per_first_attempt,
             rows: self.rows,
             violations: self.checker.into_violations(),
@@ -187,8 +193,8 @@
     }
 }
 
-/// The most transitions of each kind within [`SIMULTANEITY`].
-fn simultaneous(
+/// Returns, for each kind of transition, the largest number of them within one [`SIMULTANEITY_WINDOW`].
+fn max_simultaneous_by_kind(
     transitions: &BTreeMap<BackendTransition, Vec<Timestamp>>,
 ) -> BTreeMap<BackendTransition, u32> {
     transitions
@@ -197,12 +203,12 @@
         .collect()
 }
 
-/// The most of these times, which are in order, that lie within [`SIMULTANEITY`].
+/// Returns the largest number of `times` within one [`SIMULTANEITY_WINDOW`]. `times` must be in ascending order.
 fn max_simultaneous(times: &[Timestamp]) -> u32 {
     let within_window_of = |first: usize| {
         times[first..]
             .iter()
-            .take_while(|time| **time - times[first] <= SIMULTANEITY)
+            .take_while(|time| **time - times[first] <= SIMULTANEITY_WINDOW)
             .count()
     };
     let most = (0..times.len()).map(within_window_of).max();
--- a/crates/simulation/src/simulation/requests.rs
+++ b/crates/simulation/src/simulation/requests.rs
@@ -1,23 +1,24 @@
-//! The clients: they send requests at random times, and check that each gets its answer.
+//! Simulated clients: they send requests at random times and check that each request is answered.
 
 use super::Simulation;
 use crate::clock;
 use crate::event_queue::Event;
 use crate::fault::{Defect, Fault, ScheduledFault};
 use crate::ids::{ServerId, ServerIncarnation};
-use crate::node::{Answer, ExpectedAnswer, PendingRequest};
+use crate::node::{Answer, AnswerMatch, PendingRequest};
 use crate::workload::{CLIENT_TIMEOUT, ClientRequest, Handler};
 use madderbay::time::{Duration, Timestamp};
 
-/// An answer may come this much after its deadline before it counts as missing.
+/// How long after the client timeout an answer may arrive before it counts as missing.
 const ANSWER_SLACK: Duration = Duration::from_millis(50);
-/// A request whose end is noticed later than this was delayed with its server, and proves nothing.
+/// How late an answer deadline may be handled and still count. A later one was delayed together with its server, so the
+/// missing answer proves nothing.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(5);
-/// The least rate at which clients send to a server.
+/// The lowest request rate of the clients of a server, whatever its load factor.
 const MIN_REQUESTS_PER_SECOND: f64 = 0.05;
-/// The error code of a rejected request.
+/// The JSON-RPC error code of a rejected request.
 const REJECTED: i64 = -32002;
-/// Each answer whose number is a multiple of this is lost under [`Defect::LostAnswers`].
+/// Under [`Defect::LostAnswers`], answers whose id is a multiple of this are lost.
 const LOST_ANSWER_INTERVAL: u64 = 200;
 
 impl Simulation {
@@ -31,9 +32,10 @@
         self.queue.push(due, Event::RequestDue(target));
     }
 
-    /// A client sends a request, unless the server is stopped, and the next one is scheduled.
+    /// Sends a random request unless the server is stopped, and schedules the next one. Does nothing if the incarnation
+    /// no longer runs.
     pub(super) fn send_request(&mut self, target: ServerIncarnation) {
-        if !self.node(target.server).runs(target) {
+        if !self.node(target.server).is_running(target) {
             return;
         }
         self.schedule_request(target.server);
@@ -69,7 +71,7 @@
         self.row.requests[handler.index()] += 1;
         self.queue.push(
             now + CLIENT_TIMEOUT + ANSWER_SLACK,
-            Event::AnswerDue {
+            Event::AnswerDeadline {
                 target,
                 request_id: id,
             },
@@ -77,32 +79,37 @@
         self.run_turn(target.server);
     }
 
-    /// The time for an answer is over.
-    pub(super) fn answer_due(&mut self, target: ServerIncarnation, request_id: u64) {
+    /// Handles the time at which a client stops waiting for an answer. A missing answer is a violation unless the
+    /// server was stopped in the meantime or the deadline is handled late.
+    pub(super) fn handle_answer_deadline(&mut self, target: ServerIncarnation, request_id: u64) {
         let server = target.server;
-        if !self.node(server).runs(target) {
+        if !self.node(server).is_running(target) {
             return;
         }
         let process = self.node_mut(server).process_mut();
         let Some(request) = process.requests_mut().expire(request_id) else {
             return;
         };
-        // A server that was stopped meanwhile answers late, and its clients know why.
+        // A server that was stopped in the meantime answers late, which is not a violation.
         let is_noticed_in_time =
             self.now - request.sent_at <= CLIENT_TIMEOUT + ANSWER_SLACK + DEADLINE_TOLERANCE;
-        let is_excused =
+        let was_server_stopped =
             self.node(server).is_stopped() || self.was_stopped_since(server, request.sent_at);
-        if is_noticed_in_time && !is_excused {
-            self.checker
-                .missing_answer(self.now, server, request.handler, &request.reference);
+        if is_noticed_in_time && !was_server_stopped {
+            self.checker.record_missing_answer(
+                self.now,
+                server,
+                request.handler,
+                &request.reference,
+            );
         }
     }
 
-    /// Whether a server was stopped at some time since.
+    /// Reports whether a server was stopped at any time since `since`.
     fn was_stopped_since(&self, server: ServerId, since: Timestamp) -> bool {
-        let is_of_server = |scheduled: &&ScheduledFault| matches!(scheduled.fault, Fault::Stop(other) | Fault::Continue(other) if other == server);
+        let affects_server = |scheduled: &&ScheduledFault| matches!(scheduled.fault, Fault::Stop(other) | Fault::Continue(other) if other == server);
         let mut is_stopped = false;
-        for scheduled in self.history.faults.iter().filter(is_of_server) {
+        for scheduled in self.history.faults.iter().filter(affects_server) {
             let injected_at = clock::instant_at_ms(scheduled.at_ms);
             if injected_at > self.now {
                 continue;
@@ -115,7 +122,7 @@
         is_stopped
     }
 
-    /// The clients read what a server answered.
+    /// Processes the answers that a server has written to its clients.
     pub(super) fn receive_answers(&mut self, server: ServerId) {
         let answers = self.node_mut(server).process_mut().take_answers();
         for line in answers.lines() {
@@ -132,12 +139,13 @@
 
     fn receive_answer(&mut self, server: ServerId, answer: &Answer, line: &str) {
         let process = self.node_mut(server).process_mut();
-        match process.requests_mut().take_answered(answer.id) {
-            ExpectedAnswer::To(request) => self.count_answer(server, &request, answer.error_code),
-            ExpectedAnswer::Unexpected => {
-                self.checker.unexpected_answer(self.now, server, line);
+        match process.requests_mut().match_answer(answer.id) {
+            AnswerMatch::Pending(request) => self.count_answer(server, &request, answer.error_code),
+            AnswerMatch::Unexpected => {
+                self.checker
+                    .record_unexpected_answer(self.now, server, line);
             }
-            ExpectedAnswer::Late => {}
+            AnswerMatch::Late => {}
         }
     }
 
@@ -159,7 +167,7 @@
                 self.row.rejected += 1;
                 if request.is_started && handler.has_idempotency_key() {
                     self.checker
-                        .rejected_after_start(self.now, server, &request.reference);
+                        .record_rejection_after_start(self.now, server, &request.reference);
                 }
             }
             Some(_) => self.row.failed += 1,
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,7 +1,7 @@
-//! The host of the instances: plays events on their decision modules and collects the actions.
+//! The host of the simulated instances: passes events to their decision modules and collects the
+//! resulting actions.
 //!
-//! The host owns every instance. It is given decoded frames and performs no I/O. It never lets one
-//! instance see another.
+//! The host holds all instances and keeps them independent of each other. It performs no I/O.
 
 mod instance;
 
@@ -16,7 +16,7 @@
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// All instances of one process.
+/// All instances that are simulated by this process.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<InstanceId, Instance>,
@@ -24,19 +24,19 @@
 }
 
 impl Host {
-    /// Plays one batch and gives the frame that answers it.
+    /// Processes one batch and returns the frame that answers it.
     ///
     /// # Errors
     ///
-    /// [`AdapterError::Record`] for the first record that is invalid, and
-    /// [`AdapterError::TrailingBytes`] for bytes after the last one.
-    pub fn play_batch(&mut self, batch: &Batch) -> Result<Vec<u8>, AdapterError> {
+    /// Returns [`AdapterError::Record`] for the first invalid record, and
+    /// [`AdapterError::TrailingBytes`] if bytes are left after the last record.
+    pub fn process_batch(&mut self, batch: &Batch) -> Result<Vec<u8>, AdapterError> {
         let now = batch.header.clock;
         let count = batch.header.record_count;
         let mut fields = FieldReader::new(&batch.body);
-        let mut unsettled = vec![];
+        let mut instances_to_settle = vec![];
         for number in 1..=count {
-            self.play_record(now, &mut fields, &mut unsettled)
+            self.process_record(now, &mut fields, &mut instances_to_settle)
                 .map_err(|cause| AdapterError::Record {
                     number,
                     count,
@@ -49,37 +49,40 @@
                 records: count,
             });
         }
-        for instance in unsettled {
-            self.decide(instance, |state, actions| {
+        for instance in instances_to_settle {
+            self.call_instance(instance, |state, actions| {
                 state.decider.settle(now, actions);
             })?;
         }
         Ok(self.reply.take_frame())
     }
 
-    /// Plays one record. `unsettled` lists the running instances with an event in the batch, in the
-    /// order of their first one.
-    fn play_record(
+    /// Decodes and processes one record. `instances_to_settle` collects the running instances that
+    /// have an event in the batch, in the order of their first event. A killed instance is removed
+    /// from it.
+    fn process_record(
         &mut self,
         now: Timestamp,
         fields: &mut FieldReader,
-        unsettled: &mut Vec<InstanceId>,
+        instances_to_settle: &mut Vec<InstanceId>,
     ) -> Result<(), AdapterError> {
         let RecordHeader { code, instance } = RecordHeader::decode(fields)?;
         if code == EventCode::Arrival {
-            // An unknown instance is reported before any defect in the request's fields.
+            // If the instance is unknown, that error is reported rather than one of the request's
+            // fields.
             self.instance(instance)?;
         }
-        self.play_event(now, instance, Event::decode(code, fields)?)?;
+        self.process_event(now, instance, Event::decode(code, fields)?)?;
         if code == EventCode::Kill {
-            unsettled.retain(|other| *other != instance);
-        } else if !unsettled.contains(&instance) {
-            unsettled.push(instance);
+            instances_to_settle.retain(|other| *other != instance);
+        } else if !instances_to_settle.contains(&instance) {
+            instances_to_settle.push(instance);
         }
         Ok(())
     }
 
-    fn play_event(
+    /// Passes one event to the instance to which it belongs.
+    fn process_event(
         &mut self,
         now: Timestamp,
         instance: InstanceId,
@@ -89,30 +92,30 @@
             Event::Start { seed, settings } => self.start(now, instance, seed, settings),
             Event::Arrival(arrival) => {
                 let arrival = self.instance(instance)?.validate(arrival)?;
-                self.decide(instance, |state, actions| {
+                self.call_instance(instance, |state, actions| {
                     state.decider.on_arrival(now, &arrival, actions);
                 })
             }
-            Event::RunEnded(result) => self.decide(instance, |state, _| {
+            Event::RunEnded(result) => self.call_instance(instance, |state, _| {
                 let id = result.request_id;
                 let decider = &mut state.decider;
                 decider.on_run_ended(now, id, result.outcome, result.elapsed);
             }),
-            Event::CallNeeded { request_id } => self.decide(instance, |state, actions| {
+            Event::CallNeeded { request_id } => self.call_instance(instance, |state, actions| {
                 state.decider.on_call_needed(now, request_id, actions);
             }),
-            Event::CallFinished(result) => self.decide(instance, |state, actions| {
+            Event::CallFinished(result) => self.call_instance(instance, |state, actions| {
                 let id = result.request_id;
                 let decider = &mut state.decider;
                 decider.on_call_finished(now, id, result.outcome, result.elapsed, actions);
             }),
-            Event::Drain { remaining } => self.decide(instance, |state, _| {
+            Event::Drain { remaining } => self.call_instance(instance, |state, _| {
                 state.decider.drain(now, remaining);
             }),
-            Event::ClientGone { request_id } => self.decide(instance, |state, actions| {
+            Event::ClientGone { request_id } => self.call_instance(instance, |state, actions| {
                 state.decider.on_client_gone(now, request_id, actions);
             }),
-            Event::Tick { gauges } => self.decide(instance, |state, actions| {
+            Event::Tick { gauges } => self.call_instance(instance, |state, actions| {
                 let gauges = state.gauges(&gauges);
                 state.decider.on_tick(now, &gauges, actions);
             }),
@@ -120,6 +123,7 @@
         }
     }
 
+    /// Creates an instance with these settings. It replaces a running one with the same number.
     fn start(
         &mut self,
         now: Timestamp,
@@ -130,9 +134,10 @@
         let settings = madderbay_settings::read(settings)?;
         let started = Instance::new(now, seed, &settings);
         self.instances.insert(instance, started);
-        self.decide(instance, |state, actions| state.decider.on_start(actions))
+        self.call_instance(instance, |state, actions| state.decider.on_start(actions))
     }
 
+    /// Removes an instance whose process was killed.
     fn kill(&mut self, instance: InstanceId) -> Result<(), AdapterError> {
         match self.instances.remove(&instance) {
             Some(_) => Ok(()),
@@ -140,14 +145,16 @@
         }
     }
 
+    /// Returns a running instance, or an error if there is none with this number.
     fn instance(&self, instance: InstanceId) -> Result<&Instance, AdapterError> {
         self.instances
             .get(&instance)
             .ok_or(AdapterError::UnknownInstance { instance })
     }
 
-    /// Lets an instance decide. A panic of the decision module becomes a `FAULT` on the wire.
-    fn decide(
+    /// Runs `step` on an instance and collects the resulting actions. A panic of the decision
+    /// module is sent to the simulator as a `FAULT`.
+    fn call_instance(
         &mut self,
         instance: InstanceId,
         step: impl FnOnce(&mut Instance, &mut InstanceActions),
@@ -156,7 +163,7 @@
             .instances
             .get_mut(&instance)
             .ok_or(AdapterError::UnknownInstance { instance })?;
-        let mut actions = self.reply.actions_of(instance);
+        let mut actions = self.reply.actions_for(instance);
         let result = catch_unwind(AssertUnwindSafe(|| step(state, &mut actions)));
         if let Err(panic) = result {
             let message = panic_message(panic.as_ref());
@@ -166,6 +173,7 @@
     }
 }
 
+/// Returns the message of a panic, or a general one if the panic has no text.
 fn panic_message(panic: &(dyn Any + Send)) -> &str {
     if let Some(text) = panic.downcast_ref::<String>() {
         text
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter against the byte examples in the wire's description, and against malformed input.
+//! Tests the adapter with the byte examples of the protocol specification and with malformed input.
 
 use madderbay::interface::{Actions, Outcome};
 use madderbay::time::Duration;
@@ -15,7 +15,7 @@
  "passes_deadline": true, "meters": ["core_use", "on_cores"]},
  "permissions": {}, "rules": {"tip_multiple": 5.0}, "servers": 12}"#;
 
-/// The bytes that hexadecimal digits stand for; other characters are skipped.
+/// Parses bytes from hexadecimal digits. Other characters are skipped.
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex.bytes().filter(u8::is_ascii_hexdigit).collect();
     digits
@@ -24,7 +24,7 @@
         .collect()
 }
 
-/// A batch of events at a fixed time.
+/// Encodes a batch of events with a fixed time.
 fn batch(count: u32, body: &[u8]) -> Vec<u8> {
     let len = body.len() as u32 + 4;
     [
@@ -36,7 +36,7 @@
     .concat()
 }
 
-/// The event that starts instance 3.
+/// Encodes the event that starts instance 3.
 fn start_event(settings: &str) -> Vec<u8> {
     [
         &bytes("01 0300 6400000000000000")[..],
@@ -46,7 +46,7 @@
     .concat()
 }
 
-/// The arrival of a request at instance 3, as in the wire's description.
+/// Returns the arrival of a request at instance 3 from the protocol specification.
 fn arrival_event() -> Vec<u8> {
     bytes(
         "02 0300 c4913a5de3f90d00 0000 00000000 640ad2557c3bf091 80a90300 e02e0000 0000c441 0000203f 01 1100
@@ -54,29 +54,29 @@
     )
 }
 
-/// The arrival event with some bytes replaced, from the one at `position` of its record on.
+/// Returns the arrival event with some of its bytes replaced, starting at `position` of its record.
 fn arrival_with(replacement: &str, position: usize) -> Vec<u8> {
     let (mut event, replacement) = (arrival_event(), bytes(replacement));
     event[position..position + replacement.len()].copy_from_slice(&replacement);
     event
 }
 
-/// Plays frames one after the other and gives the replies, or the first error.
-fn play(frames: &[Vec<u8>]) -> Result<Vec<Vec<u8>>, AdapterError> {
+/// Processes frames one after the other and returns the replies, or the first error.
+fn process_frames(frames: &[Vec<u8>]) -> Result<Vec<Vec<u8>>, AdapterError> {
     let (input, mut host, mut replies) = (frames.concat(), Host::default(), vec![]);
     let mut input = input.as_slice();
     while let Some(batch) = read_batch(&mut input)? {
-        replies.push(host.play_batch(&batch)?);
+        replies.push(host.process_batch(&batch)?);
     }
     Ok(replies)
 }
 
 #[test]
-fn encodes_actions_as_in_the_published_examples() {
+fn encodes_actions_as_in_published_examples() {
     let id = u64::from_le_bytes(bytes("c4913a5de3f90d00").try_into().unwrap());
     let other = u64::from_le_bytes(bytes("192b6f0e8e790400").try_into().unwrap());
     let mut reply = Reply::default();
-    let mut actions = reply.actions_of(InstanceId(3));
+    let mut actions = reply.actions_for(InstanceId(3));
     actions.start(id);
     actions.reject(other, Duration::from_millis(250), true);
     actions.fail(other);
@@ -105,11 +105,14 @@
 #[test]
 fn answers_empty_batch_with_empty_reply() {
     let frame = bytes("5a5c800000000000 04000000 00000000");
-    assert_eq!(play(&[frame]).unwrap(), [bytes("04000000 00000000")]);
+    assert_eq!(
+        process_frames(&[frame]).unwrap(),
+        [bytes("04000000 00000000")]
+    );
 }
 
 #[test]
-fn starts_request_of_published_bytes_and_ignores_late_outcome() {
+fn starts_request_of_published_example_and_ignores_late_outcome() {
     let ended = bytes("03 0300 c4913a5de3f90d00 01 44480000");
     let tick = bytes("08 0300 0000000000000000 02 52b81e3f 00004040");
     let frames = [
@@ -118,7 +121,7 @@
         batch(2, &[ended.clone(), tick].concat()),
         batch(1, &ended),
     ];
-    let replies = play(&frames).unwrap();
+    let replies = process_frames(&frames).unwrap();
     assert_eq!(
         replies[1],
         bytes("0f000000 01000000 01 0300 c4913a5de3f90d00")
@@ -133,7 +136,7 @@
 #[test]
 fn restarts_instance_within_one_batch() {
     let restart = [bytes("09 0300"), start_event(SETTINGS), arrival_event()].concat();
-    let replies = play(&[
+    let replies = process_frames(&[
         batch(1, &start_event(SETTINGS)),
         batch(1, &arrival_event()),
         batch(3, &restart),
@@ -142,9 +145,10 @@
     assert!(replies[2].ends_with(&bytes("01 0300 c4913a5de3f90d00")));
 }
 
-/// Checks that an input ends with exactly that line, and that the cause is not in the settings.
+/// Asserts that an input is rejected with exactly this message, and that the error is not one of
+/// the settings.
 fn assert_reported(frames: &[Vec<u8>], expected: &str) {
-    let error = play(frames).expect_err(expected);
+    let error = process_frames(frames).expect_err(expected);
     assert_eq!(error.to_string(), expected);
     assert!(!error.is_settings_error(), "{error}");
 }
@@ -153,21 +157,24 @@
 fn reports_malformed_frames_in_one_line() {
     let start = start_event(SETTINGS);
     let complete_frame = batch(1, &start);
-    let cut_frame = complete_frame[..complete_frame.len() - 5].to_vec();
+    let truncated_frame = complete_frame[..complete_frame.len() - 5].to_vec();
     let short_length = bytes("5a5c800000000000 03000000 00000000");
     let cases = [
         (
             bytes("5a5c8000"),
             "frame: input ends 4 bytes into a header of 16",
         ),
-        (cut_frame, "frame: input ends 376 bytes into records of 381"),
+        (
+            truncated_frame,
+            "frame: input ends 376 bytes into records of 381",
+        ),
         (
             short_length,
-            "frame: length 3 has no room for the count of records",
+            "frame: length 3 is too short for the record count",
         ),
         (
             batch(2, &start),
-            "record 2 of 2: record cut short at byte 381: 1 wanted, 0 left",
+            "record 2 of 2: record truncated at byte 381: expected 1 bytes, 0 left",
         ),
         (batch(0, &start), "frame: 381 bytes left after 0 records"),
     ];
@@ -183,19 +190,19 @@
         (bytes("63 0300"), "record 1 of 1: event code 99 is unknown"),
         (
             arrival_event()[..20].to_vec(),
-            "record 1 of 1: record cut short at byte 17: 8 wanted, 3 left",
+            "record 1 of 1: record truncated at byte 17: expected 8 bytes, 3 left",
         ),
         (
             arrival_with("0100", 11),
-            "record 1 of 1: request 3933929614250436: class 1 of 1 classes",
+            "record 1 of 1: request 3933929614250436: class index 1 is out of range: 1 classes are defined",
         ),
         (
             arrival_with("01000000", 13),
-            "record 1 of 1: request 3933929614250436: tenant 1 of 0 tenants",
+            "record 1 of 1: request 3933929614250436: tenant index 1 is out of range: 0 tenants are defined",
         ),
         (
             arrival_with("000080bf", 33),
-            "record 1 of 1: request 3933929614250436: held_kb is under 0",
+            "record 1 of 1: request 3933929614250436: held_kb is negative",
         ),
         (
             arrival_with("0000807f", 33),
@@ -214,18 +221,18 @@
 #[test]
 fn reports_request_that_arrives_twice() {
     let two_arrivals = batch(2, &arrival_event().repeat(2));
-    let expected = "record 2 of 2: request 3933929614250436: read a second time";
+    let expected = "record 2 of 2: request 3933929614250436: arrived again before it had ended";
     assert_reported(&[batch(1, &start_event(SETTINGS)), two_arrivals], expected);
 }
 
-/// The instance is named even where the rest of the record is cut short.
+/// An unknown instance is reported even if the rest of the record is truncated.
 #[test]
 fn reports_events_of_unknown_instance() {
-    let cut_arrival = arrival_event()[..20].to_vec();
-    for event in [arrival_event(), cut_arrival, bytes("09 0300")] {
+    let truncated_arrival = arrival_event()[..20].to_vec();
+    for event in [arrival_event(), truncated_arrival, bytes("09 0300")] {
         assert_reported(
             &[batch(1, &event)],
-            "record 1 of 1: instance 3 was never begun",
+            "record 1 of 1: instance 3 is not running",
         );
     }
 }
@@ -242,7 +249,7 @@
         (SETTINGS.replace("read_like", "odd"), "'odd'"),
     ];
     for (settings, expected) in cases {
-        let error = play(&[batch(1, &start_event(&settings))]).expect_err(expected);
+        let error = process_frames(&[batch(1, &start_event(&settings))]).expect_err(expected);
         let message = error.to_string();
         assert!(
             message.starts_with("record 1 of 1: settings: "),
@@ -256,9 +263,10 @@
     }
 }
 
-/// A text that is cut inside a character is none that the simulator can read.
+/// A message that is truncated within a character is not valid UTF-8, so the simulator cannot read
+/// it.
 #[test]
-fn cuts_fault_before_the_character_that_exceeds_it() {
+fn truncates_fault_message_at_character_boundary() {
     let message = format!("{}é", "x".repeat(499));
     let mut reply = Reply::default();
     reply.push(InstanceId(3), &Action::Fault { message: &message });
@@ -268,11 +276,11 @@
 }
 
 #[test]
-fn limits_what_is_sent_to_its_fields() {
+fn clamps_values_to_field_widths() {
     let message = "x".repeat(501);
     let mut reply = Reply::default();
     reply
-        .actions_of(InstanceId(3))
+        .actions_for(InstanceId(3))
         .set_idle_limit(Duration::from_millis(u64::from(u32::MAX)));
     reply.push(InstanceId(3), &Action::Fault { message: &message });
     let idle_limit = bytes("0c 0300 ffffffff");
@@ -282,43 +290,49 @@
     assert_eq!(
         reply.take_frame(),
         bytes("04000000 00000000"),
-        "the reply begins anew"
+        "taking a frame clears the reply"
     );
 }
 
 #[test]
 fn accepts_settings_with_required_keys_only() {
-    let bare = r#"{"classes": [{"aim_us": 1, "hard_limit_us": 1, "importance": 0,
+    let minimal_settings = r#"{"classes": [{"aim_us": 1, "hard_limit_us": 1, "importance": 0,
         "effect": "non_idempotent"}],
         "family_info": {"n_cores": 1, "memory_kb": 1, "blowup": 1}, "permissions": {},
         "rules": {"tip_multiple": 1}, "servers": 0}"#;
-    assert!(settings::read(bare.as_bytes()).is_ok());
-    let replies = play(&[batch(1, &start_event(bare)), batch(1, &arrival_event())]).unwrap();
+    assert!(settings::read(minimal_settings.as_bytes()).is_ok());
+    let replies = process_frames(&[
+        batch(1, &start_event(minimal_settings)),
+        batch(1, &arrival_event()),
+    ])
+    .unwrap();
     assert!(
         replies[1].len() > 8,
-        "a request without time left is answered"
+        "a request without time left must be answered"
     );
 }
 
-/// Runs the program on an input and gives its exit status and standard error.
+/// Runs the program with an input and returns its exit status and its standard error.
 fn run_program(input: &[u8]) -> (Option<i32>, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_madderbay-drill"))
         .stdin(Stdio::piped())
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the program starts");
-    let mut stdin = child.stdin.take().expect("standard input is piped");
-    // The program may end before it has read all.
+        .expect("failed to start the program");
+    let mut stdin = child.stdin.take().expect("standard input must be piped");
+    // Writing fails if the program ends before it has read the whole input.
     let _ = stdin.write_all(input);
     drop(stdin);
-    let output = child.wait_with_output().expect("the program ends");
-    let stderr = String::from_utf8(output.stderr).expect("standard error is text");
+    let output = child
+        .wait_with_output()
+        .expect("failed to wait for the program");
+    let stderr = String::from_utf8(output.stderr).expect("standard error must be UTF-8");
     (output.status.code(), stderr)
 }
 
 #[test]
-fn exits_with_2_on_invalid_settings_and_with_1_on_malformed_input() {
+fn exits_with_status_2_on_invalid_settings_and_1_on_malformed_input() {
     let unknown_word = SETTINGS.replace("\"preemption\": \"freeze\"", "\"preemption\": \"melt\"");
     let cases = [
         (
@@ -347,7 +361,7 @@
 }
 
 #[test]
-fn events_have_the_codes_of_the_wire() {
+fn event_codes_match_wire_protocol() {
     let codes = [
         ("BEGIN", 1, EventCode::Start),
         ("QUERY", 2, EventCode::Arrival),
@@ -370,7 +384,7 @@
 }
 
 #[test]
-fn outcomes_have_the_codes_of_the_wire() {
+fn outcome_codes_match_wire_protocol() {
     let outcomes = [
         Outcome::Completed,
         Outcome::Failed,
--- a/crates/testkit/examples/membership/row.rs
+++ b/crates/testkit/examples/membership/row.rs
@@ -1,4 +1,4 @@
-//! One row of a table, and the faults that all rows are about.
+//! One row of a table, and the faults that each row measures.
 
 use madderbay::time::Duration;
 use madderbay_testkit::fleet::script::{Action, Condition, Fleet};
@@ -6,10 +6,10 @@
 use madderbay_testkit::measurement::report::{median, table_head};
 
 /// Upper bound on the time that a fleet takes to settle.
-const SETTLE_TERM: Duration = Duration::from_millis(120_000);
+const SETTLE_TIMEOUT: Duration = Duration::from_millis(120_000);
 
-/// What the runs of one row have shown: seconds, infinite where a fleet did not settle; bytes a
-/// second and member; processor time in percent of a core.
+/// Results of the runs of one row. Times are in seconds, infinite if a fleet did not settle;
+/// traffic is in bytes per second and member; processor time is in percent of a core.
 #[derive(Default)]
 pub(crate) struct Row {
     pub(crate) join: Vec<f64>,
@@ -18,12 +18,12 @@
     pub(crate) heal: Vec<f64>,
     pub(crate) bytes: Vec<f64>,
     pub(crate) cpu: Vec<f64>,
-    /// Members that were declared down while they ran and were connected.
+    /// Number of members that were declared down while they were running and connected.
     pub(crate) wrongly_down: usize,
 }
 
 impl Row {
-    /// Adds what other runs have shown.
+    /// Adds the results of other runs.
     pub(crate) fn add(&mut self, other: Row) {
         self.join.extend(other.join);
         self.crash.extend(other.crash);
@@ -34,10 +34,10 @@
         self.wrongly_down += other.wrongly_down;
     }
 
-    /// Prints the row; `head` is what stands in its first columns.
-    pub(crate) fn print_line(&mut self, head: &str) {
+    /// Prints the row; `first_columns` is the text of its first columns.
+    pub(crate) fn print_line(&mut self, first_columns: &str) {
         println!(
-            "| {head} | {} | {} | {} | {} | {} | {} | {} |",
+            "| {first_columns} | {} | {} | {} | {} | {} | {} | {} |",
             median_and_worst(&mut self.join, 1),
             median_and_worst(&mut self.crash, 1),
             median_and_worst(&mut self.partition, 1),
@@ -48,20 +48,21 @@
         );
     }
 
-    /// All but the last of the servers start, and settle; it joins, one crashes, a third is
-    /// partitioned off, the partition heals. `calm` measures what a settled fleet costs.
+    /// Plays the faults: all servers but the last start and settle, the last one joins, one
+    /// crashes, a third of the servers is partitioned off, and the partition heals.
+    /// `measure_settled` measures the cost of the settled fleet before the join.
     pub(crate) fn play<F: Fleet>(
         &mut self,
         fleet: &mut F,
         servers: usize,
-        calm: impl FnOnce(&mut F, &mut Row),
+        measure_settled: impl FnOnce(&mut F, &mut Row),
     ) {
         let last = servers - 1;
         start_all(fleet, 0..last);
         if settle(fleet).is_infinite() {
             return self.join.push(f64::INFINITY);
         }
-        calm(fleet, self);
+        measure_settled(fleet, self);
         act(fleet, Action::start(last));
         self.join.push(settle(fleet));
         act(fleet, Action::Kill(servers / 2));
@@ -75,9 +76,9 @@
     }
 }
 
-/// Prints the beginning of a table whose first columns have these heads.
-pub(crate) fn print_head(first: &str) {
-    let heads = [
+/// Prints the header of a table; `first` is the heading of its first columns.
+pub(crate) fn print_table_head(first: &str) {
+    let headings = [
         first,
         "join, s",
         "crash, s",
@@ -87,26 +88,28 @@
         "CPU, % of a core",
         "held down",
     ];
-    println!("{}", table_head(&heads));
+    println!("{}", table_head(&headings));
 }
 
-/// The time that a fleet takes to settle, in seconds; infinite if it does not.
+/// Waits until a fleet has settled, and returns the time that it took in seconds; infinite if it
+/// does not settle.
 pub(crate) fn settle(fleet: &mut impl Fleet) -> f64 {
-    wait_until(fleet, &Condition::Settled, SETTLE_TERM)
+    wait_until(fleet, &Condition::Settled, SETTLE_TIMEOUT)
 }
 
-/// Loses a fraction of all datagrams and delays the others by up to 5 ms.
+/// Returns an action that makes the network lose a fraction of all datagrams and delay the others
+/// by up to 5 ms.
 pub(crate) fn lossy_network(loss: f64) -> Action {
     let delay = Some((Duration::from_micros(200), Duration::from_millis(5)));
     Action::Network {
         loss: Some(loss),
-        double: None,
-        spoil: None,
+        duplication: None,
+        corruption: None,
         delay,
     }
 }
 
-/// The median, and the largest in brackets; a hyphen without any.
+/// Formats the median and, in brackets, the largest value; a hyphen if there are no values.
 fn median_and_worst(values: &mut [f64], digits: usize) -> String {
     if values.is_empty() {
         return "-".into();
--- a/crates/testkit/examples/pools/limits.rs
+++ b/crates/testkit/examples/pools/limits.rs
@@ -1,5 +1,5 @@
-//! Pools with adaptive limits beside fixed ones and beside none: goodput of each handler, calls in
-//! flight upstream, and how far the limit swings. Work takes 20 to 40 ms.
+//! Compares pools with adaptive limits, with fixed limits, and no pools: goodput of each handler,
+//! calls in flight upstream, and the variation of the limit. The work of a run takes 20 to 40 ms.
 
 use madderbay_testkit::engine::HandlerWork;
 use madderbay_testkit::load_balancer::{Answer, KindId, RequestKind, goodput, latencies};
@@ -13,17 +13,17 @@
 use std::time::Duration;
 
 const DEFAULT_SEEDS: u64 = 5;
-/// Seeds without the fault.
-const CALM_SEEDS: u64 = 2;
-/// Runs at a time: each needs a core or two for its fakes.
-const RUNS_AT_A_TIME: usize = 2;
-/// The limit of the calls in flight before it is changed.
+/// Number of seeds without the fault.
+const FAULTLESS_SEEDS: u64 = 2;
+/// Number of runs in parallel: each needs a core or two for its fakes.
+const RUNS_IN_PARALLEL: usize = 2;
+/// Limit of the calls in flight before its first change.
 const INITIAL_LIMIT: f64 = 12.0;
-/// The time that the limit gets to settle after the fault has begun or ended.
+/// Time that the limit is given to settle after the fault has begun or ended.
 const SETTLING_TIME: Duration = Duration::from_secs(3);
-/// The time at the beginning of the fault that is reported by itself.
+/// Time at the beginning of the fault that is reported separately.
 const FIRST_SECOND: Duration = Duration::from_secs(1);
-/// The beginning of a line of the log about the limit.
+/// Beginning of a log line about the limit.
 const LIMIT_LINE: &str = "INFO concurrency: limit ";
 
 const SETTINGS: &str = include_str!("settings.json");
@@ -61,8 +61,8 @@
     ]
 }
 
-/// Prints the figures of all variants, or of one.
-pub(crate) fn measure(seeds: Option<u64>, only: Option<&str>) {
+/// Measures all variants or only one, and prints their figures.
+pub(crate) fn measure(seeds: Option<u64>, only_variant: Option<&str>) {
     let seeds = seeds.unwrap_or(DEFAULT_SEEDS);
     let fixed = POOLS.replace("adaptive", "fixed");
     let variants = [
@@ -73,7 +73,7 @@
     println!("{seeds} seeds; median (least to most)");
     let mut violations = Violations::default();
     for (variant, operator) in variants {
-        if only.is_none_or(|only| only == variant) {
+        if only_variant.is_none_or(|only_variant| only_variant == variant) {
             measure_variant(variant, operator, seeds, &mut violations);
         }
     }
@@ -83,31 +83,34 @@
 
 fn measure_variant(variant: &str, operator: Option<&str>, seeds: u64, violations: &mut Violations) {
     println!("== pools {variant}");
-    let results = run_seeds(1..seeds + 1, RUNS_AT_A_TIME, |seed| {
-        Measured::new(operator, true, seed)
+    let results = run_seeds(1..seeds + 1, RUNS_IN_PARALLEL, |seed| {
+        Measurement::new(operator, true, seed)
     });
     for (index, kind) in kinds().iter().enumerate() {
         print_kind(KindId::new(index), &kind.handler, &results);
     }
     print_calls(&results);
-    // One at a time, since their processor time is compared.
-    let calm = run_seeds(1..CALM_SEEDS + 1, 1, |seed| {
-        Measured::new(operator, false, seed)
+    // These runs are made one at a time, since their processor time is compared.
+    let without_fault = run_seeds(1..FAULTLESS_SEEDS + 1, 1, |seed| {
+        Measurement::new(operator, false, seed)
     });
     println!(
         "calm only: goodput {}, CPU a request {} ms",
-        range(&calm, Measured::total_goodput),
-        range(&calm, |measured| measured.run.cpu_ms),
+        range(&without_fault, Measurement::total_goodput),
+        range(&without_fault, |measurement| measurement.run.cpu_ms),
     );
-    for measured in results.into_iter().chain(calm) {
-        violations.add(measured.seed, measured.run.violations);
+    for measurement in results.into_iter().chain(without_fault) {
+        violations.add(measurement.seed, measurement.run.violations);
     }
 }
 
 /// Prints the figures of one kind of request.
-fn print_kind(kind: KindId, name: &str, results: &[Measured]) {
-    let goodput =
-        |time: Range<Duration>| range(results, |measured| measured.goodput(kind, time.clone()));
+fn print_kind(kind: KindId, name: &str, results: &[Measurement]) {
+    let goodput = |time: Range<Duration>| {
+        range(results, |measurement| {
+            measurement.goodput(kind, time.clone())
+        })
+    };
     println!(
         "{name:12} goodput in calm {}, during the fault {}, in its first second {}, after it {}",
         goodput(BEFORE_FAULT),
@@ -115,8 +118,11 @@
         goodput(FAULT.start..FAULT.start + FIRST_SECOND),
         goodput(AFTER_FAULT),
     );
-    let answered =
-        |is_like: fn(&Answer) -> bool| range(results, |measured| measured.answered(kind, is_like));
+    let answered = |is_expected: fn(&Answer) -> bool| {
+        range(results, |measurement| {
+            measurement.answered(kind, is_expected)
+        })
+    };
     println!(
         "{:12} during the fault completed {}, rejected {}, failed {}",
         "",
@@ -127,20 +133,21 @@
     println!(
         "{:12} p99 of those completed {} ms",
         "",
-        range(results, |measured| measured.p99_ms(kind))
+        range(results, |measurement| measurement.p99_ms(kind))
     );
 }
 
-/// Prints the figures of the calls and of their limit.
-fn print_calls(results: &[Measured]) {
-    let peak = |time: Range<Duration>| range(results, |measured| measured.peak(time.clone()));
+/// Prints the figures of the upstream calls and of their limit.
+fn print_calls(results: &[Measurement]) {
+    let peak = |time: Range<Duration>| range(results, |measurement| measurement.peak(time.clone()));
     println!(
         "most calls in flight upstream: during the fault {}, after its first second {}, after it {}",
         peak(FAULT),
         peak(FAULT.start + FIRST_SECOND..FAULT.end),
         peak(AFTER_FAULT),
     );
-    let swing = |time: Range<Duration>| range(results, |measured| measured.swing(time.clone()));
+    let swing =
+        |time: Range<Duration>| range(results, |measurement| measurement.swing(time.clone()));
     println!(
         "swing of the limit from 3 s on: during the fault {}, after it {}",
         swing(FAULT.start + SETTLING_TIME..FAULT.end),
@@ -148,12 +155,12 @@
     );
     println!(
         "CPU a request in all {} ms",
-        range(results, |measured| measured.run.cpu_ms)
+        range(results, |measurement| measurement.run.cpu_ms)
     );
 }
 
-/// The median, the least and the most of a figure.
-fn range(results: &[Measured], figure: impl Fn(&Measured) -> f64) -> String {
+/// Formats the median, the minimum and the maximum of a figure.
+fn range(results: &[Measurement], figure: impl Fn(&Measurement) -> f64) -> String {
     let mut values: Vec<f64> = results.iter().map(figure).collect();
     let median = median(&mut values);
     let least = values[0];
@@ -168,7 +175,7 @@
 }
 
 impl LimitChange {
-    /// Reads it from a line of the log; `None` if the line is about something else.
+    /// Parses a log line; `None` if the line is not about the limit.
     fn read(at: Duration, line: &str) -> Option<LimitChange> {
         let rest = line.strip_prefix(LIMIT_LINE)?;
         let limit = rest.split(", to=").nth(1);
@@ -180,15 +187,15 @@
     }
 }
 
-/// What one run has shown.
-struct Measured {
+/// Results of one run.
+struct Measurement {
     seed: u64,
     run: ServerRun,
     limit_changes: Vec<LimitChange>,
 }
 
-impl Measured {
-    fn new(operator: Option<&str>, fault: bool, seed: u64) -> Measured {
+impl Measurement {
+    fn new(operator: Option<&str>, fault: bool, seed: u64) -> Measurement {
         let scenario = Scenario {
             settings: SETTINGS,
             operator,
@@ -200,7 +207,7 @@
         let run = scenario.run();
         let log = run.log.iter();
         let limit_changes = log.filter_map(|(at, line)| LimitChange::read(*at, line));
-        Measured {
+        Measurement {
             seed,
             limit_changes: limit_changes.collect(),
             run,
@@ -211,7 +218,7 @@
         goodput(&self.run.records, &kinds(), kind, time)
     }
 
-    /// The goodput of all handlers over the whole run.
+    /// Returns the goodput of all handlers over the whole run.
     fn total_goodput(&self) -> f64 {
         let records = &self.run.records;
         let kinds = kinds();
@@ -221,29 +228,31 @@
         in_time.count() as f64 / records.len() as f64
     }
 
-    /// A handler's requests during the fault whose first answer is like this.
-    fn answered(&self, kind: KindId, is_like: fn(&Answer) -> bool) -> f64 {
+    /// Returns the number of a handler's requests during the fault whose first answer satisfies
+    /// `is_expected`.
+    fn answered(&self, kind: KindId, is_expected: fn(&Answer) -> bool) -> f64 {
         let records = self.run.records.iter();
         let during_fault =
             records.filter(|record| record.kind == kind && FAULT.contains(&record.sent));
         let answered = during_fault.filter(|record| {
             let first = record.answers.first();
-            first.is_some_and(|(answer, _)| is_like(answer))
+            first.is_some_and(|(answer, _)| is_expected(answer))
         });
         answered.count() as f64
     }
 
-    /// The 99th percentile of a handler's response times, in milliseconds.
+    /// Returns the 99th percentile of a handler's response times, in milliseconds.
     fn p99_ms(&self, kind: KindId) -> f64 {
         latencies(&self.run.records, kind).value_at_quantile(0.99) as f64
     }
 
-    /// The most calls in flight during a time.
+    /// Returns the largest number of calls in flight during a time range.
     fn peak(&self, time: Range<Duration>) -> f64 {
         self.run.peak(time) as f64
     }
 
-    /// The widest swing of the limit during a time, as a fraction of its mean there.
+    /// Returns the difference between the largest and the smallest limit during a time range, as a
+    /// fraction of the mean of its values there.
     fn swing(&self, time: Range<Duration>) -> f64 {
         let mut earlier = self.limit_changes.iter().rev();
         let initial = earlier
--- a/crates/testkit/examples/quotas/counters.rs
+++ b/crates/testkit/examples/quotas/counters.rs
@@ -1,5 +1,5 @@
-//! Errors of replicated counters against the truth and against the advertised bound; time and memory
-//! with many tenants.
+//! Errors of replicated counters compared with the true counts and with the advertised bound, and
+//! time and memory with many tenants.
 
 use crate::simulated::bytes_sent;
 use madderbay::time::{Duration, Timestamp};
@@ -13,23 +13,25 @@
 use std::time::Instant;
 
 const WINDOW: Duration = Duration::from_millis(10_000);
-const SETTLE_TERM: Duration = Duration::from_millis(60_000);
-/// The time after which the window of all counters is full.
+const SETTLE_TIMEOUT: Duration = Duration::from_millis(60_000);
+/// Time after which the window of all counters is full.
 const START_TIME: Duration = Duration::from_millis(20_000);
-/// Checks of the estimates, and the time before each.
+/// Number of checks of the estimates.
 const CHECKS: usize = 40;
+/// Time before each check of the estimates.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// The servers that are checked at most.
+/// Maximum number of servers that are checked.
 const MAX_CHECKED_SERVERS: usize = 12;
-/// The fair rate that estimates are asked with, in requests a second.
+/// Fair rate that is passed to the queries for estimates, in requests per second.
 const FAIR_RATE: f64 = 2.0;
-/// The requests of many tenants, and the time between two of them.
+/// Number of requests in the measurement with many tenants.
 const REQUESTS: u64 = 1_000_000;
 const TENANTS: u64 = 100_000;
+/// Time between two requests in the measurement with many tenants.
 const ARRIVAL_INTERVAL: Duration = Duration::from_micros(20);
 const MAX_REQUESTS_PER_SECOND: f64 = 1_000.0;
 
-/// An estimate beside the truth.
+/// An estimate and the true count.
 struct Check {
     bound: f64,
     value: f64,
@@ -39,14 +41,14 @@
 
 /// Prints the table, and the line about many tenants.
 pub(crate) fn measure() {
-    let heads = [
+    let headings = [
         "servers, loss",
         "value, truth, bound (median sample)",
         "servers not received",
         "outside the bound",
         "bytes a second a server",
     ];
-    println!("{}", table_head(&heads));
+    println!("{}", table_head(&headings));
     for (servers, loss) in [(5, 0.0), (5, 0.1), (12, 0.0), (12, 0.1), (100, 0.0)] {
         print_row(servers, loss);
     }
@@ -60,7 +62,7 @@
     };
     let mut fleet = SimulatedFleet::new(setup, 1);
     start_all(&mut fleet, 0..servers);
-    wait_until(&mut fleet, &Condition::Settled, SETTLE_TERM);
+    wait_until(&mut fleet, &Condition::Settled, SETTLE_TIMEOUT);
     act(&mut fleet, Action::loss(loss));
     let key = name_hash("acme");
     for server in 0..servers {
@@ -93,7 +95,7 @@
         for server in 0..servers.min(MAX_CHECKED_SERVERS) {
             let estimate = fleet
                 .checked_estimate(server, key, FAIR_RATE)
-                .expect("counts");
+                .expect("the server counts requests");
             checks.push(Check {
                 bound: estimate.bound(),
                 value: estimate.value,
@@ -105,7 +107,8 @@
     checks
 }
 
-/// Counts the requests of many tenants with one counter.
+/// Counts the requests of many tenants with one counter, and prints the time and the memory that it
+/// takes.
 fn print_many_tenants() {
     let settings = CounterSettings {
         name: "tenants".into(),
--- a/crates/testkit/examples/soak/main.rs
+++ b/crates/testkit/examples/soak/main.rs
@@ -1,10 +1,10 @@
-//! Plays the real program under drawn troubles:
+//! Runs soak tests of the real program. Each seed determines the load, faults and signals of one soak run:
 //!
 //!     cargo build --release && cargo run --release -p madderbay-testkit --example soak -- SEEDS [PROGRAM]
 //!
-//! SEEDS is a seed or a range such as `1..57`, the last not included. PROGRAM is the program to play, without which it
-//! is the release build of this workspace. Prints one line a seed, and the violations of each. Exits with 1 where a rule
-//! was broken, with 2 on wrong arguments.
+//! SEEDS is a seed or a range such as `1..57`, whose end is excluded. PROGRAM is the program to
+//! run; by default it is the release build of this workspace. Prints one line per seed, followed by
+//! its violations. Exits with 1 if a rule was broken, and with 2 on wrong arguments.
 
 use madderbay_testkit::measurement::seeds::run_seeds;
 use madderbay_testkit::soak::{Plan, Violation, play, violations};
@@ -13,12 +13,13 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Plays at a time: few enough that servers, fakes and clients find a core.
-const PLAYS_AT_A_TIME: usize = 4;
-/// Violations that are printed of one play.
+/// Number of soak runs that are executed in parallel: few enough that servers, fakes and clients
+/// find a free core.
+const PARALLEL_SOAK_RUNS: usize = 4;
+/// Maximum number of violations that are printed for one soak run.
 const MAX_PRINTED: usize = 5;
 
-/// What the command line asks for.
+/// Arguments of the command line.
 struct Arguments {
     seeds: Range<u64>,
     program: PathBuf,
@@ -30,13 +31,13 @@
         return ExitCode::from(2);
     };
     let program = &arguments.program;
-    let plays = run_seeds(arguments.seeds, PLAYS_AT_A_TIME, |seed| {
+    let results = run_seeds(arguments.seeds, PARALLEL_SOAK_RUNS, |seed| {
         let found = violations(&play(program, &Plan::draw(seed)));
-        print_play(seed, program, &found);
+        print_soak_run(seed, program, &found);
         found
     });
-    print_summary(&plays);
-    let is_clean = plays.iter().all(Vec::is_empty);
+    print_summary(&results);
+    let is_clean = results.iter().all(Vec::is_empty);
     ExitCode::from(u8::from(!is_clean))
 }
 
@@ -48,7 +49,7 @@
     is_complete.then_some(Arguments { seeds, program })
 }
 
-/// A seed, or a range of them that is not empty.
+/// Parses a seed, or a range of seeds that is not empty.
 fn read_seeds(text: &str) -> Option<Range<u64>> {
     let seeds = match text.split_once("..") {
         Some((first, end)) => first.parse().ok()?..end.parse().ok()?,
@@ -60,8 +61,8 @@
     (!seeds.is_empty()).then_some(seeds)
 }
 
-/// Prints one play, and how to play it again where a rule was broken.
-fn print_play(seed: u64, program: &Path, found: &[Violation]) {
+/// Prints the violations of one soak run and, if there are any, the command that repeats it.
+fn print_soak_run(seed: u64, program: &Path, found: &[Violation]) {
     println!("seed {seed}: {} violations", found.len());
     for violation in found.iter().take(MAX_PRINTED) {
         println!("  {violation}");
@@ -74,19 +75,19 @@
     }
 }
 
-/// Prints how many plays broke which rule.
-fn print_summary(plays: &[Vec<Violation>]) {
+/// Prints how many soak runs there were, how many had no violations, and how many broke each rule.
+fn print_summary(results: &[Vec<Violation>]) {
     let mut by_rule: BTreeMap<&str, usize> = BTreeMap::new();
-    for play in plays {
-        let mut rules: Vec<&str> = play.iter().map(|violation| violation.rule).collect();
+    for found in results {
+        let mut rules: Vec<&str> = found.iter().map(|violation| violation.rule).collect();
         rules.sort_unstable();
         rules.dedup();
         for rule in rules {
             *by_rule.entry(rule).or_default() += 1;
         }
     }
-    let clean = plays.iter().filter(|play| play.is_empty()).count();
-    println!("{} plays, {clean} clean", plays.len());
+    let clean = results.iter().filter(|found| found.is_empty()).count();
+    println!("{} plays, {clean} clean", results.len());
     for (rule, count) in by_rule {
         println!("  {count} plays broke: {rule}");
     }
--- a/crates/testkit/src/fleet/processes/actions.rs
+++ b/crates/testkit/src/fleet/processes/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out the actions of a script on real processes.
+//! Performs the actions of a script on real server processes.
 
 use super::operator_file::{self, QUOTA_SECTION, millis};
 use super::{Node, ProcessFleet};
@@ -6,7 +6,7 @@
 use std::path::Path;
 
 impl ProcessFleet {
-    pub(super) fn carry_out(&mut self, action: &Action) -> Result<(), ActionError> {
+    pub(super) fn perform(&mut self, action: &Action) -> Result<(), ActionError> {
         match action {
             Action::Start {
                 who,
@@ -18,7 +18,7 @@
                 self.start(*who, *name, &format!("{sign}{}", millis(*clock)));
             }
             Action::Kill(server) => {
-                self.disturb_load(*server);
+                self.interrupt_load(*server);
                 self.nodes[*server].server = None;
             }
             Action::Stop(server) => self.stop(*server)?,
@@ -26,10 +26,10 @@
             Action::Drain(server) => self.drain(*server)?,
             Action::Demand(server, demand) => {
                 self.nodes[*server].demand = *demand;
-                self.renew_load(*server);
+                self.restart_load(*server);
             }
             Action::SetCapacity { server, capacity } => self.set_capacity(*server, *capacity)?,
-            Action::Peak(most) => self.check_peak(*most)?,
+            Action::CheckPeak(most) => self.check_peak(*most)?,
             Action::Cut(groups) => {
                 for (number, group) in (1..).zip(groups) {
                     group
@@ -45,13 +45,15 @@
             Action::OneWay(..) | Action::Network { .. } | Action::Replay(_) => {
                 self.relays.act(action);
             }
-            Action::For(_) | Action::Downs(_) => return Err(ActionError::SimulatedOnly),
+            Action::Advance(_) | Action::CheckWronglyDown(_) => {
+                return Err(ActionError::SimulatedOnly);
+            }
         }
         Ok(())
     }
 
     fn stop(&mut self, server: usize) -> Result<(), ActionError> {
-        self.disturb_load(server);
+        self.interrupt_load(server);
         let node = &mut self.nodes[server];
         node.running()?.signal("-STOP");
         node.stopped = true;
@@ -59,17 +61,17 @@
     }
 
     fn resume(&mut self, server: usize) -> Result<(), ActionError> {
-        self.disturb_load(server);
+        self.interrupt_load(server);
         let node = &mut self.nodes[server];
         node.running()?.signal("-CONT");
         node.stopped = false;
-        self.renew_load(server);
+        self.restart_load(server);
         Ok(())
     }
 
-    /// Has a server drain, and waits for its end.
+    /// Sends SIGTERM to a server, so that it drains, and waits until it has exited.
     fn drain(&mut self, server: usize) -> Result<(), ActionError> {
-        self.disturb_load(server);
+        self.interrupt_load(server);
         let process = self.nodes[server].server.take();
         let process = process.ok_or(ActionError::NotRunning)?;
         process.signal("-TERM");
@@ -97,16 +99,19 @@
         Ok(())
     }
 
-    /// Edits the operator file of a server and has it reload that.
+    /// Edits the operator file of a server and sends SIGHUP, so that the server reloads it.
     ///
     /// # Panics
     ///
-    /// If the server does not run, or if its operator file can't be read or written.
+    /// If the server does not run, or if its operator file cannot be read or written.
     pub fn rewrite(&self, server: usize, edit: impl Fn(&str) -> String) {
-        let server = self.server(server).expect("it runs");
-        let path = server.operator.as_ref().expect("it has an operator file");
-        let text = std::fs::read_to_string(path).expect("text");
-        std::fs::write(path, edit(&text)).expect("written");
+        let server = self.server(server).expect("the server runs");
+        let path = server
+            .operator
+            .as_ref()
+            .expect("the server has an operator file");
+        let text = std::fs::read_to_string(path).expect("a readable operator file");
+        std::fs::write(path, edit(&text)).expect("a writable operator file");
         server.signal("-HUP");
     }
 }
--- a/crates/testkit/src/fleet/script/error.rs
+++ b/crates/testkit/src/fleet/script/error.rs
@@ -1,23 +1,23 @@
-//! The errors of scripts: of parsing one, of playing one, and of a single action.
+//! Errors of parsing a script, of playing a script, and of a single action.
 
 use madderbay::time::Duration;
 use thiserror::Error;
 
-/// Why a script can't be parsed. Displays as one line with the place.
+/// Error of parsing a script. It is displayed as one line with the file and line number.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{file}:{line}: '{word}': {expected}")]
 pub struct ScriptError {
-    /// The name of the script.
+    /// Name of the script.
     pub file: String,
-    /// The line number, from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// The word that was not understood, or the keyword of a line that has too many or too few.
+    /// The invalid word, or the keyword of a line with the wrong arguments.
     pub word: String,
-    /// What can stand in its place.
+    /// What the parser expected in its place.
     pub expected: Expected,
 }
 
-/// What a script was expected to have in the place of a word.
+/// What the parser expected in place of an invalid word.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Expected {
     /// A time.
@@ -29,13 +29,13 @@
     /// A fraction of all datagrams.
     #[error("a fraction from 0 to 1 is expected")]
     Fraction,
-    /// Whether something is on.
+    /// `on` or `off`.
     #[error("on or off is expected")]
     Switch,
     /// The name of one of the servers.
     #[error("a server is expected, as in n1")]
     Server,
-    /// The state of a member.
+    /// The state of a member, or `unknown`.
     #[error("a state is expected: joining, alive, suspect, draining, down, left or unknown")]
     State,
     /// How much of the fleet a server receives from.
@@ -45,66 +45,66 @@
     #[error("KEY=VALUE is expected")]
     Assignment,
     /// A key of `set`.
-    #[error("no such key, or one that needs capacity= before it")]
+    #[error("unknown key, or a key that needs capacity= before it")]
     Key,
     /// The keyword of a line.
-    #[error("no such step")]
+    #[error("unknown keyword")]
     Keyword,
-    /// The arguments of a keyword.
-    #[error("the line has to read: {0}")]
+    /// The keyword's arguments in the given form.
+    #[error("the expected form is: {0}")]
     Line(&'static str),
 }
 
-/// Why an action failed.
+/// Error of an action.
 #[derive(Debug, Error)]
 pub enum ActionError {
     /// The server does not run.
-    #[error("it does not run")]
+    #[error("the server does not run")]
     NotRunning,
     /// The server was started without an operator file.
-    #[error("it has no operator file")]
+    #[error("the server has no operator file")]
     NoOperatorFile,
     /// The server's operator file can't be read or written.
     #[error(transparent)]
     OperatorFile(#[from] std::io::Error),
-    /// Only simulated fleets can do it.
-    #[error("is for simulated fleets")]
+    /// Only simulated fleets support the action.
+    #[error("the action is for simulated fleets only")]
     SimulatedOnly,
-    /// More calls than allowed were in flight.
-    #[error("{peak} calls were in flight, more than {most}")]
+    /// More calls were in flight than a check allows.
+    #[error("{peak} calls were in flight at once, more than {most}")]
     TooManyCalls {
-        /// The most calls in flight.
+        /// Maximum number of calls in flight.
         peak: u64,
-        /// The most that are allowed.
+        /// Maximum that the check allows.
         most: u32,
     },
-    /// Servers that ran and were connected were declared down.
-    #[error("{count} were declared down while they ran")]
+    /// Servers were declared down although they ran and were connected.
+    #[error("servers that ran and were connected were declared down {count} times")]
     WronglyDown {
-        /// How many.
+        /// Number of wrong declarations.
         count: usize,
     },
 }
 
-/// Why a play of a script failed. Displays as one line with the place.
+/// Error of playing a script. It is displayed as one line with the line number.
 #[derive(Debug, Error)]
 pub enum ScriptFailure {
     /// An action failed.
     #[error("line {line}: {error}")]
     Action {
-        /// The line number, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// Why it failed.
+        /// Error of the action.
         error: ActionError,
     },
-    /// A condition did not hold within its term.
-    #[error("line {line}: not within {} s: {unmet}", term.as_secs_f64())]
+    /// A condition did not hold within its time limit.
+    #[error("line {line}: the condition did not hold within {} s: {unmet}", term.as_secs_f64())]
     Timeout {
-        /// The line number, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// The time within which it had to hold.
+        /// Time limit of the condition.
         term: Duration,
-        /// What was still missing.
+        /// Why the condition did not hold at the last check.
         unmet: String,
     },
 }
--- a/crates/testkit/src/fleet/script/parser.rs
+++ b/crates/testkit/src/fleet/script/parser.rs
@@ -1,5 +1,5 @@
-//! Parses scripts; the module page of [`super`] has the grammar. Lines are read one after the
-//! other, because setup lines apply to those below them.
+//! Parser of scripts. The documentation of [`super`] has the grammar. Lines are parsed in order,
+//! because setup lines apply to the lines below them.
 
 use super::error::{Expected, ScriptError};
 use super::words::{
@@ -10,11 +10,11 @@
 use madderbay::time::Duration;
 
 impl Script {
-    /// Parses a script; `file` is its name in errors.
+    /// Parses a script. `file` is its name in error messages.
     ///
     /// # Errors
     ///
-    /// The first word that is not understood, with its line.
+    /// Returns the first invalid word with its line number.
     pub fn read(file: &str, text: &str) -> Result<Script, ScriptError> {
         let mut setup = FleetSetup::of(1);
         let mut steps = vec![];
@@ -31,7 +31,7 @@
     }
 }
 
-/// Parses a line: setup changes what is given, and everything else makes steps.
+/// Parses a line. A setup line changes `setup` and has no steps; any other line returns its steps.
 fn parse_line(setup: &mut FleetSetup, line: &str) -> Parsed<Vec<Step>> {
     let line = line.split('#').next().unwrap_or_default();
     let words: Vec<&str> = line.split_whitespace().collect();
@@ -45,7 +45,7 @@
         }
         ["set", ref assignments @ ..] => {
             for assignment in assignments {
-                set(setup, assignment)?;
+                apply_assignment(setup, assignment)?;
             }
         }
         [keyword, ref arguments @ ..] => return parse_step(setup, keyword, arguments),
@@ -53,7 +53,8 @@
     Ok(vec![])
 }
 
-fn set(setup: &mut FleetSetup, assignment: &str) -> Parsed<()> {
+/// Applies a `KEY=VALUE` argument of `set` to the setup.
+fn apply_assignment(setup: &mut FleetSetup, assignment: &str) -> Parsed<()> {
     let (key, value) = assignment
         .split_once('=')
         .ok_or_else(|| unexpected(assignment, Expected::Assignment))?;
@@ -75,13 +76,14 @@
                 .budget
                 .as_mut()
                 .ok_or_else(|| unexpected(key, Expected::Key))?;
-            set_of_quota(quota, key, value)?;
+            apply_quota_assignment(quota, key, value)?;
         }
     }
     Ok(())
 }
 
-fn set_of_quota(quota: &mut QuotaSetup, key: &str, value: &str) -> Parsed<()> {
+/// Applies a key of `set` that belongs to the quota.
+fn apply_quota_assignment(quota: &mut QuotaSetup, key: &str, value: &str) -> Parsed<()> {
     match key {
         "max_servers" => quota.servers = number(value)?,
         "slots" => quota.slots = switch(value)?,
@@ -93,7 +95,8 @@
     Ok(())
 }
 
-/// Parses an action or a condition; an action on several servers makes a step for each, and there is one at least.
+/// Parses an action or a condition. An action on several servers becomes one step per server. A
+/// line without any step is an error.
 fn parse_step(setup: &FleetSetup, keyword: &str, arguments: &[&str]) -> Parsed<Vec<Step>> {
     let steps = parse_steps(setup, keyword, arguments)?;
     if steps.is_empty() {
@@ -105,10 +108,10 @@
 fn parse_steps(setup: &FleetSetup, keyword: &str, arguments: &[&str]) -> Parsed<Vec<Step>> {
     match keyword {
         "start" => parse_start(setup, arguments),
-        "kill" => each(setup, arguments, Action::Kill),
-        "stop" => each(setup, arguments, Action::Stop),
-        "continue" => each(setup, arguments, Action::Continue),
-        "drain" => each(setup, arguments, Action::Drain),
+        "kill" => step_for_each(setup, arguments, Action::Kill),
+        "stop" => step_for_each(setup, arguments, Action::Stop),
+        "continue" => step_for_each(setup, arguments, Action::Continue),
+        "drain" => step_for_each(setup, arguments, Action::Drain),
         "demand" | "capacity" => parse_amount(setup, keyword, arguments),
         "settle" | "view" | "connectivity" | "quota-at-least" | "quota-at-most"
         | "in-flight-at-least" => Ok(vec![parse_condition(setup, keyword, arguments)?]),
@@ -119,8 +122,12 @@
     }
 }
 
-/// One action for each of these servers.
-fn each(setup: &FleetSetup, names: &[&str], action: impl Fn(usize) -> Action) -> Parsed<Vec<Step>> {
+/// Parses a list of servers and returns one step per server.
+fn step_for_each(
+    setup: &FleetSetup,
+    names: &[&str],
+    action: impl Fn(usize) -> Action,
+) -> Parsed<Vec<Step>> {
     let servers = servers(setup, names)?;
     Ok(servers
         .into_iter()
@@ -128,46 +135,46 @@
         .collect())
 }
 
-/// Parses `start`, whose options stand among its servers.
+/// Parses `start`. Its options may be anywhere between the servers.
 fn parse_start(setup: &FleetSetup, arguments: &[&str]) -> Parsed<Vec<Step>> {
     let mut names = vec![];
     let mut taken_name = None;
     let mut clock = Duration::ZERO;
-    let mut back = false;
+    let mut is_behind = false;
     for word in arguments {
         match word.split_once('=') {
             Some(("name", other)) => taken_name = Some(server(setup, other)?),
             Some(("clock", offset)) => {
-                back = offset.starts_with('-');
+                is_behind = offset.starts_with('-');
                 clock = time(offset.trim_start_matches('-'))?;
             }
             _ => names.push(*word),
         }
     }
-    each(setup, &names, |who| Action::Start {
+    step_for_each(setup, &names, |who| Action::Start {
         who,
         name: taken_name.unwrap_or(who),
         clock,
-        back,
+        back: is_behind,
     })
 }
 
-/// Parses `demand` and `capacity`, which have servers and a number.
+/// Parses `demand` and `capacity`, whose arguments are servers and a number.
 fn parse_amount(setup: &FleetSetup, keyword: &str, arguments: &[&str]) -> Parsed<Vec<Step>> {
     let [names @ .., amount] = arguments else {
         return Err(malformed(keyword));
     };
     let amount = number(amount)?;
     if keyword == "demand" {
-        return each(setup, names, |server| Action::Demand(server, amount));
+        return step_for_each(setup, names, |server| Action::Demand(server, amount));
     }
-    each(setup, names, |server| Action::SetCapacity {
+    step_for_each(setup, names, |server| Action::SetCapacity {
         server,
         capacity: amount,
     })
 }
 
-/// Parses the actions that are not for each of several servers.
+/// Parses the actions that are a single step.
 fn parse_action(setup: &FleetSetup, keyword: &str, arguments: &[&str]) -> Parsed<Action> {
     match (keyword, arguments) {
         ("partition", groups) => {
@@ -185,31 +192,32 @@
         }
         ("heal", []) => Ok(Action::Heal),
         ("replay", [to]) => Ok(Action::Replay(server(setup, to)?)),
-        ("peak", [most]) => Ok(Action::Peak(number(most)?)),
-        ("for", [duration]) => Ok(Action::For(time(duration)?)),
-        ("downs", [most]) => Ok(Action::Downs(number(most)?)),
+        ("peak", [most]) => Ok(Action::CheckPeak(number(most)?)),
+        ("for", [duration]) => Ok(Action::Advance(time(duration)?)),
+        ("downs", [most]) => Ok(Action::CheckWronglyDown(number(most)?)),
         _ => Err(malformed(keyword)),
     }
 }
 
-/// Parses a fault of all datagrams; of the other faults it says nothing.
+/// Parses a datagram fault. Faults that the line does not name are `None`, so they stay unchanged;
+/// `calm` leaves all `None`.
 fn parse_datagram_fault(keyword: &str, arguments: &[&str]) -> Parsed<Action> {
     let mut loss = None;
-    let mut double = None;
-    let mut spoil = None;
+    let mut duplication = None;
+    let mut corruption = None;
     let mut delay = None;
     match (keyword, arguments) {
         ("loss", [part]) => loss = Some(fraction(part)?),
-        ("duplicate", [part]) => double = Some(fraction(part)?),
-        ("corrupt", [part]) => spoil = Some(fraction(part)?),
+        ("duplicate", [part]) => duplication = Some(fraction(part)?),
+        ("corrupt", [part]) => corruption = Some(fraction(part)?),
         ("delay", [least, most]) => delay = Some((time(least)?, time(most)?)),
         ("calm", []) => {}
         _ => return Err(malformed(keyword)),
     }
     Ok(Action::Network {
         loss,
-        double,
-        spoil,
+        duplication,
+        corruption,
         delay,
     })
 }
@@ -233,7 +241,7 @@
             (condition, term)
         }
         ("quota-at-least", [names, least, term]) => {
-            let condition = Condition::Has {
+            let condition = Condition::QuotaBetween {
                 who: servers(setup, &[names])?,
                 least: number(least)?,
                 most: u32::MAX,
@@ -241,7 +249,7 @@
             (condition, term)
         }
         ("quota-at-most", [names, most, term]) => {
-            let condition = Condition::Has {
+            let condition = Condition::QuotaBetween {
                 who: servers(setup, &[names])?,
                 least: 0,
                 most: number(most)?,
@@ -249,7 +257,7 @@
             (condition, term)
         }
         ("in-flight-at-least", [names @ .., least, term]) => {
-            let condition = Condition::Uses {
+            let condition = Condition::InFlightAtLeast {
                 who: servers(setup, names)?,
                 least: number(least)?,
             };
@@ -260,7 +268,8 @@
     Ok(Step::Within(condition, time(term)?))
 }
 
-/// What is wrong with a line that has this keyword and other arguments than it has to have.
+/// Returns the error for a line with an unknown keyword, or with the wrong arguments for its
+/// keyword.
 fn malformed(keyword: &str) -> Unexpected {
     let form = match keyword {
         "servers" => "servers N",
--- a/crates/testkit/src/fleet/simulated/conditions.rs
+++ b/crates/testkit/src/fleet/simulated/conditions.rs
@@ -1,4 +1,4 @@
-//! Checks conditions on the simulated fleet by looking into its servers.
+//! Checks script conditions against the state of the simulated servers.
 
 use super::{SimulatedFleet, name};
 use crate::fleet::script::ConditionChecks;
@@ -8,12 +8,12 @@
 
 impl ConditionChecks for SimulatedFleet {
     fn unsettled(&self) -> Option<String> {
-        let present = self.present();
+        let present = self.present_servers();
         let mut sizes: HashMap<usize, usize> = HashMap::new();
         for server in &present {
             *sizes.entry(self.network.partition(*server)).or_default() += 1;
         }
-        // By partition one server, and the digest of its view.
+        // For each partition group, the first server and the digest of its view.
         let mut digests: HashMap<usize, (usize, u64)> = HashMap::new();
         for server in present {
             let members = self.members(server)?;
@@ -22,7 +22,7 @@
             let active = members.active_count();
             if active != others {
                 return Some(format!(
-                    "{} has {active} other members, not {others}",
+                    "{} has {active} other members, expected {others}",
                     name(server)
                 ));
             }
@@ -36,14 +36,14 @@
                 ));
             }
             if members.local_identity().phase == Phase::Joining {
-                return Some(format!("{} is joining", name(server)));
+                return Some(format!("{} is still joining", name(server)));
             }
         }
-        // Equal digests over as many members as run mean equal views, so that one view of each is
-        // enough.
+        // Within a partition group all digests are equal and all views have as many members as
+        // servers run. The views are therefore equal, and it is enough to check one of them.
         digests
             .values()
-            .find_map(|(server, _)| self.suspect(*server))
+            .find_map(|(server, _)| self.find_suspect(*server))
     }
 
     fn wrong_state(
@@ -56,19 +56,15 @@
             let members = self.nodes[*observer].active_members()?;
             let state = members.member_state(&name(member));
             (state != expected)
-                .then(|| format!("{} reports {} {state:?}", name(*observer), name(member)))
+                .then(|| format!("{} reports {} as {state:?}", name(*observer), name(member)))
         })
     }
 
     fn wrong_connectivity(&self, servers: &[usize], expected: Connectivity) -> Option<String> {
         servers.iter().find_map(|server| {
             let connectivity = self.nodes[*server].active_members()?.connectivity();
-            (connectivity != expected).then(|| {
-                format!(
-                    "{} reports its connectivity {connectivity:?}",
-                    name(*server)
-                )
-            })
+            (connectivity != expected)
+                .then(|| format!("{} reports connectivity {connectivity:?}", name(*server)))
         })
     }
 
@@ -76,8 +72,12 @@
         servers.iter().find_map(|server| {
             let now = self.nodes[*server].clock(self.now);
             let usable = self.shared(*server)?.budgets().first()?.usable(now);
-            (usable < least || usable > most)
-                .then(|| format!("{} may use {usable}, of at least {least}", name(*server)))
+            (usable < least || usable > most).then(|| {
+                format!(
+                    "{} may use {usable} calls, outside the expected range from {least}",
+                    name(*server)
+                )
+            })
         })
     }
 
@@ -90,8 +90,9 @@
 }
 
 impl SimulatedFleet {
-    /// Servers that run, but for those whose name another server has taken over.
-    fn present(&self) -> Vec<usize> {
+    /// Returns the servers that run and are not stopped, except those whose name another server has
+    /// taken over.
+    fn present_servers(&self) -> Vec<usize> {
         let has_own_name = |members: &Membership| {
             members.member_state(&members.local_identity().name) != Some(MemberState::Down)
         };
@@ -104,13 +105,13 @@
             .collect()
     }
 
-    /// That a server holds some member suspect.
-    fn suspect(&self, server: usize) -> Option<String> {
+    /// Describes a member that a server suspects; `None` if it suspects none.
+    fn find_suspect(&self, server: usize) -> Option<String> {
         let view = self.members(server)?.view();
         let suspect = view
             .members
             .iter()
             .find(|member| member.state == MemberState::Suspect)?;
-        Some(format!("{} is suspect", suspect.name))
+        Some(format!("{} is suspected", suspect.name))
     }
 }
--- a/crates/testkit/src/fleet/simulated/counts.rs
+++ b/crates/testkit/src/fleet/simulated/counts.rs
@@ -1,4 +1,4 @@
-//! Counted requests, and the check of the servers' estimates against the true counts.
+//! Simulates counted requests, and checks the servers' estimates against the true counts.
 
 use super::node::KeyRate;
 use super::{Event, SimulatedFleet, name};
@@ -6,22 +6,22 @@
 use madderbay_quota::{CountEstimate, CounterId};
 use std::collections::HashMap;
 
-/// The time between two arrivals of counted requests, at all servers at once.
+/// Interval at which counted requests arrive at all servers.
 const ARRIVAL_INTERVAL: Duration = Duration::from_millis(20);
-/// The fraction of a counter's window that one slot has.
+/// Length of a time slot as a fraction of the counter's window.
 const SLOT_FRACTION: f64 = 0.1;
-/// The age, in slots, of the youngest slot that an estimate is about.
+/// Minimum age of a slot that an estimate covers, in slots.
 const MIN_SLOT_AGE: f64 = 3.0;
-/// The age, in slots, from which on an estimate is not about a slot.
+/// Age from which on an estimate no longer covers a slot, in slots.
 const MAX_SLOT_AGE: f64 = 13.0;
 
-/// What one incarnation of a server has truly counted.
+/// The exact number of requests that one incarnation of a server has counted.
 pub(super) struct TrueCounts {
     server: usize,
-    /// The server's clock when the incarnation began.
+    /// Time on the server's clock when the incarnation began.
     began: Timestamp,
-    /// Requests by key and slot.
-    counted: HashMap<(u32, u64), u32>,
+    /// Number of requests by key and slot.
+    requests: HashMap<(u32, u64), u32>,
 }
 
 impl TrueCounts {
@@ -29,17 +29,18 @@
         TrueCounts {
             server,
             began,
-            counted: HashMap::new(),
+            requests: HashMap::new(),
         }
     }
 
-    /// Requests of a key in the slots that an estimate is about, by the server's clock.
-    fn in_window(&self, key: u32, now: Timestamp, slot: Duration) -> u32 {
+    /// Returns the number of requests for a key in the slots that an estimate at `now` covers.
+    /// `now` is a time on the server's clock.
+    fn count_in_window(&self, key: u32, now: Timestamp, slot: Duration) -> u32 {
         let ages = slot.mul_f64(MIN_SLOT_AGE)..slot.mul_f64(MAX_SLOT_AGE);
         let mut sum = 0;
-        for ((counted_key, number), count) in &self.counted {
+        for ((request_key, number), count) in &self.requests {
             let end = self.began + Duration::from_micros((number + 1) * slot.as_micros());
-            if *counted_key == key && now >= end && ages.contains(&(now - end)) {
+            if *request_key == key && now >= end && ages.contains(&(now - end)) {
                 sum += count;
             }
         }
@@ -48,7 +49,7 @@
 }
 
 impl SimulatedFleet {
-    /// From here on this many requests of a key arrive at a server each second, and are counted.
+    /// Sets how many counted requests for a key arrive at a server per second from now on.
     pub fn set_request_rate(&mut self, server: usize, key: u32, per_second: f64) {
         if self.nodes.iter().all(|node| node.work.rates.is_empty()) {
             self.push(self.now + ARRIVAL_INTERVAL, Event::Requests);
@@ -62,7 +63,8 @@
         });
     }
 
-    /// Requests arrive at all servers that run.
+    /// Lets requests arrive at all servers that run and are not stopped, and schedules the next
+    /// arrival.
     pub(super) fn requests_arrive(&mut self) {
         for server in 0..self.nodes.len() {
             self.requests_arrive_at(server);
@@ -81,7 +83,7 @@
         let mut incarnations = self.true_counts.iter_mut().rev();
         let truth = incarnations
             .find(|truth| truth.server == server)
-            .expect("began");
+            .expect("an incarnation of the server");
         let slot = counter.settings().window.mul_f64(SLOT_FRACTION);
         let number = (now - truth.began).as_micros() / slot.as_micros();
         for rate in &mut node.work.rates {
@@ -91,18 +93,18 @@
             if count > 0 {
                 rate.accumulated -= f64::from(count);
                 counter.add(now, rate.key, count);
-                *truth.counted.entry((rate.key, number)).or_default() += count;
+                *truth.requests.entry((rate.key, number)).or_default() += count;
             }
         }
     }
 
-    /// The true count of a key in the window that estimates are about now.
+    /// Returns the true count of a key in the window that estimates cover now; 0 without a counter.
     pub fn truth(&self, key: u32) -> u32 {
-        self.truth_of(key, |_| true)
+        self.true_count_of(key, |_| true)
     }
 
-    /// The same, of chosen incarnations.
-    fn truth_of(&self, key: u32, chosen: impl Fn(&TrueCounts) -> bool) -> u32 {
+    /// Like [`SimulatedFleet::truth`], but sums only the incarnations that `chosen` selects.
+    fn true_count_of(&self, key: u32, chosen: impl Fn(&TrueCounts) -> bool) -> u32 {
         let Some(window) = self.setup.window else {
             return 0;
         };
@@ -111,14 +113,14 @@
         chosen
             .map(|truth| {
                 let now = self.nodes[truth.server].clock(self.now);
-                truth.in_window(key, now, slot)
+                truth.count_in_window(key, now, slot)
             })
             .sum()
     }
 
-    /// A server's estimate for a key, which is checked against the true count; `fair_rate` is the
-    /// rate that the estimate is asked with, in requests a second. `None` while the server does not
-    /// run, or without a counter.
+    /// Returns a server's estimate for a key and checks it against the true count. `fair_rate` is
+    /// passed to the estimate, in requests per second. Returns `None` if the server does not run or
+    /// the setup has no counter. A violated bound is counted in `out_of_bounds`.
     pub fn checked_estimate(
         &mut self,
         server: usize,
@@ -130,9 +132,9 @@
             .shared(server)?
             .estimate(now, CounterId::default(), key, fair_rate);
         let truth = f64::from(self.truth(key));
-        let known_truth = f64::from(self.known_truth(server, key)?);
+        let true_count_in_view = f64::from(self.true_count_in_view(server, key)?);
         self.out_of_bounds.1 += 1;
-        if truth < estimate.low || known_truth > estimate.high {
+        if truth < estimate.low || true_count_in_view > estimate.high {
             self.out_of_bounds.0 += 1;
             self.log_line(
                 server,
@@ -142,14 +144,15 @@
         Some(estimate)
     }
 
-    /// The true count of the incarnations that an estimate's bound is about: the server's present
-    /// one and the others in its view. After a start on one side of a partition a server knows
-    /// neither the other side, nor what its former incarnation has counted and not sent.
-    fn known_truth(&self, server: usize, key: u32) -> Option<u32> {
+    /// Returns the true count that the upper bound of a server's estimate must cover: that of the
+    /// server's present incarnation and of all incarnations of other servers in its view. A server
+    /// that was started on one side of a partition knows neither the counts of the other side nor
+    /// those that its former incarnation had not sent yet.
+    fn true_count_in_view(&self, server: usize, key: u32) -> Option<u32> {
         let view = self.members(server)?;
         let mut incarnations = self.true_counts.iter().rev();
         let began = incarnations.find(|truth| truth.server == server)?.began;
-        Some(self.truth_of(key, |truth| {
+        Some(self.true_count_of(key, |truth| {
             if truth.server == server {
                 truth.began == began
             } else {
--- a/crates/testkit/src/load_balancer/outcomes.rs
+++ b/crates/testkit/src/load_balancer/outcomes.rs
@@ -1,4 +1,4 @@
-//! Figures and checks of what became of requests.
+//! Figures and checks computed from the outcomes of requests.
 
 use super::{Answer, KindId, RequestKind, RequestRecord};
 use hdrhistogram::Histogram;
@@ -6,8 +6,9 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// The goodput of a kind of request: the fraction of those sent in a time since the beginning of the load that got a
-/// result within their latency objective; 0 if none was sent.
+/// Returns the goodput of a kind of request: the fraction of the requests sent in a time range
+/// since the start of the load that got a result within their latency objective; 0 if none was
+/// sent.
 pub fn goodput(
     records: &[RequestRecord],
     kinds: &[RequestKind],
@@ -24,41 +25,45 @@
     in_time as f64 / sent.len().max(1) as f64
 }
 
-/// The times, in milliseconds, after which requests of a kind had their results.
+/// Returns the histogram of the response times of a kind's completed requests, in milliseconds.
 pub fn latencies(records: &[RequestRecord], kind: KindId) -> Histogram<u64> {
-    let mut found = Histogram::new(3).expect("three digits");
+    let mut latencies = Histogram::new(3).expect("3 significant digits are valid");
     for record in records.iter().filter(|record| record.kind == kind) {
         if let [(Answer::Completed, at)] = record.answers[..] {
-            let _ = found.record(at.saturating_sub(record.sent).as_millis() as u64);
+            let _ = latencies.record(at.saturating_sub(record.sent).as_millis() as u64);
         }
     }
-    found
+    latencies
 }
 
-/// Checks the rules as far as clients and the engine can tell: exactly one answer each, nothing
-/// with an idempotency key run twice, nothing rejected that was run. `bodies` is
-/// [`EngineStats::bodies`](crate::engine::EngineStats::bodies). Gives a line for each violation.
+/// Checks the rules that can be checked from the clients and the engine: each request gets exactly
+/// one answer, no request with an idempotency key runs twice, and none of these is rejected after
+/// it has run. `bodies` is [`EngineStats::bodies`](crate::engine::EngineStats::bodies). Returns one
+/// line for each violation.
 pub fn rule_violations(
     records: &[RequestRecord],
     kinds: &[RequestKind],
     bodies: &HashMap<String, u32>,
 ) -> Vec<String> {
-    let mut found = vec![];
+    let mut violations = vec![];
     for record in records {
         let name = &record.name;
         if record.answers.len() != 1 {
-            found.push(format!("{name} got {} answers", record.answers.len()));
+            violations.push(format!(
+                "request {name} got {} answers",
+                record.answers.len()
+            ));
         }
         if !kinds[record.kind.index()].idempotency_key {
             continue;
         }
         let runs = bodies.get(&record.body).copied().unwrap_or(0);
         if runs > 1 {
-            found.push(format!("{name} ran {runs} times"));
+            violations.push(format!("request {name} ran {runs} times"));
         }
         if runs > 0 && matches!(record.answers[..], [(Answer::Rejected(_), _)]) {
-            found.push(format!("{name} was shed although it ran"));
+            violations.push(format!("request {name} was rejected although it ran"));
         }
     }
-    found
+    violations
 }
--- a/crates/testkit/src/measurement/seeds.rs
+++ b/crates/testkit/src/measurement/seeds.rs
@@ -1,11 +1,11 @@
-//! Runs of one measurement with several seeds, some of them at a time.
+//! Runs of one measurement with several seeds, some of them in parallel.
 
 use std::collections::VecDeque;
 use std::ops::Range;
 use std::sync::Mutex;
 
-/// The results of a run with each seed of a range, in their order. Up to `threads` of them run at a
-/// time.
+/// Runs a measurement with each seed of a range, up to `threads` of them in parallel, and returns
+/// the results in the order of the seeds.
 ///
 /// # Panics
 ///
@@ -19,8 +19,8 @@
     run_seed_list(&seeds, threads, run)
 }
 
-/// The results of a run with each of these seeds, in the order of the list. Up to `threads` of them
-/// run at a time.
+/// Runs a measurement with each seed of a list, up to `threads` of them in parallel, and returns
+/// the results in the order of the list.
 ///
 /// # Panics
 ///
@@ -34,9 +34,12 @@
     let waiting = Mutex::new(waiting);
     let results = Mutex::new(vec![]);
     let run_next = || {
-        let (position, seed) = waiting.lock().expect("seeds").pop_front()?;
+        let (position, seed) = waiting.lock().expect("no run has panicked").pop_front()?;
         let result = run(seed);
-        results.lock().expect("results").push((position, result));
+        results
+            .lock()
+            .expect("no run has panicked")
+            .push((position, result));
         Some(())
     };
     std::thread::scope(|scope| {
@@ -44,7 +47,7 @@
             scope.spawn(|| while run_next().is_some() {});
         }
     });
-    let mut results = results.into_inner().expect("results");
+    let mut results = results.into_inner().expect("no run has panicked");
     results.sort_by_key(|(position, _)| *position);
     results.into_iter().map(|(_, result)| result).collect()
 }
--- a/crates/testkit/src/soak/clients.rs
+++ b/crates/testkit/src/soak/clients.rs
@@ -1,6 +1,7 @@
-//! The clients of a play: they send requests over a few connections, withdraw some, and keep every answer.
+//! The clients of a soak run. They send requests over a small number of connections, withdraw some of them, and record
+//! every answer.
 
-use super::plan::{HANDLERS, KEYED_HANDLER, PlannedRequest};
+use super::plan::{HANDLERS, IDEMPOTENCY_KEY_HANDLER, PlannedRequest};
 use crate::unix_ms;
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD as BASE64;
@@ -11,18 +12,18 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-/// How long a client waits for each answer, in milliseconds, as the request carries it.
+/// Time for which a client waits for an answer, in milliseconds. Each request contains this timeout.
 pub(super) const TIMEOUT_MS: u64 = 3_000;
-/// Requests in flight on one connection, as the protocol limits them.
-const MAX_OPEN_REQUESTS: usize = 32;
-/// Requests in flight on every connection from which a new one is opened.
-const NEW_CONNECTION_AT: usize = 8;
-/// Connections of all clients, at most.
+/// Maximum number of requests in flight on one connection, set by the protocol.
+const MAX_IN_FLIGHT_PER_CONNECTION: usize = 32;
+/// A new connection is opened when every connection has at least this many requests in flight.
+const NEW_CONNECTION_THRESHOLD: usize = 8;
+/// Maximum number of connections that are opened during a soak run.
 const MAX_CONNECTIONS: usize = 100;
-/// The error code of a request that was rejected and never ran.
+/// Error code of a request that was rejected and never ran.
 const REJECTED: i64 = -32002;
 
-/// What a client was answered.
+/// An answer to a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientAnswer {
     /// The result of a run, in base64.
@@ -33,50 +34,50 @@
     Failed,
 }
 
-/// A request that was sent, and what came back.
+/// A request that was sent, with its answers.
 #[derive(Clone, Debug)]
 pub struct SentRequest {
-    /// What was planned.
+    /// The request as planned.
     pub planned: PlannedRequest,
-    /// The name of the attempt.
+    /// Name of the attempt.
     pub name: String,
-    /// The body in base64; no other request has the same.
+    /// Body in base64, unique to this request.
     pub body: String,
-    /// When it was sent, since the beginning of the play.
+    /// Time of sending, since the beginning of the soak run.
     pub sent: Duration,
-    /// When its client stopped waiting.
+    /// Time at which the client withdrew the request, that is, stopped waiting for its answer.
     pub withdrawn: Option<Duration>,
-    /// All answers, with their times since the beginning of the play.
+    /// All answers with their times since the beginning of the soak run.
     pub answers: Vec<(ClientAnswer, Duration)>,
-    /// When its connection ended, if that was before its answer.
-    pub cut_off: Option<Duration>,
+    /// Time at which the connection ended, if the request had no answer by then.
+    pub disconnected: Option<Duration>,
 }
 
 struct Connection {
     stream: TcpStream,
-    /// Requests in flight.
-    open: usize,
-    /// The id of the last request.
+    /// Number of requests in flight.
+    in_flight: usize,
+    /// Id of the last request.
     last_id: u64,
-    /// It has ended.
-    is_over: bool,
+    /// Whether the connection has ended.
+    is_closed: bool,
 }
 
-/// What a connection has brought: a line, or its end.
+/// A line received on a connection, or the end of the connection if `line` is `None`.
 struct Received {
     connection: usize,
     line: Option<String>,
     at: Instant,
 }
 
-/// Where a request was sent.
+/// The connection on which a request was sent, and its id there.
 #[derive(Clone, Copy)]
-struct Place {
+struct RequestLocation {
     connection: usize,
     id: u64,
 }
 
-/// The clients of one server.
+/// The clients of the server under test.
 pub(super) struct Clients {
     server: SocketAddr,
     seed: u64,
@@ -85,14 +86,16 @@
     sender: Sender<Received>,
     received: Receiver<Received>,
     requests: Vec<SentRequest>,
-    places: Vec<Place>,
+    /// Location of each request, by its number.
+    locations: Vec<RequestLocation>,
+    /// Number of a request by its connection and id.
     request_of: HashMap<(usize, u64), usize>,
-    /// The names of requests that are over since this was last asked.
-    over: Vec<String>,
+    /// Names of the requests that were answered or withdrawn since the last `take_finished`.
+    finished: Vec<String>,
 }
 
 impl Clients {
-    /// Clients without a connection yet.
+    /// Creates clients that have no connection yet.
     pub(super) fn new(server: SocketAddr, seed: u64, began: Instant) -> Clients {
         let (sender, received) = channel();
         Clients {
@@ -103,26 +106,26 @@
             sender,
             received,
             requests: vec![],
-            places: vec![],
+            locations: vec![],
             request_of: HashMap::new(),
-            over: vec![],
+            finished: vec![],
         }
     }
 
-    /// Sends a request; gives its number. Nothing is sent where the server takes no connection.
+    /// Sends a request and returns its number. Returns `None` and sends nothing if there is no connection for it.
     pub(super) fn send(&mut self, planned: PlannedRequest) -> Option<usize> {
-        let connection = self.free_connection()?;
+        let connection = self.select_connection()?;
         let number = self.requests.len();
         let name = format!("{:08x}{number:08x}", self.seed as u32);
         let body = BASE64.encode(&name);
-        let open = &mut self.connections[connection];
-        open.open += 1;
-        open.last_id += 1;
-        let id = open.last_id;
+        let chosen = &mut self.connections[connection];
+        chosen.in_flight += 1;
+        chosen.last_id += 1;
+        let id = chosen.last_id;
         let line = request_line(id, planned.handler, &name, &body);
-        let _ = open.stream.write_all(line.as_bytes());
+        let _ = chosen.stream.write_all(line.as_bytes());
         self.request_of.insert((connection, id), number);
-        self.places.push(Place { connection, id });
+        self.locations.push(RequestLocation { connection, id });
         self.requests.push(SentRequest {
             planned,
             name,
@@ -130,28 +133,28 @@
             sent: self.began.elapsed(),
             withdrawn: None,
             answers: vec![],
-            cut_off: None,
+            disconnected: None,
         });
         Some(number)
     }
 
-    /// The client of a request that is not answered yet stops waiting for it.
+    /// Withdraws a request: its client stops waiting and tells the server so. Does nothing if the request is answered.
     pub(super) fn withdraw(&mut self, number: usize) {
         let request = &mut self.requests[number];
         if !request.answers.is_empty() {
             return;
         }
         request.withdrawn = Some(self.began.elapsed());
-        self.over.push(request.name.clone());
-        let Place { connection, id } = self.places[number];
+        self.finished.push(request.name.clone());
+        let RequestLocation { connection, id } = self.locations[number];
         let line =
             format!("{{\"jsonrpc\":\"2.0\",\"method\":\"forget\",\"params\":{{\"id\":{id}}}}}\n");
         let connection = &mut self.connections[connection];
-        connection.open -= 1;
+        connection.in_flight -= 1;
         let _ = connection.stream.write_all(line.as_bytes());
     }
 
-    /// Takes in answers for so long.
+    /// Receives answers and the ends of connections for this duration.
     pub(super) fn receive(&mut self, wait: Duration) {
         let until = Instant::now() + wait;
         loop {
@@ -159,52 +162,55 @@
             let Ok(received) = self.received.recv_timeout(left) else {
                 return;
             };
-            self.take_in(&received);
+            self.handle_received(&received);
         }
     }
 
-    /// The names of the requests that were answered or withdrawn since this was last asked.
-    pub(super) fn take_over(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.over)
+    /// Takes the names of the requests that were answered or withdrawn since the last call.
+    pub(super) fn take_finished(&mut self) -> Vec<String> {
+        std::mem::take(&mut self.finished)
     }
 
-    /// What was sent, and what came back.
+    /// Returns all requests that were sent, with their answers.
     pub(super) fn into_requests(self) -> Vec<SentRequest> {
         self.requests
     }
 
-    /// Whether a request is not answered whose client waits for it.
+    /// Reports whether any client still waits for an answer on an open connection.
     pub(super) fn awaits_answer(&self) -> bool {
-        let is_owed = |request: &SentRequest| {
-            let is_over = request.withdrawn.is_some() || request.cut_off.is_some();
+        let is_awaited = |request: &SentRequest| {
+            let is_over = request.withdrawn.is_some() || request.disconnected.is_some();
             request.answers.is_empty() && !is_over
         };
-        self.requests.iter().any(is_owed)
+        self.requests.iter().any(is_awaited)
     }
 
-    /// Opens so many connections, as far as the server takes them.
+    /// Opens this many connections, or fewer if the server refuses some or the maximum is reached.
     pub(super) fn open_connections(&mut self, count: usize) {
         for _ in 0..count {
             self.connect();
         }
     }
 
-    /// A connection that may have one more request: the one with the fewest, also where the server has said that it
-    /// closes it.
-    fn free_connection(&mut self) -> Option<usize> {
-        let is_free =
-            |connection: &Connection| !connection.is_over && connection.open < MAX_OPEN_REQUESTS;
+    /// Returns the connection with the fewest requests in flight that may have one more, or a new one. A connection is
+    /// used even if the server has announced that it will close it.
+    fn select_connection(&mut self) -> Option<usize> {
+        let is_free = |connection: &Connection| {
+            !connection.is_closed && connection.in_flight < MAX_IN_FLIGHT_PER_CONNECTION
+        };
         let connections = self.connections.iter().enumerate();
         let free = connections.filter(|(_, connection)| is_free(connection));
-        let least_used = free.min_by_key(|(_, connection)| connection.open);
+        let least_used = free.min_by_key(|(_, connection)| connection.in_flight);
         match least_used {
-            Some((index, connection)) if connection.open < NEW_CONNECTION_AT => Some(index),
+            Some((index, connection)) if connection.in_flight < NEW_CONNECTION_THRESHOLD => {
+                Some(index)
+            }
             Some((index, _)) => self.connect().or(Some(index)),
             None => self.connect(),
         }
     }
 
-    /// A new connection, if the server takes one.
+    /// Opens a connection. Returns `None` if the server refuses it or the maximum is reached.
     fn connect(&mut self) -> Option<usize> {
         if self.connections.len() >= MAX_CONNECTIONS {
             return None;
@@ -212,23 +218,24 @@
         let stream = TcpStream::connect(self.server).ok()?;
         let _ = stream.set_nodelay(true);
         let index = self.connections.len();
-        let reader = stream.try_clone().expect("a second handle");
+        let reader = stream.try_clone().expect("a second handle of the stream");
         let sender = self.sender.clone();
         std::thread::spawn(move || read_lines(index, reader, &sender));
         self.connections.push(Connection {
             stream,
-            open: 0,
+            in_flight: 0,
             last_id: 0,
-            is_over: false,
+            is_closed: false,
         });
         Some(index)
     }
 
-    /// Takes in one line, or the end of a connection; lines that are no JSON are ignored.
-    fn take_in(&mut self, received: &Received) {
+    /// Handles a received line or the end of a connection. Ignores lines that are not JSON, and messages without the id
+    /// of a request.
+    fn handle_received(&mut self, received: &Received) {
         let connection = received.connection;
         let Some(line) = &received.line else {
-            return self.connection_ended(connection, received.at);
+            return self.handle_connection_end(connection, received.at);
         };
         let Ok(message) = serde_json::from_str::<Value>(line) else {
             return;
@@ -239,28 +246,28 @@
         };
         let request = &mut self.requests[*number];
         if request.answers.is_empty() && request.withdrawn.is_none() {
-            self.connections[connection].open -= 1;
-            self.over.push(request.name.clone());
+            self.connections[connection].in_flight -= 1;
+            self.finished.push(request.name.clone());
         }
         let at = received.at.saturating_duration_since(self.began);
-        request.answers.push((answer_in(&message), at));
+        request.answers.push((parse_answer(&message), at));
     }
 
-    /// A connection is over: what was not answered on it never will be.
-    fn connection_ended(&mut self, connection: usize, at: Instant) {
-        self.connections[connection].is_over = true;
+    /// Handles the end of a connection. Its requests without an answer will never get one.
+    fn handle_connection_end(&mut self, connection: usize, at: Instant) {
+        self.connections[connection].is_closed = true;
         let at = at.saturating_duration_since(self.began);
-        let places = self.places.iter().zip(&mut self.requests);
-        let on_connection = places.filter(|(place, _)| place.connection == connection);
+        let locations = self.locations.iter().zip(&mut self.requests);
+        let on_connection = locations.filter(|(location, _)| location.connection == connection);
         for (_, request) in on_connection.filter(|(_, request)| request.answers.is_empty()) {
-            request.cut_off = Some(at);
+            request.disconnected = Some(at);
         }
     }
 }
 
-/// A request as it is sent.
+/// Returns the JSON line of a request.
 fn request_line(id: u64, handler: usize, name: &str, body: &str) -> String {
-    let key = if handler == KEYED_HANDLER {
+    let key = if handler == IDEMPOTENCY_KEY_HANDLER {
         format!("\"replay\":\"{name}{name}\",")
     } else {
         String::new()
@@ -273,7 +280,7 @@
     )
 }
 
-/// Passes on each line of a connection, and its end.
+/// Reads the lines of a connection and sends each to the channel, followed by the end of the connection.
 fn read_lines(connection: usize, stream: TcpStream, sender: &Sender<Received>) {
     let lines = BufReader::new(stream).lines().map_while(Result::ok);
     for line in lines.map(Some).chain([None]) {
@@ -289,8 +296,8 @@
     }
 }
 
-/// What a message that has an id answers.
-fn answer_in(message: &Value) -> ClientAnswer {
+/// Converts a response message to an answer.
+fn parse_answer(message: &Value) -> ClientAnswer {
     let error = &message["error"];
     match error["code"].as_i64() {
         None => ClientAnswer::Served(
--- a/crates/testkit/src/soak/violations.rs
+++ b/crates/testkit/src/soak/violations.rs
@@ -1,7 +1,7 @@
-//! Which rules a play has broken.
+//! Checks the record of a soak run for violated rules.
 
 use super::clients::{ClientAnswer, SentRequest, TIMEOUT_MS};
-use super::plan::KEYED_HANDLER;
+use super::plan::IDEMPOTENCY_KEY_HANDLER;
 use super::player::PlayRecord;
 use crate::engine::RunEvent;
 use base64::Engine as _;
@@ -9,19 +9,21 @@
 use std::fmt::{Display, Formatter};
 use std::time::Duration;
 
-/// Time by which an answer may be later than its client waits: the protocol's slack, and what this process takes.
+/// Maximum time between the end of a request's timeout and its answer: the slack that the protocol allows plus the
+/// delay of this process.
 const ANSWER_SLACK: Duration = Duration::from_millis(110);
-/// Time in which a request and the close of its connection cross, as the protocol has it.
+/// Time before the end of a connection within which the protocol assumes that a request and the close crossed on the
+/// network.
 const CLOSE_CROSSING: Duration = Duration::from_millis(50);
-/// Counters that are zero once all is answered and every run has ended.
-const ZERO_AT_REST: [&str; 3] = ["open", "in_hand", "calls.out"];
+/// Counters that must be zero once every request is answered and every engine run has ended.
+const ZERO_WHEN_IDLE: [&str; 3] = ["open", "in_hand", "calls.out"];
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The rule, the same for all its violations.
+    /// The rule, with the same text for all its violations.
     pub rule: &'static str,
-    /// What happened, with the request's events where it is about one.
+    /// What happened. For a rule about a request, this includes the events of the request.
     pub what: String,
 }
 
@@ -31,29 +33,29 @@
     }
 }
 
-/// All violations of a play.
-pub fn violations(play: &PlayRecord) -> Vec<Violation> {
+/// Returns all violations in the record of a soak run.
+pub fn violations(record: &PlayRecord) -> Vec<Violation> {
     let mut found = vec![];
-    for request in &play.requests {
-        let broken = broken_rules(play, request);
-        let what = || describe(play, request);
+    for request in &record.requests {
+        let broken = broken_rules(record, request);
+        let what = || describe(record, request);
         found.extend(
             broken
                 .into_iter()
                 .map(|rule| Violation { rule, what: what() }),
         );
     }
-    if play.exit_status != Some(0) {
+    if record.exit_status != Some(0) {
         found.push(Violation {
-            rule: "the program ends by itself, with status 0, before the kill",
-            what: format!("exit status {:?}", play.exit_status),
+            rule: "the server exits by itself, with status 0, before the kill",
+            what: format!("exit status {:?}", record.exit_status),
         });
     }
-    for name in ZERO_AT_REST {
-        let value = play.counters.get(name);
+    for name in ZERO_WHEN_IDLE {
+        let value = record.counters.get(name);
         if value != Some(&0) {
             found.push(Violation {
-                rule: "nothing is in flight at rest",
+                rule: "nothing is in flight when the server is idle",
                 what: format!("counter {name} is {value:?}"),
             });
         }
@@ -61,12 +63,12 @@
     found
 }
 
-/// The rules that a request's treatment breaks.
-fn broken_rules(play: &PlayRecord, request: &SentRequest) -> Vec<&'static str> {
-    let events = events_of(play, request);
+/// Returns the rules that the server broke in handling a request.
+fn broken_rules(record: &PlayRecord, request: &SentRequest) -> Vec<&'static str> {
+    let events = events_of(record, request);
     let mut broken = vec![];
     let is_answered = !request.answers.is_empty();
-    if !is_answered && request.withdrawn.is_none() && !crosses_close(request) {
+    if !is_answered && request.withdrawn.is_none() && !crossed_connection_close(request) {
         broken.push("each request gets an answer");
     }
     if request.answers.len() > 1 {
@@ -77,37 +79,43 @@
         .first()
         .is_some_and(|(_, at)| is_late(request, *at))
     {
-        broken.push("answers come in time");
+        broken.push("answers arrive before the timeout");
     }
     if request
         .answers
         .iter()
-        .any(|(answer, _)| !is_of_run(request, answer, events))
+        .any(|(answer, _)| !has_valid_result(request, answer, events))
     {
-        broken.push("served is what a run made");
+        broken.push("a served answer is the result of a run");
     }
-    let runs = play.engine.bodies.get(&request.body).copied().unwrap_or(0);
-    if runs > 1 && request.planned.handler == KEYED_HANDLER {
-        broken.push("nothing runs twice within its window");
+    let runs = record
+        .engine
+        .bodies
+        .get(&request.body)
+        .copied()
+        .unwrap_or(0);
+    if runs > 1 && request.planned.handler == IDEMPOTENCY_KEY_HANDLER {
+        broken.push("no request runs twice within its repeat window");
     }
     let was_rejected = matches!(request.answers.first(), Some((ClientAnswer::Rejected, _)));
     if runs > 0 && was_rejected {
-        broken.push("what was rejected did not run");
+        broken.push("a rejected request does not run");
     }
-    if is_cancelled_unstarted(events) {
+    if was_halted_before_run(events) {
         broken.push("the engine is sent RUN before HALT");
     }
     let was_served = matches!(request.answers.first(), Some((ClientAnswer::Served(_), _)));
-    if request.planned.has_to_be_served && !was_served {
-        broken.push("all is served when calm");
+    if request.planned.must_be_served && !was_served {
+        broken.push("every request is served in the phase without faults");
     }
     broken
 }
 
-/// Whether a request was sent so shortly before its connection ended that the protocol has it sent again.
-fn crosses_close(request: &SentRequest) -> bool {
-    let cut_off = request.cut_off;
-    cut_off.is_some_and(|at| at.saturating_sub(request.sent) <= CLOSE_CROSSING)
+/// Reports whether a request was sent so shortly before its connection ended that the protocol lets the client send it
+/// again. Such a request needs no answer.
+fn crossed_connection_close(request: &SentRequest) -> bool {
+    let disconnected = request.disconnected;
+    disconnected.is_some_and(|at| at.saturating_sub(request.sent) <= CLOSE_CROSSING)
 }
 
 fn is_late(request: &SentRequest, at: Duration) -> bool {
@@ -115,8 +123,9 @@
         && at > request.sent + Duration::from_millis(TIMEOUT_MS) + ANSWER_SLACK
 }
 
-/// Whether an answer is none of a run, or the result that the engine made for this request.
-fn is_of_run(request: &SentRequest, answer: &ClientAnswer, events: &[RunEvent]) -> bool {
+/// Reports whether an answer is the result that the engine made for this request. Answers without a result are always
+/// valid.
+fn has_valid_result(request: &SentRequest, answer: &ClientAnswer, events: &[RunEvent]) -> bool {
     let ClientAnswer::Served(result) = answer else {
         return true;
     };
@@ -124,21 +133,22 @@
     has_run && *result == BASE64.encode(&request.name)
 }
 
-fn is_cancelled_unstarted(events: &[RunEvent]) -> bool {
+fn was_halted_before_run(events: &[RunEvent]) -> bool {
     let was_sent = |kind: &str| events.iter().any(|event| event.kind == kind);
     was_sent("HALT") && !was_sent("RUN")
 }
 
-fn events_of<'a>(play: &'a PlayRecord, request: &SentRequest) -> &'a [RunEvent] {
-    play.engine
+fn events_of<'a>(record: &'a PlayRecord, request: &SentRequest) -> &'a [RunEvent] {
+    record
+        .engine
         .runs
         .get(&request.name)
         .map_or(&[], Vec::as_slice)
 }
 
-/// What happened to a request, in one line.
-fn describe(play: &PlayRecord, request: &SentRequest) -> String {
-    let events: Vec<String> = events_of(play, request)
+/// Describes in one line what happened to a request.
+fn describe(record: &PlayRecord, request: &SentRequest) -> String {
+    let events: Vec<String> = events_of(record, request)
         .iter()
         .map(|event| format!("{} at {} ms", event.kind, event.at.as_millis()))
         .collect();
@@ -153,19 +163,19 @@
         })
     };
     let withdrawn = after("withdrawn", request.withdrawn);
-    let cut_off = after("cut off", request.cut_off);
+    let disconnected = after("disconnected", request.disconnected);
     format!(
-        "request {} sent at {} ms{withdrawn}{cut_off}; answers [{}]; engine (its own clock) [{}]; log [{}]",
+        "request {} sent at {} ms{withdrawn}{disconnected}; answers [{}]; engine (its own clock) [{}]; log [{}]",
         request.name,
         request.sent.as_millis(),
         answers.join(", "),
         events.join(", "),
-        log_lines(play, request).join("; "),
+        log_lines(record, request).join("; "),
     )
 }
 
-/// The lines of the server's log that name a request's attempt.
-fn log_lines<'a>(play: &'a PlayRecord, request: &SentRequest) -> Vec<&'a str> {
-    let lines = play.log.iter().map(String::as_str);
+/// Returns the lines of the server's log that contain the name of the request's attempt.
+fn log_lines<'a>(record: &'a PlayRecord, request: &SentRequest) -> Vec<&'a str> {
+    let lines = record.log.iter().map(String::as_str);
     lines.filter(|line| line.contains(&request.name)).collect()
 }
